--- /dev/null
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -0,0 +1,288 @@
+//! Every form by itself: read from the fixture field by field, and written as the same bytes.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde_json::{json, Value};
+use worksshunt_core::constants::DONE_CHUNK;
+use worksshunt_core::jobs::{
+    cancelled_value, final_key, final_value, intake_key, intake_value, is_intake, job_of, open_key,
+    read_cancelled, read_completions, read_final, Completions, Job,
+};
+use worksshunt_core::membership::{member_key, EpochRecord, Finding, Member, Membership, EPOCH};
+use worksshunt_core::pages::Entry;
+use worksshunt_core::records::{self, page_prefix, Recorded};
+use worksshunt_core::scheduler::claim_key;
+use worksshunt_core::time::Time;
+use worksshunt_wire::cloud::{Catalog, MachineType};
+use worksshunt_wire::state::{Change, Listing, Pair};
+use worksshunt_wire::user::{JobKind, JobSpec, JobState, Priority};
+use worksshunt_wire::{Attempt, Epoch, JobId, NodeName, Revision, Session};
+
+use crate::{pair, store, stored, task};
+
+/// The value is written as the fixture's bytes.
+fn written(key: &str, value: &Value) {
+    assert_eq!(value.to_string(), store()[key], "{key} as written");
+}
+
+/// A job of the fixture, with every field in use.
+fn full_job(id: u64, tasks: u32) -> Job {
+    let spec = JobSpec {
+        id: JobId(id),
+        class: format!("c{id}"),
+        team: "blue".into(),
+        kind: JobKind::Array,
+        priority: Priority::Urgent,
+        tasks,
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 1.5,
+        image: format!("img{id}"),
+        image_gb: 1.25,
+        machine_types: Some(vec!["m4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 10.5,
+        checkpoint_s: 60.5,
+        save_s: 0.5,
+        deadline_s: Some(3_600.5),
+    };
+    Job {
+        spec,
+        accepted_ms: 1_767_225_600_000 + id,
+    }
+}
+
+/// A job of the fixture without the fields that may be absent, spread over zones.
+fn bare_job(id: u64, tasks: u32, priority: Priority) -> Job {
+    let mut job = full_job(id, tasks);
+    job.spec.priority = priority;
+    job.spec.machine_types = None;
+    job.spec.zone = None;
+    job.spec.deadline_s = None;
+    job.spec.one_zone = false;
+    job.spec.spread = true;
+    job
+}
+
+fn member(name: &str, lease: u64) -> Member {
+    Member {
+        name: name.into(),
+        lease,
+    }
+}
+
+fn epoch_record() -> EpochRecord {
+    EpochRecord {
+        number: Epoch(4),
+        leader: member("n0", 71),
+        members: vec![member("n0", 71), member("n1", 72), member("n2", 73)],
+        unreached: vec![member("n1", 72)],
+        services: true,
+    }
+}
+
+#[test]
+fn the_epoch_keeps_its_form() {
+    assert_eq!(EPOCH, "c/epoch");
+    let read: EpochRecord = serde_json::from_value(stored(EPOCH)).expect("an epoch");
+    assert_eq!(read, epoch_record());
+    written(EPOCH, &json!(epoch_record()));
+    // As long as some controller does not know services, and as written before them.
+    let mut record = epoch_record();
+    record.services = false;
+    let mut value = stored(EPOCH);
+    let fields = value.as_object_mut().expect("an object");
+    fields.remove("standing");
+    assert_eq!(json!(record).to_string(), value.to_string());
+    let read: EpochRecord = serde_json::from_value(value.clone()).expect("an epoch");
+    assert_eq!(read, record);
+    let fields = value.as_object_mut().expect("an object");
+    fields.remove("unreached");
+    record.unreached.clear();
+    let read: EpochRecord = serde_json::from_value(value).expect("an epoch");
+    assert_eq!(read, record);
+}
+
+/// The single value that a transaction puts.
+fn put(changes: &[Change]) -> (&str, &Value) {
+    match changes {
+        [Change::Put { key, value, .. }] => (key, value),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn the_member_key_keeps_its_form() {
+    let name = |name: &str| NodeName::from(name);
+    assert_eq!(member_key(&name("n2")), "c/n/n2");
+    let nothing = Listing {
+        pairs: Vec::new(),
+        more: false,
+        revision: Revision(1),
+    };
+    let mut unfit = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
+    unfit.set_fit(false);
+    unfit.granted(73);
+    unfit.control_read(Time(1), &nothing);
+    let txn = unfit.join_txn().expect("a member key");
+    let (key, value) = put(&txn.changes);
+    written(key, value);
+
+    // Another controller's key is read: whether it reaches its part, its lease, and that it knows services.
+    let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
+    reader.set_fit(true);
+    reader.granted(71);
+    reader.control_read(Time(1), &nothing);
+    let txn = reader.join_txn().expect("a member key");
+    let (own_key, own_value) = put(&txn.changes);
+    let own = r#"{"hold":71,"reached":true,"standing":true}"#;
+    assert_eq!(own_value.to_string(), own);
+    reader.joined(Revision(2));
+    let own = Pair {
+        key: own_key.to_owned(),
+        value: own_value.clone(),
+        version: Revision(2),
+    };
+    let listing = Listing {
+        pairs: vec![own, pair("c/n/n2")],
+        more: false,
+        revision: Revision(3),
+    };
+    let Finding::Propose(txn) = reader.control_read(Time(2), &listing) else {
+        panic!("no epoch is proposed");
+    };
+    let (key, value) = put(&txn.changes);
+    let proposed = EpochRecord {
+        number: Epoch(1),
+        leader: member("n0", 71),
+        members: vec![member("n0", 71), member("n2", 73)],
+        unreached: vec![member("n2", 73)],
+        services: true,
+    };
+    assert_eq!((key, value), (EPOCH, &json!(proposed)));
+}
+
+#[test]
+fn open_jobs_keep_their_form() {
+    let service = || {
+        let mut job = bare_job(2, 1, Priority::Prod);
+        job.spec.kind = JobKind::Service;
+        job
+    };
+    for (key, job) in [("j/j-000001", full_job(1, 7)), ("j/j-000002", service())] {
+        assert_eq!(open_key(job.spec.id), key);
+        assert_eq!(job_of(key), Some(job.spec.id));
+        let read: Job = serde_json::from_value(stored(key)).expect("a job");
+        assert_eq!(read, job);
+        written(key, &json!(job));
+    }
+    let key = "j/+n1.72.5";
+    assert_eq!(intake_key(&"n1".into(), 72, 5), key);
+    assert!(is_intake(key));
+    let jobs = [full_job(11, 1), red_job()];
+    written(key, &intake_value(&[&jobs[0], &jobs[1]]));
+    let read: Vec<Job> = serde_json::from_value(stored(key)["jobs"].clone()).expect("jobs");
+    assert_eq!(read, jobs);
+}
+
+fn red_job() -> Job {
+    let mut job = bare_job(12, 2, Priority::Low);
+    job.spec.team = "red".into();
+    job
+}
+
+#[test]
+fn final_states_keep_their_form() {
+    let done = "f/j-000005";
+    assert_eq!(final_key(JobId(5)), done);
+    assert_eq!(job_of(done), Some(JobId(5)));
+    assert_eq!(read_final(&stored(done)), Some(JobState::Done));
+    written(done, &final_value(JobState::Done));
+    let bare = "f/j-000006";
+    assert_eq!(read_final(&stored(bare)), Some(JobState::Cancelled));
+    assert_eq!(read_cancelled(&stored(bare)), None);
+    written(bare, &cancelled_value(None));
+    let kept = "f/j-000007";
+    assert_eq!(read_final(&stored(kept)), Some(JobState::Cancelled));
+    assert_eq!(read_cancelled(&stored(kept)), Some(full_job(7, 7)));
+    written(kept, &cancelled_value(Some(&full_job(7, 7))));
+}
+
+#[test]
+fn attempts_keep_their_form() {
+    let recorded = |machine: &str, task, attempt, session| Recorded {
+        machine: machine.into(),
+        task,
+        attempt: Attempt(attempt),
+        session: Session(session),
+    };
+    assert_eq!(page_prefix(Epoch(4), &"n1".into()), "a/4.n1.");
+    let page = [
+        recorded("i-000001", task(2, 0), 67_108_867, 1),
+        recorded("i-000000", task(7, 1), 67_108_868, 1),
+    ];
+    assert_eq!(records::read(&pair("a/4.n1.3")).expect("a page"), page);
+    let by_attempt = |page: &[Recorded]| -> BTreeMap<Attempt, Recorded> {
+        page.iter().map(|r| (r.attempt, r.clone())).collect()
+    };
+    written("a/4.n1.3", &Recorded::value(&by_attempt(&page)));
+    let first_release = [recorded("i-000001", task(1, 2), 67_108_866, 1)];
+    let read = records::read(&pair("a/i-000001")).expect("a machine's record");
+    assert_eq!(read, first_release);
+    // With a session of its own, which no number of the store is.
+    let page = [recorded("i-000009", task(3, 4), 5, 6)];
+    let value = Recorded::value(&by_attempt(&page));
+    let text = r#"{"on":[["i-000009","j-000003/4",5,6]],"v":2}"#;
+    assert_eq!(value.to_string(), text);
+    let pair = Pair {
+        value,
+        ..pair("a/4.n1.3")
+    };
+    assert_eq!(records::read(&pair).expect("a page"), page);
+}
+
+#[test]
+fn completions_keep_their_form() {
+    let entry = Completions {
+        tasks: BTreeSet::from([0, 4, 5, 6]),
+        zones: BTreeMap::from([("a".to_owned(), 3), ("b".to_owned(), 1)]),
+    };
+    let mut entries = BTreeMap::from([((JobId(1), 0), entry)]);
+    assert_eq!(read_completions(&stored("d/0")), Some(entries.clone()));
+    written("d/0", &Completions::value(&entries));
+    let later = Completions {
+        tasks: BTreeSet::from([DONE_CHUNK + 1]),
+        zones: BTreeMap::new(),
+    };
+    entries.insert((JobId(1), 1), later);
+    let value = Completions::value(&entries);
+    let one = DONE_CHUNK + 1;
+    let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
+    let text = format!(r#"{{"done":[{first},["j-000001",[[{one},{one}]],{{}}]],"v":2}}"#);
+    assert_eq!(value.to_string(), text);
+    assert_eq!(read_completions(&value), Some(entries));
+}
+
+#[test]
+fn the_claim_and_the_catalogue_keep_their_form() {
+    assert_eq!(claim_key(&"i-000001".into()), "k/i-000001");
+    let catalog = Catalog {
+        types: vec![MachineType {
+            name: "m4".into(),
+            cpus: 4.0,
+            gpus: 0.0,
+            memory_gb: 16.0,
+            price: 1.5,
+            spot_price: Some(0.5),
+            boot_s: 5.0,
+            fetch_gb_per_s: 1.25,
+            zones: vec!["a".into(), "b".into()],
+        }],
+    };
+    let read: Catalog = serde_json::from_value(stored("t/catalog")).expect("a catalogue");
+    assert_eq!(read, catalog);
+    written("t/catalog", &json!(catalog));
+}
--- /dev/null
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -0,0 +1,238 @@
+//! What running controllers write, and what they make of a store written before.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde_json::json;
+use worksshunt_core::controller::Event;
+use worksshunt_core::jobs::{read_cancelled, Job};
+use worksshunt_core::users::RequestId;
+use worksshunt_simulation::{job, service, Cluster};
+use worksshunt_wire::{JobId, TaskId};
+
+use crate::{store, stored, task, value};
+
+/// Every value that each key has had.
+type History = BTreeMap<String, BTreeSet<String>>;
+
+/// Lets time pass and notes what the store holds meanwhile.
+fn watch(cluster: &mut Cluster, history: &mut History, ms: u64) {
+    for _ in 0..ms {
+        cluster.run(1);
+        for key in cluster.keys("") {
+            let text = cluster.stored(&key).expect("a value").to_string();
+            history.entry(key).or_default().insert(text);
+        }
+    }
+}
+
+/// A cluster in which every controller is known to understand services.
+fn ready(history: &mut History) -> Cluster {
+    let mut cluster = Cluster::new();
+    cluster.seed(5);
+    watch(&mut cluster, history, 8_000);
+    let epoch = cluster.stored("c/epoch").expect("an epoch");
+    assert_eq!(epoch["standing"], json!(true));
+    cluster
+}
+
+/// A job of every way through the store: taken in alone, taken in with others, a service, cancelled before
+/// it has a key of its own and after.
+fn every_way(history: &mut History) {
+    let mut cluster = ready(history);
+    let mut spread = job(1, 6);
+    spread["Spread"] = json!(true);
+    assert_eq!(cluster.submit(0, &spread).status, 201);
+    assert_eq!(cluster.submit(1, &service(2, 1)).status, 201);
+    watch(&mut cluster, history, 15_000);
+    for id in 10..18 {
+        cluster.send_submit(1, &job(id, 1));
+    }
+    for _ in 0..500 {
+        watch(&mut cluster, history, 1);
+        if !cluster.keys("j/+").is_empty() {
+            break;
+        }
+    }
+    cluster.send_withdraw(1, task(17, 0).job);
+    watch(&mut cluster, history, 5_000);
+    cluster.send_withdraw(0, task(2, 0).job);
+    watch(&mut cluster, history, 25_000);
+    assert_eq!(cluster.state(0, 1), (200, "done".into()));
+    assert_eq!(cluster.state(0, 2), (200, "aborted".into()));
+    assert_eq!(cluster.state(0, 17), (200, "aborted".into()));
+    cluster.check();
+}
+
+/// A wide job that gets a machine by a claim.
+fn claim(history: &mut History) {
+    let mut cluster = ready(history);
+    cluster.capacity = 2;
+    cluster.run_ms = 3_000;
+    cluster.submit(0, &job(1, 400));
+    cluster.until("a full fleet", 40_000, |w| w.running().len() == 8);
+    cluster.run_ms = 2_700;
+    let mut wide = job(2, 1);
+    wide["Cores"] = json!(4.0);
+    wide["CalculoS"] = json!(3.0);
+    cluster.submit(0, &wide);
+    for _ in 0..90_000 {
+        watch(&mut cluster, history, 1);
+        if !cluster.keys("k/").is_empty() {
+            break;
+        }
+    }
+}
+
+/// The kind of a record, by its key.
+fn kind(key: &str) -> &str {
+    let kinds = [
+        "c/n/",
+        "c/epoch",
+        "t/catalog",
+        "j/+",
+        "j/j-",
+        "f/",
+        "a/",
+        "d/",
+        "k/",
+    ];
+    let found = kinds.iter().find(|kind| key.starts_with(**kind));
+    found.unwrap_or_else(|| panic!("a key of a new kind: {key}"))
+}
+
+// Guards against a record that is written otherwise than before, also where only a running controller does.
+#[test]
+fn running_controllers_write_the_same_bytes() {
+    let lines = include_str!("fixtures/written.txt").lines();
+    let written = lines.map(|line| line.split_once(' ').expect("a key and a value"));
+    let written: Vec<(&str, &str)> = written.collect();
+    let mut history = History::new();
+    every_way(&mut history);
+    claim(&mut history);
+    for (key, value) in &written {
+        let values = history
+            .get(*key)
+            .unwrap_or_else(|| panic!("{key} is never written"));
+        assert!(
+            values.contains(*value),
+            "{key}: {value}\nis not among\n{values:#?}"
+        );
+    }
+    let kinds = |keys: Vec<&str>| -> BTreeSet<String> {
+        keys.into_iter().map(|key| kind(key).to_owned()).collect()
+    };
+    let seen = kinds(history.keys().map(String::as_str).collect());
+    assert_eq!(
+        kinds(written.iter().map(|(key, _)| *key).collect()),
+        seen,
+        "kinds of records"
+    );
+    assert_eq!(
+        kinds(store().into_keys().collect()),
+        seen,
+        "kinds of records"
+    );
+}
+
+/// Two controllers that start from the store of the fixtures. The third was alive when it was written and
+/// did not reach its machines. Two machines run what the attempts of the store say.
+fn with_the_store() -> Cluster {
+    let mut cluster = Cluster::new();
+    (0..3).for_each(|node| cluster.crash(node));
+    cluster.seed(5);
+    cluster.run_ms = 25_000;
+    for (key, text) in store() {
+        let stored = value(text);
+        let page = stored["jobs"].as_array().cloned().unwrap_or_default();
+        for stored in page.into_iter().chain([stored.clone()]) {
+            if let Ok(job) = serde_json::from_value::<Job>(stored) {
+                cluster.rules.accepted_before(job.spec);
+            }
+        }
+        cluster.put(key, stored);
+    }
+    for index in [0, 4, 5, 6] {
+        cluster.rules.completed(task(1, index));
+    }
+    // What users know of the jobs that are over: the first is done, the others they cancelled.
+    let cancelled = read_cancelled(&stored("f/j-000007")).expect("a job");
+    for id in [5, 6, 7] {
+        let mut spec = cancelled.spec.clone();
+        spec.id = JobId(id);
+        cluster.rules.accepted_before(spec);
+    }
+    (0..7).for_each(|index| cluster.rules.completed(task(5, index)));
+    for id in [6, 7] {
+        let withdrawal = Event::Withdraw(RequestId(0), JobId(id).to_string());
+        cluster.rules.asked(&withdrawal);
+    }
+    let first = cluster.machine("a", true, 0);
+    let second = cluster.machine("a", true, 0);
+    cluster.smuggle(&first, task(1, 1), 67_108_865);
+    cluster.smuggle(&first, task(7, 1), 67_108_868);
+    cluster.smuggle(&second, task(1, 2), 67_108_866);
+    cluster.smuggle(&second, task(2, 0), 67_108_867);
+    (0..2).for_each(|node| cluster.start(node));
+    cluster
+}
+
+fn starts_of(cluster: &Cluster, task: TaskId) -> usize {
+    cluster
+        .starts
+        .iter()
+        .filter(|start| start.1 == task)
+        .count()
+}
+
+#[test]
+fn controllers_understand_a_store_written_before() {
+    let mut cluster = with_the_store();
+    cluster.until("an epoch", 20_000, |w| w.epoch() > 4);
+    let epoch = cluster.stored("c/epoch").expect("an epoch").clone();
+    assert_eq!(epoch["number"], json!(5));
+    assert_eq!(epoch["standing"], json!(true));
+    let members = epoch["members"].as_array().expect("members");
+    let other = json!({ "hold": 73, "name": "n2" });
+    assert!(members.contains(&other), "the third is alive: {members:?}");
+    assert_eq!(epoch["unreached"], json!([other]));
+    cluster.run(6_000);
+    for (id, state) in [(5, "done"), (6, "aborted"), (7, "aborted")] {
+        for node in 0..2 {
+            assert_eq!(cluster.state(node, id), (200, state.into()), "job {id}");
+        }
+    }
+    assert_eq!(cluster.submit(1, &service(3, 1)).status, 201);
+    cluster.until("an end of the cancelled task", 20_000, |w| {
+        !w.running().contains(&task(7, 1))
+    });
+    cluster.until("the claim to lapse", 20_000, |w| w.keys("k/").is_empty());
+    cluster.until("all arrays over", 120_000, |w| {
+        w.keys("j/") == ["j/j-000002", "j/j-000003"]
+    });
+    for id in [1, 11, 12] {
+        assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
+    }
+    assert_eq!(cluster.state(1, 2), (200, "running".into()));
+    for index in 0..7 {
+        let times = usize::from(matches!(index, 1..=3));
+        assert_eq!(starts_of(&cluster, task(1, index)), times, "task {index}");
+    }
+    assert_eq!(starts_of(&cluster, task(2, 0)), 1, "the replica runs on");
+    cluster.check();
+}
+
+// Guards against a stored catalogue that is not understood, without which no job can be taken in while the
+// cloud does not answer.
+#[test]
+fn the_stored_catalogue_serves_while_the_cloud_is_down() {
+    for known in [true, false] {
+        let mut cluster = Cluster::new();
+        cluster.trouble.cloud_down = true;
+        if known {
+            cluster.put("t/catalog", stored("t/catalog"));
+        }
+        cluster.run(8_000);
+        let status = cluster.submit(0, &job(1, 1)).status;
+        assert_eq!(status, if known { 201 } else { 503 });
+    }
+}
