--- a/crates/worksshunt-core/src/controller/answers.rs
+++ b/crates/worksshunt-core/src/controller/answers.rs
@@ -27,47 +27,47 @@
             self.epoch_poll.state_service_answered();
         }
         match tag {
-            StoreTag::NewLease => self.new_lease_answer(t, reply),
-            StoreTag::Join => self.join_answer(t, reply),
-            StoreTag::Renew(lease) => self.renew_answer(t, lease, reply),
-            StoreTag::Control => self.control_answer((t, sent), reply, out),
-            StoreTag::Propose => {
+            StoreTag::GrantLease => self.new_lease_answer(t, reply),
+            StoreTag::WriteMemberKey => self.join_answer(t, reply),
+            StoreTag::RenewLease(lease) => self.renew_answer(t, lease, reply),
+            StoreTag::ReadControlKeys => self.control_answer((t, sent), reply, out),
+            StoreTag::ProposeEpoch => {
                 self.propose_turn.retry(t, 0);
                 self.control_turn.next = t;
             }
-            StoreTag::Open => self.open_answer((t, sent), reply),
-            StoreTag::Follow => self.follow_answer((t, sent), reply, out),
-            StoreTag::CatchUp => self.caught_up(t, sent, reply, out),
-            StoreTag::Load(epoch, step) if self.loads(epoch) => {
+            StoreTag::ListOpenJobs => self.open_answer((t, sent), reply),
+            StoreTag::WatchOpenJobs => self.follow_answer((t, sent), reply, out),
+            StoreTag::CatchUpOpenJobs => self.caught_up(t, sent, reply, out),
+            StoreTag::LoadEpoch(epoch, step) if self.loads(epoch) => {
                 self.load_answer((t, sent), step, reply, out);
             }
-            StoreTag::LoadEnd(epoch, id) if self.loads(epoch) => {
+            StoreTag::LoadFinalState(epoch, id) if self.loads(epoch) => {
                 self.end_answer(t, id, reply, out);
             }
-            StoreTag::Write(lane, epoch, number) if epoch == self.membership.token() => {
+            StoreTag::QueuedWrite(lane, epoch, number) if epoch == self.membership.token() => {
                 self.lane_answer((lane, number), t, sent, reply);
             }
-            StoreTag::Refresh(epoch, key) if epoch == self.membership.token() => {
+            StoreTag::ReadPageVersion(epoch, key) if epoch == self.membership.token() => {
                 self.refreshed(t, &key, reply);
             }
             // Of an epoch that is over.
-            StoreTag::Load(..)
-            | StoreTag::LoadEnd(..)
-            | StoreTag::Write(..)
-            | StoreTag::Refresh(..) => {}
-            StoreTag::Learn(id) => self.learn_answer(id, reply),
-            StoreTag::Accept(number) => self.accept_answer(number, t, reply, out),
-            StoreTag::Withdraw(ask) => self.withdraw_answer(t, ask, reply, out),
-            StoreTag::Final(ask) => self.final_answer(t, ask, reply, out),
-            StoreTag::Catalog => self.catalog_answer(reply),
-            StoreTag::KeepCatalog(catalog) => self.keep_catalog_answer(catalog, &reply),
+            StoreTag::LoadEpoch(..)
+            | StoreTag::LoadFinalState(..)
+            | StoreTag::QueuedWrite(..)
+            | StoreTag::ReadPageVersion(..) => {}
+            StoreTag::LookUpFinalState(id) => self.learn_answer(id, reply),
+            StoreTag::AcceptSubmissions(number) => self.accept_answer(number, t, reply, out),
+            StoreTag::CancelJob(ask) => self.withdraw_answer(t, ask, reply, out),
+            StoreTag::ReadFinalState(ask) => self.final_answer(t, ask, reply, out),
+            StoreTag::ReadCatalog => self.catalog_answer(reply),
+            StoreTag::StoreCatalog(catalog) => self.keep_catalog_answer(catalog, &reply),
         }
     }
 
     fn new_lease_answer(&mut self, now: Time, reply: StoreReply) {
         let pause_ms = if reply.is_answer() { 0 } else { STORE_RETRY_MS };
         self.lease_turn.retry(now, pause_ms);
-        if let StoreReply::Lease(lease) = reply {
+        if let StoreReply::LeaseGranted(lease) = reply {
             self.membership.granted(lease);
             self.control_turn.next = now;
         }
@@ -101,7 +101,7 @@
                 self.lease_turn.next = now;
                 self.leave(now);
             }
-            StoreReply::Renewed => {}
+            StoreReply::LeaseRenewed => {}
             _ => self.lease_turn.next = now + STORE_RETRY_MS,
         }
     }
@@ -141,7 +141,7 @@
                 self.follow_turn.retry(now, FOLLOW_PAUSE_MS);
                 self.changed(now, sent, &changes);
             }
-            StoreReply::TooOld => {
+            StoreReply::RevisionCompacted => {
                 self.follow_turn.retry(now, 0);
                 self.reload_mirror(out);
             }
@@ -171,10 +171,10 @@
                 self.mirror.remember_final(id, JobState::Cancelled);
                 self.mirror_changed(now, vec![MirrorChange::Closed(id)]);
                 let reply = settled(&ask, JobState::Cancelled);
-                out.push(Action::Reply(ask.request, reply));
+                out.push(Action::Respond(ask.request, reply));
             }
             StoreReply::Conflict(_) => self.users.wait(ask),
-            _ => out.push(Action::Reply(
+            _ => out.push(Action::Respond(
                 ask.request,
                 Reply::later("not cancelled yet"),
             )),
@@ -199,7 +199,7 @@
             }
             _ => Reply::later("the state service does not answer"),
         };
-        out.push(Action::Reply(ask.request, reply));
+        out.push(Action::Respond(ask.request, reply));
     }
 
     fn catalog_answer(&mut self, reply: StoreReply) {
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -40,7 +40,7 @@
     pub(super) fn reload_mirror(&mut self, out: &mut Vec<Action>) {
         self.mirror.outdated();
         for ask in self.users.read() {
-            out.push(Action::Reply(
+            out.push(Action::Respond(
                 ask.request,
                 Reply::later("reading jobs again"),
             ));
@@ -55,8 +55,8 @@
         out: &mut Vec<Action>,
     ) {
         match self.membership.control_read(sent, listing) {
-            Finding::Steady => {}
-            Finding::Evicted => {
+            Finding::Unchanged => {}
+            Finding::MemberKeyGone => {
                 tracing::info!("the member key is gone");
                 self.leave(now);
             }
@@ -66,7 +66,7 @@
             Finding::Propose(txn) => {
                 if self.propose_turn.due(now) {
                     self.propose_turn.sent(now, 0);
-                    store(out, StoreTag::Propose, StoreOp::Txn(txn));
+                    store(out, StoreTag::ProposeEpoch, StoreOp::Txn(txn));
                 }
             }
         }
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreOp {
     /// A new lease.
-    NewLease,
+    GrantLease,
     /// Renew a lease.
-    Renew(u64),
+    RenewLease(u64),
     /// Read one key.
     Get(String),
     /// Read all keys of a prefix.
@@ -24,16 +24,16 @@
     /// Write.
     Txn(Txn),
     /// Changes of a prefix after a revision; waits so many milliseconds for the first.
-    Follow(String, Revision, u64),
+    Watch(String, Revision, u64),
 }
 
 /// The state service's answer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
     /// The lease granted.
-    Lease(u64),
+    LeaseGranted(u64),
     /// The lease was renewed.
-    Renewed,
+    LeaseRenewed,
     /// There is no such lease.
     NoSuchLease,
     /// A key's value.
@@ -49,19 +49,19 @@
     /// The changes.
     Changes(Changes),
     /// The revision lies too far back.
-    TooOld,
+    RevisionCompacted,
     /// Not executed: larger than the limits.
     TooLarge,
     /// Not executed.
     Refused,
     /// No answer that tells whether it was executed.
-    Unknown,
+    NoAnswer,
 }
 
 impl StoreReply {
     /// Whether the state service has carried the request out, or said why it does not.
     pub(super) fn is_answer(&self) -> bool {
-        !matches!(self, StoreReply::Refused | StoreReply::Unknown)
+        !matches!(self, StoreReply::Refused | StoreReply::NoAnswer)
     }
 }
 
@@ -69,69 +69,69 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreTag {
     /// The controller's lease.
-    NewLease,
+    GrantLease,
     /// Its renewal.
-    Renew(u64),
+    RenewLease(u64),
     /// The member key.
-    Join,
+    WriteMemberKey,
     /// The control keys.
-    Control,
+    ReadControlKeys,
     /// The next epoch.
-    Propose,
+    ProposeEpoch,
     /// The first reading of the open jobs.
-    Open,
+    ListOpenJobs,
     /// The long watch of the open jobs.
-    Follow,
+    WatchOpenJobs,
     /// The catch-up read of the open jobs.
-    CatchUp,
+    CatchUpOpenJobs,
     /// Records at the start of an epoch.
-    Load(Epoch, Loading),
+    LoadEpoch(Epoch, Loading),
     /// How a job on record has ended, at the start of an epoch.
-    LoadEnd(Epoch, JobId),
+    LoadFinalState(Epoch, JobId),
     /// A conditional write of an epoch, by its number in its lane.
-    Write(Lane, Epoch, u64),
+    QueuedWrite(Lane, Epoch, u64),
     /// A page whose version has become uncertain.
-    Refresh(Epoch, String),
+    ReadPageVersion(Epoch, String),
     /// A final state that questions had to be put off for.
-    Learn(JobId),
+    LookUpFinalState(JobId),
     /// Submissions, by the number of their write.
-    Accept(u64),
+    AcceptSubmissions(u64),
     /// A cancellation.
-    Withdraw(Ask),
+    CancelJob(Ask),
     /// A final state.
-    Final(Ask),
+    ReadFinalState(Ask),
     /// The catalogue as the service last knew it.
-    Catalog,
+    ReadCatalog,
     /// Keeping the catalogue.
-    KeepCatalog(Catalog),
+    StoreCatalog(Catalog),
 }
 
 /// Which of an epoch's conditional writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lane {
     /// Machines' records of the own part.
-    Records,
+    AttemptRecords,
     /// Completions, and machines' records of former epochs (leader).
-    Pages,
+    LeaderPages,
     /// Ends of jobs and claims (leader).
-    Ends,
+    FinalWrites,
     /// Keys of their own for jobs taken in together (leader).
-    Intake,
+    SubmissionBatches,
 }
 
 /// Steps of loading an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loading {
     /// The machines' records.
-    Records,
+    AttemptRecords,
     /// Completed tasks (leader).
-    Done,
+    Completions,
     /// Claims (leader).
     Claims,
     /// The open jobs, read after the records: a job on a record but not open is over.
-    Mirror,
+    OpenJobs,
     /// How jobs on record that are over have ended, and what their tasks use (leader).
-    Ends,
+    FinalStates,
 }
 
 /// The cloud's answer.
@@ -146,7 +146,7 @@
     /// The catalogue.
     Catalog(Catalog),
     /// No answer that helps.
-    Failed,
+    NoAnswer,
 }
 
 /// What happens to a controller.
@@ -159,40 +159,40 @@
     /// A question about a job; the id as the user wrote it.
     Status(RequestId, String),
     /// A cancellation.
-    Withdraw(RequestId, String),
+    Cancel(RequestId, String),
     /// A health check.
     Health(RequestId),
     /// A worker's report.
-    Report(RequestId, Vec<u8>),
+    Heartbeat(RequestId, Vec<u8>),
     /// The state service answered a request sent at that time.
-    Store(StoreTag, Time, StoreReply),
+    KeyValueResponse(StoreTag, Time, StoreReply),
     /// The cloud answered.
-    Cloud(CloudRequest, CloudReply),
+    CloudResponse(CloudRequest, CloudReply),
     /// Direct orders to a worker were answered, or not.
-    Ordered(DirectOrders, OrdersReply),
+    CommandsAnswered(DirectOrders, OrdersReply),
     /// A peer asks.
-    Peer(RequestId, PeerRequest),
+    PeerRequest(RequestId, PeerRequest),
     /// A peer answered an exchange; none: it did not.
-    PeerAnswer(Option<PeerAnswer>),
+    PeerResponse(Option<PeerAnswer>),
     /// A peer told whether it reaches the state service.
-    PeerStore(bool),
+    PeerKeyValueHealth(bool),
     /// A peer told what it knows of the epoch.
-    PeerEpoch(NodeName, KnownEpoch),
+    PeerKnownEpoch(NodeName, KnownEpoch),
 }
 
 /// What a controller does.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Answer a client.
-    Reply(RequestId, Reply),
+    Respond(RequestId, Reply),
     /// Ask the state service, within so many milliseconds.
-    Store(StoreTag, StoreOp, u64),
+    CallKeyValueStore(StoreTag, StoreOp, u64),
     /// Ask the cloud.
-    Cloud(CloudRequest),
+    CallCloud(CloudRequest),
     /// Send orders straight to a worker.
-    Orders(DirectOrders),
+    SendCommands(DirectOrders),
     /// Ask a peer.
-    Peer(NodeName, PeerRequest),
+    SendToPeer(NodeName, PeerRequest),
     /// Answer a peer.
-    PeerReply(RequestId, PeerAnswer),
+    RespondToPeer(RequestId, PeerAnswer),
 }
--- a/crates/worksshunt-core/src/controller/lanes.rs
+++ b/crates/worksshunt-core/src/controller/lanes.rs
@@ -176,7 +176,9 @@
     pub fn pace_ms(&self, lane: Lane, now: Time) -> u64 {
         let lately = |at: Time| now.since(at) < REFUSED_LATELY_MS;
         match lane {
-            Lane::Records | Lane::Pages if self.refused_at.is_some_and(lately) => PAGES_PACE_MS,
+            Lane::AttemptRecords | Lane::LeaderPages if self.refused_at.is_some_and(lately) => {
+                PAGES_PACE_MS
+            }
             _ => 0,
         }
     }
@@ -214,7 +216,7 @@
     /// Counts so many changes of a lane as sent: what is beyond the share of ends as lent to them.
     pub fn charge(&mut self, lane: Lane, changes: usize, now: Time) {
         let own = match lane {
-            Lane::Ends => self.ends.writes.available(now).min(changes),
+            Lane::FinalWrites => self.ends.writes.available(now).min(changes),
             _ => changes,
         };
         self.line(lane).writes.take(own);
@@ -224,10 +226,10 @@
     /// The line of a lane.
     pub fn line(&mut self, lane: Lane) -> &mut Line {
         match lane {
-            Lane::Records => &mut self.records,
-            Lane::Pages => &mut self.pages,
-            Lane::Ends => &mut self.ends,
-            Lane::Intake => &mut self.intake,
+            Lane::AttemptRecords => &mut self.records,
+            Lane::LeaderPages => &mut self.pages,
+            Lane::FinalWrites => &mut self.ends,
+            Lane::SubmissionBatches => &mut self.intake,
         }
     }
 }
--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -46,7 +46,7 @@
         if self.list_turn.due(t) && self.cloud_calls.available(t) > 0 {
             self.cloud_calls.take(1 + leader.fleet.size() / CLOUD_PAGE);
             self.list_turn.sent(t, LIST_EVERY_MS);
-            out.push(Action::Cloud(CloudRequest::List));
+            out.push(Action::CallCloud(CloudRequest::ListMachines));
         }
         let may_call = self.cloud_calls.available(t) > 0;
         if self.fleet_turn.due(t) && may_call && leader.scheduler.all_heard() {
@@ -60,7 +60,7 @@
                         lease: None,
                     }],
                 };
-                let tag = StoreTag::KeepCatalog(catalog.clone());
+                let tag = StoreTag::StoreCatalog(catalog.clone());
                 store(out, tag, StoreOp::Txn(txn));
             }
             leader.fleet.heard(t, leader.scheduler.machines());
@@ -71,7 +71,7 @@
             leader.scheduler.drain(leader.fleet.drains());
             for request in requests {
                 self.cloud_calls.take(1);
-                out.push(Action::Cloud(request));
+                out.push(Action::CallCloud(request));
             }
         }
     }
@@ -112,7 +112,7 @@
             }
         } else {
             self.sync_turn.in_flight = true;
-            out.push(Action::Peer(leader, PeerRequest::Sync(up)));
+            out.push(Action::SendToPeer(leader, PeerRequest::Sync(up)));
         }
     }
 
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -47,19 +47,19 @@
 
 impl Controller {
     pub(super) fn load_step(&mut self, now: Time, out: &mut Vec<Action>) {
-        let step = *self.load.step.get_or_insert(Loading::Records);
-        let tag = StoreTag::Load(self.membership.token(), step);
+        let step = *self.load.step.get_or_insert(Loading::AttemptRecords);
+        let tag = StoreTag::LoadEpoch(self.membership.token(), step);
         let op = match (step, self.mirror.revision()) {
-            (Loading::Records, _) => StoreOp::List(RECORDS.to_owned()),
-            (Loading::Done, _) => StoreOp::List(DONE.to_owned()),
+            (Loading::AttemptRecords, _) => StoreOp::List(RECORDS.to_owned()),
+            (Loading::Completions, _) => StoreOp::List(DONE.to_owned()),
             (Loading::Claims, _) => StoreOp::List(CLAIMS.to_owned()),
-            (Loading::Mirror, Some(since)) => StoreOp::Follow(OPEN.to_owned(), since, 0),
-            (Loading::Mirror, None) => {
+            (Loading::OpenJobs, Some(since)) => StoreOp::Watch(OPEN.to_owned(), since, 0),
+            (Loading::OpenJobs, None) => {
                 // The first reading is under way.
                 self.load_retry.retry(now, STORE_RETRY_MS);
                 return;
             }
-            (Loading::Ends, _) => {
+            (Loading::FinalStates, _) => {
                 self.load_retry.sent(now, 0);
                 self.ask_for_ends(out);
                 return;
@@ -81,7 +81,7 @@
                 break;
             };
             self.load.asked.insert(id);
-            let tag = StoreTag::LoadEnd(self.membership.token(), id);
+            let tag = StoreTag::LoadFinalState(self.membership.token(), id);
             store(out, tag, StoreOp::Get(final_key(id)));
         }
     }
@@ -154,7 +154,7 @@
             return;
         }
         let next = match (step, reply) {
-            (Loading::Records, StoreReply::Listing(listing)) => {
+            (Loading::AttemptRecords, StoreReply::Listing(listing)) => {
                 let read = |pair: Pair| {
                     let records = records::read(&pair)?;
                     Ok((pair, records))
@@ -171,20 +171,20 @@
                     }
                 }
                 if self.membership.leads() {
-                    Loading::Done
+                    Loading::Completions
                 } else {
-                    Loading::Mirror
+                    Loading::OpenJobs
                 }
             }
-            (Loading::Done, StoreReply::Listing(listing)) => {
+            (Loading::Completions, StoreReply::Listing(listing)) => {
                 self.load.done = listing.pairs;
                 Loading::Claims
             }
             (Loading::Claims, StoreReply::Listing(listing)) => {
                 self.load.claims = listing.pairs;
-                Loading::Mirror
+                Loading::OpenJobs
             }
-            (Loading::Mirror, StoreReply::Changes(changes)) => {
+            (Loading::OpenJobs, StoreReply::Changes(changes)) => {
                 self.changed(now, sent, &changes);
                 if self.membership.leads() {
                     self.load.to_ask = self.ends_to_ask_for();
@@ -192,11 +192,11 @@
                 if self.load.to_ask.is_empty() {
                     return self.finish_loading(now);
                 }
-                Loading::Ends
+                Loading::FinalStates
             }
-            (Loading::Mirror, StoreReply::TooOld) => {
+            (Loading::OpenJobs, StoreReply::RevisionCompacted) => {
                 self.mirror.outdated();
-                Loading::Mirror
+                Loading::OpenJobs
             }
             _ => {
                 self.load_retry.retry(now, STORE_RETRY_MS);
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -39,11 +39,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fitness {
     /// As far as it can tell.
-    Fit,
+    Ready,
     /// Workers do not reach it.
-    NoWorkers,
+    NoHeartbeats,
     /// The leader does not answer it, so what it owns would be handed nothing.
-    NoLeader,
+    NoLeaderResponse,
 }
 
 struct Leader {
@@ -170,7 +170,7 @@
             peer_well: None,
             peer_unwell: None,
             orders_out: 0,
-            fitness: Fitness::Fit,
+            fitness: Fitness::Ready,
             fit_from: Time::default(),
             fit_retry_ms: REACH_RETRY_MS,
             leader_heard: Time::default(),
@@ -214,20 +214,22 @@
             Event::Status(request, id) => {
                 self.ask(now, request, &id, Question::Status, &mut out);
             }
-            Event::Withdraw(request, id) => {
-                self.ask(now, request, &id, Question::Withdraw, &mut out);
+            Event::Cancel(request, id) => {
+                self.ask(now, request, &id, Question::Cancel, &mut out);
             }
             Event::Health(request) => {
                 let reply = self.health(now.steady);
-                out.push(Action::Reply(request, reply));
+                out.push(Action::Respond(request, reply));
             }
-            Event::Report(request, body) => {
+            Event::Heartbeat(request, body) => {
                 let reply = self.report(now.steady, &body);
-                out.push(Action::Reply(request, reply));
+                out.push(Action::Respond(request, reply));
             }
-            Event::Store(tag, sent, reply) => self.store(now, tag, sent, reply, &mut out),
-            Event::Cloud(request, reply) => self.cloud(now.steady, &request, reply),
-            Event::Ordered(orders, reply) => {
+            Event::KeyValueResponse(tag, sent, reply) => {
+                self.store(now, tag, sent, reply, &mut out)
+            }
+            Event::CloudResponse(request, reply) => self.cloud(now.steady, &request, reply),
+            Event::CommandsAnswered(orders, reply) => {
                 self.orders_out = self.orders_out.saturating_sub(1);
                 if let (true, Some(catalog)) = (
                     orders.orders.token == self.membership.token(),
@@ -238,23 +240,29 @@
                         .ordered(now.steady, &orders, &reply, token, catalog);
                 }
             }
-            Event::Peer(request, PeerRequest::Sync(up)) => {
+            Event::PeerRequest(request, PeerRequest::Sync(up)) => {
                 let answer = match self.lead_sync(now, up, &budget) {
                     Some(down) => PeerAnswer::Sync(down),
                     None => PeerAnswer::NotLeader,
                 };
-                out.push(Action::PeerReply(request, answer));
+                out.push(Action::RespondToPeer(request, answer));
             }
-            Event::Peer(request, PeerRequest::StoreHealth) => {
+            Event::PeerRequest(request, PeerRequest::KeyValueHealth) => {
                 let well = self.store_answers(now.steady);
-                out.push(Action::PeerReply(request, PeerAnswer::StoreHealth(well)));
+                out.push(Action::RespondToPeer(
+                    request,
+                    PeerAnswer::KeyValueHealth(well),
+                ));
             }
-            Event::Peer(request, PeerRequest::KnownEpoch { poll }) => {
+            Event::PeerRequest(request, PeerRequest::KnownEpoch { poll }) => {
                 let known = self.known_epoch(now.steady, poll);
-                out.push(Action::PeerReply(request, PeerAnswer::KnownEpoch(known)));
+                out.push(Action::RespondToPeer(
+                    request,
+                    PeerAnswer::KnownEpoch(known),
+                ));
             }
-            Event::PeerEpoch(from, known) => self.epoch_poll_answer(&from, &known),
-            Event::PeerStore(well) => {
+            Event::PeerKnownEpoch(from, known) => self.epoch_poll_answer(&from, &known),
+            Event::PeerKeyValueHealth(well) => {
                 let word = if well {
                     &mut self.peer_well
                 } else {
@@ -262,7 +270,7 @@
                 };
                 *word = Some(now.steady);
             }
-            Event::PeerAnswer(answer) => {
+            Event::PeerResponse(answer) => {
                 self.sync_turn.in_flight = false;
                 if answer.is_some() {
                     self.leader_heard = now.steady;
@@ -293,7 +301,7 @@
             let most = self.capacity.orders.saturating_sub(self.orders_out);
             let all = self.part.direct_orders(t, self.membership.token(), most);
             self.orders_out += all.len();
-            out.extend(all.into_iter().map(Action::Orders));
+            out.extend(all.into_iter().map(Action::SendCommands));
         }
     }
 
@@ -305,20 +313,24 @@
         self.mirror_turns(t, out);
         self.doubt_turn(t, out);
         for request in self.users.overdue(t) {
-            out.push(Action::Reply(request, Reply::later("not accepted yet")));
+            out.push(Action::Respond(request, Reply::later("not accepted yet")));
         }
         if self.store_silent(t) {
             for request in self.users.refuse_all() {
                 let reply = Reply::later("the state service does not answer");
-                out.push(Action::Reply(request, reply));
+                out.push(Action::Respond(request, reply));
             }
         }
         if self.catalog_turn.due(t) {
             if self.catalog.is_none() {
-                store(out, StoreTag::Catalog, StoreOp::Get(CATALOG_KEY.to_owned()));
+                store(
+                    out,
+                    StoreTag::ReadCatalog,
+                    StoreOp::Get(CATALOG_KEY.to_owned()),
+                );
             }
             self.catalog_turn.sent(t, CATALOG_EVERY_MS);
-            out.push(Action::Cloud(CloudRequest::Catalog));
+            out.push(Action::CallCloud(CloudRequest::ReadCatalog));
         }
         match self.membership.state() {
             MemberState::Loading if self.load_retry.due(t) => self.load_step(t, out),
@@ -345,24 +357,28 @@
             match (self.membership.state(), self.membership.lease()) {
                 (MemberState::NoLease, _) | (_, None) => {
                     self.lease_turn.sent(now, STORE_RETRY_MS);
-                    store(out, StoreTag::NewLease, StoreOp::NewLease);
+                    store(out, StoreTag::GrantLease, StoreOp::GrantLease);
                 }
                 (_, Some(_)) if self.membership.has_to_write_key() => {
                     // Nothing to send before the key's version has been read.
                     if let Some(txn) = self.membership.join_txn() {
                         self.lease_turn.sent(now, STORE_RETRY_MS);
-                        store(out, StoreTag::Join, StoreOp::Txn(txn));
+                        store(out, StoreTag::WriteMemberKey, StoreOp::Txn(txn));
                     }
                 }
                 (_, Some(lease)) => {
                     self.lease_turn.sent(now, RENEW_EVERY_MS);
-                    store(out, StoreTag::Renew(lease), StoreOp::Renew(lease));
+                    store(out, StoreTag::RenewLease(lease), StoreOp::RenewLease(lease));
                 }
             }
         }
         if self.control_turn.due(now) {
             self.control_turn.sent(now, CONTROL_EVERY_MS);
-            store(out, StoreTag::Control, StoreOp::List(CONTROL.to_owned()));
+            store(
+                out,
+                StoreTag::ReadControlKeys,
+                StoreOp::List(CONTROL.to_owned()),
+            );
         }
     }
 
@@ -375,11 +391,13 @@
             false => now.since(self.leader_heard),
         };
         let next = match self.fitness {
-            Fitness::Fit if self.part.unreached(now) => Fitness::NoWorkers,
-            Fitness::Fit if leader_silent_ms >= LEADER_LOST_MS => Fitness::NoLeader,
-            Fitness::NoWorkers if now >= self.fit_from => Fitness::Fit,
-            Fitness::NoLeader if now >= self.fit_from && leader_silent_ms < PART_SILENT_MS => {
-                Fitness::Fit
+            Fitness::Ready if self.part.unreached(now) => Fitness::NoHeartbeats,
+            Fitness::Ready if leader_silent_ms >= LEADER_LOST_MS => Fitness::NoLeaderResponse,
+            Fitness::NoHeartbeats if now >= self.fit_from => Fitness::Ready,
+            Fitness::NoLeaderResponse
+                if now >= self.fit_from && leader_silent_ms < PART_SILENT_MS =>
+            {
+                Fitness::Ready
             }
             same => same,
         };
@@ -393,22 +411,22 @@
         }
         tracing::info!(from = ?self.fitness, to = ?next, "fitness to own machines");
         match next {
-            Fitness::Fit => {}
-            Fitness::NoWorkers => {
+            Fitness::Ready => {}
+            Fitness::NoHeartbeats => {
                 self.fit_from = now + self.fit_retry_ms;
                 self.fit_retry_ms = (self.fit_retry_ms * 2).min(REACH_RETRY_MAX_MS);
             }
-            Fitness::NoLeader => self.fit_from = now + LEADER_RETRY_MS,
+            Fitness::NoLeaderResponse => self.fit_from = now + LEADER_RETRY_MS,
         }
         self.fitness = next;
-        self.membership.set_fit(next == Fitness::Fit);
+        self.membership.set_fit(next == Fitness::Ready);
     }
 
     fn mirror_turns(&mut self, now: Time, out: &mut Vec<Action>) {
         match self.mirror.revision() {
             None if self.open_turn.due(now) => {
                 self.open_turn.sent(now, STORE_RETRY_MS);
-                store(out, StoreTag::Open, StoreOp::List(OPEN.to_owned()));
+                store(out, StoreTag::ListOpenJobs, StoreOp::List(OPEN.to_owned()));
             }
             Some(since) if self.follow_turn.due(now) => {
                 self.follow_turn.sent(now, 0);
@@ -419,9 +437,13 @@
                     true => self.follow_wait_ms,
                     false => 0,
                 };
-                let op = StoreOp::Follow(OPEN.to_owned(), since, wait_ms);
+                let op = StoreOp::Watch(OPEN.to_owned(), since, wait_ms);
                 let deadline_ms = wait_ms + STORE_DEADLINE_MS;
-                out.push(Action::Store(StoreTag::Follow, op, deadline_ms));
+                out.push(Action::CallKeyValueStore(
+                    StoreTag::WatchOpenJobs,
+                    op,
+                    deadline_ms,
+                ));
             }
             _ => {}
         }
@@ -453,5 +475,5 @@
 }
 
 fn store(out: &mut Vec<Action>, tag: StoreTag, op: StoreOp) {
-    out.push(Action::Store(tag, op, STORE_DEADLINE_MS));
+    out.push(Action::CallKeyValueStore(tag, op, STORE_DEADLINE_MS));
 }
--- a/crates/worksshunt-core/src/controller/outage.rs
+++ b/crates/worksshunt-core/src/controller/outage.rs
@@ -41,7 +41,7 @@
             self.doubt_turn.next = now + STORE_ASK_MS;
             for peer in &self.settings.known {
                 let to = peer.host_name.clone();
-                out.push(Action::Peer(to, PeerRequest::StoreHealth));
+                out.push(Action::SendToPeer(to, PeerRequest::KeyValueHealth));
             }
             self.poll_epoch(now, out);
         }
@@ -59,7 +59,7 @@
             .epoch_poll
             .begin(now, self.membership.token(), others.clone());
         for peer in others {
-            out.push(Action::Peer(peer, PeerRequest::KnownEpoch { poll }));
+            out.push(Action::SendToPeer(peer, PeerRequest::KnownEpoch { poll }));
         }
     }
 
--- a/crates/worksshunt-core/src/controller/requests.rs
+++ b/crates/worksshunt-core/src/controller/requests.rs
@@ -26,8 +26,8 @@
                 self.users.reading();
                 self.reads.take(1);
                 self.catch_up_turn.sent(now, 0);
-                let op = StoreOp::Follow(OPEN.to_owned(), since, 0);
-                store(out, StoreTag::CatchUp, op);
+                let op = StoreOp::Watch(OPEN.to_owned(), since, 0);
+                store(out, StoreTag::CatchUpOpenJobs, op);
             }
         }
         while self.reads.available(now) > 0 {
@@ -35,12 +35,16 @@
                 break;
             };
             self.reads.take(1);
-            store(out, StoreTag::Learn(id), StoreOp::Get(final_key(id)));
+            store(
+                out,
+                StoreTag::LookUpFinalState(id),
+                StoreOp::Get(final_key(id)),
+            );
         }
         if let Some(number) = self.accept_copies.repeat(now) {
             let txn = &self.accept_under_way;
             self.lanes.user_writes.take(txn.changes.len());
-            out.push(second_copy(StoreTag::Accept(number), txn));
+            out.push(second_copy(StoreTag::AcceptSubmissions(number), txn));
         }
         if self.accept_turn.due(now) && self.users.wants_accept() {
             let limits = &self.settings.facts.state;
@@ -58,7 +62,7 @@
                 self.accept_turn.sent(now, 0);
                 let number = self.accept_copies.begin(now);
                 self.accept_under_way = txn.clone();
-                store(out, StoreTag::Accept(number), StoreOp::Txn(txn));
+                store(out, StoreTag::AcceptSubmissions(number), StoreOp::Txn(txn));
             }
         }
     }
@@ -94,7 +98,7 @@
                 }
             }
         };
-        out.push(Action::Reply(request, reply));
+        out.push(Action::Respond(request, reply));
     }
 
     /// Whether another request would be one too many; told of in the log when it begins.
@@ -198,12 +202,12 @@
                 }
             }
         };
-        out.push(Action::Reply(request, reply));
+        out.push(Action::Respond(request, reply));
     }
 
     pub(super) fn step(&mut self, now: Time, step: Step, out: &mut Vec<Action>) {
         match step {
-            Step::Answer(request, reply) => out.push(Action::Reply(request, reply)),
+            Step::Respond(request, reply) => out.push(Action::Respond(request, reply)),
             // Whoever comes first while the share lasts would always find it used up by the same
             // others: what had to be put off is read in its turn, and the next question finds it.
             Step::LookUpFinal(ask)
@@ -213,15 +217,15 @@
                     self.to_learn.push_back(ask.id);
                 }
                 let reply = Reply::later("too many questions at once");
-                out.push(Action::Reply(ask.request, reply));
+                out.push(Action::Respond(ask.request, reply));
             }
             Step::LookUpFinal(ask) => {
                 self.reads.take(1);
                 let op = StoreOp::Get(final_key(ask.id));
-                store(out, StoreTag::Final(ask), op);
+                store(out, StoreTag::ReadFinalState(ask), op);
             }
-            Step::Withdraw(ask, txn) => self.write_withdrawal(ask, txn, out),
-            Step::AskAgain(ask) => self.users.wait(ask),
+            Step::Cancel(ask, txn) => self.write_withdrawal(ask, txn, out),
+            Step::ResolveAgain(ask) => self.users.wait(ask),
             Step::Accept(request, job) => self.users.accept(now, request, job),
         }
     }
@@ -247,11 +251,11 @@
                 let asks = self.users.read();
                 self.resolve(now, asks, out);
             }
-            StoreReply::TooOld => self.reload_mirror(out),
+            StoreReply::RevisionCompacted => self.reload_mirror(out),
             _ => {
                 for ask in self.users.read() {
                     let reply = Reply::later("the state service does not answer");
-                    out.push(Action::Reply(ask.request, reply));
+                    out.push(Action::Respond(ask.request, reply));
                 }
             }
         }
@@ -306,11 +310,11 @@
             }
             _ => {
                 for (_, request, _) in jobs {
-                    out.push(Action::Reply(request, Reply::later("not accepted yet")));
+                    out.push(Action::Respond(request, Reply::later("not accepted yet")));
                 }
                 for request in self.users.refuse_all() {
                     let reply = Reply::later("the state service does not answer");
-                    out.push(Action::Reply(request, reply));
+                    out.push(Action::Respond(request, reply));
                 }
             }
         }
@@ -353,20 +357,20 @@
 
     pub(super) fn cloud(&mut self, now: Time, request: &CloudRequest, reply: CloudReply) {
         match (request, reply) {
-            (CloudRequest::Catalog, CloudReply::Catalog(catalog)) => {
+            (CloudRequest::ReadCatalog, CloudReply::Catalog(catalog)) => {
                 self.catalog_turn.in_flight = false;
                 self.warn_of_shortfalls(&catalog);
                 self.catalog = Some(catalog);
             }
-            (CloudRequest::Catalog, _) => self.catalog_turn.retry(now, CATALOG_RETRY_MS),
-            (CloudRequest::List, reply) => {
+            (CloudRequest::ReadCatalog, _) => self.catalog_turn.retry(now, CATALOG_RETRY_MS),
+            (CloudRequest::ListMachines, reply) => {
                 self.list_turn.in_flight = false;
                 if let (CloudReply::List(pages), Some(leader)) = (reply, &mut self.leader) {
                     leader.fleet.listed(now, &pages);
                     leader.scheduler.drain(leader.fleet.drains());
                 }
             }
-            (CloudRequest::Rent(request), reply) => {
+            (CloudRequest::Provision(request), reply) => {
                 let Some(leader) = &mut self.leader else {
                     return;
                 };
@@ -380,7 +384,7 @@
                     _ => leader.fleet.rent_unanswered(&request.request),
                 }
             }
-            (CloudRequest::Return(names), reply) => {
+            (CloudRequest::Release(names), reply) => {
                 let Some(leader) = &mut self.leader else {
                     return;
                 };
@@ -430,7 +434,7 @@
 
 fn accept_all(jobs: Vec<Submission>, out: &mut Vec<Action>) {
     for (_, request, job) in jobs {
-        out.push(Action::Reply(request, accepted(job.spec.id)));
+        out.push(Action::Respond(request, accepted(job.spec.id)));
     }
 }
 
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -33,11 +33,11 @@
     /// Sends what has to be written now.
     pub(super) fn write_turns(&mut self, now: Time, out: &mut Vec<Action>) {
         self.refresh_turn(now, out);
-        self.lane_turn(Lane::Records, now, out);
+        self.lane_turn(Lane::AttemptRecords, now, out);
         if self.leader.is_some() {
-            self.lane_turn(Lane::Ends, now, out);
-            self.lane_turn(Lane::Pages, now, out);
-            self.lane_turn(Lane::Intake, now, out);
+            self.lane_turn(Lane::FinalWrites, now, out);
+            self.lane_turn(Lane::LeaderPages, now, out);
+            self.lane_turn(Lane::SubmissionBatches, now, out);
         }
     }
 
@@ -46,10 +46,10 @@
         let line = self.lanes.line(lane);
         if line.turn.in_flight {
             // Launches wait for records. The other lanes can wait.
-            let repeat = (lane == Lane::Records).then(|| line.copies.repeat(now));
+            let repeat = (lane == Lane::AttemptRecords).then(|| line.copies.repeat(now));
             if let (Some(number), Some(txn)) = (repeat.flatten(), &line.under_way) {
                 line.writes.take(txn.changes.len());
-                let tag = StoreTag::Write(lane, token, number);
+                let tag = StoreTag::QueuedWrite(lane, token, number);
                 out.push(second_copy(tag, txn));
             }
         }
@@ -65,10 +65,10 @@
                 changes: Vec::new(),
             };
             match lane {
-                Lane::Records => self.record_txn(now, &mut txn),
-                Lane::Pages => self.pages_txn(now, &mut txn),
-                Lane::Ends => self.ends_txn(now, &mut txn),
-                Lane::Intake => self.intake_txn(now, &mut txn),
+                Lane::AttemptRecords => self.record_txn(now, &mut txn),
+                Lane::LeaderPages => self.pages_txn(now, &mut txn),
+                Lane::FinalWrites => self.ends_txn(now, &mut txn),
+                Lane::SubmissionBatches => self.intake_txn(now, &mut txn),
             }
             if txn.changes.is_empty() {
                 return;
@@ -82,16 +82,20 @@
         let line = self.lanes.line(lane);
         line.turn.sent(now, 0);
         let number = line.copies.begin(now);
-        store(out, StoreTag::Write(lane, token, number), StoreOp::Txn(txn));
+        store(
+            out,
+            StoreTag::QueuedWrite(lane, token, number),
+            StoreOp::Txn(txn),
+        );
     }
 
     fn record_txn(&mut self, now: Time, txn: &mut Txn) {
-        let most = self.lanes.pages_at_once(Lane::Records, now);
+        let most = self.lanes.pages_at_once(Lane::AttemptRecords, now);
         add_pages(txn, self.part.record_write(now, most));
     }
 
     fn pages_txn(&mut self, now: Time, txn: &mut Txn) {
-        let most = self.lanes.pages_at_once(Lane::Pages, now);
+        let most = self.lanes.pages_at_once(Lane::LeaderPages, now);
         if let Some(leader) = &mut self.leader {
             add_pages(txn, leader.scheduler.pages_write(now, most));
         }
@@ -277,16 +281,16 @@
         line.turn.retry(now, wait_ms);
         match (lane, outcome) {
             (_, Outcome::Unclear) => {}
-            (Lane::Records, Outcome::Applied(revision)) => {
+            (Lane::AttemptRecords, Outcome::Applied(revision)) => {
                 self.part.recorded(revision);
             }
-            (Lane::Pages, Outcome::Applied(revision)) => {
+            (Lane::LeaderPages, Outcome::Applied(revision)) => {
                 if let Some(leader) = &mut self.leader {
                     leader.scheduler.pages_written(revision);
                 }
             }
-            (Lane::Ends, Outcome::Applied(_)) => self.ended(now),
-            (Lane::Ends, Outcome::Refuted(failed)) => {
+            (Lane::FinalWrites, Outcome::Applied(_)) => self.ended(now),
+            (Lane::FinalWrites, Outcome::Refuted(failed)) => {
                 // A user cancelled the job meanwhile, or a copy of this write was applied before:
                 // the mirror will tell. The rest is tried again.
                 let ending = std::mem::take(&mut self.lanes.ending);
@@ -299,8 +303,8 @@
                 }
             }
             // The mirror will tell, later.
-            (Lane::Intake, Outcome::Applied(_)) => self.lanes.settled.extend(given),
-            (Lane::Intake, Outcome::Refuted(failed)) => {
+            (Lane::SubmissionBatches, Outcome::Applied(_)) => self.lanes.settled.extend(given),
+            (Lane::SubmissionBatches, Outcome::Refuted(failed)) => {
                 self.lanes.intake_done = None;
                 self.lanes
                     .settled
@@ -347,7 +351,7 @@
             .next()
         {
             self.lanes.refresh.sent(now, 0);
-            let tag = StoreTag::Refresh(self.membership.token(), key.clone());
+            let tag = StoreTag::ReadPageVersion(self.membership.token(), key.clone());
             store(out, tag, StoreOp::Get(key));
         }
     }
@@ -369,14 +373,14 @@
     /// Writes a cancellation.
     pub(super) fn write_withdrawal(&mut self, ask: Ask, txn: Txn, out: &mut Vec<Action>) {
         self.lanes.user_writes.take(txn.changes.len());
-        store(out, StoreTag::Withdraw(ask), StoreOp::Txn(txn));
+        store(out, StoreTag::CancelJob(ask), StoreOp::Txn(txn));
     }
 }
 
 /// A second copy of a write, which is given up when the first one is.
 pub(super) fn second_copy(tag: StoreTag, txn: &Txn) -> Action {
     let deadline_ms = STORE_DEADLINE_MS - STORE_SLOW_MS;
-    Action::Store(tag, StoreOp::Txn(txn.clone()), deadline_ms)
+    Action::CallKeyValueStore(tag, StoreOp::Txn(txn.clone()), deadline_ms)
 }
 
 /// The jobs that a transaction gives keys of their own.
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -75,13 +75,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Rent machines.
-    Rent(RentRequest),
+    Provision(RentRequest),
     /// Return machines.
-    Return(MachineNames),
+    Release(MachineNames),
     /// Read the whole machine list.
-    List,
+    ListMachines,
     /// Read the catalogue.
-    Catalog,
+    ReadCatalog,
 }
 
 /// The leader's view of the rented machines.
@@ -277,14 +277,14 @@
         self.give_up_silent(now, &forecast.silent);
         if let Some(names) = self.returns(now, catalog, &machines, &kept) {
             self.return_in_flight = true;
-            requests.push(CloudRequest::Return(names));
+            requests.push(CloudRequest::Release(names));
         }
         if now < self.rent_from {
             return requests;
         }
         for rental in self.renting.iter_mut().filter(|r| !r.in_flight) {
             rental.in_flight = true;
-            requests.push(CloudRequest::Rent(rental.request.clone()));
+            requests.push(CloudRequest::Provision(rental.request.clone()));
         }
         while self.renting.len() < self.rentals {
             let Some(request) = self.rental(now, catalog, &there, &left, demand) else {
@@ -298,7 +298,7 @@
                 request: request.clone(),
                 in_flight: true,
             });
-            requests.push(CloudRequest::Rent(request));
+            requests.push(CloudRequest::Provision(request));
         }
         requests
     }
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -83,7 +83,7 @@
         let mut asked = BTreeSet::new();
         for now in (0..20_000).step_by(1_000) {
             for request in plan(&mut fleet, now, &demand) {
-                if let CloudRequest::Rent(rent) = request {
+                if let CloudRequest::Provision(rent) = request {
                     fleet.rent_refused(Time(now), &rent.request);
                     asked.insert(rent.zone);
                 }
@@ -102,7 +102,7 @@
     let mut asked = 0;
     for now in (0..5_000).step_by(1_000) {
         for request in plan(&mut fleet, now, &demand(2_400, None)) {
-            let CloudRequest::Rent(rent) = request else {
+            let CloudRequest::Provision(rent) = request else {
                 panic!("{request:?}");
             };
             asked += rent.count;
@@ -125,7 +125,7 @@
     plan(&mut fleet, 560_000, &[]);
     let requests = plan(&mut fleet, 561_000, &[]);
     assert!(
-        matches!(&requests[..], [CloudRequest::Return(names)] if names.machines.len() == 1),
+        matches!(&requests[..], [CloudRequest::Release(names)] if names.machines.len() == 1),
         "a machine nobody ever heard of goes back in the end: {requests:?}"
     );
 }
@@ -136,14 +136,14 @@
     fleet.listed(Time(100_000), &listed(ListedState::Starting, 90.0));
     plan(&mut fleet, 100_000, &[]);
     let requests = plan(&mut fleet, 101_000, &[]);
-    assert!(matches!(&requests[..], [CloudRequest::Return(_)]));
+    assert!(matches!(&requests[..], [CloudRequest::Release(_)]));
 }
 
 #[test]
 fn spot_machines_come_first_and_ordinary_ones_when_they_are_refused() {
     let mut fleet = fleet(1);
     let first = plan(&mut fleet, 0, &demand(8, Some(900.0)));
-    let [CloudRequest::Rent(first)] = &first[..] else {
+    let [CloudRequest::Provision(first)] = &first[..] else {
         panic!("{first:?}");
     };
     assert!(first.spot && first.count == 2);
@@ -156,7 +156,7 @@
     let again = plan(&mut fleet, 2_000, &demand(8, Some(900.0)));
     assert_eq!(
         again,
-        vec![CloudRequest::Rent(first.clone())],
+        vec![CloudRequest::Provision(first.clone())],
         "same name, same request"
     );
     fleet.rent_refused(Time(3_000), &first.request);
@@ -168,6 +168,6 @@
     );
     let second = plan(&mut fleet, 4_000, &demand(8, Some(900.0)));
     assert!(
-        matches!(&second[..], [CloudRequest::Rent(r)] if !r.spot && r.request != first.request)
+        matches!(&second[..], [CloudRequest::Provision(r)] if !r.spot && r.request != first.request)
     );
 }
--- a/crates/worksshunt-core/src/machines/exchange/tests.rs
+++ b/crates/worksshunt-core/src/machines/exchange/tests.rs
@@ -13,7 +13,7 @@
         },
         attempt: Attempt(n as u64),
         machine: None,
-        how: End::HandedBack,
+        how: End::Unplaced,
     }
 }
 
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/loading.rs
@@ -134,8 +134,8 @@
         machine.claimed = false;
         machine.unheeded = 0;
         machine.summary = Summary::default();
-        if let Reach::Unproven { .. } = machine.reach {
-            machine.reach(Reach::Unproven { since: now });
+        if let Reach::Unconfirmed { .. } = machine.reach {
+            machine.reach(Reach::Unconfirmed { since: now });
         }
         machine
     }
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -24,7 +24,7 @@
     Launched,
     /// The launch left straight for the worker and is not answered, or never will be: it can take
     /// effect until the worker's session or the token changes.
-    Ordered,
+    DirectlyLaunched,
     /// On the record of a former owner; nothing heard of it yet.
     Inherited,
     /// Waits for its image.
@@ -129,11 +129,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reach {
     /// Its reports do not show this epoch's token yet, so none of them need be of this epoch.
-    Unproven { since: Time },
+    Unconfirmed { since: Time },
     /// It has acted on something this owner said.
-    Proven,
+    Confirmed,
     /// Something speaks against it; orders that change nothing are sent until one is answered.
-    Doubtful { since: Time },
+    Suspect { since: Time },
 }
 
 /// How long is waited for a machine; derived from the settings.
@@ -195,7 +195,7 @@
             info: None,
             lease: LeaseAccount::new(renewed, newest),
             lost: false,
-            reach: Reach::Unproven { since: now },
+            reach: Reach::Unconfirmed { since: now },
             unheeded: 0,
             ordering: false,
             order_from: Time::default(),
@@ -214,11 +214,11 @@
     /// The one place where the machine's reach changes.
     pub fn reach(&mut self, next: Reach) {
         self.reach = match (self.reach, next) {
-            (Reach::Doubtful { since }, Reach::Doubtful { .. }) => Reach::Doubtful { since },
-            (Reach::Unproven { since }, Reach::Doubtful { .. }) => Reach::Doubtful { since },
+            (Reach::Suspect { since }, Reach::Suspect { .. }) => Reach::Suspect { since },
+            (Reach::Unconfirmed { since }, Reach::Suspect { .. }) => Reach::Suspect { since },
             (_, next) => next,
         };
-        if self.reach == Reach::Proven {
+        if self.reach == Reach::Confirmed {
             self.unheeded = 0;
         }
     }
@@ -227,11 +227,11 @@
     pub fn token_shown(&mut self, current: bool, now: Time) {
         if current {
             self.unheeded = 0;
-            if matches!(self.reach, Reach::Unproven { .. }) {
-                self.reach(Reach::Proven);
+            if matches!(self.reach, Reach::Unconfirmed { .. }) {
+                self.reach(Reach::Confirmed);
             }
-        } else if self.unheeded >= UNHEEDED_ANSWERS && self.reach == Reach::Proven {
-            self.reach(Reach::Doubtful { since: now });
+        } else if self.unheeded >= UNHEEDED_ANSWERS && self.reach == Reach::Confirmed {
+            self.reach(Reach::Suspect { since: now });
         }
     }
 
@@ -268,7 +268,7 @@
             && !self.lost
             && !self.draining
             && !self.foreign
-            && self.reach == Reach::Proven
+            && self.reach == Reach::Confirmed
             && self.failing.len() < FAULTY_JOBS
             && self.notice.is_none()
             && now.since(self.lease.heard) <= patience.silent_ms
@@ -276,11 +276,11 @@
 
     pub fn summarize(&self, now: Time, patience: Patience) -> Summary {
         let since = match self.reach {
-            Reach::Proven => None,
-            Reach::Unproven { since } | Reach::Doubtful { since } => Some(since),
+            Reach::Confirmed => None,
+            Reach::Unconfirmed { since } | Reach::Suspect { since } => Some(since),
         };
         let unreached = since.is_some_and(|since| now.since(since) >= patience.unreached_ms);
-        let proven_once = !matches!(self.reach, Reach::Unproven { .. });
+        let proven_once = !matches!(self.reach, Reach::Unconfirmed { .. });
         Summary {
             // A machine is not spoken of before it is known to be there now.
             known: self.info.is_some() && (proven_once || unreached),
--- a/crates/worksshunt-core/src/machines/mod.rs
+++ b/crates/worksshunt-core/src/machines/mod.rs
@@ -170,7 +170,7 @@
         // That a replica ends after running well does not speak against its machine.
         let ran_well = tracked.job.as_ref().is_some_and(|job| job.is_service())
             && matches!(tracked.state, AttemptState::Running(since) if now.since(since) >= STEADY_REPLICA_MS);
-        if how == End::Error && !ran_well && machine.failing.insert(tracked.task.job) {
+        if how == End::Failed && !ran_well && machine.failing.insert(tracked.task.job) {
             let jobs = machine.failing.len();
             tracing::info!(task = %tracked.task, machine = %id, jobs, "failed here");
         }
@@ -179,7 +179,7 @@
         }
         if let Some(band) = tracked.over_capacity {
             let outcome = match how {
-                End::Error => Outcome::Faulted,
+                End::Failed => Outcome::Faulted,
                 _ => Outcome::Aborted,
             };
             self.over_capacity.ended(band, outcome);
@@ -238,7 +238,7 @@
             task: give.task,
             attempt: give.attempt,
             machine: None,
-            how: End::HandedBack,
+            how: End::Unplaced,
         });
     }
 
@@ -389,7 +389,7 @@
             return;
         };
         for attempt in machine.attempts.keys().copied().collect::<Vec<_>>() {
-            self.untrack(id, attempt, End::Settled, now);
+            self.untrack(id, attempt, End::Acknowledged, now);
         }
         if let Some(machine) = self.machines.remove(id) {
             self.sightings.note(id, machine.lease.newest, now);
--- a/crates/worksshunt-core/src/machines/orders.rs
+++ b/crates/worksshunt-core/src/machines/orders.rs
@@ -18,7 +18,7 @@
     /// They never left.
     NotSent,
     /// No answer: they may be carried out at any time.
-    Unknown,
+    NoAnswer,
 }
 
 /// Direct orders to a worker, to be sent by the service.
@@ -62,7 +62,7 @@
                 continue;
             }
             let session = machine.lease.newest.0;
-            let probe = matches!(machine.reach, Reach::Doubtful { .. });
+            let probe = matches!(machine.reach, Reach::Suspect { .. });
             let notice = machine.notice.is_some();
             let commands: Vec<Command> = machine
                 .attempts
@@ -112,7 +112,7 @@
         let after = match reply {
             OrdersReply::Answered(report) => {
                 if report.session >= machine.lease.newest.0 {
-                    machine.reach(Reach::Proven);
+                    machine.reach(Reach::Confirmed);
                 }
                 machine.order_from = now;
                 self.take_in(now, report, epoch, catalog, true);
@@ -122,8 +122,8 @@
                 machine.order_from = now + ORDERS_PAUSE_MS;
                 AttemptState::Recorded
             }
-            OrdersReply::Unknown => {
-                machine.reach(Reach::Doubtful { since: now });
+            OrdersReply::NoAnswer => {
+                machine.reach(Reach::Suspect { since: now });
                 machine.order_from = now + PROBE_PAUSE_MS;
                 self.give_up_unlaunched(id, now);
                 self.look_at(id, now);
@@ -140,7 +140,7 @@
             machine.kept.remove(attempt);
             if let Some(tracked) = machine.attempts.get_mut(attempt) {
                 tracked.ordered = false;
-                if tracked.state == AttemptState::Ordered {
+                if tracked.state == AttemptState::DirectlyLaunched {
                     tracked.step(after);
                 }
             }
@@ -162,7 +162,7 @@
         && !notice
         && tracked.session == session;
     if launch {
-        tracked.step(AttemptState::Ordered);
+        tracked.step(AttemptState::DirectlyLaunched);
         tracked.ordered = true;
         tracked.placed_at = now;
         return Some(Command::Launch { task, attempt });
--- a/crates/worksshunt-core/src/machines/reports.rs
+++ b/crates/worksshunt-core/src/machines/reports.rs
@@ -111,7 +111,7 @@
         let mut machine = Machine::new(now, now, newest);
         if newest != (Session(0), 0) {
             // It was here before and was given up: what comes now may be a last late word.
-            machine.reach(Reach::Doubtful { since: now });
+            machine.reach(Reach::Suspect { since: now });
         }
         self.machines.insert(id.clone(), machine);
         self.outgoing.forgotten.remove(id);
@@ -145,7 +145,7 @@
             let over = before.0 > Session(0) && report.session > before.0;
             let silent = machine.info.is_some() && now.since(machine.lease.heard) > silent_ms;
             if over || silent || machine.lost {
-                machine.reach(Reach::Doubtful { since: now });
+                machine.reach(Reach::Suspect { since: now });
             }
             machine.token_shown(current, now);
             machine.unheeded += 1;
@@ -174,7 +174,7 @@
         // Whatever a former owner sent is refused once the worker has seen this epoch's token, so
         // from then on a task that is not listed is not there.
         self.not_listed(report, current, direct, now);
-        let doubtful = |m: &Machine| matches!(m.reach, Reach::Doubtful { .. });
+        let doubtful = |m: &Machine| matches!(m.reach, Reach::Suspect { .. });
         if self.machines.get(id).is_some_and(doubtful) {
             self.give_up_unlaunched(id, now);
             self.to_order.insert(id.clone());
@@ -224,7 +224,7 @@
                 (TaskState::Ended, Some(ExitReason::Done))
                     if tracked.job.as_ref().is_some_and(|job| job.is_service()) =>
                 {
-                    ended.push((listed.attempt, End::Error));
+                    ended.push((listed.attempt, End::Failed));
                 }
                 (TaskState::Ended, Some(ExitReason::Done)) => {
                     if tracked.state != AttemptState::Completed {
@@ -245,7 +245,7 @@
                     }
                 }
                 (TaskState::Ended, Some(ExitReason::Error)) => {
-                    ended.push((listed.attempt, End::Error));
+                    ended.push((listed.attempt, End::Failed));
                 }
                 (TaskState::Ended, _) => ended.push((listed.attempt, End::Stopped)),
             }
@@ -281,8 +281,10 @@
                     self.to_order.insert(id.clone());
                 }
                 // It can still arrive, so its absence means nothing.
-                AttemptState::Ordered => {}
-                AttemptState::Completed if tracked.durable => gone.push((*attempt, End::Settled)),
+                AttemptState::DirectlyLaunched => {}
+                AttemptState::Completed if tracked.durable => {
+                    gone.push((*attempt, End::Acknowledged))
+                }
                 AttemptState::Completed => {}
                 _ if definitive => gone.push((*attempt, End::Lost)),
                 _ => {}
@@ -290,7 +292,7 @@
         }
         for (attempt, how) in gone {
             match how {
-                End::Settled => {
+                End::Acknowledged => {
                     self.untrack(id, attempt, how, now);
                 }
                 how => {
@@ -360,7 +362,7 @@
                 // The direct launch was not answered: launched this way as well, which has no
                 // effect if it did arrive. One that is no longer wanted is stopped at once; the
                 // worker then knows it as ended, and the late copy has no effect either.
-                AttemptState::Ordered if !ordering && !listed.contains(&attempt) => {
+                AttemptState::DirectlyLaunched if !ordering && !listed.contains(&attempt) => {
                     commands.push(launch);
                     if tracked.stop.is_some() {
                         let grace_s = 0.0;
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -83,7 +83,7 @@
     /// Has a lease, but its member key is not known to be written.
     Joining,
     /// Has a member key, but the epoch does not name it.
-    Outside,
+    NotInEpoch,
     /// Is in the epoch and reads the records.
     Loading,
     /// Is in the epoch and acts.
@@ -94,9 +94,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Finding {
     /// Nothing new.
-    Steady,
+    Unchanged,
     /// The own member key is gone: join again.
-    Evicted,
+    MemberKeyGone,
     /// There is another epoch than the one known.
     NewEpoch,
     /// The next epoch should be written.
@@ -301,7 +301,7 @@
         self.fit_said = Some(self.saying);
         self.key_version = Some(version);
         if self.state == MemberState::Joining {
-            self.set_state(MemberState::Outside);
+            self.set_state(MemberState::NotInEpoch);
         }
     }
 
@@ -331,7 +331,7 @@
             .is_some_and(|known| listing.revision < known)
         {
             // Read before the own member key was written, answered after.
-            return Finding::Steady;
+            return Finding::Unchanged;
         }
         let own_key = member_key(&self.me);
         let own = listing.pairs.iter().find(|pair| pair.key == own_key);
@@ -339,7 +339,7 @@
             self.key_version = Some(own.map_or(Revision(0), |pair| pair.version));
         }
         if matches!(self.state, MemberState::NoLease | MemberState::Joining) {
-            return Finding::Steady;
+            return Finding::Unchanged;
         }
         let former = listing
             .pairs
@@ -352,10 +352,10 @@
             );
         }
         if former {
-            return Finding::Steady;
+            return Finding::Unchanged;
         }
         let Some(me) = self.member() else {
-            return Finding::Steady;
+            return Finding::Unchanged;
         };
         let mut alive = Vec::new();
         let mut unreached = Vec::new();
@@ -384,7 +384,7 @@
             unreached.clear();
         }
         if !alive.contains(&me) {
-            return Finding::Evicted;
+            return Finding::MemberKeyGone;
         }
         let stored = listing
             .pairs
@@ -398,7 +398,7 @@
             let known = self.epoch.as_ref().map(|(_, version)| *version);
             // A read that was overtaken by a later one must not bring back an old epoch.
             if known.is_some_and(|known| version < known) {
-                return Finding::Steady;
+                return Finding::Unchanged;
             }
             if known != Some(version) {
                 tracing::info!(
@@ -412,7 +412,7 @@
                 self.set_state(if member {
                     MemberState::Loading
                 } else {
-                    MemberState::Outside
+                    MemberState::NotInEpoch
                 });
                 self.confirmed(sent);
                 return Finding::NewEpoch;
@@ -422,7 +422,7 @@
             tracing::debug!(%epoch, leads = self.leads(), ?revision, ?sent, "epoch confirmed by a read");
         }
         self.propose(&me, &alive, &unreached)
-            .map_or(Finding::Steady, Finding::Propose)
+            .map_or(Finding::Unchanged, Finding::Propose)
     }
 
     /// The next epoch, if this controller should write it.
--- a/crates/worksshunt-core/src/membership/tests.rs
+++ b/crates/worksshunt-core/src/membership/tests.rs
@@ -21,7 +21,7 @@
     assert!(membership.join_txn().is_some());
     membership.joined(Revision(5));
     let early = membership.control_read(Time(20), &listing(4, Vec::new()));
-    assert_eq!(early, Finding::Steady);
+    assert_eq!(early, Finding::Unchanged);
     let gone = membership.control_read(Time(30), &listing(6, Vec::new()));
-    assert_eq!(gone, Finding::Evicted);
+    assert_eq!(gone, Finding::MemberKeyGone);
 }
--- a/crates/worksshunt-core/src/scheduler/durability.rs
+++ b/crates/worksshunt-core/src/scheduler/durability.rs
@@ -90,7 +90,7 @@
                 .get(&attempt)
                 .is_some_and(|o| o.phase == Phase::Completed)
             {
-                self.tell(attempt, |_| Down::Durable(attempt));
+                self.tell(attempt, |_| Down::MarkDurable(attempt));
             }
         }
     }
--- a/crates/worksshunt-core/src/scheduler/handout.rs
+++ b/crates/worksshunt-core/src/scheduler/handout.rs
@@ -23,11 +23,11 @@
     /// It has had nothing for so long that it gets a share of its tasks before all others.
     Starved,
     /// Its team is within its guarantee, and it would soon have waited too long for that.
-    Pressing,
+    GuaranteeAtRisk,
     /// What leaves its team within its guarantee.
-    Guaranteed,
+    WithinGuarantee,
     /// What its team's limit admits.
-    Rest,
+    WithinLimit,
 }
 
 /// A round under way: jobs in order of service, and how far it has come.
@@ -110,10 +110,10 @@
             works.iter().map(|work| (pass, id(work))).collect()
         };
         let mut all = order(Pass::Starved, &starved);
-        all.extend(order(Pass::Pressing, &pressing));
+        all.extend(order(Pass::GuaranteeAtRisk, &pressing));
         for equals in works.chunk_by(|a, b| a.job.spec.priority == b.job.spec.priority) {
-            all.extend(order(Pass::Guaranteed, equals));
-            all.extend(order(Pass::Rest, equals));
+            all.extend(order(Pass::WithinGuarantee, equals));
+            all.extend(order(Pass::WithinLimit, equals));
         }
         self.round.order = all;
         self.round.pressing = pressing_ids;
@@ -169,8 +169,8 @@
                 .quota
                 .admitted_first(&job)
                 .min((waiting / STARVED_SHARE).max(1)),
-            Pass::Pressing | Pass::Guaranteed => self.quota.guaranteed(&job),
-            Pass::Rest => self.quota.admitted(&job),
+            Pass::GuaranteeAtRisk | Pass::WithinGuarantee => self.quota.guaranteed(&job),
+            Pass::WithinLimit => self.quota.admitted(&job),
         }
         .min(waiting);
         if waiting == 0 {
@@ -227,7 +227,7 @@
         out.claimed = place.claimed.then(|| place.machine.clone());
         if let Some(part) = self.parts.get_mut(&place.part) {
             part.reserve(&place.machine, job);
-            part.post(Down::Give(attempt));
+            part.post(Down::Assign(attempt));
         }
         out.reserved = Some(place.machine);
         self.insert_out(attempt, out);
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -306,7 +306,7 @@
         }
         for attempt in work.active.into_values().flatten() {
             self.tell(attempt, |phase| match phase {
-                Phase::Completed => Down::Durable(attempt),
+                Phase::Completed => Down::MarkDurable(attempt),
                 _ => Down::Stop(attempt),
             });
         }
--- a/crates/worksshunt-core/src/scheduler/parts.rs
+++ b/crates/worksshunt-core/src/scheduler/parts.rs
@@ -61,9 +61,9 @@
 /// Something an owner has to be told once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Down {
-    Give(Attempt),
+    Assign(Attempt),
     Stop(Attempt),
-    Durable(Attempt),
+    MarkDurable(Attempt),
 }
 
 /// Number of an answer that was not given yet.
@@ -187,7 +187,7 @@
         for ended in &up.ended {
             let ran_ms = self.outs.get(&ended.attempt).map_or(0, |o| o.ran_ms(now));
             let known = self.remove_out(ended.attempt, ended.how, now).is_some();
-            if known && ended.how == End::Error {
+            if known && ended.how == End::Failed {
                 self.failed(now, ended, ran_ms);
             }
         }
@@ -203,7 +203,7 @@
                     self.complete_out(listed.attempt, &up);
                 }
                 if self.is_durable(listed.task) {
-                    self.tell(listed.attempt, |_| Down::Durable(listed.attempt));
+                    self.tell(listed.attempt, |_| Down::MarkDurable(listed.attempt));
                 }
             } else if !self.wanted(listed.task) {
                 self.tell(listed.attempt, |_| Down::Stop(listed.attempt));
@@ -226,7 +226,7 @@
         let mut untold = Vec::new();
         for part in self.parts.values_mut().filter(|part| !part.speaks(now)) {
             part.outbox.retain(|message, sent| match (*sent, message) {
-                (UNSENT, Down::Give(attempt)) => {
+                (UNSENT, Down::Assign(attempt)) => {
                     untold.push(*attempt);
                     false
                 }
@@ -234,7 +234,7 @@
             });
         }
         for attempt in untold {
-            self.remove_out(attempt, End::HandedBack, now);
+            self.remove_out(attempt, End::Unplaced, now);
         }
     }
 
@@ -300,16 +300,16 @@
         for (message, sent) in &mut part.outbox {
             // What is too much for one answer is left for the next; stops do not wait behind gives.
             let of_kind = match message {
-                Down::Give(_) => down.gives.len(),
+                Down::Assign(_) => down.gives.len(),
                 Down::Stop(_) => down.stops.len(),
-                Down::Durable(_) => down.durable.len(),
+                Down::MarkDurable(_) => down.durable.len(),
             };
             if of_kind >= SYNC_CHANGES {
                 continue;
             }
             *sent = part.answers;
             match message {
-                Down::Give(attempt) => {
+                Down::Assign(attempt) => {
                     if let Some(out) = self.outs.get(attempt).filter(|o| o.machine.is_none()) {
                         down.gives.push(Give {
                             task: out.task,
@@ -320,7 +320,7 @@
                     }
                 }
                 Down::Stop(attempt) => down.stops.push(*attempt),
-                Down::Durable(attempt) => down.durable.push(*attempt),
+                Down::MarkDurable(attempt) => down.durable.push(*attempt),
             }
         }
         let here = |id: &&MachineId| part.machines.contains_key(id);
--- a/crates/worksshunt-core/src/scheduler/parts/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/parts/tests.rs
@@ -47,7 +47,7 @@
     let part = scheduler.parts.get_mut(&owner).expect("a part");
     for n in 0..(SYNC_CHANGES + 3) as u64 {
         part.post(Down::Stop(Attempt(n)));
-        part.post(Down::Durable(Attempt(n)));
+        part.post(Down::MarkDurable(Attempt(n)));
     }
     let none = || std::iter::empty();
     scheduler.sync(Time(1), sync_up(&owner, 1, 0));
--- a/crates/worksshunt-core/src/users.rs
+++ b/crates/worksshunt-core/src/users.rs
@@ -91,7 +91,7 @@
     /// A job's state.
     Status,
     /// Cancel a job.
-    Withdraw,
+    Cancel,
     /// Submit a job that may be known already.
     Submit(Box<Job>),
     /// Submit something unacceptable, under an id that may be known already.
@@ -115,13 +115,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// The answer.
-    Answer(RequestId, Reply),
+    Respond(RequestId, Reply),
     /// Look whether the job has a final state.
     LookUpFinal(Ask),
     /// Write the cancellation.
-    Withdraw(Ask, Txn),
+    Cancel(Ask, Txn),
     /// Resolve it anew from a later mirror.
-    AskAgain(Ask),
+    ResolveAgain(Ask),
     /// Try to accept it.
     Accept(RequestId, Box<Job>),
 }
@@ -154,19 +154,19 @@
 pub fn resolve(mut ask: Ask, mirror: &Mirror, progress: &Progress) -> Step {
     let id = ask.id;
     if let Some(state) = mirror.final_state(id) {
-        return Step::Answer(ask.request, settled(&ask, state));
+        return Step::Respond(ask.request, settled(&ask, state));
     }
     if mirror.is_odd(id) {
-        return Step::Answer(ask.request, Reply::later("another version's job"));
+        return Step::Respond(ask.request, Reply::later("another version's job"));
     }
     let Some(open) = mirror.get(id) else {
         ask.taken_in |= mirror.taken_in(id);
         return Step::LookUpFinal(ask);
     };
     match &ask.question {
-        Question::Withdraw => {
+        Question::Cancel => {
             let txn = withdrawal(id, Some(open));
-            Step::Withdraw(ask, txn)
+            Step::Cancel(ask, txn)
         }
         Question::Status | Question::Submit(_) | Question::Unacceptable(_) => {
             let (done, running) = progress.get(&id).copied().unwrap_or_default();
@@ -181,7 +181,7 @@
                 done: Some(done),
                 running: Some(running),
             };
-            Step::Answer(ask.request, Reply::json(200, &status))
+            Step::Respond(ask.request, Reply::json(200, &status))
         }
     }
 }
@@ -194,22 +194,22 @@
         return unknown(ask);
     }
     if mirror.get(id).is_some() || !mirror.taken_in(id) {
-        return Step::AskAgain(ask);
+        return Step::ResolveAgain(ask);
     }
     match ask.question {
-        Question::Withdraw => Step::Withdraw(ask, withdrawal(id, None)),
-        _ => Step::Answer(ask.request, Reply::state(200, id, JobState::Pending)),
+        Question::Cancel => Step::Cancel(ask, withdrawal(id, None)),
+        _ => Step::Respond(ask.request, Reply::state(200, id, JobState::Pending)),
     }
 }
 
 /// Answers an ask about a job that is neither open nor final.
 fn unknown(ask: Ask) -> Step {
     match ask.question {
-        Question::Status | Question::Withdraw => {
-            Step::Answer(ask.request, Reply::error(404, "no such job"))
+        Question::Status | Question::Cancel => {
+            Step::Respond(ask.request, Reply::error(404, "no such job"))
         }
         Question::Submit(job) => Step::Accept(ask.request, job),
-        Question::Unacceptable(refusal) => Step::Answer(ask.request, Reply::refusal(&refusal)),
+        Question::Unacceptable(refusal) => Step::Respond(ask.request, Reply::refusal(&refusal)),
     }
 }
 
--- a/crates/worksshunt-core/tests/scenarios/ordinary.rs
+++ b/crates/worksshunt-core/tests/scenarios/ordinary.rs
@@ -97,7 +97,7 @@
         let mut report = report.clone();
         report["Estiba"] = json!(format!("i-{machine:06}"));
         let body = report.to_string().into_bytes();
-        let reply = cluster.ask(leader, |request| Event::Report(request, body));
+        let reply = cluster.ask(leader, |request| Event::Heartbeat(request, body));
         assert_ne!(reply.status, 200, "it answered a worker without authority");
     }
     let reply = cluster.submit(leader, &job(2, 1));
--- a/crates/worksshunt-core/tests/scenarios/rules.rs
+++ b/crates/worksshunt-core/tests/scenarios/rules.rs
@@ -28,7 +28,7 @@
 
 fn withdrawal(rules: &mut Rules, id: u64) -> Question {
     let id = JobId(id).to_string();
-    rules.asked(&Event::Withdraw(RequestId(1), id))
+    rules.asked(&Event::Cancel(RequestId(1), id))
 }
 
 fn says(state: &str) -> Reply {
--- a/crates/worksshunt-core/tests/scenarios/troubles.rs
+++ b/crates/worksshunt-core/tests/scenarios/troubles.rs
@@ -570,7 +570,7 @@
     ];
     for body in odd {
         let bytes = body.clone().into_bytes();
-        let reply = cluster.ask(0, |request| Event::Report(request, bytes));
+        let reply = cluster.ask(0, |request| Event::Heartbeat(request, bytes));
         assert_eq!(reply.status, 400, "{body}");
     }
     // An unknown type of machine, with a task that nobody gave it: heard, and not used.
@@ -579,7 +579,7 @@
     stranger["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
     for node in 0..3 {
         let bytes = stranger.to_string().into_bytes();
-        let reply = cluster.ask(node, |request| Event::Report(request, bytes));
+        let reply = cluster.ask(node, |request| Event::Heartbeat(request, bytes));
         assert!(matches!(reply.status, 200 | 421), "{}", reply.status);
     }
     cluster.submit(0, &job(1, 4));
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -55,7 +55,7 @@
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
     let ends: Vec<End> = up.ended.iter().map(|e| e.how).collect();
     use End::*;
-    assert_eq!(ends, [Error, Stopped, Lost, HandedBack, Settled]);
+    assert_eq!(ends, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
     let PeerAnswer::Sync(down) = &answers[0] else {
         panic!("{:?}", answers[0]);
     };
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -163,7 +163,7 @@
     }
     (0..7).for_each(|index| cluster.rules.completed(task(5, index)));
     for id in [6, 7] {
-        let withdrawal = Event::Withdraw(RequestId(0), JobId(id).to_string());
+        let withdrawal = Event::Cancel(RequestId(0), JobId(id).to_string());
         cluster.rules.asked(&withdrawal);
     }
     let first = cluster.machine("a", true, 0);
--- a/crates/worksshunt-measure/src/loopback/state.rs
+++ b/crates/worksshunt-measure/src/loopback/state.rs
@@ -41,8 +41,8 @@
     fn answer(&self, op: &StoreOp) -> Reply {
         let revision = |this: &StateService| Revision(this.store.borrow().revision());
         match self.apply(op) {
-            StoreReply::Lease(lease) => Reply::json(200, &Lease { lease }),
-            StoreReply::Renewed => Reply::json(200, &()),
+            StoreReply::LeaseGranted(lease) => Reply::json(200, &Lease { lease }),
+            StoreReply::LeaseRenewed => Reply::json(200, &()),
             StoreReply::Found(pair) => Reply::json(200, &pair),
             StoreReply::Committed(revision) => Reply::json(200, &AtRevision { revision }),
             StoreReply::Changes(changes) => Reply::json(200, &changes),
@@ -53,7 +53,7 @@
                     revision: revision(self),
                 },
             ),
-            StoreReply::NoSuchLease if matches!(op, StoreOp::Renew(_)) => {
+            StoreReply::NoSuchLease if matches!(op, StoreOp::RenewLease(_)) => {
                 Reply::error(404, "no such lease")
             }
             StoreReply::NoSuchLease => Reply::error(400, "no such lease"),
@@ -80,7 +80,7 @@
 
     async fn follow(&self, prefix: &str, since: u64, wait: Duration) -> Reply {
         let ends = Instant::now() + wait;
-        let op = StoreOp::Follow(prefix.to_owned(), Revision(since), 0);
+        let op = StoreOp::Watch(prefix.to_owned(), Revision(since), 0);
         loop {
             match self.apply(&op) {
                 StoreReply::Changes(changes)
@@ -108,7 +108,7 @@
                     self.follow(starts, number("Since").unwrap_or(0), wait)
                         .await
                 }
-                (Method::Post, "holds") => self.answer(&StoreOp::NewLease),
+                (Method::Post, "holds") => self.answer(&StoreOp::GrantLease),
                 (Method::Post, "txn") => {
                     let body = incoming.body.as_deref().unwrap_or_default();
                     match serde_json::from_slice::<Txn>(body) {
@@ -124,7 +124,7 @@
                     let lease = path.strip_prefix("holds/");
                     let lease = lease.and_then(|rest| rest.strip_suffix("/renew"));
                     match lease.and_then(|lease| lease.parse().ok()) {
-                        Some(lease) => self.answer(&StoreOp::Renew(lease)),
+                        Some(lease) => self.answer(&StoreOp::RenewLease(lease)),
                         None => malformed(),
                     }
                 }
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -14,16 +14,16 @@
 /// Carries out one request.
 pub async fn call(client: &HttpClient, request: &CloudRequest, deadline: Duration) -> CloudReply {
     let result = match request {
-        CloudRequest::Catalog => {
+        CloudRequest::ReadCatalog => {
             get(client, "/catalog", deadline)
                 .await
                 .map(|answer| match answer {
                     Some(catalog) => CloudReply::Catalog(catalog),
-                    None => CloudReply::Failed,
+                    None => CloudReply::NoAnswer,
                 })
         }
-        CloudRequest::List => list(client, deadline).await,
-        CloudRequest::Rent(rent) => {
+        CloudRequest::ListMachines => list(client, deadline).await,
+        CloudRequest::Provision(rent) => {
             post(
                 client,
                 "/machines",
@@ -32,7 +32,7 @@
             )
             .await
         }
-        CloudRequest::Return(names) => {
+        CloudRequest::Release(names) => {
             let body = serde_json::json!(names).to_string();
             post(client, "/machines/return", body, deadline)
                 .await
@@ -45,7 +45,7 @@
     };
     result.unwrap_or_else(|error| {
         tracing::debug!(%error, "cloud");
-        CloudReply::Failed
+        CloudReply::NoAnswer
     })
 }
 
@@ -80,7 +80,7 @@
         503 if capacity => CloudReply::NoCapacity,
         _ => {
             tracing::debug!(status, path, "cloud");
-            CloudReply::Failed
+            CloudReply::NoAnswer
         }
     })
 }
@@ -93,7 +93,7 @@
         let since = since.unwrap_or_default();
         let path = format!("/machines?Most={CLOUD_PAGE}{since}");
         let Some(page) = get::<MachineList>(client, &path, deadline).await? else {
-            return Ok(CloudReply::Failed);
+            return Ok(CloudReply::NoAnswer);
         };
         if page.machines.len() > CLOUD_PAGE {
             let machines = page.machines.len();
@@ -102,7 +102,7 @@
                 most = CLOUD_PAGE,
                 "page of the machine list too long: refused"
             );
-            return Ok(CloudReply::Failed);
+            return Ok(CloudReply::NoAnswer);
         }
         let more = page.more && !page.machines.is_empty();
         pages.push(page);
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -26,7 +26,7 @@
 fn listed(machines: usize) -> CloudReply {
     let reply = Reply::json(200, &page(machines));
     with_answer(reply, |client| async move {
-        call(&client, &CloudRequest::List, DEADLINE).await
+        call(&client, &CloudRequest::ListMachines, DEADLINE).await
     })
 }
 
@@ -36,5 +36,5 @@
         panic!("the longest page was refused");
     };
     assert_eq!(pages[0].machines.len(), CLOUD_PAGE);
-    assert_eq!(listed(CLOUD_PAGE + 1), CloudReply::Failed);
+    assert_eq!(listed(CLOUD_PAGE + 1), CloudReply::NoAnswer);
 }
--- a/crates/worksshunt-net/src/peer/tests.rs
+++ b/crates/worksshunt-net/src/peer/tests.rs
@@ -38,7 +38,7 @@
 fn a_message_of_a_later_version_is_an_error() {
     let unknown_variant: u8 = 200;
     assert!(read::<PeerRequest>(framed(&unknown_variant)).is_err());
-    let longer = (PeerRequest::StoreHealth, 9_u64);
+    let longer = (PeerRequest::KeyValueHealth, 9_u64);
     assert!(read::<PeerRequest>(framed(&longer)).is_err());
 }
 
--- a/crates/worksshunt-net/src/state.rs
+++ b/crates/worksshunt-net/src/state.rs
@@ -15,12 +15,12 @@
 /// Carries out one operation.
 pub async fn call(client: &HttpClient, op: StoreOp, deadline: Duration) -> StoreReply {
     let result = match op {
-        StoreOp::NewLease => new_lease(client, deadline).await,
-        StoreOp::Renew(lease) => renew(client, lease, deadline).await,
+        StoreOp::GrantLease => new_lease(client, deadline).await,
+        StoreOp::RenewLease(lease) => renew(client, lease, deadline).await,
         StoreOp::Get(key) => get(client, &key, deadline).await,
         StoreOp::List(prefix) => list(client, &prefix, deadline).await,
         StoreOp::Txn(txn) => transact(client, &txn, deadline).await,
-        StoreOp::Follow(prefix, since, wait_ms) => {
+        StoreOp::Watch(prefix, since, wait_ms) => {
             let path = format!("/follow?Starts={prefix}&Since={since}&WaitMs={wait_ms}");
             follow(client, &path, deadline).await
         }
@@ -30,7 +30,7 @@
         match error {
             // Never sent, so never executed.
             CallError::Connect(_) => StoreReply::Refused,
-            CallError::Late(_) | CallError::Http(_) => StoreReply::Unknown,
+            CallError::Late(_) | CallError::Http(_) => StoreReply::NoAnswer,
         }
     })
 }
@@ -40,7 +40,7 @@
         Ok(value) => then(value),
         Err(error) => {
             tracing::debug!(%error, "odd answer of the state service");
-            StoreReply::Unknown
+            StoreReply::NoAnswer
         }
     }
 }
@@ -50,7 +50,7 @@
         429 | 503 => StoreReply::Refused,
         _ => {
             tracing::debug!(status, "odd status of the state service");
-            StoreReply::Unknown
+            StoreReply::NoAnswer
         }
     }
 }
@@ -63,7 +63,7 @@
         .call(Method::Post, "/holds", Some(body.to_string()), deadline)
         .await?;
     Ok(match status {
-        200 => read(&body, |lease: Lease| StoreReply::Lease(lease.lease)),
+        200 => read(&body, |lease: Lease| StoreReply::LeaseGranted(lease.lease)),
         _ => other(status),
     })
 }
@@ -76,7 +76,7 @@
     let path = format!("/holds/{lease}/renew");
     let (status, _) = client.call(Method::Post, &path, None, deadline).await?;
     Ok(match status {
-        200 => StoreReply::Renewed,
+        200 => StoreReply::LeaseRenewed,
         404 => StoreReply::NoSuchLease,
         _ => other(status),
     })
@@ -110,12 +110,12 @@
             return Ok(other(status));
         }
         let Ok(page) = serde_json::from_slice::<Listing>(&body) else {
-            return Ok(StoreReply::Unknown);
+            return Ok(StoreReply::NoAnswer);
         };
         if page.pairs.len() > STATE_PAGE {
             let keys = page.pairs.len();
             tracing::warn!(keys, most = STATE_PAGE, "page of keys too long: refused");
-            return Ok(StoreReply::Unknown);
+            return Ok(StoreReply::NoAnswer);
         }
         let revision = *first.get_or_insert(page.revision);
         let more = page.more && !page.pairs.is_empty();
@@ -162,7 +162,7 @@
     let (status, body) = client.call(Method::Get, path, None, deadline).await?;
     Ok(match status {
         200 => read(&body, |changes: Changes| StoreReply::Changes(changes)),
-        410 => StoreReply::TooOld,
+        410 => StoreReply::RevisionCompacted,
         _ => other(status),
     })
 }
--- a/crates/worksshunt-net/src/state/tests.rs
+++ b/crates/worksshunt-net/src/state/tests.rs
@@ -32,5 +32,5 @@
         (listing.pairs.len(), listing.revision),
         (STATE_PAGE, Revision(7))
     );
-    assert_eq!(listed(STATE_PAGE + 1), StoreReply::Unknown);
+    assert_eq!(listed(STATE_PAGE + 1), StoreReply::NoAnswer);
 }
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -59,14 +59,14 @@
             Err(CallError::Connect(_)) => return OrdersReply::NotSent,
             Err(error) => {
                 tracing::debug!(machine = %orders.machine, %error, "orders");
-                return OrdersReply::Unknown;
+                return OrdersReply::NoAnswer;
             }
         };
         match (status, serde_json::from_slice::<Report>(&body)) {
             (200 | 409, Ok(report)) => OrdersReply::Answered(report),
             _ => {
                 tracing::debug!(machine = %orders.machine, status, "odd answer to orders");
-                OrdersReply::Unknown
+                OrdersReply::NoAnswer
             }
         }
     }
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -13,12 +13,12 @@
 impl Cluster {
     pub(super) fn cloud(&mut self, request: &CloudRequest) -> CloudReply {
         if self.trouble.cloud_down || !self.cloud_admits(request) {
-            return CloudReply::Failed;
+            return CloudReply::NoAnswer;
         }
         match request {
-            CloudRequest::Catalog => CloudReply::Catalog(catalog(self.ready_s)),
-            CloudRequest::List => CloudReply::List(self.machine_list()),
-            CloudRequest::Rent(rent) => {
+            CloudRequest::ReadCatalog => CloudReply::Catalog(catalog(self.ready_s)),
+            CloudRequest::ListMachines => CloudReply::List(self.machine_list()),
+            CloudRequest::Provision(rent) => {
                 if let Some(names) = self.rentals.get(&rent.request) {
                     return CloudReply::Machines(names.clone());
                 }
@@ -37,7 +37,7 @@
                 self.rentals.insert(rent.request.clone(), names.clone());
                 CloudReply::Machines(names)
             }
-            CloudRequest::Return(names) => {
+            CloudRequest::Release(names) => {
                 for id in &names.machines {
                     if self.workers.remove(id).is_some() {
                         self.returned.push(id.clone());
@@ -51,7 +51,7 @@
     /// Whether the cloud's rate admits a request. A list is as many calls as it has pages.
     fn cloud_admits(&mut self, request: &CloudRequest) -> bool {
         let calls = match request {
-            CloudRequest::List => self.workers.len() / CLOUD_PAGE + 1,
+            CloudRequest::ListMachines => self.workers.len() / CLOUD_PAGE + 1,
             _ => 1,
         };
         self.meter.cloud_calls += calls as u64;
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -111,14 +111,14 @@
 
 fn action_message(action: &Action) -> Message {
     match action {
-        Action::Reply(_, reply) => client_reply(reply),
-        Action::Store(_, request, _) => state_service_request(request),
-        Action::Cloud(request) => cloud_request(request),
-        Action::Orders(orders) => {
+        Action::Respond(_, reply) => client_reply(reply),
+        Action::CallKeyValueStore(_, request, _) => state_service_request(request),
+        Action::CallCloud(request) => cloud_request(request),
+        Action::SendCommands(orders) => {
             Message::json("command request", &(&orders.machine, &orders.orders))
         }
-        Action::Peer(to, request) => Message::borsh("peer request", &(to, request)),
-        Action::PeerReply(_, answer) => Message::borsh("peer response sent", answer),
+        Action::SendToPeer(to, request) => Message::borsh("peer request", &(to, request)),
+        Action::RespondToPeer(_, answer) => Message::borsh("peer response sent", answer),
     }
 }
 
@@ -127,20 +127,20 @@
         Event::Tick => return None,
         Event::Submit(_, body) => Message::bytes("submission", body.as_slice()),
         Event::Status(_, id) => Message::bytes("status query", id.as_bytes()),
-        Event::Withdraw(_, id) => Message::bytes("cancellation", id.as_bytes()),
+        Event::Cancel(_, id) => Message::bytes("cancellation", id.as_bytes()),
         Event::Health(_) => Message::empty("health check"),
-        Event::Report(_, body) => Message::bytes("heartbeat", body.as_slice()),
-        Event::Store(_, _, reply) => state_service_response(reply),
-        Event::Cloud(_, reply) => cloud_response(reply),
-        Event::Ordered(orders, reply) => match reply {
+        Event::Heartbeat(_, body) => Message::bytes("heartbeat", body.as_slice()),
+        Event::KeyValueResponse(_, _, reply) => state_service_response(reply),
+        Event::CloudResponse(_, reply) => cloud_response(reply),
+        Event::CommandsAnswered(orders, reply) => match reply {
             OrdersReply::Answered(report) => Message::json("command response", report),
             OrdersReply::NotSent => Message::json("command not sent", &orders.machine),
-            OrdersReply::Unknown => Message::json("command unanswered", &orders.machine),
+            OrdersReply::NoAnswer => Message::json("command unanswered", &orders.machine),
         },
-        Event::Peer(_, request) => Message::borsh("peer request received", request),
-        Event::PeerAnswer(answer) => Message::borsh("peer response", answer),
-        Event::PeerStore(healthy) => Message::borsh("peer health", healthy),
-        Event::PeerEpoch(from, known) => Message::borsh("peer epoch", &(from, known)),
+        Event::PeerRequest(_, request) => Message::borsh("peer request received", request),
+        Event::PeerResponse(answer) => Message::borsh("peer response", answer),
+        Event::PeerKeyValueHealth(healthy) => Message::borsh("peer health", healthy),
+        Event::PeerKnownEpoch(from, known) => Message::borsh("peer epoch", &(from, known)),
     })
 }
 
@@ -153,14 +153,12 @@
 
 fn state_service_request(request: &StoreOp) -> Message {
     match request {
-        StoreOp::NewLease => Message::empty("lease grant"),
-        StoreOp::Renew(lease) => Message::json("lease renewal", lease),
+        StoreOp::GrantLease => Message::empty("lease grant"),
+        StoreOp::RenewLease(lease) => Message::json("lease renewal", lease),
         StoreOp::Get(key) => Message::bytes("get", key.as_bytes()),
         StoreOp::List(prefix) => Message::bytes("list", prefix.as_bytes()),
         StoreOp::Txn(txn) => Message::json("transaction", txn),
-        StoreOp::Follow(prefix, since, wait_ms) => {
-            Message::json("watch", &(prefix, since, wait_ms))
-        }
+        StoreOp::Watch(prefix, since, wait_ms) => Message::json("watch", &(prefix, since, wait_ms)),
     }
 }
 
@@ -169,8 +167,8 @@
         revision: *revision,
     };
     match reply {
-        StoreReply::Lease(lease) => Message::json("lease granted", &Lease { lease: *lease }),
-        StoreReply::Renewed => Message::empty("lease renewed"),
+        StoreReply::LeaseGranted(lease) => Message::json("lease granted", &Lease { lease: *lease }),
+        StoreReply::LeaseRenewed => Message::empty("lease renewed"),
         StoreReply::NoSuchLease => Message::empty("no such lease"),
         StoreReply::Found(pair) => Message::json("found", pair),
         StoreReply::Missing => Message::empty("missing"),
@@ -181,19 +179,19 @@
             Message::json("conflict", &Conflict { failed })
         }
         StoreReply::Changes(changes) => Message::json("changes", changes),
-        StoreReply::TooOld => Message::empty("revision compacted"),
+        StoreReply::RevisionCompacted => Message::empty("revision compacted"),
         StoreReply::TooLarge => Message::empty("too large"),
         StoreReply::Refused => Message::empty("refused"),
-        StoreReply::Unknown => Message::empty("no answer"),
+        StoreReply::NoAnswer => Message::empty("no answer"),
     }
 }
 
 fn cloud_request(request: &CloudRequest) -> Message {
     match request {
-        CloudRequest::Rent(rent) => Message::json("rent", rent),
-        CloudRequest::Return(names) => Message::json("return", names),
-        CloudRequest::List => Message::empty("machine list"),
-        CloudRequest::Catalog => Message::empty("catalogue"),
+        CloudRequest::Provision(rent) => Message::json("rent", rent),
+        CloudRequest::Release(names) => Message::json("return", names),
+        CloudRequest::ListMachines => Message::empty("machine list"),
+        CloudRequest::ReadCatalog => Message::empty("catalogue"),
     }
 }
 
@@ -203,6 +201,6 @@
         CloudReply::NoCapacity => Message::empty("no capacity"),
         CloudReply::List(pages) => Message::json("machine list received", pages),
         CloudReply::Catalog(catalog) => Message::json("catalogue received", catalog),
-        CloudReply::Failed => Message::empty("cloud call failed"),
+        CloudReply::NoAnswer => Message::empty("cloud call failed"),
     }
 }
--- a/crates/worksshunt-simulation/src/meter.rs
+++ b/crates/worksshunt-simulation/src/meter.rs
@@ -55,12 +55,12 @@
     pub(crate) fn kind(event: &Event) -> &'static str {
         match event {
             Event::Tick => "tick",
-            Event::Report(..) => "report",
-            Event::Peer(_, PeerRequest::Sync(_)) | Event::PeerAnswer(_) => "sync",
-            Event::Store(..) => "state service",
-            Event::Cloud(..) => "cloud",
-            Event::Ordered(..) => "orders",
-            Event::Submit(..) | Event::Status(..) | Event::Withdraw(..) => "user",
+            Event::Heartbeat(..) => "report",
+            Event::PeerRequest(_, PeerRequest::Sync(_)) | Event::PeerResponse(_) => "sync",
+            Event::KeyValueResponse(..) => "state service",
+            Event::CloudResponse(..) => "cloud",
+            Event::CommandsAnswered(..) => "orders",
+            Event::Submit(..) | Event::Status(..) | Event::Cancel(..) => "user",
             _ => "other",
         }
     }
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -16,16 +16,16 @@
             digest.sent(self.now, node, &action);
         }
         match action {
-            Action::Store(tag, op, deadline_ms) => {
+            Action::CallKeyValueStore(tag, op, deadline_ms) => {
                 let what = Happening::Store(node, life, tag, op, steady, self.now + deadline_ms);
                 let arrives = self.arrival(Link::Other);
                 self.at(arrives, what);
             }
-            Action::Cloud(request) => {
+            Action::CallCloud(request) => {
                 let arrives = self.arrival(Link::Other) + 100;
                 self.at(arrives, Happening::Cloud(node, life, request));
             }
-            Action::Orders(orders) => {
+            Action::SendCommands(orders) => {
                 self.meter.orders += 1;
                 let until = self.now + ORDERS_DEADLINE_MS;
                 let arrives = self.arrival(Link::Worker(node));
@@ -36,7 +36,7 @@
                     self.at(arrives, Happening::Orders(node, life, orders, until));
                 }
             }
-            Action::Peer(to, request) => {
+            Action::SendToPeer(to, request) => {
                 let to: usize = to.0[1..].parse().expect("a number");
                 let id = self.request();
                 if let PeerRequest::Sync(_) = request {
@@ -45,7 +45,7 @@
                     if self.meter.sync(&request) > FRAME_BYTES {
                         // Its reader refuses it, and it is not answered.
                         self.meter.frames_dropped += 1;
-                        let event = Box::new(Event::PeerAnswer(None));
+                        let event = Box::new(Event::PeerResponse(None));
                         let when = self.now + SYNC_DEADLINE_MS;
                         self.at(when, Happening::Dispatch(node, life, event));
                         return;
@@ -54,8 +54,8 @@
                 let arrives = self.arrival(Link::Other);
                 self.at(arrives, Happening::PeerAsk(node, life, to, id, request));
             }
-            Action::PeerReply(request, answer) => self.answer_peer(node, life, request, answer),
-            Action::Reply(request, reply) => match self.waiting.remove(&(node, life, request)) {
+            Action::RespondToPeer(request, answer) => self.answer_peer(node, life, request, answer),
+            Action::Respond(request, reply) => match self.waiting.remove(&(node, life, request)) {
                 Some(Waiting::User(slot, question)) => self.user_hears(slot, &question, reply),
                 Some(Waiting::Report(machine, session, seq, sent)) => {
                     let arrives = self.arrival(Link::Worker(node));
@@ -83,7 +83,7 @@
 
     /// A controller hears by its deadline that its orders were not answered.
     fn orders_given_up(&mut self, node: usize, life: u64, orders: DirectOrders, until: u64) {
-        let event = Box::new(Event::Ordered(orders, OrdersReply::Unknown));
+        let event = Box::new(Event::CommandsAnswered(orders, OrdersReply::NoAnswer));
         self.at(until, Happening::Dispatch(node, life, event));
     }
 
@@ -98,11 +98,11 @@
             self.waiting.remove(&(node, life, request))
         {
             let event = Box::new(match answer {
-                PeerAnswer::StoreHealth(well) => Event::PeerStore(well),
+                PeerAnswer::KeyValueHealth(well) => Event::PeerKeyValueHealth(well),
                 PeerAnswer::KnownEpoch(known) => {
-                    Event::PeerEpoch(format!("n{node}").as_str().into(), known)
+                    Event::PeerKnownEpoch(format!("n{node}").as_str().into(), known)
                 }
-                answer => Event::PeerAnswer(Some(answer)),
+                answer => Event::PeerResponse(Some(answer)),
             });
             let what = Happening::Dispatch(asker, asker_life, event);
             let arrives = self.arrival(Link::Other);
@@ -125,7 +125,7 @@
             }
             Happening::Cloud(node, life, request) => {
                 let reply = self.cloud(&request);
-                let event = Box::new(Event::Cloud(request, reply));
+                let event = Box::new(Event::CloudResponse(request, reply));
                 let arrives = self.arrival(Link::Other);
                 self.at(arrives, Happening::Dispatch(node, life, event));
             }
@@ -137,7 +137,7 @@
                 let to_life = self.nodes[to].as_ref().map(|n| n.life);
                 let Some(to_life) = to_life.filter(|_| reached) else {
                     if let PeerRequest::Sync(_) = request {
-                        let event = Box::new(Event::PeerAnswer(None));
+                        let event = Box::new(Event::PeerResponse(None));
                         let when = self.now + SYNC_DEADLINE_MS;
                         self.at(when, Happening::Dispatch(node, life, event));
                     }
@@ -145,7 +145,7 @@
                 };
                 self.waiting
                     .insert((to, to_life, id), Waiting::Peer(node, life, id.0));
-                self.dispatch(to, to_life, Event::Peer(id, request));
+                self.dispatch(to, to_life, Event::PeerRequest(id, request));
             }
             Happening::PeerSilence(node, life, id) => {
                 let lost = self
@@ -155,28 +155,28 @@
                     .map(|(key, _)| *key);
                 if let Some(key) = lost {
                     self.waiting.remove(&key);
-                    self.dispatch(node, life, Event::PeerAnswer(None));
+                    self.dispatch(node, life, Event::PeerResponse(None));
                 }
             }
             Happening::Orders(node, life, orders, until) => {
                 self.orders_sent.push(orders.machine.clone());
                 let linked = self.linked(&orders.machine, node);
                 let reply = if self.trouble.cut_from_workers.contains(&node) || !linked {
-                    OrdersReply::Unknown
+                    OrdersReply::NoAnswer
                 } else if self.trouble.hold_orders {
                     self.held_orders.push(orders.clone());
-                    OrdersReply::Unknown
+                    OrdersReply::NoAnswer
                 } else {
                     match self.execute_orders(&orders) {
                         Some(report) => OrdersReply::Answered(report),
-                        None => OrdersReply::Unknown,
+                        None => OrdersReply::NoAnswer,
                     }
                 };
                 let arrives = self.arrival(Link::Worker(node));
                 if arrives > until {
                     self.orders_given_up(node, life, orders, until);
                 } else {
-                    let event = Box::new(Event::Ordered(orders, reply));
+                    let event = Box::new(Event::CommandsAnswered(orders, reply));
                     self.at(arrives, Happening::Dispatch(node, life, event));
                 }
             }
@@ -212,14 +212,14 @@
                 let waiting = Waiting::Report(id, report.session.0, report.seq, sent);
                 self.waiting.insert((node, life, request), waiting);
                 let body = serde_json::to_vec(&report).expect("JSON");
-                self.dispatch(node, life, Event::Report(request, body));
+                self.dispatch(node, life, Event::Heartbeat(request, body));
             }
             Happening::CopyArrives(node, report) => {
                 if let Some(life) = self.nodes[node].as_ref().map(|n| n.life) {
                     self.effect("copy");
                     let request = self.request();
                     let body = serde_json::to_vec(&report).expect("JSON");
-                    self.dispatch(node, life, Event::Report(request, body));
+                    self.dispatch(node, life, Event::Heartbeat(request, body));
                 }
             }
             Happening::AnswerArrives(id, session, seq, sent, reply) => {
--- a/crates/worksshunt-simulation/src/rules.rs
+++ b/crates/worksshunt-simulation/src/rules.rs
@@ -115,7 +115,7 @@
                 });
                 (id, true)
             }
-            Event::Withdraw(_, id) => {
+            Event::Cancel(_, id) => {
                 let id = id.parse::<JobId>().ok();
                 if let Some(id) = id {
                     self.history(id).withdrawn = true;
--- a/crates/worksshunt-simulation/src/state_service.rs
+++ b/crates/worksshunt-simulation/src/state_service.rs
@@ -122,16 +122,16 @@
     pub fn apply(&mut self, now: u64, op: &StoreOp) -> StoreReply {
         self.expire(now);
         match op {
-            StoreOp::NewLease => {
+            StoreOp::GrantLease => {
                 self.last_lease += 1;
                 let ttl = worksshunt_core::constants::LEASE_TTL_MS;
                 self.leases.insert(self.last_lease, now + ttl);
-                StoreReply::Lease(self.last_lease)
+                StoreReply::LeaseGranted(self.last_lease)
             }
-            StoreOp::Renew(lease) => match self.leases.get_mut(lease) {
+            StoreOp::RenewLease(lease) => match self.leases.get_mut(lease) {
                 Some(until) => {
                     *until = now + worksshunt_core::constants::LEASE_TTL_MS;
-                    StoreReply::Renewed
+                    StoreReply::LeaseRenewed
                 }
                 None => StoreReply::NoSuchLease,
             },
@@ -158,7 +158,7 @@
                 revision: Revision(self.revision),
             }),
             StoreOp::Txn(txn) => self.transact(txn),
-            StoreOp::Follow(prefix, since, _) => StoreReply::Changes(self.changes(prefix, *since)),
+            StoreOp::Watch(prefix, since, _) => StoreReply::Changes(self.changes(prefix, *since)),
         }
     }
 }
@@ -199,13 +199,13 @@
         }
         if self.trouble.hold_txns.contains(&node) && matches!(op, StoreOp::Txn(_)) {
             self.held_txns.push(op);
-            let event = Box::new(Event::Store(tag, sent, StoreReply::Unknown));
+            let event = Box::new(Event::KeyValueResponse(tag, sent, StoreReply::NoAnswer));
             let when = self.now + STORE_DEADLINE_MS;
             self.at(when, Happening::Dispatch(node, life, event));
             return;
         }
         if self.trouble.cut_from_state.contains(&node) || self.node_in_cut_zone(node) {
-            let event = Box::new(Event::Store(tag, sent, StoreReply::Unknown));
+            let event = Box::new(Event::KeyValueResponse(tag, sent, StoreReply::NoAnswer));
             self.at(until, Happening::Dispatch(node, life, event));
             return;
         }
@@ -218,7 +218,7 @@
             if self.rng.f64() < late.share {
                 let after_ms = self.rng.u64(late.after_ms.0..=late.after_ms.1);
                 self.at(self.now + after_ms, Happening::LateTxn(txn.clone()));
-                let event = Box::new(Event::Store(tag, sent, StoreReply::Unknown));
+                let event = Box::new(Event::KeyValueResponse(tag, sent, StoreReply::NoAnswer));
                 self.at(until, Happening::Dispatch(node, life, event));
                 return;
             }
@@ -226,7 +226,7 @@
         let reply = if self.trouble.state_down || refused || !self.state_admits(&op) {
             StoreReply::Refused
         } else {
-            if let StoreOp::Follow(prefix, since, wait_ms) = &op {
+            if let StoreOp::Watch(prefix, since, wait_ms) = &op {
                 if *wait_ms > 0 {
                     self.watches.push(Watch {
                         node,
@@ -253,11 +253,11 @@
         // What is answered after its sender has given up on it is as good as not answered.
         let when = self.arrival(Link::Other) + self.trouble.state_slow_ms;
         let reply = if when > until {
-            StoreReply::Unknown
+            StoreReply::NoAnswer
         } else {
             reply
         };
-        let event = Box::new(Event::Store(tag, sent, reply));
+        let event = Box::new(Event::KeyValueResponse(tag, sent, reply));
         self.at(when.min(until), Happening::Dispatch(node, life, event));
         self.wake_watches();
     }
@@ -297,14 +297,14 @@
                 true => StoreReply::Changes(changes),
                 false if self.now >= watch.until => {
                     self.effect("unanswered watch");
-                    StoreReply::Unknown
+                    StoreReply::NoAnswer
                 }
                 false => {
                     self.watches.push(watch);
                     continue;
                 }
             };
-            let event = Box::new(Event::Store(watch.tag, watch.sent, reply));
+            let event = Box::new(Event::KeyValueResponse(watch.tag, watch.sent, reply));
             let when = self.arrival(Link::Other) + self.trouble.state_slow_ms;
             self.at(when, Happening::Dispatch(node, watch.life, event));
         }
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -56,7 +56,7 @@
     /// Cancels a job without waiting.
     pub fn send_withdraw(&mut self, node: usize, id: JobId) -> usize {
         let text = id.to_string();
-        self.send(node, |request| Event::Withdraw(request, text))
+        self.send(node, |request| Event::Cancel(request, text))
     }
 
     /// Submits a job without waiting.
@@ -122,7 +122,7 @@
     /// Cancels a job.
     pub fn withdraw(&mut self, node: usize, id: u64) -> Reply {
         let text = JobId(id).to_string();
-        self.ask(node, |request| Event::Withdraw(request, text))
+        self.ask(node, |request| Event::Cancel(request, text))
     }
 
     pub(super) fn user_hears(&mut self, slot: usize, question: &Question, reply: Reply) {
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -69,15 +69,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum End {
     /// It failed on its machine.
-    Error,
+    Failed,
     /// It was stopped, or its machine refused it.
     Stopped,
     /// Its machine was lost.
     Lost,
     /// The part found no machine for it.
-    HandedBack,
+    Unplaced,
     /// It completed, which is durable, and its worker has forgotten it.
-    Settled,
+    Acknowledged,
 }
 
 /// An attempt that is certainly gone.
@@ -165,7 +165,7 @@
     /// A part's changes.
     Sync(SyncUp),
     /// Whether the peer reaches the state service.
-    StoreHealth,
+    KeyValueHealth,
     /// Which epoch the peer knows. Sent only while the state service answers nobody; a version that does
     /// not know the message drops the connection, which counts as no answer.
     KnownEpoch {
@@ -193,7 +193,7 @@
     /// Not the leader of that epoch.
     NotLeader,
     /// Whether the state service answered the peer lately.
-    StoreHealth(bool),
+    KeyValueHealth(bool),
     /// What the peer knows of the epoch.
     KnownEpoch(KnownEpoch),
 }
--- a/crates/worksshunt-wire/tests/wire_format.rs
+++ b/crates/worksshunt-wire/tests/wire_format.rs
@@ -530,11 +530,11 @@
             attempt_up(3, Phase::Completed),
         ],
         ended: vec![
-            ended(0, Some("i-000060"), End::Error),
+            ended(0, Some("i-000060"), End::Failed),
             ended(1, Some("i-000061"), End::Stopped),
             ended(2, Some("i-000062"), End::Lost),
-            ended(3, None, End::HandedBack),
-            ended(4, Some("i-000063"), End::Settled),
+            ended(3, None, End::Unplaced),
+            ended(4, Some("i-000063"), End::Acknowledged),
         ],
     }
 }
@@ -566,7 +566,7 @@
 fn peer_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::hex(include_str!("fixtures/peer.txt"));
     fixtures.same_frame("request-sync", PeerRequest::Sync(sync_up()));
-    fixtures.same_frame("request-store-health", PeerRequest::StoreHealth);
+    fixtures.same_frame("request-store-health", PeerRequest::KeyValueHealth);
     fixtures.same_frame("request-known-epoch", PeerRequest::KnownEpoch { poll: 21 });
     fixtures.same_frame("answer-sync", PeerAnswer::Sync(sync_down()));
     let quiet = SyncDown {
@@ -576,8 +576,8 @@
     };
     fixtures.same_frame("answer-sync-fields-absent", PeerAnswer::Sync(quiet));
     fixtures.same_frame("answer-not-leader", PeerAnswer::NotLeader);
-    fixtures.same_frame("answer-store-up", PeerAnswer::StoreHealth(true));
-    fixtures.same_frame("answer-store-down", PeerAnswer::StoreHealth(false));
+    fixtures.same_frame("answer-store-up", PeerAnswer::KeyValueHealth(true));
+    fixtures.same_frame("answer-store-down", PeerAnswer::KeyValueHealth(false));
     let known = |state_service_answers| {
         PeerAnswer::KnownEpoch(KnownEpoch {
             poll: 21,
@@ -592,11 +592,11 @@
     fixtures.same_frame("phase-placed", Phase::Placed);
     fixtures.same_frame("phase-running", Phase::Running);
     fixtures.same_frame("phase-completed", Phase::Completed);
-    fixtures.same_frame("end-error", End::Error);
+    fixtures.same_frame("end-error", End::Failed);
     fixtures.same_frame("end-stopped", End::Stopped);
     fixtures.same_frame("end-lost", End::Lost);
-    fixtures.same_frame("end-handed-back", End::HandedBack);
-    fixtures.same_frame("end-settled", End::Settled);
+    fixtures.same_frame("end-handed-back", End::Unplaced);
+    fixtures.same_frame("end-settled", End::Acknowledged);
     fixtures.same_frame("node-name", NodeName::from("n1"));
     fixtures.all_compared();
 }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -158,48 +158,48 @@
 
     fn perform(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Reply(request, reply) => {
+            Action::Respond(request, reply) => {
                 if let Some(sender) = self.waiting.borrow_mut().remove(&request) {
                     let _ = sender.try_send(reply);
                 }
             }
-            Action::PeerReply(request, answer) => {
+            Action::RespondToPeer(request, answer) => {
                 if let Some(sender) = self.waiting_peers.borrow_mut().remove(&request) {
                     let _ = sender.try_send(answer);
                 }
             }
-            Action::Store(tag, op, deadline_ms) => {
+            Action::CallKeyValueStore(tag, op, deadline_ms) => {
                 let this = Rc::clone(self);
                 let sent = self.steady();
                 self.executor
                     .spawn(async move {
                         let deadline = Duration::from_millis(deadline_ms);
                         let reply = state::call(&this.state, op, deadline).await;
-                        this.dispatch(Event::Store(tag, sent, reply));
+                        this.dispatch(Event::KeyValueResponse(tag, sent, reply));
                     })
                     .detach();
             }
-            Action::Cloud(request) => {
+            Action::CallCloud(request) => {
                 let this = Rc::clone(self);
                 self.executor
                     .spawn(async move {
                         let deadline = Duration::from_millis(CLOUD_DEADLINE_MS);
                         let reply = cloud::call(&this.cloud, &request, deadline).await;
-                        this.dispatch(Event::Cloud(request, reply));
+                        this.dispatch(Event::CloudResponse(request, reply));
                     })
                     .detach();
             }
-            Action::Orders(orders) => {
+            Action::SendCommands(orders) => {
                 let this = Rc::clone(self);
                 self.executor
                     .spawn(async move {
                         let deadline = Duration::from_millis(ORDERS_DEADLINE_MS);
                         let reply = this.workers.call(&orders, deadline).await;
-                        this.dispatch(Event::Ordered(orders, reply));
+                        this.dispatch(Event::CommandsAnswered(orders, reply));
                     })
                     .detach();
             }
-            Action::Peer(to, request) => {
+            Action::SendToPeer(to, request) => {
                 let this = Rc::clone(self);
                 self.executor
                     .spawn(async move {
@@ -217,16 +217,19 @@
                         };
                         match (request, answer) {
                             (PeerRequest::Sync(_), answer) => {
-                                this.dispatch(Event::PeerAnswer(answer));
+                                this.dispatch(Event::PeerResponse(answer));
                             }
-                            (PeerRequest::StoreHealth, Some(PeerAnswer::StoreHealth(well))) => {
-                                this.dispatch(Event::PeerStore(well));
+                            (
+                                PeerRequest::KeyValueHealth,
+                                Some(PeerAnswer::KeyValueHealth(well)),
+                            ) => {
+                                this.dispatch(Event::PeerKeyValueHealth(well));
                             }
                             (
                                 PeerRequest::KnownEpoch { .. },
                                 Some(PeerAnswer::KnownEpoch(known)),
-                            ) => this.dispatch(Event::PeerEpoch(to, known)),
-                            (PeerRequest::StoreHealth | PeerRequest::KnownEpoch { .. }, _) => {}
+                            ) => this.dispatch(Event::PeerKnownEpoch(to, known)),
+                            (PeerRequest::KeyValueHealth | PeerRequest::KnownEpoch { .. }, _) => {}
                         }
                     })
                     .detach();
@@ -253,7 +256,7 @@
         let id = self.request();
         let (sender, receiver) = async_channel::bounded(1);
         self.waiting_peers.borrow_mut().insert(id, sender);
-        self.dispatch(Event::Peer(id, request));
+        self.dispatch(Event::PeerRequest(id, request));
         receiver.recv().await.ok()
     }
 }
@@ -269,12 +272,10 @@
     };
     let (wanted, event) = match parts.as_slice() {
         ["healthz"] => (Method::Get, Event::Health(request)),
-        ["checkin"] => (Method::Post, Event::Report(request, body)),
+        ["checkin"] => (Method::Post, Event::Heartbeat(request, body)),
         ["v2", "runs"] => (Method::Post, Event::Submit(request, body)),
         ["v2", "runs", id] => (Method::Get, Event::Status(request, (*id).to_owned())),
-        ["v2", "runs", id, "withdraw"] => {
-            (Method::Post, Event::Withdraw(request, (*id).to_owned()))
-        }
+        ["v2", "runs", id, "withdraw"] => (Method::Post, Event::Cancel(request, (*id).to_owned())),
         _ => return Err(Reply::error(404, "no such path")),
     };
     if method == wanted {
