--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -20,7 +20,7 @@
     /// Connections that it may have to workers.
     pub worker_connections: usize,
     /// Direct orders under way.
-    pub orders: usize,
+    pub direct_commands: usize,
     /// Requests of users that wait for the state service.
     pub user_requests: usize,
     /// Rental requests under way.
@@ -37,7 +37,7 @@
         Capacity {
             connections: free - worker_connections,
             worker_connections,
-            orders: exchanges.min(worker_connections),
+            direct_commands: exchanges.min(worker_connections),
             user_requests: exchanges,
             rentals: ((facts.cloud.rps * CLOUD_SHARE / 2.0) as usize).max(LEAST_RENTALS),
         }
--- a/crates/worksshunt-core/src/capacity/tests.rs
+++ b/crates/worksshunt-core/src/capacity/tests.rs
@@ -35,14 +35,14 @@
         (LEAST_EXCHANGES, LEAST_RENTALS)
     );
     assert_eq!(
-        small.orders, small.worker_connections,
+        small.direct_commands, small.worker_connections,
         "no more than there are connections"
     );
     let large = Capacity::new(&settings(12_000, Some(320.0), 16.0));
-    assert_eq!((large.orders, large.user_requests), (2_000, 2_000));
+    assert_eq!((large.direct_commands, large.user_requests), (2_000, 2_000));
     assert_eq!(large.rentals, 6);
     let unnamed = Capacity::new(&settings(12_000, None, 16.0));
-    assert_eq!(unnamed.orders, LEAST_EXCHANGES);
+    assert_eq!(unnamed.direct_commands, LEAST_EXCHANGES);
 }
 
 #[test]
--- a/crates/worksshunt-core/src/constants.rs
+++ b/crates/worksshunt-core/src/constants.rs
@@ -25,7 +25,7 @@
 /// act. Three control reads can fail meanwhile. An outage of the state service may last this long
 /// plus a worker's lease (16 s at the shortest seen) without costing one; a new owner waits this
 /// long on top of the lease before it gives up a silent machine.
-pub const AUTHORITY_MS: u64 = 4_000;
+pub const EPOCH_LEASE_MS: u64 = 4_000;
 
 /// Milliseconds added to every lease computed here, for late timers.
 pub const LEASE_MARGIN_MS: u64 = 500;
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -1,18 +1,18 @@
 //! What happens to a controller and what it does.
 
-use worksshunt_wire::cloud::{Catalog, MachineList, MachineNames};
-use worksshunt_wire::peer::{KnownEpoch, PeerAnswer, PeerRequest};
-use worksshunt_wire::state::{Changes, Listing, Pair, Txn};
-use worksshunt_wire::{Epoch, JobId, NodeName, Revision};
+use worksshunt_wire::cloud::{Catalog, MachineIds, MachineList};
+use worksshunt_wire::key_value::{CompareAndSwap, KeyValue, Listing, WatchResponse};
+use worksshunt_wire::peer::{KnownEpoch, PeerRequest, PeerResponse};
+use worksshunt_wire::{ControllerName, Epoch, JobId, Revision};
 
 use crate::fleet::CloudRequest;
-use crate::machines::{DirectOrders, OrdersReply};
+use crate::job_api::{HttpResponse, JobRequest, RequestId};
+use crate::machines::{DirectCommands, DirectCommandsOutcome};
 use crate::time::Time;
-use crate::users::{Ask, Reply, RequestId};
 
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoreOp {
+pub enum KvRequest {
     /// A new lease.
     GrantLease,
     /// Renew a lease.
@@ -22,14 +22,14 @@
     /// Read all keys of a prefix.
     List(String),
     /// Write.
-    Txn(Txn),
+    CompareAndSwap(CompareAndSwap),
     /// Changes of a prefix after a revision; waits so many milliseconds for the first.
     Watch(String, Revision, u64),
 }
 
 /// The state service's answer.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoreReply {
+pub enum KvResponse {
     /// The lease granted.
     LeaseGranted(u64),
     /// The lease was renewed.
@@ -37,7 +37,7 @@
     /// There is no such lease.
     NoSuchLease,
     /// A key's value.
-    Found(Pair),
+    Found(KeyValue),
     /// There is no such key.
     Missing,
     /// All keys of the prefix, at the revision of the first page.
@@ -47,7 +47,7 @@
     /// Conditions of the transaction did not hold.
     Conflict(Vec<String>),
     /// The changes.
-    Changes(Changes),
+    WatchResponse(WatchResponse),
     /// The revision lies too far back.
     RevisionCompacted,
     /// Not executed: larger than the limits.
@@ -58,16 +58,16 @@
     NoAnswer,
 }
 
-impl StoreReply {
+impl KvResponse {
     /// Whether the state service has carried the request out, or said why it does not.
-    pub(super) fn is_answer(&self) -> bool {
-        !matches!(self, StoreReply::Refused | StoreReply::NoAnswer)
+    pub(super) fn is_definite(&self) -> bool {
+        !matches!(self, KvResponse::Refused | KvResponse::NoAnswer)
     }
 }
 
 /// What a state service request is for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StoreTag {
+pub enum KvPurpose {
     /// The controller's lease.
     GrantLease,
     /// Its renewal.
@@ -85,11 +85,11 @@
     /// The catch-up read of the open jobs.
     CatchUpOpenJobs,
     /// Records at the start of an epoch.
-    LoadEpoch(Epoch, Loading),
+    LoadEpoch(Epoch, LoadStep),
     /// How a job on record has ended, at the start of an epoch.
     LoadFinalState(Epoch, JobId),
     /// A conditional write of an epoch, by its number in its lane.
-    QueuedWrite(Lane, Epoch, u64),
+    QueuedWrite(WriteQueueId, Epoch, u64),
     /// A page whose version has become uncertain.
     ReadPageVersion(Epoch, String),
     /// A final state that questions had to be put off for.
@@ -97,9 +97,9 @@
     /// Submissions, by the number of their write.
     AcceptSubmissions(u64),
     /// A cancellation.
-    CancelJob(Ask),
+    CancelJob(JobRequest),
     /// A final state.
-    ReadFinalState(Ask),
+    ReadFinalState(JobRequest),
     /// The catalogue as the service last knew it.
     ReadCatalog,
     /// Keeping the catalogue.
@@ -108,7 +108,7 @@
 
 /// Which of an epoch's conditional writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lane {
+pub enum WriteQueueId {
     /// Machines' records of the own part.
     AttemptRecords,
     /// Completions, and machines' records of former epochs (leader).
@@ -121,7 +121,7 @@
 
 /// Steps of loading an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loading {
+pub enum LoadStep {
     /// The machines' records.
     AttemptRecords,
     /// Completed tasks (leader).
@@ -136,9 +136,9 @@
 
 /// The cloud's answer.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudReply {
+pub enum CloudResponse {
     /// Machines rented, or returned.
-    Machines(MachineNames),
+    Machines(MachineIds),
     /// None to be had.
     NoCapacity,
     /// The machine list.
@@ -165,34 +165,34 @@
     /// A worker's report.
     Heartbeat(RequestId, Vec<u8>),
     /// The state service answered a request sent at that time.
-    KeyValueResponse(StoreTag, Time, StoreReply),
+    KeyValueResponse(KvPurpose, Time, KvResponse),
     /// The cloud answered.
-    CloudResponse(CloudRequest, CloudReply),
+    CloudResponse(CloudRequest, CloudResponse),
     /// Direct orders to a worker were answered, or not.
-    CommandsAnswered(DirectOrders, OrdersReply),
+    CommandsAnswered(DirectCommands, DirectCommandsOutcome),
     /// A peer asks.
     PeerRequest(RequestId, PeerRequest),
     /// A peer answered an exchange; none: it did not.
-    PeerResponse(Option<PeerAnswer>),
+    PeerResponse(Option<PeerResponse>),
     /// A peer told whether it reaches the state service.
     PeerKeyValueHealth(bool),
     /// A peer told what it knows of the epoch.
-    PeerKnownEpoch(NodeName, KnownEpoch),
+    PeerKnownEpoch(ControllerName, KnownEpoch),
 }
 
 /// What a controller does.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Answer a client.
-    Respond(RequestId, Reply),
+    Respond(RequestId, HttpResponse),
     /// Ask the state service, within so many milliseconds.
-    CallKeyValueStore(StoreTag, StoreOp, u64),
+    CallKeyValueStore(KvPurpose, KvRequest, u64),
     /// Ask the cloud.
     CallCloud(CloudRequest),
     /// Send orders straight to a worker.
-    SendCommands(DirectOrders),
+    SendCommands(DirectCommands),
     /// Ask a peer.
-    SendToPeer(NodeName, PeerRequest),
+    SendToPeer(ControllerName, PeerRequest),
     /// Answer a peer.
-    RespondToPeer(RequestId, PeerAnswer),
+    RespondToPeer(RequestId, PeerResponse),
 }
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -1,43 +1,45 @@
 //! One controller: takes events in, keeps the state, gives actions out.
 
-mod answers;
 mod epochs;
 mod events;
-mod lanes;
+mod key_value_responses;
 mod leading;
 mod loading;
-mod outage;
 mod requests;
+mod store_outage;
+mod write_queues;
 mod writes;
 
 use std::collections::{BTreeSet, VecDeque};
 
 use worksshunt_wire::cloud::Catalog;
-use worksshunt_wire::peer::{PeerAnswer, PeerRequest};
+use worksshunt_wire::key_value::CompareAndSwap;
+use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 use worksshunt_wire::settings::{Settings, Workers};
-use worksshunt_wire::state::Txn;
-use worksshunt_wire::{Epoch, JobId, NodeName};
+use worksshunt_wire::{ControllerName, Epoch, JobId};
 
 use crate::capacity::Capacity;
 use crate::constants::*;
-use crate::epoch_poll::EpochPoll;
+use crate::epoch_confirmation::EpochConfirmation;
 use crate::fleet::{CloudRequest, Fleet};
-use crate::jobs::{Mirror, OPEN};
-use crate::machines::{lease_bound_ms, Part};
+use crate::job_api::{HttpResponse, JobApi, JobOperation, Progress};
+use crate::jobs::{JobCache, OPEN};
+use crate::machines::{lease_bound_ms, Partition};
 use crate::membership::{MemberState, Membership, CONTROL};
 use crate::placement::Parameters;
 use crate::quota::Quota;
 use crate::scheduler::Scheduler;
-use crate::time::{Bucket, Budget, Now, Periodic, Time};
-use crate::users::{Progress, Question, Reply, Users};
+use crate::time::{Budget, Now, Periodic, Time, TokenBucket};
 
-pub use events::{Action, CloudReply, Event, Lane, Loading, StoreOp, StoreReply, StoreTag};
-use lanes::{Copies, Lanes};
-use loading::Load;
+pub use events::{
+    Action, CloudResponse, Event, KvPurpose, KvRequest, KvResponse, LoadStep, WriteQueueId,
+};
+use loading::EpochLoad;
+use write_queues::{HedgedRequest, WriteQueues};
 
 /// Whether this controller is fit to own machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fitness {
+enum Readiness {
     /// As far as it can tell.
     Ready,
     /// Workers do not reach it.
@@ -59,68 +61,68 @@
     settings: Settings,
     quota: Quota,
     membership: Membership,
-    mirror: Mirror,
-    users: Users,
+    job_cache: JobCache,
+    job_api: JobApi,
     /// The last request found too many others waiting.
-    users_full: bool,
+    job_api_full: bool,
     capacity: Capacity,
     /// Attempts per epoch, if fewer than there are numbers.
-    attempts_most: Option<u64>,
-    part: Part,
+    attempt_limit: Option<u64>,
+    partition: Partition,
     /// The epoch the part was loaded for, and its members.
-    part_of: Option<(Epoch, Vec<NodeName>)>,
+    partition_epoch: Option<(Epoch, Vec<ControllerName>)>,
     leader: Option<Leader>,
-    load: Load,
+    epoch_load: EpochLoad,
     load_retry: Periodic,
     catalog: Option<Catalog>,
     /// Settings that fall short of the fleet were told of.
     warned_of_shortfalls: bool,
     /// The catalogue as it is in the store, where known.
-    catalog_kept: Option<Catalog>,
+    stored_catalog: Option<Catalog>,
     progress: Progress,
-    lanes: Lanes,
+    write_queues: WriteQueues,
     /// Pages of jobs taken in together by this process.
-    intake_pages: u64,
+    submission_batches_written: u64,
     /// Jobs whose final state is to be read as soon as the share of reads allows, in the order in
     /// which they were asked for.
-    to_learn: VecDeque<JobId>,
-    learning: BTreeSet<JobId>,
+    final_state_lookups: VecDeque<JobId>,
+    final_states_in_lookup: BTreeSet<JobId>,
     /// A report that could not be read was logged.
-    odd_report_logged: bool,
-    reads: Bucket,
-    store_heard: Time,
-    doubt_turn: Periodic,
-    epoch_poll: EpochPoll,
+    malformed_heartbeat_logged: bool,
+    user_reads: TokenBucket,
+    key_value_answered_at: Time,
+    peer_health_timer: Periodic,
+    epoch_confirmation: EpochConfirmation,
     /// When a peer last said that the state service answers it, and that it does not.
-    peer_well: Option<Time>,
-    peer_unwell: Option<Time>,
+    peer_store_healthy_at: Option<Time>,
+    peer_store_unhealthy_at: Option<Time>,
     /// Direct orders under way, those of former epochs among them.
-    orders_out: usize,
-    fitness: Fitness,
+    direct_commands_in_flight: usize,
+    readiness: Readiness,
     /// Not fit again before.
-    fit_from: Time,
-    fit_retry_ms: u64,
+    ready_not_before: Time,
+    readiness_retry_ms: u64,
     /// When the leader last answered, or another one began to lead.
-    leader_heard: Time,
-    lease_turn: Periodic,
-    control_turn: Periodic,
-    propose_turn: Periodic,
-    open_turn: Periodic,
-    follow_turn: Periodic,
-    follow_wait_ms: u64,
-    catch_up_turn: Periodic,
-    accept_turn: Periodic,
-    accept_copies: Copies,
-    accept_under_way: Txn,
-    sync_turn: Periodic,
-    sync_last: Time,
-    catalog_turn: Periodic,
-    list_turn: Periodic,
-    fleet_turn: Periodic,
-    press_turn: Periodic,
+    leader_answered_at: Time,
+    lease_timer: Periodic,
+    control_keys_timer: Periodic,
+    proposal_timer: Periodic,
+    open_jobs_timer: Periodic,
+    watch_timer: Periodic,
+    watch_wait_ms: u64,
+    catch_up_timer: Periodic,
+    accept_timer: Periodic,
+    accept_hedge: HedgedRequest,
+    accept_in_flight: CompareAndSwap,
+    sync_timer: Periodic,
+    last_sync_at: Time,
+    catalog_timer: Periodic,
+    machine_list_timer: Periodic,
+    fleet_timer: Periodic,
+    waiting_tasks_timer: Periodic,
     summary_at: Time,
     summary_every_ms: u64,
-    cloud_calls: Bucket,
+    cloud_calls: TokenBucket,
 }
 
 impl Controller {
@@ -142,55 +144,55 @@
         Controller {
             quota: Quota::new(&facts.teams),
             membership: Membership::new(settings.host_name.clone(), others, knows_ms),
-            follow_wait_ms: follow_wait_ms(knows_ms),
-            mirror: Mirror::default(),
-            users: Users::new(capacity.user_requests),
-            users_full: false,
+            watch_wait_ms: follow_wait_ms(knows_ms),
+            job_cache: JobCache::default(),
+            job_api: JobApi::new(capacity.user_requests),
+            job_api_full: false,
             capacity,
-            attempts_most: None,
+            attempt_limit: None,
             summary_every_ms: parameters.summary_every_ms,
-            part: Part::new(parameters, &facts.workers, &facts.state),
-            part_of: None,
+            partition: Partition::new(parameters, &facts.workers, &facts.state),
+            partition_epoch: None,
             leader: None,
-            load: Load::default(),
+            epoch_load: EpochLoad::default(),
             load_retry: Periodic::default(),
             catalog: None,
             warned_of_shortfalls: false,
-            catalog_kept: None,
+            stored_catalog: None,
             progress: Progress::new(),
-            lanes: Lanes::new(&facts.state),
-            intake_pages: 0,
-            to_learn: VecDeque::new(),
-            learning: BTreeSet::new(),
-            odd_report_logged: false,
-            reads: Bucket::new(read_rate, read_rate.max(1.0)),
-            store_heard: Time::default(),
-            doubt_turn: Periodic::default(),
-            epoch_poll: EpochPoll::default(),
-            peer_well: None,
-            peer_unwell: None,
-            orders_out: 0,
-            fitness: Fitness::Ready,
-            fit_from: Time::default(),
-            fit_retry_ms: REACH_RETRY_MS,
-            leader_heard: Time::default(),
-            lease_turn: Periodic::default(),
-            control_turn: Periodic::default(),
-            propose_turn: Periodic::default(),
-            open_turn: Periodic::default(),
-            follow_turn: Periodic::default(),
-            catch_up_turn: Periodic::default(),
-            accept_turn: Periodic::default(),
-            accept_copies: Copies::default(),
-            accept_under_way: Txn::default(),
-            sync_turn: Periodic::default(),
-            sync_last: Time::default(),
-            catalog_turn: Periodic::default(),
-            list_turn: Periodic::default(),
-            fleet_turn: Periodic::default(),
-            press_turn: Periodic::default(),
+            write_queues: WriteQueues::new(&facts.state),
+            submission_batches_written: 0,
+            final_state_lookups: VecDeque::new(),
+            final_states_in_lookup: BTreeSet::new(),
+            malformed_heartbeat_logged: false,
+            user_reads: TokenBucket::new(read_rate, read_rate.max(1.0)),
+            key_value_answered_at: Time::default(),
+            peer_health_timer: Periodic::default(),
+            epoch_confirmation: EpochConfirmation::default(),
+            peer_store_healthy_at: None,
+            peer_store_unhealthy_at: None,
+            direct_commands_in_flight: 0,
+            readiness: Readiness::Ready,
+            ready_not_before: Time::default(),
+            readiness_retry_ms: REACH_RETRY_MS,
+            leader_answered_at: Time::default(),
+            lease_timer: Periodic::default(),
+            control_keys_timer: Periodic::default(),
+            proposal_timer: Periodic::default(),
+            open_jobs_timer: Periodic::default(),
+            watch_timer: Periodic::default(),
+            catch_up_timer: Periodic::default(),
+            accept_timer: Periodic::default(),
+            accept_hedge: HedgedRequest::default(),
+            accept_in_flight: CompareAndSwap::default(),
+            sync_timer: Periodic::default(),
+            last_sync_at: Time::default(),
+            catalog_timer: Periodic::default(),
+            machine_list_timer: Periodic::default(),
+            fleet_timer: Periodic::default(),
+            waiting_tasks_timer: Periodic::default(),
             summary_at: Time::default(),
-            cloud_calls: Bucket::new(cloud_rate, cloud_rate.max(1.0)),
+            cloud_calls: TokenBucket::new(cloud_rate, cloud_rate.max(1.0)),
             settings,
         }
     }
@@ -198,186 +200,206 @@
     /// Has the leader begin a new epoch after so many attempts, sooner than their numbers are used up: for tests
     /// of what follows. Counts from the next epoch on.
     pub fn limit_attempts(&mut self, most: u64) {
-        self.attempts_most = Some(most);
+        self.attempt_limit = Some(most);
     }
 
     /// Takes in an event. `clock` reads the steady clock, for the budgets of decision rounds.
     pub fn handle(&mut self, now: Now, event: Event, clock: &dyn Fn() -> Time) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let budget = Budget {
             until: now.steady + ROUND_BUDGET_MS,
             clock,
         };
         match event {
-            Event::Tick => self.tick(now, &budget, &mut out),
-            Event::Submit(request, body) => self.submit(now, request, &body, &mut out),
+            Event::Tick => self.tick(now, &budget, &mut actions),
+            Event::Submit(request, body) => self.submit(now, request, &body, &mut actions),
             Event::Status(request, id) => {
-                self.ask(now, request, &id, Question::Status, &mut out);
+                self.job_request(now, request, &id, JobOperation::Status, &mut actions);
             }
             Event::Cancel(request, id) => {
-                self.ask(now, request, &id, Question::Cancel, &mut out);
+                self.job_request(now, request, &id, JobOperation::Cancel, &mut actions);
             }
             Event::Health(request) => {
                 let reply = self.health(now.steady);
-                out.push(Action::Respond(request, reply));
+                actions.push(Action::Respond(request, reply));
             }
             Event::Heartbeat(request, body) => {
-                let reply = self.report(now.steady, &body);
-                out.push(Action::Respond(request, reply));
+                let reply = self.heartbeat(now.steady, &body);
+                actions.push(Action::Respond(request, reply));
             }
             Event::KeyValueResponse(tag, sent, reply) => {
-                self.store(now, tag, sent, reply, &mut out)
+                self.process_key_value_response(now, tag, sent, reply, &mut actions)
             }
-            Event::CloudResponse(request, reply) => self.cloud(now.steady, &request, reply),
-            Event::CommandsAnswered(orders, reply) => {
-                self.orders_out = self.orders_out.saturating_sub(1);
+            Event::CloudResponse(request, reply) => {
+                self.process_cloud_response(now.steady, &request, reply)
+            }
+            Event::CommandsAnswered(commands, reply) => {
+                self.direct_commands_in_flight = self.direct_commands_in_flight.saturating_sub(1);
                 if let (true, Some(catalog)) = (
-                    orders.orders.token == self.membership.token(),
+                    commands.batch.fencing_token == self.membership.fencing_token(),
                     &self.catalog,
                 ) {
-                    let token = orders.orders.token;
-                    self.part
-                        .ordered(now.steady, &orders, &reply, token, catalog);
+                    let token = commands.batch.fencing_token;
+                    self.partition
+                        .direct_commands_answered(now.steady, &commands, &reply, token, catalog);
                 }
             }
             Event::PeerRequest(request, PeerRequest::Sync(up)) => {
-                let answer = match self.lead_sync(now, up, &budget) {
-                    Some(down) => PeerAnswer::Sync(down),
-                    None => PeerAnswer::NotLeader,
+                let answer = match self.apply_partition_status(now, up, &budget) {
+                    Some(directives) => PeerResponse::Sync(directives),
+                    None => PeerResponse::NotLeader,
                 };
-                out.push(Action::RespondToPeer(request, answer));
+                actions.push(Action::RespondToPeer(request, answer));
             }
             Event::PeerRequest(request, PeerRequest::KeyValueHealth) => {
-                let well = self.store_answers(now.steady);
-                out.push(Action::RespondToPeer(
+                let well = self.key_value_store_answers(now.steady);
+                actions.push(Action::RespondToPeer(
                     request,
-                    PeerAnswer::KeyValueHealth(well),
+                    PeerResponse::KeyValueHealth(well),
                 ));
             }
             Event::PeerRequest(request, PeerRequest::KnownEpoch { poll }) => {
                 let known = self.known_epoch(now.steady, poll);
-                out.push(Action::RespondToPeer(
+                actions.push(Action::RespondToPeer(
                     request,
-                    PeerAnswer::KnownEpoch(known),
+                    PeerResponse::KnownEpoch(known),
                 ));
             }
-            Event::PeerKnownEpoch(from, known) => self.epoch_poll_answer(&from, &known),
+            Event::PeerKnownEpoch(from, known) => self.peer_epoch_answered(&from, &known),
             Event::PeerKeyValueHealth(well) => {
                 let word = if well {
-                    &mut self.peer_well
+                    &mut self.peer_store_healthy_at
                 } else {
-                    &mut self.peer_unwell
+                    &mut self.peer_store_unhealthy_at
                 };
                 *word = Some(now.steady);
             }
             Event::PeerResponse(answer) => {
-                self.sync_turn.in_flight = false;
+                self.sync_timer.in_flight = false;
                 if answer.is_some() {
-                    self.leader_heard = now.steady;
+                    self.leader_answered_at = now.steady;
                 }
                 match answer {
-                    Some(PeerAnswer::Sync(down)) if down.epoch == self.membership.token() => {
-                        self.apply_sync(now.steady, down);
+                    Some(PeerResponse::Sync(directives))
+                        if directives.epoch == self.membership.fencing_token() =>
+                    {
+                        self.apply_leader_directives(now.steady, directives);
                     }
-                    _ => self.part.unanswered(),
+                    _ => self.partition.status_unanswered(),
                 }
             }
         }
-        self.user_turns(now.steady, &mut out);
-        self.part_turns(now, &budget, &mut out);
-        out
+        self.advance_job_api(now.steady, &mut actions);
+        self.advance_partition(now, &budget, &mut actions);
+        actions
     }
 
     /// Moves tasks on as far as they go now: placed, recorded, launched, reported to the leader.
-    fn part_turns(&mut self, now: Now, budget: &Budget, out: &mut Vec<Action>) {
+    fn advance_partition(&mut self, now: Now, budget: &Budget, actions: &mut Vec<Action>) {
         let t = now.steady;
         if self.membership.state() != MemberState::Serving {
             return;
         }
-        self.sync_turn(now, budget, out);
-        self.part.place(t, &self.mirror, budget);
-        if self.membership.has_authority(t) {
-            self.write_turns(t, out);
-            let most = self.capacity.orders.saturating_sub(self.orders_out);
-            let all = self.part.direct_orders(t, self.membership.token(), most);
-            self.orders_out += all.len();
-            out.extend(all.into_iter().map(Action::SendCommands));
+        self.sync_with_leader(now, budget, actions);
+        self.partition.place_queued(t, &self.job_cache, budget);
+        if self.membership.may_act(t) {
+            self.advance_write_queues(t, actions);
+            let most = self
+                .capacity
+                .direct_commands
+                .saturating_sub(self.direct_commands_in_flight);
+            let all = self
+                .partition
+                .next_direct_commands(t, self.membership.fencing_token(), most);
+            self.direct_commands_in_flight += all.len();
+            actions.extend(all.into_iter().map(Action::SendCommands));
         }
     }
 
     // --- time -----------------------------------------------------------------------------------
 
-    fn tick(&mut self, now: Now, budget: &Budget, out: &mut Vec<Action>) {
+    fn tick(&mut self, now: Now, budget: &Budget, actions: &mut Vec<Action>) {
         let t = now.steady;
-        self.membership_turns(t, out);
-        self.mirror_turns(t, out);
-        self.doubt_turn(t, out);
-        for request in self.users.overdue(t) {
-            out.push(Action::Respond(request, Reply::later("not accepted yet")));
+        self.advance_membership(t, actions);
+        self.advance_job_cache(t, actions);
+        self.query_peer_health(t, actions);
+        for request in self.job_api.take_overdue(t) {
+            actions.push(Action::Respond(
+                request,
+                HttpResponse::retry_later("not accepted yet"),
+            ));
         }
-        if self.store_silent(t) {
-            for request in self.users.refuse_all() {
-                let reply = Reply::later("the state service does not answer");
-                out.push(Action::Respond(request, reply));
+        if self.key_value_store_silent(t) {
+            for request in self.job_api.take_all() {
+                let reply = HttpResponse::retry_later("the state service does not answer");
+                actions.push(Action::Respond(request, reply));
             }
         }
-        if self.catalog_turn.due(t) {
+        if self.catalog_timer.is_due(t) {
             if self.catalog.is_none() {
                 store(
-                    out,
-                    StoreTag::ReadCatalog,
-                    StoreOp::Get(CATALOG_KEY.to_owned()),
+                    actions,
+                    KvPurpose::ReadCatalog,
+                    KvRequest::Get(CATALOG_KEY.to_owned()),
                 );
             }
-            self.catalog_turn.sent(t, CATALOG_EVERY_MS);
-            out.push(Action::CallCloud(CloudRequest::ReadCatalog));
+            self.catalog_timer.mark_sent(t, CATALOG_EVERY_MS);
+            actions.push(Action::CallCloud(CloudRequest::ReadCatalog));
         }
         match self.membership.state() {
-            MemberState::Loading if self.load_retry.due(t) => self.load_step(t, out),
+            MemberState::Loading if self.load_retry.is_due(t) => self.request_load_step(t, actions),
             MemberState::Serving => {
-                if self.membership.has_authority(t) {
-                    self.part.tick(t);
-                    self.fitness_turn(t);
+                if self.membership.may_act(t) {
+                    self.partition.tick(t);
+                    self.update_readiness(t);
                 }
-                self.lead(now, budget, out);
+                self.run_leader_duties(now, budget, actions);
             }
             _ => {}
         }
         if t.since(self.summary_at) >= self.summary_every_ms {
             self.summary_at = t;
-            let summary = self.part.summary();
+            let summary = self.partition.over_capacity_summary();
             if summary != "none" {
                 tracing::info!(summary, "over-capacity placements");
             }
         }
     }
 
-    fn membership_turns(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.lease_turn.due(now) {
+    fn advance_membership(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.lease_timer.is_due(now) {
             match (self.membership.state(), self.membership.lease()) {
                 (MemberState::NoLease, _) | (_, None) => {
-                    self.lease_turn.sent(now, STORE_RETRY_MS);
-                    store(out, StoreTag::GrantLease, StoreOp::GrantLease);
+                    self.lease_timer.mark_sent(now, STORE_RETRY_MS);
+                    store(actions, KvPurpose::GrantLease, KvRequest::GrantLease);
                 }
-                (_, Some(_)) if self.membership.has_to_write_key() => {
+                (_, Some(_)) if self.membership.needs_key_write() => {
                     // Nothing to send before the key's version has been read.
-                    if let Some(txn) = self.membership.join_txn() {
-                        self.lease_turn.sent(now, STORE_RETRY_MS);
-                        store(out, StoreTag::WriteMemberKey, StoreOp::Txn(txn));
+                    if let Some(write) = self.membership.member_key_write() {
+                        self.lease_timer.mark_sent(now, STORE_RETRY_MS);
+                        store(
+                            actions,
+                            KvPurpose::WriteMemberKey,
+                            KvRequest::CompareAndSwap(write),
+                        );
                     }
                 }
                 (_, Some(lease)) => {
-                    self.lease_turn.sent(now, RENEW_EVERY_MS);
-                    store(out, StoreTag::RenewLease(lease), StoreOp::RenewLease(lease));
+                    self.lease_timer.mark_sent(now, RENEW_EVERY_MS);
+                    store(
+                        actions,
+                        KvPurpose::RenewLease(lease),
+                        KvRequest::RenewLease(lease),
+                    );
                 }
             }
         }
-        if self.control_turn.due(now) {
-            self.control_turn.sent(now, CONTROL_EVERY_MS);
+        if self.control_keys_timer.is_due(now) {
+            self.control_keys_timer.mark_sent(now, CONTROL_EVERY_MS);
             store(
-                out,
-                StoreTag::ReadControlKeys,
-                StoreOp::List(CONTROL.to_owned()),
+                actions,
+                KvPurpose::ReadControlKeys,
+                KvRequest::List(CONTROL.to_owned()),
             );
         }
     }
@@ -385,62 +407,66 @@
     /// Steps back from owning machines while workers do not reach this controller or the leader does
     /// not answer it. While workers do not reach it, it offers itself again from time to time: nothing
     /// else could show that they would.
-    fn fitness_turn(&mut self, now: Time) {
-        let leader_silent_ms = match self.membership.leads() {
+    fn update_readiness(&mut self, now: Time) {
+        let leader_silent_ms = match self.membership.is_leader() {
             true => 0,
-            false => now.since(self.leader_heard),
+            false => now.since(self.leader_answered_at),
         };
-        let next = match self.fitness {
-            Fitness::Ready if self.part.unreached(now) => Fitness::NoHeartbeats,
-            Fitness::Ready if leader_silent_ms >= LEADER_LOST_MS => Fitness::NoLeaderResponse,
-            Fitness::NoHeartbeats if now >= self.fit_from => Fitness::Ready,
-            Fitness::NoLeaderResponse
-                if now >= self.fit_from && leader_silent_ms < PART_SILENT_MS =>
+        let next = match self.readiness {
+            Readiness::Ready if self.partition.is_unreachable(now) => Readiness::NoHeartbeats,
+            Readiness::Ready if leader_silent_ms >= LEADER_LOST_MS => Readiness::NoLeaderResponse,
+            Readiness::NoHeartbeats if now >= self.ready_not_before => Readiness::Ready,
+            Readiness::NoLeaderResponse
+                if now >= self.ready_not_before && leader_silent_ms < PART_SILENT_MS =>
             {
-                Fitness::Ready
+                Readiness::Ready
             }
             same => same,
         };
-        self.set_fitness(next, now);
+        self.set_readiness(next, now);
     }
 
     /// The one place where the fitness changes.
-    fn set_fitness(&mut self, next: Fitness, now: Time) {
-        if next == self.fitness {
+    fn set_readiness(&mut self, next: Readiness, now: Time) {
+        if next == self.readiness {
             return;
         }
-        tracing::info!(from = ?self.fitness, to = ?next, "fitness to own machines");
+        tracing::info!(from = ?self.readiness, to = ?next, "fitness to own machines");
         match next {
-            Fitness::Ready => {}
-            Fitness::NoHeartbeats => {
-                self.fit_from = now + self.fit_retry_ms;
-                self.fit_retry_ms = (self.fit_retry_ms * 2).min(REACH_RETRY_MAX_MS);
+            Readiness::Ready => {}
+            Readiness::NoHeartbeats => {
+                self.ready_not_before = now + self.readiness_retry_ms;
+                self.readiness_retry_ms = (self.readiness_retry_ms * 2).min(REACH_RETRY_MAX_MS);
             }
-            Fitness::NoLeaderResponse => self.fit_from = now + LEADER_RETRY_MS,
+            Readiness::NoLeaderResponse => self.ready_not_before = now + LEADER_RETRY_MS,
         }
-        self.fitness = next;
-        self.membership.set_fit(next == Fitness::Ready);
+        self.readiness = next;
+        self.membership.set_ready(next == Readiness::Ready);
     }
 
-    fn mirror_turns(&mut self, now: Time, out: &mut Vec<Action>) {
-        match self.mirror.revision() {
-            None if self.open_turn.due(now) => {
-                self.open_turn.sent(now, STORE_RETRY_MS);
-                store(out, StoreTag::ListOpenJobs, StoreOp::List(OPEN.to_owned()));
+    fn advance_job_cache(&mut self, now: Time, actions: &mut Vec<Action>) {
+        match self.job_cache.revision() {
+            None if self.open_jobs_timer.is_due(now) => {
+                self.open_jobs_timer.mark_sent(now, STORE_RETRY_MS);
+                store(
+                    actions,
+                    KvPurpose::ListOpenJobs,
+                    KvRequest::List(OPEN.to_owned()),
+                );
             }
-            Some(since) if self.follow_turn.due(now) => {
-                self.follow_turn.sent(now, 0);
+            Some(since) if self.watch_timer.is_due(now) => {
+                self.watch_timer.mark_sent(now, 0);
                 // What is known has become old, as after an outage: a watch would tell only in a while that
                 // nothing has changed.
-                let long_ms = self.follow_wait_ms + STORE_DEADLINE_MS;
-                let wait_ms = match self.membership.knows_for_ms(now) > long_ms {
-                    true => self.follow_wait_ms,
+                let long_ms = self.watch_wait_ms + STORE_DEADLINE_MS;
+                let wait_ms = match self.membership.cancellations_fresh_for_ms(now) > long_ms {
+                    true => self.watch_wait_ms,
                     false => 0,
                 };
-                let op = StoreOp::Watch(OPEN.to_owned(), since, wait_ms);
+                let op = KvRequest::Watch(OPEN.to_owned(), since, wait_ms);
                 let deadline_ms = wait_ms + STORE_DEADLINE_MS;
-                out.push(Action::CallKeyValueStore(
-                    StoreTag::WatchOpenJobs,
+                actions.push(Action::CallKeyValueStore(
+                    KvPurpose::WatchOpenJobs,
                     op,
                     deadline_ms,
                 ));
@@ -461,12 +487,12 @@
 /// together is what a cancellation has. Where a lease leaves less than an epoch's authority, that is taken, and
 /// the settings are warned of ([`cancels_in_time`]).
 fn knows_ms(workers: &Workers) -> u64 {
-    cancellation_slack_ms(workers).map_or(AUTHORITY_MS, |slack| slack.max(AUTHORITY_MS))
+    cancellation_slack_ms(workers).map_or(EPOCH_LEASE_MS, |slack| slack.max(EPOCH_LEASE_MS))
 }
 
 /// Whether a lease leaves cancellations the time in which every controller that acts has heard of them.
 fn cancels_in_time(workers: &Workers) -> bool {
-    cancellation_slack_ms(workers).is_some_and(|slack| slack >= AUTHORITY_MS)
+    cancellation_slack_ms(workers).is_some_and(|slack| slack >= EPOCH_LEASE_MS)
 }
 
 /// How long a watch of the open jobs waits for a change.
@@ -474,6 +500,6 @@
     (knows_ms.saturating_sub(2 * STORE_DEADLINE_MS) / 2).clamp(STORE_RETRY_MS, FOLLOW_WAIT_MS)
 }
 
-fn store(out: &mut Vec<Action>, tag: StoreTag, op: StoreOp) {
-    out.push(Action::CallKeyValueStore(tag, op, STORE_DEADLINE_MS));
+fn store(actions: &mut Vec<Action>, tag: KvPurpose, op: KvRequest) {
+    actions.push(Action::CallKeyValueStore(tag, op, STORE_DEADLINE_MS));
 }
--- a/crates/worksshunt-core/src/controller/requests.rs
+++ b/crates/worksshunt-core/src/controller/requests.rs
@@ -1,131 +1,154 @@
 //! Requests of users and workers, and the cloud's answers.
 
 use worksshunt_wire::cloud::Catalog;
-use worksshunt_wire::worker::{Redirect, Report, ReportAnswer};
+use worksshunt_wire::worker::{Heartbeat, HeartbeatResponse, Redirect};
 use worksshunt_wire::JobId;
 
 use crate::capacity::{shortfalls, Shortfall};
 use crate::constants::*;
 use crate::fleet::CloudRequest;
-use crate::jobs::{final_key, intake_key, is_intake, open_key, Job, OPEN};
-use crate::machines::ReportReply;
+use crate::job_api::{
+    accepted_response, final_state_response, resolve, HttpResponse, JobOperation, JobRequest,
+    JobRequestStep, PendingSubmission, RequestId,
+};
+use crate::jobs::{
+    final_state_key, is_submission_batch, open_job_key, submission_batch_key, Job, OPEN,
+};
+use crate::machines::HeartbeatOutcome;
 use crate::placement::owner;
 use crate::submissions::{check_possible, parse, Refusal};
 use crate::time::{Now, Time};
-use crate::users::{accepted, resolve, settled, Ask, Question, Reply, RequestId, Step, Submission};
 
-use super::writes::second_copy;
-use super::{store, Action, CloudReply, Controller, StoreOp, StoreReply, StoreTag};
+use super::writes::hedge_request;
+use super::{store, Action, CloudResponse, Controller, KvPurpose, KvRequest, KvResponse};
 
 impl Controller {
     /// Sends what users' requests wait for, as soon as it can leave.
-    pub(super) fn user_turns(&mut self, now: Time, out: &mut Vec<Action>) {
-        let may_read = self.reads.available(now) > 0;
-        if self.catch_up_turn.due(now) && self.users.wants_read() && may_read {
-            if let Some(since) = self.mirror.revision() {
-                self.users.reading();
-                self.reads.take(1);
-                self.catch_up_turn.sent(now, 0);
-                let op = StoreOp::Watch(OPEN.to_owned(), since, 0);
-                store(out, StoreTag::CatchUpOpenJobs, op);
+    pub(super) fn advance_job_api(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let may_read = self.user_reads.available(now) > 0;
+        if self.catch_up_timer.is_due(now) && self.job_api.read_due() && may_read {
+            if let Some(since) = self.job_cache.revision() {
+                self.job_api.read_sent();
+                self.user_reads.take(1);
+                self.catch_up_timer.mark_sent(now, 0);
+                let op = KvRequest::Watch(OPEN.to_owned(), since, 0);
+                store(actions, KvPurpose::CatchUpOpenJobs, op);
             }
         }
-        while self.reads.available(now) > 0 {
-            let Some(id) = self.to_learn.pop_front() else {
+        while self.user_reads.available(now) > 0 {
+            let Some(id) = self.final_state_lookups.pop_front() else {
                 break;
             };
-            self.reads.take(1);
+            self.user_reads.take(1);
             store(
-                out,
-                StoreTag::LookUpFinalState(id),
-                StoreOp::Get(final_key(id)),
+                actions,
+                KvPurpose::LookUpFinalState(id),
+                KvRequest::Get(final_state_key(id)),
             );
         }
-        if let Some(number) = self.accept_copies.repeat(now) {
-            let txn = &self.accept_under_way;
-            self.lanes.user_writes.take(txn.changes.len());
-            out.push(second_copy(StoreTag::AcceptSubmissions(number), txn));
+        if let Some(number) = self.accept_hedge.hedge_due(now) {
+            let write = &self.accept_in_flight;
+            self.write_queues
+                .user_write_tokens
+                .take(write.changes.len());
+            actions.push(hedge_request(KvPurpose::AcceptSubmissions(number), write));
         }
-        if self.accept_turn.due(now) && self.users.wants_accept() {
+        if self.accept_timer.is_due(now) && self.job_api.write_due() {
             let limits = &self.settings.facts.state;
-            let most = self.lanes.user_writes.available(now).min(limits.txn_ops);
-            let (me, count) = (self.membership.me(), &mut self.intake_pages);
+            let most = self
+                .write_queues
+                .user_write_tokens
+                .available(now)
+                .min(limits.txn_ops);
+            let (me, count) = (self.membership.name(), &mut self.submission_batches_written);
             let name = self.membership.lease().map(|lease| {
                 move || {
                     *count += 1;
-                    intake_key(me, lease, *count)
+                    submission_batch_key(me, lease, *count)
                 }
             });
-            let txn = self.users.accept_txn(most, limits, name);
-            if let Some(txn) = txn {
-                self.lanes.user_writes.take(txn.changes.len());
-                self.accept_turn.sent(now, 0);
-                let number = self.accept_copies.begin(now);
-                self.accept_under_way = txn.clone();
-                store(out, StoreTag::AcceptSubmissions(number), StoreOp::Txn(txn));
+            let write = self.job_api.next_write(most, limits, name);
+            if let Some(write) = write {
+                self.write_queues
+                    .user_write_tokens
+                    .take(write.changes.len());
+                self.accept_timer.mark_sent(now, 0);
+                let number = self.accept_hedge.first_sent(now);
+                self.accept_in_flight = write.clone();
+                store(
+                    actions,
+                    KvPurpose::AcceptSubmissions(number),
+                    KvRequest::CompareAndSwap(write),
+                );
             }
         }
     }
 
     /// Whether the state service has been silent so long that asking it would only cost time.
-    pub(super) fn store_silent(&self, now: Time) -> bool {
-        now.since(self.store_heard) > STORE_SILENT_MS
+    pub(super) fn key_value_store_silent(&self, now: Time) -> bool {
+        now.since(self.key_value_answered_at) > STORE_SILENT_MS
     }
 
-    pub(super) fn ask(
+    pub(super) fn job_request(
         &mut self,
         now: Now,
         request: RequestId,
         id: &str,
-        question: Question,
-        out: &mut Vec<Action>,
+        question: JobOperation,
+        actions: &mut Vec<Action>,
     ) {
         let reply = match id.parse::<JobId>() {
-            Err(_) => Reply::error(404, "no such job"),
+            Err(_) => HttpResponse::error(404, "no such job"),
             Ok(id) => {
-                let ask = Ask {
-                    request,
+                let job_request = JobRequest {
+                    request_id: request,
                     id,
-                    question,
-                    taken_in: false,
+                    operation: question,
+                    seen_in_batch: false,
                 };
-                match self.mirror.final_state(id) {
-                    Some(state) => settled(&ask, state),
-                    None => match self.queue(now.steady, ask) {
+                match self.job_cache.final_state(id) {
+                    Some(state) => final_state_response(&job_request, state),
+                    None => match self.queue_job_request(now.steady, job_request) {
                         Ok(()) => return,
                         Err(reply) => reply,
                     },
                 }
             }
         };
-        out.push(Action::Respond(request, reply));
+        actions.push(Action::Respond(request, reply));
     }
 
     /// Whether another request would be one too many; told of in the log when it begins.
-    fn users_are_full(&mut self) -> bool {
-        let full = self.users.full();
-        if full && !self.users_full {
+    fn check_job_api_full(&mut self) -> bool {
+        let full = self.job_api.is_full();
+        if full && !self.job_api_full {
             let most = self.capacity.user_requests;
             tracing::warn!(
                 most,
                 "too many requests wait for the state service: refused at once"
             );
         }
-        self.users_full = full;
+        self.job_api_full = full;
         full
     }
 
-    fn queue(&mut self, now: Time, ask: Ask) -> Result<(), Reply> {
-        if !self.mirror.loaded() {
-            return Err(Reply::later("starting"));
+    fn queue_job_request(
+        &mut self,
+        now: Time,
+        job_request: JobRequest,
+    ) -> Result<(), HttpResponse> {
+        if !self.job_cache.is_loaded() {
+            return Err(HttpResponse::retry_later("starting"));
         }
-        if self.store_silent(now) {
-            return Err(Reply::later("the state service does not answer"));
+        if self.key_value_store_silent(now) {
+            return Err(HttpResponse::retry_later(
+                "the state service does not answer",
+            ));
         }
-        if self.users_are_full() {
-            return Err(Reply::later("too many requests wait"));
+        if self.check_job_api_full() {
+            return Err(HttpResponse::retry_later("too many requests wait"));
         }
-        self.users.wait(ask);
+        self.job_api.queue_request(job_request);
         Ok(())
     }
 
@@ -134,7 +157,7 @@
         now: Now,
         request: RequestId,
         body: &[u8],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let most = (self.settings.facts.state.value_kb * 1_024.0) as usize;
         let checked = parse(body).and_then(|spec| {
@@ -152,222 +175,262 @@
             }
         });
         let reply = match checked {
-            Ok(None) => Reply::later("machine types not known yet"),
+            Ok(None) => HttpResponse::retry_later("machine types not known yet"),
             Ok(Some(spec)) => {
                 let id = spec.id;
-                let known = self.mirror.get(id).is_some() || self.mirror.taken_in(id);
+                let known = self.job_cache.get(id).is_some() || self.job_cache.is_in_batch(id);
                 let job = Box::new(Job {
                     spec,
                     accepted_ms: now.wall_ms,
                 });
                 let is_service = job.is_service();
-                let ask = Ask {
-                    request,
+                let job_request = JobRequest {
+                    request_id: request,
                     id,
-                    question: Question::Submit(job),
-                    taken_in: false,
+                    operation: JobOperation::Submit(job),
+                    seen_in_batch: false,
                 };
-                if let Some(state) = self.mirror.final_state(id) {
-                    settled(&ask, state)
+                if let Some(state) = self.job_cache.final_state(id) {
+                    final_state_response(&job_request, state)
                 } else if known {
-                    match self.queue(now.steady, ask) {
+                    match self.queue_job_request(now.steady, job_request) {
                         Ok(()) => return,
                         Err(reply) => reply,
                     }
                 } else if is_service && !self.membership.accepts_services() {
                     // A controller that does not understand it would call it unknown.
-                    Reply::later("controllers that do not know services may be left")
-                } else if !self.mirror.loaded() || self.store_silent(now.steady) {
-                    Reply::later("the state service does not answer")
-                } else if self.users_are_full() {
-                    Reply::later("too many requests wait")
+                    HttpResponse::retry_later("controllers that do not know services may be left")
+                } else if !self.job_cache.is_loaded() || self.key_value_store_silent(now.steady) {
+                    HttpResponse::retry_later("the state service does not answer")
+                } else if self.check_job_api_full() {
+                    HttpResponse::retry_later("too many requests wait")
                 } else {
-                    if let Question::Submit(job) = ask.question {
-                        self.users.accept(now.steady, request, job);
+                    if let JobOperation::Submit(job) = job_request.operation {
+                        self.job_api.queue_submission(now.steady, request, job);
                     }
                     return;
                 }
             }
-            Err((None, refusal)) => Reply::refusal(&refusal),
+            Err((None, refusal)) => HttpResponse::refused(&refusal),
             Err((Some(id), refusal)) => {
-                let ask = Ask {
-                    request,
+                let job_request = JobRequest {
+                    request_id: request,
                     id,
-                    question: Question::Unacceptable(refusal),
-                    taken_in: false,
+                    operation: JobOperation::Unacceptable(refusal),
+                    seen_in_batch: false,
                 };
-                match self.queue(now.steady, ask) {
+                match self.queue_job_request(now.steady, job_request) {
                     Ok(()) => return,
                     Err(reply) => reply,
                 }
             }
         };
-        out.push(Action::Respond(request, reply));
+        actions.push(Action::Respond(request, reply));
     }
 
-    pub(super) fn step(&mut self, now: Time, step: Step, out: &mut Vec<Action>) {
+    pub(super) fn apply_job_request_step(
+        &mut self,
+        now: Time,
+        step: JobRequestStep,
+        actions: &mut Vec<Action>,
+    ) {
         match step {
-            Step::Respond(request, reply) => out.push(Action::Respond(request, reply)),
+            JobRequestStep::Respond(request, reply) => {
+                actions.push(Action::Respond(request, reply))
+            }
             // Whoever comes first while the share lasts would always find it used up by the same
             // others: what had to be put off is read in its turn, and the next question finds it.
-            Step::LookUpFinal(ask)
-                if !self.to_learn.is_empty() || self.reads.available(now) == 0 =>
+            JobRequestStep::LookUpFinal(job_request)
+                if !self.final_state_lookups.is_empty() || self.user_reads.available(now) == 0 =>
             {
-                if self.to_learn.len() < FINALS_KEPT && self.learning.insert(ask.id) {
-                    self.to_learn.push_back(ask.id);
+                if self.final_state_lookups.len() < FINALS_KEPT
+                    && self.final_states_in_lookup.insert(job_request.id)
+                {
+                    self.final_state_lookups.push_back(job_request.id);
                 }
-                let reply = Reply::later("too many questions at once");
-                out.push(Action::Respond(ask.request, reply));
+                let reply = HttpResponse::retry_later("too many questions at once");
+                actions.push(Action::Respond(job_request.request_id, reply));
+            }
+            JobRequestStep::LookUpFinal(job_request) => {
+                self.user_reads.take(1);
+                let op = KvRequest::Get(final_state_key(job_request.id));
+                store(actions, KvPurpose::ReadFinalState(job_request), op);
+            }
+            JobRequestStep::Cancel(job_request, write) => {
+                self.write_cancellation(job_request, write, actions)
             }
-            Step::LookUpFinal(ask) => {
-                self.reads.take(1);
-                let op = StoreOp::Get(final_key(ask.id));
-                store(out, StoreTag::ReadFinalState(ask), op);
+            JobRequestStep::ResolveAgain(job_request) => self.job_api.queue_request(job_request),
+            JobRequestStep::Accept(request, job) => {
+                self.job_api.queue_submission(now, request, job)
             }
-            Step::Cancel(ask, txn) => self.write_withdrawal(ask, txn, out),
-            Step::ResolveAgain(ask) => self.users.wait(ask),
-            Step::Accept(request, job) => self.users.accept(now, request, job),
         }
     }
 
-    fn resolve(&mut self, now: Time, asks: Vec<Ask>, out: &mut Vec<Action>) {
-        for ask in asks {
-            let step = resolve(ask, &self.mirror, &self.progress);
-            self.step(now, step, out);
+    fn resolve_job_requests(
+        &mut self,
+        now: Time,
+        job_requests: Vec<JobRequest>,
+        actions: &mut Vec<Action>,
+    ) {
+        for job_request in job_requests {
+            let step = resolve(job_request, &self.job_cache, &self.progress);
+            self.apply_job_request_step(now, step, actions);
         }
     }
 
-    pub(super) fn caught_up(
+    pub(super) fn catch_up_answered(
         &mut self,
         now: Time,
         sent: Time,
-        reply: StoreReply,
-        out: &mut Vec<Action>,
+        reply: KvResponse,
+        actions: &mut Vec<Action>,
     ) {
-        self.catch_up_turn.retry(now, 0);
+        self.catch_up_timer.schedule_retry(now, 0);
         match reply {
-            StoreReply::Changes(changes) if self.mirror.loaded() => {
-                self.changed(now, sent, &changes);
-                let asks = self.users.read();
-                self.resolve(now, asks, out);
+            KvResponse::WatchResponse(changes) if self.job_cache.is_loaded() => {
+                self.open_jobs_changed(now, sent, &changes);
+                let job_requests = self.job_api.read_answered();
+                self.resolve_job_requests(now, job_requests, actions);
             }
-            StoreReply::RevisionCompacted => self.reload_mirror(out),
+            KvResponse::RevisionCompacted => self.reload_job_cache(actions),
             _ => {
-                for ask in self.users.read() {
-                    let reply = Reply::later("the state service does not answer");
-                    out.push(Action::Respond(ask.request, reply));
+                for job_request in self.job_api.read_answered() {
+                    let reply = HttpResponse::retry_later("the state service does not answer");
+                    actions.push(Action::Respond(job_request.request_id, reply));
                 }
             }
         }
     }
 
-    pub(super) fn accept_answer(
+    pub(super) fn submissions_answered(
         &mut self,
         number: u64,
         now: Time,
-        reply: StoreReply,
-        out: &mut Vec<Action>,
+        reply: KvResponse,
+        actions: &mut Vec<Action>,
     ) {
         let clearly = matches!(
             reply,
-            StoreReply::Committed(_) | StoreReply::Conflict(_) | StoreReply::TooLarge
+            KvResponse::Committed(_) | KvResponse::Conflict(_) | KvResponse::TooLarge
         );
-        if !self.accept_copies.settled(number, clearly) {
+        if !self.accept_hedge.answered(number, clearly) {
             return;
         }
-        self.accept_turn.retry(now, 0);
-        let jobs = self.users.accept_answered();
+        self.accept_timer.schedule_retry(now, 0);
+        let jobs = self.job_api.write_answered();
         match reply {
             // Nobody else writes this process's pages of jobs: an earlier copy was applied.
-            StoreReply::Conflict(failed) if failed.iter().any(|key| is_intake(key)) => {
-                accept_all(jobs, out);
+            KvResponse::Conflict(failed) if failed.iter().any(|key| is_submission_batch(key)) => {
+                accept_all(jobs, actions);
             }
-            StoreReply::Committed(_) => accept_all(jobs, out),
-            StoreReply::Conflict(failed) => {
+            KvResponse::Committed(_) => accept_all(jobs, actions),
+            KvResponse::Conflict(failed) => {
                 for (_, request, job) in jobs {
                     let id = job.spec.id;
-                    if failed.contains(&open_key(id)) || failed.contains(&final_key(id)) {
-                        self.users.wait(Ask {
-                            request,
+                    if failed.contains(&open_job_key(id)) || failed.contains(&final_state_key(id)) {
+                        self.job_api.queue_request(JobRequest {
+                            request_id: request,
                             id,
-                            question: Question::Submit(job),
-                            taken_in: false,
+                            operation: JobOperation::Submit(job),
+                            seen_in_batch: false,
                         });
                     } else {
-                        self.users.accept(now, request, job);
+                        self.job_api.queue_submission(now, request, job);
                     }
                 }
             }
-            StoreReply::TooLarge if jobs.len() > 1 => {
-                self.accept_turn.retry(now, STORE_RETRY_MS);
+            KvResponse::TooLarge if jobs.len() > 1 => {
+                self.accept_timer.schedule_retry(now, STORE_RETRY_MS);
                 self.lower_limits();
-                self.users.accept_again(jobs);
+                self.job_api.requeue_submissions(jobs);
             }
             // Certainly not executed, most likely for the limit: there is time for another try.
-            StoreReply::Refused if !self.store_silent(now) => {
-                self.accept_turn.retry(now, STORE_RETRY_MS);
-                self.users.accept_again(jobs);
+            KvResponse::Refused if !self.key_value_store_silent(now) => {
+                self.accept_timer.schedule_retry(now, STORE_RETRY_MS);
+                self.job_api.requeue_submissions(jobs);
             }
             _ => {
                 for (_, request, _) in jobs {
-                    out.push(Action::Respond(request, Reply::later("not accepted yet")));
+                    actions.push(Action::Respond(
+                        request,
+                        HttpResponse::retry_later("not accepted yet"),
+                    ));
                 }
-                for request in self.users.refuse_all() {
-                    let reply = Reply::later("the state service does not answer");
-                    out.push(Action::Respond(request, reply));
+                for request in self.job_api.take_all() {
+                    let reply = HttpResponse::retry_later("the state service does not answer");
+                    actions.push(Action::Respond(request, reply));
                 }
             }
         }
     }
 
-    pub(super) fn report(&mut self, now: Time, body: &[u8]) -> Reply {
-        let report: Report = match serde_json::from_slice(body).map_err(|e| e.to_string()) {
-            Ok(report) if is_name(&report) => report,
+    pub(super) fn heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
+        let heartbeat: Heartbeat = match serde_json::from_slice(body).map_err(|e| e.to_string()) {
+            Ok(heartbeat) if is_name(&heartbeat) => heartbeat,
             odd => {
                 let error = odd
                     .err()
                     .unwrap_or_else(|| "not a machine's name".to_owned());
-                if !std::mem::replace(&mut self.odd_report_logged, true) {
+                if !std::mem::replace(&mut self.malformed_heartbeat_logged, true) {
                     tracing::warn!(error, "odd report; further ones are not logged");
                 }
-                return Reply::error(400, &error);
+                return HttpResponse::error(400, &error);
             }
         };
-        let names = self.membership.epoch().map(|epoch| epoch.owners());
+        let names = self
+            .membership
+            .epoch()
+            .map(|epoch| epoch.partition_owners());
         let names = names.unwrap_or_default();
-        match (owner(&report.machine, &names), &self.catalog) {
-            (Some(name), _) if name != self.membership.me() => Reply::json(
+        match (owner(&heartbeat.machine, &names), &self.catalog) {
+            (Some(name), _) if name != self.membership.name() => HttpResponse::json(
                 421,
                 &Redirect {
                     report_to: Some(name.clone()),
                 },
             ),
-            (Some(_), Some(catalog)) if self.membership.has_authority(now) => {
-                let token = self.membership.token();
-                match self.part.report(now, &report, token, catalog) {
-                    ReportReply::Counted(commands) => {
-                        Reply::json(200, &ReportAnswer { token, commands })
+            (Some(_), Some(catalog)) if self.membership.may_act(now) => {
+                let token = self.membership.fencing_token();
+                match self
+                    .partition
+                    .process_heartbeat(now, &heartbeat, token, catalog)
+                {
+                    HeartbeatOutcome::Accepted(commands) => HttpResponse::json(
+                        200,
+                        &HeartbeatResponse {
+                            fencing_token: token,
+                            commands,
+                        },
+                    ),
+                    HeartbeatOutcome::Rejected => {
+                        HttpResponse::retry_later("a newer message has come")
                     }
-                    ReportReply::Stale => Reply::later("a newer message has come"),
                 }
             }
-            _ => Reply::later("not entitled to act now"),
+            _ => HttpResponse::retry_later("not entitled to act now"),
         }
     }
 
-    pub(super) fn cloud(&mut self, now: Time, request: &CloudRequest, reply: CloudReply) {
+    pub(super) fn process_cloud_response(
+        &mut self,
+        now: Time,
+        request: &CloudRequest,
+        reply: CloudResponse,
+    ) {
         match (request, reply) {
-            (CloudRequest::ReadCatalog, CloudReply::Catalog(catalog)) => {
-                self.catalog_turn.in_flight = false;
+            (CloudRequest::ReadCatalog, CloudResponse::Catalog(catalog)) => {
+                self.catalog_timer.in_flight = false;
                 self.warn_of_shortfalls(&catalog);
                 self.catalog = Some(catalog);
             }
-            (CloudRequest::ReadCatalog, _) => self.catalog_turn.retry(now, CATALOG_RETRY_MS),
+            (CloudRequest::ReadCatalog, _) => {
+                self.catalog_timer.schedule_retry(now, CATALOG_RETRY_MS)
+            }
             (CloudRequest::ListMachines, reply) => {
-                self.list_turn.in_flight = false;
-                if let (CloudReply::List(pages), Some(leader)) = (reply, &mut self.leader) {
-                    leader.fleet.listed(now, &pages);
-                    leader.scheduler.drain(leader.fleet.drains());
+                self.machine_list_timer.in_flight = false;
+                if let (CloudResponse::List(pages), Some(leader)) = (reply, &mut self.leader) {
+                    leader.fleet.machine_list_read(now, &pages);
+                    leader.scheduler.set_draining(leader.fleet.draining());
                 }
             }
             (CloudRequest::Provision(request), reply) => {
@@ -375,25 +438,27 @@
                     return;
                 };
                 match reply {
-                    CloudReply::Machines(names) => {
-                        leader.fleet.rented(now, &request.request, &names);
+                    CloudResponse::Machines(names) => {
+                        leader.fleet.provisioned(now, &request.request_name, &names);
                         // One request may not have been enough.
-                        self.fleet_turn.next = now;
+                        self.fleet_timer.next = now;
+                    }
+                    CloudResponse::NoCapacity => {
+                        leader.fleet.provision_refused(now, &request.request_name)
                     }
-                    CloudReply::NoCapacity => leader.fleet.rent_refused(now, &request.request),
-                    _ => leader.fleet.rent_unanswered(&request.request),
+                    _ => leader.fleet.provision_unanswered(&request.request_name),
                 }
             }
             (CloudRequest::Release(names), reply) => {
                 let Some(leader) = &mut self.leader else {
                     return;
                 };
-                let gone = matches!(reply, CloudReply::Machines(_)).then_some(names);
-                leader.fleet.returned(now, gone);
-                leader.scheduler.drain(leader.fleet.drains());
+                let gone = matches!(reply, CloudResponse::Machines(_)).then_some(names);
+                leader.fleet.release_answered(now, gone);
+                leader.scheduler.set_draining(leader.fleet.draining());
                 if gone.is_some_and(|names| names.machines.len() >= RETURN_MOST) {
                     // More may be waiting to go back than one request takes.
-                    self.fleet_turn.next = now;
+                    self.fleet_timer.next = now;
                 }
             }
         }
@@ -432,15 +497,15 @@
     }
 }
 
-fn accept_all(jobs: Vec<Submission>, out: &mut Vec<Action>) {
+fn accept_all(jobs: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
     for (_, request, job) in jobs {
-        out.push(Action::Respond(request, accepted(job.spec.id)));
+        actions.push(Action::Respond(request, accepted_response(job.spec.id)));
     }
 }
 
 /// Whether the machine's name may become part of a key of the state service.
-fn is_name(report: &Report) -> bool {
-    let name = &report.machine.0;
+fn is_name(heartbeat: &Heartbeat) -> bool {
+    let name = &heartbeat.machine.0;
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '/';
     (1..=NAME_BYTES).contains(&name.len()) && name.chars().all(plain)
 }
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -4,19 +4,21 @@
 //! changes where a late copy could do harm. A write without a clear answer is repeated unchanged:
 //! whatever happens to its copies, it is applied once or never.
 
-use worksshunt_wire::state::{Change, Condition, Txn};
+use worksshunt_wire::key_value::{Change, CompareAndSwap, ExpectedRevision};
 use worksshunt_wire::{JobId, Revision};
 
 use crate::constants::*;
-use crate::jobs::{final_key, final_value, is_intake, job_of, open_key};
+use crate::job_api::JobRequest;
+use crate::jobs::{
+    final_state_key, final_state_value, is_submission_batch, job_of_key, open_job_key,
+};
 use crate::membership::EPOCH;
 use crate::pages::PageWrite;
-use crate::scheduler::{claim_key, Due};
+use crate::scheduler::{claim_key, PendingWrite};
 use crate::time::Time;
-use crate::users::Ask;
 
-use super::lanes::{End, Lanes};
-use super::{store, Action, Controller, Lane, StoreOp, StoreReply, StoreTag};
+use super::write_queues::{FinalWrite, WriteQueues};
+use super::{store, Action, Controller, KvPurpose, KvRequest, KvResponse, WriteQueueId};
 use worksshunt_wire::user::JobState;
 
 /// What became of a write.
@@ -31,114 +33,129 @@
 
 impl Controller {
     /// Sends what has to be written now.
-    pub(super) fn write_turns(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.refresh_turn(now, out);
-        self.lane_turn(Lane::AttemptRecords, now, out);
+    pub(super) fn advance_write_queues(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.read_uncertain_page(now, actions);
+        self.advance_write_queue(WriteQueueId::AttemptRecords, now, actions);
         if self.leader.is_some() {
-            self.lane_turn(Lane::FinalWrites, now, out);
-            self.lane_turn(Lane::LeaderPages, now, out);
-            self.lane_turn(Lane::SubmissionBatches, now, out);
+            self.advance_write_queue(WriteQueueId::FinalWrites, now, actions);
+            self.advance_write_queue(WriteQueueId::LeaderPages, now, actions);
+            self.advance_write_queue(WriteQueueId::SubmissionBatches, now, actions);
         }
     }
 
-    fn lane_turn(&mut self, lane: Lane, now: Time, out: &mut Vec<Action>) {
-        let token = self.membership.token();
-        let line = self.lanes.line(lane);
-        if line.turn.in_flight {
+    fn advance_write_queue(&mut self, lane: WriteQueueId, now: Time, actions: &mut Vec<Action>) {
+        let token = self.membership.fencing_token();
+        let line = self.write_queues.queue(lane);
+        if line.timer.in_flight {
             // Launches wait for records. The other lanes can wait.
-            let repeat = (lane == Lane::AttemptRecords).then(|| line.copies.repeat(now));
-            if let (Some(number), Some(txn)) = (repeat.flatten(), &line.under_way) {
-                line.writes.take(txn.changes.len());
-                let tag = StoreTag::QueuedWrite(lane, token, number);
-                out.push(second_copy(tag, txn));
+            let repeat = (lane == WriteQueueId::AttemptRecords).then(|| line.hedge.hedge_due(now));
+            if let (Some(number), Some(write)) = (repeat.flatten(), &line.in_flight) {
+                line.change_tokens.take(write.changes.len());
+                let tag = KvPurpose::QueuedWrite(lane, token, number);
+                actions.push(hedge_request(tag, write));
             }
         }
-        if !line.turn.due(now) {
+        if !line.timer.is_due(now) {
             return;
         }
-        if line.under_way.is_none() {
-            let Some(epoch) = self.membership.condition() else {
+        if line.in_flight.is_none() {
+            let Some(epoch) = self.membership.epoch_unchanged() else {
                 return;
             };
-            let mut txn = Txn {
-                conditions: vec![epoch],
+            let mut write = CompareAndSwap {
+                expected: vec![epoch],
                 changes: Vec::new(),
             };
             match lane {
-                Lane::AttemptRecords => self.record_txn(now, &mut txn),
-                Lane::LeaderPages => self.pages_txn(now, &mut txn),
-                Lane::FinalWrites => self.ends_txn(now, &mut txn),
-                Lane::SubmissionBatches => self.intake_txn(now, &mut txn),
+                WriteQueueId::AttemptRecords => self.add_record_writes(now, &mut write),
+                WriteQueueId::LeaderPages => self.add_leader_page_writes(now, &mut write),
+                WriteQueueId::FinalWrites => self.add_final_writes(now, &mut write),
+                WriteQueueId::SubmissionBatches => {
+                    self.add_submission_batch_writes(now, &mut write)
+                }
             }
-            if txn.changes.is_empty() {
+            if write.changes.is_empty() {
                 return;
             }
-            self.lanes.line(lane).under_way = Some(txn);
+            self.write_queues.queue(lane).in_flight = Some(write);
         }
-        let Some(txn) = self.lanes.line(lane).under_way.clone() else {
+        let Some(write) = self.write_queues.queue(lane).in_flight.clone() else {
             return;
         };
-        self.lanes.charge(lane, txn.changes.len(), now);
-        let line = self.lanes.line(lane);
-        line.turn.sent(now, 0);
-        let number = line.copies.begin(now);
+        self.write_queues.charge(lane, write.changes.len(), now);
+        let line = self.write_queues.queue(lane);
+        line.timer.mark_sent(now, 0);
+        let number = line.hedge.first_sent(now);
         store(
-            out,
-            StoreTag::QueuedWrite(lane, token, number),
-            StoreOp::Txn(txn),
+            actions,
+            KvPurpose::QueuedWrite(lane, token, number),
+            KvRequest::CompareAndSwap(write),
         );
     }
 
-    fn record_txn(&mut self, now: Time, txn: &mut Txn) {
-        let most = self.lanes.pages_at_once(Lane::AttemptRecords, now);
-        add_pages(txn, self.part.record_write(now, most));
+    fn add_record_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
+        let most = self
+            .write_queues
+            .page_allowance(WriteQueueId::AttemptRecords, now);
+        add_pages(write, self.partition.next_record_writes(now, most));
     }
 
-    fn pages_txn(&mut self, now: Time, txn: &mut Txn) {
-        let most = self.lanes.pages_at_once(Lane::LeaderPages, now);
+    fn add_leader_page_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
+        let most = self
+            .write_queues
+            .page_allowance(WriteQueueId::LeaderPages, now);
         if let Some(leader) = &mut self.leader {
-            add_pages(txn, leader.scheduler.pages_write(now, most));
+            add_pages(write, leader.scheduler.next_page_writes(now, most));
         }
     }
 
-    fn ends_txn(&mut self, now: Time, txn: &mut Txn) {
-        let intake_waits = self.mirror.intake().next().is_some();
-        let most = self.lanes.ends_at_once(now, intake_waits);
+    fn add_final_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
+        let intake_waits = self.job_cache.submission_batches().next().is_some();
+        let most = self.write_queues.final_write_allowance(now, intake_waits);
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let dues: Vec<Due> = leader.scheduler.due().take(most).cloned().collect();
+        let dues: Vec<PendingWrite> = leader
+            .scheduler
+            .pending_writes()
+            .take(most)
+            .cloned()
+            .collect();
         for due in dues {
-            if txn.changes.len() + 2 > most {
+            if write.changes.len() + 2 > most {
                 break;
             }
             match due {
-                Due::Finish(id) => {
+                PendingWrite::FinishJob(id) => {
                     // The mirror knows no more of it: it is over already.
-                    let Some(open) = self.mirror.get(id) else {
-                        leader.scheduler.not_finished(id);
+                    let Some(open) = self.job_cache.get(id) else {
+                        leader.scheduler.finish_refused(id);
                         continue;
                     };
-                    txn.conditions.push(Condition {
-                        key: open_key(id),
+                    write.expected.push(ExpectedRevision {
+                        key: open_job_key(id),
                         version: open.version,
                     });
-                    txn.changes.push(Change::Delete { key: open_key(id) });
-                    txn.changes.push(Change::Put {
-                        key: final_key(id),
-                        value: final_value(JobState::Done),
+                    write.changes.push(Change::Delete {
+                        key: open_job_key(id),
+                    });
+                    write.changes.push(Change::Put {
+                        key: final_state_key(id),
+                        value: final_state_value(JobState::Done),
                         lease: None,
                     });
-                    self.lanes.ending.push(End::Finish(id));
+                    self.write_queues
+                        .final_writes_in_flight
+                        .push(FinalWrite::FinishJob(id));
                 }
-                Due::Claim(machine) => {
+                PendingWrite::UpdateClaim(machine) => {
                     let key = claim_key(&machine);
                     let value = leader.scheduler.claim_value(&machine);
                     let held = value.is_some();
-                    txn.changes.push(match value {
+                    write.changes.push(match value {
                         Some(value) => {
                             let version = Revision(0);
-                            txn.conditions.push(Condition {
+                            write.expected.push(ExpectedRevision {
                                 key: key.clone(),
                                 version,
                             });
@@ -150,11 +167,15 @@
                         }
                         None => Change::Delete { key },
                     });
-                    self.lanes.ending.push(End::Claim(machine, held));
+                    self.write_queues
+                        .final_writes_in_flight
+                        .push(FinalWrite::UpdateClaim(machine, held));
                 }
-                Due::Remove(key) => {
-                    txn.changes.push(Change::Delete { key: key.clone() });
-                    self.lanes.ending.push(End::Remove(key));
+                PendingWrite::RemoveKey(key) => {
+                    write.changes.push(Change::Delete { key: key.clone() });
+                    self.write_queues
+                        .final_writes_in_flight
+                        .push(FinalWrite::RemoveKey(key));
                 }
             }
         }
@@ -163,55 +184,66 @@
     /// Gives jobs of one page taken in together keys of their own, as many as the share allows. The page
     /// goes with the last of them: rewritten without the others it might be larger than the state
     /// service's limit by then, which was larger when it was written.
-    fn intake_txn(&mut self, now: Time, txn: &mut Txn) {
-        let lanes = &mut self.lanes;
-        let most = lanes.intake.writes.available(now).min(lanes.txn_ops);
+    fn add_submission_batch_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
+        let lanes = &mut self.write_queues;
+        let most = lanes
+            .submission_batches
+            .change_tokens
+            .available(now)
+            .min(lanes.txn_ops);
         let dealt_with = |key: &String, version| {
-            let done = lanes.intake_done.as_ref();
+            let done = lanes.handled_batch.as_ref();
             done.is_some_and(|(k, v)| k == key && *v == version)
         };
-        let mut pages = self.mirror.intake();
+        let mut pages = self.job_cache.submission_batches();
         let Some((key, page)) = pages.find(|(key, page)| !dealt_with(key, page.version)) else {
             return;
         };
-        let condition = |key: String, version| Condition { key, version };
+        let condition = |key: String, version| ExpectedRevision { key, version };
         let mut left = page.jobs.iter().filter(|job| {
             let id = job.spec.id;
-            !self.lanes.settled.contains(&id) && self.mirror.get(id).is_none()
+            !self.write_queues.settled_jobs.contains(&id) && self.job_cache.get(id).is_none()
         });
-        while txn.changes.len() < most {
+        while write.changes.len() < most {
             let Some(job) = left.next() else {
-                txn.changes.push(Change::Delete { key: key.clone() });
-                self.lanes.intake_done = Some((key.clone(), page.version));
+                write.changes.push(Change::Delete { key: key.clone() });
+                self.write_queues.handled_batch = Some((key.clone(), page.version));
                 break;
             };
             let id = job.spec.id;
-            txn.conditions.push(condition(open_key(id), Revision(0)));
-            txn.conditions.push(condition(final_key(id), Revision(0)));
-            txn.changes.push(Change::Put {
-                key: open_key(id),
+            write
+                .expected
+                .push(condition(open_job_key(id), Revision(0)));
+            write
+                .expected
+                .push(condition(final_state_key(id), Revision(0)));
+            write.changes.push(Change::Put {
+                key: open_job_key(id),
                 value: serde_json::json!(**job),
                 lease: None,
             });
         }
-        if txn.changes.is_empty() {
+        if write.changes.is_empty() {
             return;
         }
-        txn.conditions.push(condition(key.clone(), page.version));
+        write.expected.push(condition(key.clone(), page.version));
     }
 
     /// A write was larger than the state service takes, which it was not announced to be: its limits have
     /// fallen. What copies of the write have done is open, so this controller becomes a new member, for
     /// whom they are void, and begins with what it reads.
-    fn limits_fell(&mut self, lane: Lane, now: Time) {
+    fn write_too_large(&mut self, lane: WriteQueueId, now: Time) {
         if self.lower_limits() {
             let state = &self.settings.facts.state;
-            self.lanes = Lanes::new(state);
-            self.part.set_limits(state);
-            self.leave(now);
+            self.write_queues = WriteQueues::new(state);
+            self.partition.set_key_value_limits(state);
+            self.leave_epoch(now);
         } else {
             tracing::error!(?lane, "a write of the least size is too large");
-            self.lanes.line(lane).turn.retry(now, STORE_RETRY_MS);
+            self.write_queues
+                .queue(lane)
+                .timer
+                .schedule_retry(now, STORE_RETRY_MS);
         }
     }
 
@@ -232,30 +264,30 @@
     }
 
     /// A write was answered, or not.
-    pub(super) fn lane_answer(
+    pub(super) fn queued_write_answered(
         &mut self,
-        (lane, number): (Lane, u64),
+        (lane, number): (WriteQueueId, u64),
         now: Time,
         sent: Time,
-        reply: StoreReply,
+        reply: KvResponse,
     ) {
-        if reply == StoreReply::Refused {
-            self.lanes.refused(now);
+        if reply == KvResponse::Refused {
+            self.write_queues.write_refused(now);
         }
         let outcome = match reply {
-            StoreReply::Committed(revision) => {
-                self.membership.confirmed(sent);
+            KvResponse::Committed(revision) => {
+                self.membership.epoch_confirmed(sent);
                 Outcome::Applied(Some(revision))
             }
-            StoreReply::Conflict(failed) if failed.iter().any(|key| key == EPOCH) => {
-                self.control_turn.next = now;
+            KvResponse::Conflict(failed) if failed.iter().any(|key| key == EPOCH) => {
+                self.control_keys_timer.next = now;
                 Outcome::Unclear
             }
             // Nobody else writes an owner's pages, the leader's pages or its claims in its epoch, or
             // deals with pages of jobs: a copy of this write was applied before.
-            StoreReply::TooLarge => return self.limits_fell(lane, now),
-            StoreReply::Conflict(failed) => {
-                let own = |key: &String| is_intake(key) || job_of(key).is_none();
+            KvResponse::TooLarge => return self.write_too_large(lane, now),
+            KvResponse::Conflict(failed) => {
+                let own = |key: &String| is_submission_batch(key) || job_of_key(key).is_none();
                 if failed.iter().any(own) {
                     Outcome::Applied(None)
                 } else {
@@ -264,51 +296,56 @@
             }
             _ => Outcome::Unclear,
         };
-        let pace_ms = self.lanes.pace_ms(lane, now);
-        let line = self.lanes.line(lane);
+        let pace_ms = self.write_queues.write_interval_ms(lane, now);
+        let line = self.write_queues.queue(lane);
         let clearly = !matches!(outcome, Outcome::Unclear);
-        if !line.copies.settled(number, clearly) {
+        if !line.hedge.answered(number, clearly) {
             return;
         }
         let mut given = Vec::new();
         let wait_ms = match outcome {
             Outcome::Unclear => STORE_RETRY_MS,
             _ => {
-                given = line.under_way.take().map_or(Vec::new(), |txn| opened(&txn));
+                given = line
+                    .in_flight
+                    .take()
+                    .map_or(Vec::new(), |write| opened(&write));
                 pace_ms
             }
         };
-        line.turn.retry(now, wait_ms);
+        line.timer.schedule_retry(now, wait_ms);
         match (lane, outcome) {
             (_, Outcome::Unclear) => {}
-            (Lane::AttemptRecords, Outcome::Applied(revision)) => {
-                self.part.recorded(revision);
+            (WriteQueueId::AttemptRecords, Outcome::Applied(revision)) => {
+                self.partition.records_written(revision);
             }
-            (Lane::LeaderPages, Outcome::Applied(revision)) => {
+            (WriteQueueId::LeaderPages, Outcome::Applied(revision)) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.scheduler.pages_written(revision);
+                    leader.scheduler.page_writes_applied(revision);
                 }
             }
-            (Lane::FinalWrites, Outcome::Applied(_)) => self.ended(now),
-            (Lane::FinalWrites, Outcome::Refuted(failed)) => {
+            (WriteQueueId::FinalWrites, Outcome::Applied(_)) => self.final_writes_applied(now),
+            (WriteQueueId::FinalWrites, Outcome::Refuted(failed)) => {
                 // A user cancelled the job meanwhile, or a copy of this write was applied before:
                 // the mirror will tell. The rest is tried again.
-                let ending = std::mem::take(&mut self.lanes.ending);
+                let ending = std::mem::take(&mut self.write_queues.final_writes_in_flight);
                 for end in ending {
-                    if let (End::Finish(id), Some(leader)) = (end, &mut self.leader) {
-                        if failed.contains(&open_key(id)) {
-                            leader.scheduler.not_finished(id);
+                    if let (FinalWrite::FinishJob(id), Some(leader)) = (end, &mut self.leader) {
+                        if failed.contains(&open_job_key(id)) {
+                            leader.scheduler.finish_refused(id);
                         }
                     }
                 }
             }
             // The mirror will tell, later.
-            (Lane::SubmissionBatches, Outcome::Applied(_)) => self.lanes.settled.extend(given),
-            (Lane::SubmissionBatches, Outcome::Refuted(failed)) => {
-                self.lanes.intake_done = None;
-                self.lanes
-                    .settled
-                    .extend(failed.iter().filter_map(|key| job_of(key)));
+            (WriteQueueId::SubmissionBatches, Outcome::Applied(_)) => {
+                self.write_queues.settled_jobs.extend(given)
+            }
+            (WriteQueueId::SubmissionBatches, Outcome::Refuted(failed)) => {
+                self.write_queues.handled_batch = None;
+                self.write_queues
+                    .settled_jobs
+                    .extend(failed.iter().filter_map(|key| job_of_key(key)));
             }
             (lane, Outcome::Refuted(keys)) => {
                 tracing::error!(?lane, ?keys, "a write of pages was refuted");
@@ -317,26 +354,28 @@
     }
 
     /// The ends under way are durable.
-    fn ended(&mut self, now: Time) {
-        for end in std::mem::take(&mut self.lanes.ending) {
+    fn final_writes_applied(&mut self, now: Time) {
+        for end in std::mem::take(&mut self.write_queues.final_writes_in_flight) {
             let Some(leader) = &mut self.leader else {
                 return;
             };
             match end {
-                End::Finish(id) => {
+                FinalWrite::FinishJob(id) => {
                     tracing::debug!(job = %id, "job done");
-                    self.mirror.remember_final(id, JobState::Done);
-                    leader.scheduler.close(id, now);
+                    self.job_cache.remember_final(id, JobState::Done);
+                    leader.scheduler.close_job(id, now);
                 }
-                End::Claim(machine, held) => leader.scheduler.claim_written(&machine, held),
-                End::Remove(key) => leader.scheduler.removed(&key),
+                FinalWrite::UpdateClaim(machine, held) => {
+                    leader.scheduler.claim_written(&machine, held)
+                }
+                FinalWrite::RemoveKey(key) => leader.scheduler.key_removed(&key),
             }
         }
     }
 
     /// Reads the version of a page that was written at an unknown one.
-    fn refresh_turn(&mut self, now: Time, out: &mut Vec<Action>) {
-        if !self.lanes.refresh.due(now) {
+    fn read_uncertain_page(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if !self.write_queues.page_version_timer.is_due(now) {
             return;
         }
         let of_leader = self
@@ -344,55 +383,71 @@
             .iter()
             .flat_map(|l| l.scheduler.uncertain_pages());
         if let Some(key) = self
-            .part
-            .uncertain_records()
+            .partition
+            .uncertain_record_pages()
             .into_iter()
             .chain(of_leader)
             .next()
         {
-            self.lanes.refresh.sent(now, 0);
-            let tag = StoreTag::ReadPageVersion(self.membership.token(), key.clone());
-            store(out, tag, StoreOp::Get(key));
+            self.write_queues.page_version_timer.mark_sent(now, 0);
+            let tag = KvPurpose::ReadPageVersion(self.membership.fencing_token(), key.clone());
+            store(actions, tag, KvRequest::Get(key));
         }
     }
 
     /// A page's version was read, or not.
-    pub(super) fn refreshed(&mut self, now: Time, key: &str, reply: StoreReply) {
+    pub(super) fn page_version_answered(&mut self, now: Time, key: &str, reply: KvResponse) {
         let version = match reply {
-            StoreReply::Found(pair) => pair.version,
-            StoreReply::Missing => Revision(0),
-            _ => return self.lanes.refresh.retry(now, STORE_RETRY_MS),
+            KvResponse::Found(pair) => pair.version,
+            KvResponse::Missing => Revision(0),
+            _ => {
+                return self
+                    .write_queues
+                    .page_version_timer
+                    .schedule_retry(now, STORE_RETRY_MS)
+            }
         };
-        self.lanes.refresh.retry(now, 0);
-        self.part.record_found(key, version);
+        self.write_queues.page_version_timer.schedule_retry(now, 0);
+        self.partition.record_page_version_read(key, version);
         if let Some(leader) = &mut self.leader {
-            leader.scheduler.page_found(key, version);
+            leader.scheduler.page_version_read(key, version);
         }
     }
 
     /// Writes a cancellation.
-    pub(super) fn write_withdrawal(&mut self, ask: Ask, txn: Txn, out: &mut Vec<Action>) {
-        self.lanes.user_writes.take(txn.changes.len());
-        store(out, StoreTag::CancelJob(ask), StoreOp::Txn(txn));
+    pub(super) fn write_cancellation(
+        &mut self,
+        job_request: JobRequest,
+        write: CompareAndSwap,
+        actions: &mut Vec<Action>,
+    ) {
+        self.write_queues
+            .user_write_tokens
+            .take(write.changes.len());
+        store(
+            actions,
+            KvPurpose::CancelJob(job_request),
+            KvRequest::CompareAndSwap(write),
+        );
     }
 }
 
 /// A second copy of a write, which is given up when the first one is.
-pub(super) fn second_copy(tag: StoreTag, txn: &Txn) -> Action {
+pub(super) fn hedge_request(tag: KvPurpose, write: &CompareAndSwap) -> Action {
     let deadline_ms = STORE_DEADLINE_MS - STORE_SLOW_MS;
-    Action::CallKeyValueStore(tag, StoreOp::Txn(txn.clone()), deadline_ms)
+    Action::CallKeyValueStore(tag, KvRequest::CompareAndSwap(write.clone()), deadline_ms)
 }
 
 /// The jobs that a transaction gives keys of their own.
-fn opened(txn: &Txn) -> Vec<JobId> {
+fn opened(write: &CompareAndSwap) -> Vec<JobId> {
     let put = |change: &Change| matches!(change, Change::Put { .. });
-    let puts = txn.changes.iter().filter(|change| put(change));
-    puts.filter_map(|change| job_of(change.key())).collect()
+    let puts = write.changes.iter().filter(|change| put(change));
+    puts.filter_map(|change| job_of_key(change.key())).collect()
 }
 
-fn add_pages(txn: &mut Txn, pages: Vec<PageWrite>) {
+fn add_pages(write: &mut CompareAndSwap, pages: Vec<PageWrite>) {
     for page in pages {
-        txn.conditions.push(page.condition);
-        txn.changes.push(page.change);
+        write.expected.push(page.condition);
+        write.changes.push(page.change);
     }
 }
--- a/crates/worksshunt-core/src/fleet/supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -3,33 +3,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::cloud::{Catalog, MachineType, RentRequest};
+use worksshunt_wire::cloud::{Catalog, MachineType, ProvisionRequest};
 use worksshunt_wire::{MachineId, TeamName};
 
 use crate::constants::{RESERVE_BOOTS, ROUNDING};
 use crate::jobs::Job;
-use crate::room::Room;
-use crate::scheduler::{Demand, Expected};
+use crate::resources::Resources;
+use crate::scheduler::{Demand, ExpectedDemand};
 
-use super::Offer;
+use super::InstanceOffer;
 
 /// A machine that takes tasks or is going to, with the room on it.
 #[derive(Debug, Clone)]
-pub(super) struct Supply {
-    pub(super) offer: Offer,
-    pub(super) room: Room,
+pub(super) struct MachineSupply {
+    pub(super) offer: InstanceOffer,
+    pub(super) free: Resources,
     /// Its name, if nothing is on it.
     pub(super) empty: Option<MachineId>,
 }
 
 /// What a rental brings if it is granted in full.
-pub(super) fn asked_for(request: &RentRequest, catalog: &Catalog) -> Vec<Supply> {
+pub(super) fn supply_from_request(
+    request: &ProvisionRequest,
+    catalog: &Catalog,
+) -> Vec<MachineSupply> {
     let Some(machine_type) = catalog.get(&request.machine_type) else {
         return Vec::new();
     };
-    let machine = Supply {
-        offer: Offer::from(request),
-        room: Room::of_type(machine_type),
+    let machine = MachineSupply {
+        offer: InstanceOffer::from(request),
+        free: Resources::of_machine_type(machine_type),
         empty: None,
     };
     vec![machine; request.count as usize]
@@ -37,13 +40,13 @@
 
 /// Room kept for replicas that are likely to be asked for before a machine rented for them would be up, the
 /// largest job at any time.
-pub(super) fn reserve(expected: &Expected, catalog: &Catalog) -> Vec<Demand> {
+pub(super) fn reserved_capacity(expected: &ExpectedDemand, catalog: &Catalog) -> Vec<Demand> {
     let job = &expected.job;
     let offers = catalog.types.iter().flat_map(|t| {
         let allowed = t
             .zones
             .iter()
-            .filter(|zone| job.allows(&t.name, zone, false));
+            .filter(|zone| job.allows_machine(&t.name, zone, false));
         allowed.map(|zone| (zone, t.boot_s))
     });
     let (zones, boots): (BTreeSet<&String>, Vec<f64>) = offers.unzip();
@@ -58,15 +61,17 @@
     if job.spec.spread && zones.len() > 1 {
         let each = tasks.div_ceil(zones.len() as u32);
         let zones = zones.into_iter().cloned();
-        zones.map(|zone| kept_room(job, Some(zone), each)).collect()
+        zones
+            .map(|zone| reserved_demand(job, Some(zone), each))
+            .collect()
     } else {
-        vec![kept_room(job, None, tasks)]
+        vec![reserved_demand(job, None, tasks)]
     }
 }
 
 /// So many processors of ordinary machines, in all zones, for what nothing is known of yet. They are
 /// asked for as replicas that take a whole machine of the cheapest type.
-pub(super) fn standby(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
+pub(super) fn spare_capacity(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
     let per_cpu = |t: &MachineType| t.price / t.cpus;
     let cheapest = catalog.types.iter().filter(|t| t.cpus > 0.0);
     let cheapest = cheapest.min_by(|a, b| per_cpu(a).total_cmp(&per_cpu(b)));
@@ -77,12 +82,12 @@
     let job = Rc::new(Job::whole_machine(machine));
     let zones = machine.zones.iter().cloned();
     zones
-        .map(|zone| kept_room(&job, Some(zone), each))
+        .map(|zone| reserved_demand(&job, Some(zone), each))
         .collect()
 }
 
 /// Room kept for so many tasks that nobody has asked for yet.
-pub(super) fn kept_room(job: &Rc<Job>, zone: Option<String>, tasks: u32) -> Demand {
+pub(super) fn reserved_demand(job: &Rc<Job>, zone: Option<String>, tasks: u32) -> Demand {
     Demand {
         job: Rc::clone(job),
         tasks,
@@ -98,23 +103,29 @@
 }
 
 /// Demand that the supply will not serve at once. Takes what it does serve out of the supply.
-pub(super) fn unserved(supply: &mut Vec<Supply>, demand: &[Demand]) -> Vec<Demand> {
+pub(super) fn unserved_demand(supply: &mut Vec<MachineSupply>, demand: &[Demand]) -> Vec<Demand> {
     let mut left = Vec::new();
     for wanted in demand {
-        let need = wanted.job.room();
+        let need = wanted.job.resources();
         let mut tasks = wanted.tasks;
         if tasks == 0 {
             continue;
         }
-        supply.retain_mut(|Supply { offer, room, empty }| {
-            let allowed = allows(wanted, offer);
-            while tasks > 0 && allowed && room.holds(&need) {
-                room.take(&need);
-                tasks -= 1;
-                *empty = None;
-            }
-            room.cpus > ROUNDING
-        });
+        supply.retain_mut(
+            |MachineSupply {
+                 offer,
+                 free: room,
+                 empty,
+             }| {
+                let allowed = allows(wanted, offer);
+                while tasks > 0 && allowed && room.fits(&need) {
+                    room.allocate(&need);
+                    tasks -= 1;
+                    *empty = None;
+                }
+                room.cpus > ROUNDING
+            },
+        );
         if tasks > 0 {
             left.push(Demand {
                 tasks,
@@ -128,7 +139,7 @@
 /// Processors that would get all tasks done in time, if each job were done once its turn came. It is
 /// reckoned by team: where a job's last tasks end, the next job of its team takes their place. Replicas
 /// give theirs up to nobody.
-pub(super) fn processors_needed(demand: &[Demand]) -> f64 {
+pub(super) fn cpus_needed(demand: &[Demand]) -> f64 {
     let mut teams: BTreeMap<&TeamName, (f64, f64)> = BTreeMap::new();
     let mut services = 0.0;
     for wanted in demand {
@@ -149,16 +160,16 @@
         + services
 }
 
-pub(super) fn allows(demand: &Demand, offer: &Offer) -> bool {
+pub(super) fn allows(demand: &Demand, offer: &InstanceOffer) -> bool {
     let job = &demand.job;
-    job.allows(&offer.machine_type, &offer.zone, offer.spot)
+    job.allows_machine(&offer.machine_type, &offer.zone, offer.spot)
         && demand.zone.as_ref().is_none_or(|zone| *zone == offer.zone)
         && !demand.full_zones.contains(&offer.zone)
         && (offer.spot || !demand.spot_only)
 }
 
 /// How many tasks of that need a machine holds.
-pub(super) fn slots(room: &Room, need: &Room) -> f64 {
+pub(super) fn tasks_per_machine(room: &Resources, need: &Resources) -> f64 {
     let ratio = |all: f64, one: f64| {
         if one > 0.0 {
             (all / one + ROUNDING).floor()
--- a/crates/worksshunt-core/src/fleet/offer.rs
+++ b/crates/worksshunt-core/src/fleet/instance_offer.rs
@@ -1,11 +1,11 @@
 //! Kinds of machines that can be rented.
 
-use worksshunt_wire::cloud::{ListedMachine, RentRequest};
-use worksshunt_wire::peer::MachineUp;
+use worksshunt_wire::cloud::{ListedMachine, ProvisionRequest};
+use worksshunt_wire::peer::MachineStatus;
 
 /// One kind of machine that can be rented.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
+pub struct InstanceOffer {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
@@ -14,9 +14,9 @@
     pub spot: bool,
 }
 
-impl From<&MachineUp> for Offer {
-    fn from(up: &MachineUp) -> Offer {
-        Offer {
+impl From<&MachineStatus> for InstanceOffer {
+    fn from(up: &MachineStatus) -> InstanceOffer {
+        InstanceOffer {
             machine_type: up.machine_type.clone(),
             zone: up.zone.clone(),
             spot: up.spot,
@@ -24,9 +24,9 @@
     }
 }
 
-impl From<&ListedMachine> for Offer {
-    fn from(listed: &ListedMachine) -> Offer {
-        Offer {
+impl From<&ListedMachine> for InstanceOffer {
+    fn from(listed: &ListedMachine) -> InstanceOffer {
+        InstanceOffer {
             machine_type: listed.machine_type.clone(),
             zone: listed.zone.clone(),
             spot: listed.spot,
@@ -34,9 +34,9 @@
     }
 }
 
-impl From<&RentRequest> for Offer {
-    fn from(request: &RentRequest) -> Offer {
-        Offer {
+impl From<&ProvisionRequest> for InstanceOffer {
+    fn from(request: &ProvisionRequest) -> InstanceOffer {
+        InstanceOffer {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -1,13 +1,13 @@
 //! Renting and returning machines. Only the leader does this.
 
+mod capacity_supply;
+mod instance_offer;
 mod listing;
-mod offer;
-mod rental;
-mod supply;
+mod scale_out;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use worksshunt_wire::cloud::{Catalog, ListedState, MachineList, MachineNames, RentRequest};
+use worksshunt_wire::cloud::{Catalog, ListedState, MachineIds, MachineList, ProvisionRequest};
 use worksshunt_wire::settings::{CloudLimits, Workers};
 use worksshunt_wire::{Epoch, MachineId};
 
@@ -15,18 +15,20 @@
     BOOT_EXTRA_S, BOOT_FACTOR, IDLE_BOOTS, IDLE_LEAST_MS, RETURN_MOST, SILENT_RETURN_LEASES,
     UNHEARD_REPORTS,
 };
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::scheduler::{Demand, Forecast, MachineView};
 use crate::time::Time;
 
+use capacity_supply::{
+    reserved_capacity, spare_capacity, supply_from_request, unserved_demand, MachineSupply,
+};
+pub use instance_offer::InstanceOffer;
 use listing::Listings;
-pub use offer::Offer;
-use rental::Rental;
-use supply::{asked_for, reserve, standby, unserved, Supply};
+use scale_out::PendingProvision;
 
 /// Where a rented machine stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum MachineStage {
     /// Rented, its worker not heard of.
     Booting,
     /// Its worker reports to some part.
@@ -38,9 +40,9 @@
 }
 
 #[derive(Debug, Clone)]
-struct Tracked {
-    offer: Offer,
-    stage: Stage,
+struct TrackedMachine {
+    offer: InstanceOffer,
+    stage: MachineStage,
     /// When it was rented or first seen.
     since: Time,
     /// Since when the cloud lists it as running.
@@ -50,9 +52,9 @@
     idle_since: Option<Time>,
 }
 
-impl Tracked {
-    fn new(offer: Offer, stage: Stage, since: Time) -> Tracked {
-        Tracked {
+impl TrackedMachine {
+    fn new(offer: InstanceOffer, stage: MachineStage, since: Time) -> TrackedMachine {
+        TrackedMachine {
             offer,
             stage,
             since,
@@ -63,7 +65,7 @@
     }
 
     /// The one place where a machine's stage changes.
-    fn step(&mut self, id: &MachineId, next: Stage) {
+    fn step(&mut self, id: &MachineId, next: MachineStage) {
         if self.stage != next {
             tracing::debug!(machine = %id, from = ?self.stage, to = ?next, "machine");
             self.stage = next;
@@ -75,9 +77,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Rent machines.
-    Provision(RentRequest),
+    Provision(ProvisionRequest),
     /// Return machines.
-    Release(MachineNames),
+    Release(MachineIds),
     /// Read the whole machine list.
     ListMachines,
     /// Read the catalogue.
@@ -89,10 +91,10 @@
 pub struct Fleet {
     epoch: Epoch,
     requests: u64,
-    machines: BTreeMap<MachineId, Tracked>,
-    refused_until: BTreeMap<Offer, Time>,
+    machines: BTreeMap<MachineId, TrackedMachine>,
+    refused_until: BTreeMap<InstanceOffer, Time>,
     /// The rental requests under way.
-    renting: Vec<Rental>,
+    provisioning: Vec<PendingProvision>,
     /// Rentals that may be under way.
     rentals: usize,
     return_in_flight: bool,
@@ -126,7 +128,7 @@
             requests: 0,
             machines: BTreeMap::new(),
             refused_until: BTreeMap::new(),
-            renting: Vec::new(),
+            provisioning: Vec::new(),
             rentals,
             return_in_flight: false,
             gone: BTreeMap::new(),
@@ -154,7 +156,7 @@
         self.epoch = epoch;
         self.requests = 0;
         // Answers may have come while nobody led: both are asked for again, under their names.
-        for rental in &mut self.renting {
+        for rental in &mut self.provisioning {
             rental.in_flight = false;
         }
         self.return_in_flight = false;
@@ -163,7 +165,7 @@
 
     /// Takes in the pages of the machine list. A machine that was listed and is missing from a later
     /// list is gone. One that was never listed is dropped only when it was not heard of either.
-    pub fn listed(&mut self, now: Time, pages: &[MachineList]) {
+    pub fn machine_list_read(&mut self, now: Time, pages: &[MachineList]) {
         let mut after = None;
         for page in pages {
             for id in self.listings.page(after, page) {
@@ -185,17 +187,16 @@
                 ListedState::Starting => now - (machine.age_s * 1_000.0) as u64,
                 ListedState::Running | ListedState::Failed => now,
             };
-            let tracked = self
-                .machines
-                .entry(machine.id.clone())
-                .or_insert_with(|| Tracked::new(machine.into(), Stage::Booting, since));
+            let tracked = self.machines.entry(machine.id.clone()).or_insert_with(|| {
+                TrackedMachine::new(machine.into(), MachineStage::Booting, since)
+            });
             if machine.state == ListedState::Running {
                 tracked.running.get_or_insert(now);
             }
-            if machine.state == ListedState::Failed && tracked.stage != Stage::Returning {
+            if machine.state == ListedState::Failed && tracked.stage != MachineStage::Returning {
                 tracing::info!(machine = %machine.id, "machine failed");
                 tracked.heard = None;
-                tracked.step(&machine.id, Stage::Draining);
+                tracked.step(&machine.id, MachineStage::Draining);
             }
         }
         let listed: BTreeSet<&MachineId> = list().map(|m| &m.id).collect();
@@ -209,45 +210,49 @@
     }
 
     /// Takes in what the parts say of their machines.
-    pub fn heard<'a>(&mut self, now: Time, machines: impl Iterator<Item = &'a MachineView>) {
+    pub fn update_from_partitions<'a>(
+        &mut self,
+        now: Time,
+        machines: impl Iterator<Item = &'a MachineView>,
+    ) {
         for view in machines {
-            let up = &view.up;
+            let up = &view.status;
             if up.lost || self.gone.contains_key(&up.id) {
                 continue;
             }
             let tracked = self
                 .machines
                 .entry(up.id.clone())
-                .or_insert_with(|| Tracked::new(up.into(), Stage::Up, now));
+                .or_insert_with(|| TrackedMachine::new(up.into(), MachineStage::Up, now));
             tracked.heard = Some(now);
-            if tracked.stage == Stage::Booting {
-                tracked.step(&up.id, Stage::Up);
+            if tracked.stage == MachineStage::Booting {
+                tracked.step(&up.id, MachineStage::Up);
             }
-            if up.unreached && tracked.stage == Stage::Up {
+            if up.unreachable && tracked.stage == MachineStage::Up {
                 tracing::info!(machine = %up.id, "machine is heard but not reached: returned");
-                tracked.step(&up.id, Stage::Draining);
+                tracked.step(&up.id, MachineStage::Draining);
             }
             // What is on its way to it may be a replica, which would keep it from going back for good.
-            tracked.idle_since = view.idle_since.filter(|_| !view.awaits());
+            tracked.idle_since = view.idle_since.filter(|_| !view.has_reservations());
         }
     }
 
     /// Machines that take no new tasks.
-    pub fn drains(&self) -> BTreeSet<MachineId> {
+    pub fn draining(&self) -> BTreeSet<MachineId> {
         self.machines
             .iter()
-            .filter(|(_, t)| matches!(t.stage, Stage::Draining | Stage::Returning))
+            .filter(|(_, t)| matches!(t.stage, MachineStage::Draining | MachineStage::Returning))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
     /// Machines confirmed gone.
-    pub fn gone(&self) -> impl Iterator<Item = &MachineId> {
+    pub fn terminated(&self) -> impl Iterator<Item = &MachineId> {
         self.gone.keys()
     }
 
     /// Decides what to return and what to rent.
-    pub fn plan<'a>(
+    pub fn plan_requests<'a>(
         &mut self,
         now: Time,
         catalog: &Catalog,
@@ -258,43 +263,46 @@
         let mut requests = Vec::new();
         let machines: Vec<&MachineView> = machines.collect();
         let mut supply = self.supply(now, catalog, &machines);
-        let mut there: BTreeMap<Offer, f64> = BTreeMap::new();
-        for Supply { offer, .. } in &supply {
+        let mut there: BTreeMap<InstanceOffer, f64> = BTreeMap::new();
+        for MachineSupply { offer, .. } in &supply {
             let cpus = catalog.get(&offer.machine_type).map_or(0.0, |t| t.cpus);
             *there.entry(offer.clone()).or_default() += cpus;
         }
-        let mut left = unserved(&mut supply, demand);
+        let mut left = unserved_demand(&mut supply, demand);
         // What is expected takes what is busy already first, so that as few machines as can be stand by.
         let classes = forecast.classes.iter();
-        let mut reserve: Vec<Demand> = classes.flat_map(|class| reserve(class, catalog)).collect();
-        reserve.extend(standby(forecast.standby_cpus, catalog));
-        supply.sort_by(|a, b| a.room.cpus.total_cmp(&b.room.cpus));
+        let mut reserve: Vec<Demand> = classes
+            .flat_map(|class| reserved_capacity(class, catalog))
+            .collect();
+        reserve.extend(spare_capacity(forecast.standby_cpus, catalog));
+        supply.sort_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus));
         let empty: BTreeSet<MachineId> = supply.iter().filter_map(|s| s.empty.clone()).collect();
-        let beyond = unserved(&mut supply, &reserve);
+        let beyond = unserved_demand(&mut supply, &reserve);
         let spare: BTreeSet<&MachineId> = supply.iter().filter_map(|s| s.empty.as_ref()).collect();
         let kept = empty.iter().filter(|id| !spare.contains(id)).collect();
         left.extend(beyond);
-        self.give_up_silent(now, &forecast.silent);
-        if let Some(names) = self.returns(now, catalog, &machines, &kept) {
+        self.scale_in_silent(now, &forecast.silent);
+        if let Some(names) = self.scale_in_requests(now, catalog, &machines, &kept) {
             self.return_in_flight = true;
             requests.push(CloudRequest::Release(names));
         }
         if now < self.rent_from {
             return requests;
         }
-        for rental in self.renting.iter_mut().filter(|r| !r.in_flight) {
+        for rental in self.provisioning.iter_mut().filter(|r| !r.in_flight) {
             rental.in_flight = true;
             requests.push(CloudRequest::Provision(rental.request.clone()));
         }
-        while self.renting.len() < self.rentals {
-            let Some(request) = self.rental(now, catalog, &there, &left, demand) else {
+        while self.provisioning.len() < self.rentals {
+            let Some(request) = self.next_provision_request(now, catalog, &there, &left, demand)
+            else {
                 break;
             };
-            let mut asked = asked_for(&request, catalog);
-            *there.entry(Offer::from(&request)).or_default() +=
-                asked.iter().map(|supply| supply.room.cpus).sum::<f64>();
-            left = unserved(&mut asked, &left);
-            self.renting.push(Rental {
+            let mut asked = supply_from_request(&request, catalog);
+            *there.entry(InstanceOffer::from(&request)).or_default() +=
+                asked.iter().map(|supply| supply.free.cpus).sum::<f64>();
+            left = unserved_demand(&mut asked, &left);
+            self.provisioning.push(PendingProvision {
                 request: request.clone(),
                 in_flight: true,
             });
@@ -304,45 +312,54 @@
     }
 
     /// Machines that take tasks, those that boot and those asked for, with the room on each.
-    fn supply(&self, now: Time, catalog: &Catalog, machines: &[&MachineView]) -> Vec<Supply> {
+    fn supply(
+        &self,
+        now: Time,
+        catalog: &Catalog,
+        machines: &[&MachineView],
+    ) -> Vec<MachineSupply> {
         let up = machines
             .iter()
-            .filter(|view| view.up.usable)
-            .map(|view| Supply {
-                offer: Offer::from(&view.up),
-                room: view.room,
-                empty: view.idle_since.map(|_| view.up.id.clone()),
+            .filter(|view| view.status.schedulable)
+            .map(|view| MachineSupply {
+                offer: InstanceOffer::from(&view.status),
+                free: view.free,
+                empty: view.idle_since.map(|_| view.status.id.clone()),
             });
         let booting = self
             .machines
             .values()
-            .filter(|t| t.stage == Stage::Booting)
+            .filter(|t| t.stage == MachineStage::Booting)
             // One that runs and is not heard of will hardly do any work.
             .filter(|t| t.running.is_none_or(|at| now.since(at) < self.unheard_ms))
             .filter_map(|t| {
-                let room = Room::of_type(catalog.get(&t.offer.machine_type)?);
-                Some(Supply {
+                let room = Resources::of_machine_type(catalog.get(&t.offer.machine_type)?);
+                Some(MachineSupply {
                     offer: t.offer.clone(),
-                    room,
+                    free: room,
                     empty: None,
                 })
             });
-        let asked = self.renting.iter();
-        let asked = asked.flat_map(|rental| asked_for(&rental.request, catalog));
+        let asked = self.provisioning.iter();
+        let asked = asked.flat_map(|rental| supply_from_request(&rental.request, catalog));
         up.chain(booting).chain(asked).collect()
     }
 
     /// Gives up a silent machine with replicas on it, one at a time.
-    fn give_up_silent(&mut self, now: Time, silent: &[MachineId]) {
+    fn scale_in_silent(&mut self, now: Time, silent: &[MachineId]) {
         // What is not returned in the same step would count as heard again.
         if now < self.give_up_from || self.return_in_flight {
             return;
         }
         for id in silent {
-            if let Some(tracked) = self.machines.get_mut(id).filter(|t| t.stage == Stage::Up) {
+            if let Some(tracked) = self
+                .machines
+                .get_mut(id)
+                .filter(|t| t.stage == MachineStage::Up)
+            {
                 tracing::info!(machine = %id, "machine with replicas is silent: returned");
                 tracked.heard = None;
-                tracked.step(id, Stage::Draining);
+                tracked.step(id, MachineStage::Draining);
                 self.give_up_from = now + self.give_up_ms;
                 return;
             }
@@ -350,17 +367,17 @@
     }
 
     /// Machines to return now, after marking those that should drain.
-    fn returns(
+    fn scale_in_requests(
         &mut self,
         now: Time,
         catalog: &Catalog,
         machines: &[&MachineView],
         kept: &BTreeSet<&MachineId>,
-    ) -> Option<MachineNames> {
+    ) -> Option<MachineIds> {
         let empty: BTreeSet<&MachineId> = machines
             .iter()
-            .filter(|view| view.idle_since.is_some() && !view.up.usable)
-            .map(|view| &view.up.id)
+            .filter(|view| view.idle_since.is_some() && !view.status.schedulable)
+            .map(|view| &view.status.id)
             .collect();
         let mut names = Vec::new();
         for (id, tracked) in &mut self.machines {
@@ -374,17 +391,19 @@
             let patience = ((boot_s * BOOT_FACTOR + BOOT_EXTRA_S) * 1_000.0) as u64;
             let silent = now.since(tracked.heard.unwrap_or(tracked.since)) > patience;
             match tracked.stage {
-                Stage::Up if idle && !kept.contains(id) => tracked.step(id, Stage::Draining),
-                Stage::Booting | Stage::Up if silent => {
+                MachineStage::Up if idle && !kept.contains(id) => {
+                    tracked.step(id, MachineStage::Draining)
+                }
+                MachineStage::Booting | MachineStage::Up if silent => {
                     tracing::info!(machine = %id, stage = ?tracked.stage, "machine is silent: returned");
                     tracked.heard = None;
-                    tracked.step(id, Stage::Draining);
+                    tracked.step(id, MachineStage::Draining);
                 }
                 // Empty by its owner's word, given after it stopped taking tasks; or never heard of.
-                Stage::Draining if tracked.heard.is_none() || empty.contains(id) => {
+                MachineStage::Draining if tracked.heard.is_none() || empty.contains(id) => {
                     names.push(id.clone());
                 }
-                Stage::Returning if !self.return_in_flight => names.push(id.clone()),
+                MachineStage::Returning if !self.return_in_flight => names.push(id.clone()),
                 _ => {}
             }
         }
@@ -394,17 +413,17 @@
         }
         for id in &names {
             if let Some(tracked) = self.machines.get_mut(id) {
-                if tracked.stage != Stage::Returning {
+                if tracked.stage != MachineStage::Returning {
                     tracing::info!(machine = %id, "returning");
                 }
-                tracked.step(id, Stage::Returning);
+                tracked.step(id, MachineStage::Returning);
             }
         }
-        Some(MachineNames { machines: names })
+        Some(MachineIds { machines: names })
     }
 
     /// A return request was answered; on success the machines are gone.
-    pub fn returned(&mut self, now: Time, names: Option<&MachineNames>) {
+    pub fn release_answered(&mut self, now: Time, names: Option<&MachineIds>) {
         self.return_in_flight = false;
         if let Some(names) = names {
             for id in &names.machines {
--- a/crates/worksshunt-core/src/fleet/rental.rs
+++ b/crates/worksshunt-core/src/fleet/scale_out.rs
@@ -2,20 +2,20 @@
 
 use std::collections::BTreeMap;
 
-use worksshunt_wire::cloud::{Catalog, MachineNames, RentRequest};
+use worksshunt_wire::cloud::{Catalog, MachineIds, ProvisionRequest};
 
 use crate::constants::{RENT_MOST, RENT_REFUSED_MS, ROUNDING};
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::scheduler::Demand;
 use crate::time::Time;
 
-use super::supply::{allows, processors_needed, slots};
-use super::{Fleet, Offer, Stage, Tracked};
+use super::capacity_supply::{allows, cpus_needed, tasks_per_machine};
+use super::{Fleet, InstanceOffer, MachineStage, TrackedMachine};
 
 /// A rental request that is not answered. It is repeated under its name until it is.
 #[derive(Debug)]
-pub(super) struct Rental {
-    pub(super) request: RentRequest,
+pub(super) struct PendingProvision {
+    pub(super) request: ProvisionRequest,
     pub(super) in_flight: bool,
 }
 
@@ -24,21 +24,21 @@
     ///
     /// A machine is rented when the work at hand would keep all there are busy for longer than
     /// their tasks may wait, and there are tasks it could start at once.
-    pub(super) fn rental(
+    pub(super) fn next_provision_request(
         &mut self,
         now: Time,
         catalog: &Catalog,
-        there: &BTreeMap<Offer, f64>,
+        there: &BTreeMap<InstanceOffer, f64>,
         left: &[Demand],
         demand: &[Demand],
-    ) -> Option<RentRequest> {
-        let needed = processors_needed(demand);
-        let mut wanted: BTreeMap<Offer, f64> = BTreeMap::new();
+    ) -> Option<ProvisionRequest> {
+        let needed = cpus_needed(demand);
+        let mut wanted: BTreeMap<InstanceOffer, f64> = BTreeMap::new();
         let mut in_zone: BTreeMap<&String, usize> = BTreeMap::new();
         for tracked in self.machines.values() {
             *in_zone.entry(&tracked.offer.zone).or_default() += 1;
         }
-        for Rental { request, .. } in &self.renting {
+        for PendingProvision { request, .. } in &self.provisioning {
             *in_zone.entry(&request.zone).or_default() += request.count as usize;
         }
         for demand in left {
@@ -67,15 +67,15 @@
         wanted.retain(|_, count| *count > ROUNDING);
         let (offer, count) = wanted.into_iter().max_by(|(_, a), (_, b)| a.total_cmp(b))?;
         self.requests += 1;
-        let request = RentRequest {
-            request: format!("e{}-{}", self.epoch, self.requests),
+        let request = ProvisionRequest {
+            request_name: format!("e{}-{}", self.epoch, self.requests),
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
             count: (count.ceil() as u32).clamp(1, RENT_MOST),
         };
         tracing::info!(
-            request = request.request,
+            request = request.request_name,
             machine_type = request.machine_type,
             zone = request.zone,
             spot = request.spot,
@@ -93,11 +93,11 @@
         catalog: &Catalog,
         demand: &Demand,
         in_zone: &BTreeMap<&String, usize>,
-    ) -> Option<(Offer, f64)> {
-        let need = demand.job.room();
-        let mut best: Option<(f64, usize, Offer, f64)> = None;
+    ) -> Option<(InstanceOffer, f64)> {
+        let need = demand.job.resources();
+        let mut best: Option<(f64, usize, InstanceOffer, f64)> = None;
         for t in &catalog.types {
-            let slots = slots(&Room::of_type(t), &need);
+            let slots = tasks_per_machine(&Resources::of_machine_type(t), &need);
             if slots < 1.0 {
                 continue;
             }
@@ -105,7 +105,7 @@
                 let kinds = [(true, t.spot_price), (false, Some(t.price))];
                 for (spot, price) in kinds {
                     let Some(price) = price else { continue };
-                    let offer = Offer {
+                    let offer = InstanceOffer {
                         machine_type: t.name.clone(),
                         zone: zone.clone(),
                         spot,
@@ -137,29 +137,29 @@
     }
 
     /// A rental request was answered with machines.
-    pub fn rented(&mut self, now: Time, request: &str, names: &MachineNames) {
-        let Some(request) = self.answered(request) else {
+    pub fn provisioned(&mut self, now: Time, request: &str, names: &MachineIds) {
+        let Some(request) = self.take_answered_request(request) else {
             return;
         };
-        let offer = Offer::from(&request);
+        let offer = InstanceOffer::from(&request);
         if (names.machines.len() as u32) < request.count {
-            self.refuse(now, offer.clone());
+            self.mark_offer_refused(now, offer.clone());
         }
         for id in &names.machines {
             self.machines
                 .entry(id.clone())
-                .or_insert_with(|| Tracked::new(offer.clone(), Stage::Booting, now));
+                .or_insert_with(|| TrackedMachine::new(offer.clone(), MachineStage::Booting, now));
         }
     }
 
     /// A rental request was refused for want of machines.
-    pub fn rent_refused(&mut self, now: Time, request: &str) {
-        if let Some(request) = self.answered(request) {
-            self.refuse(now, Offer::from(&request));
+    pub fn provision_refused(&mut self, now: Time, request: &str) {
+        if let Some(request) = self.take_answered_request(request) {
+            self.mark_offer_refused(now, InstanceOffer::from(&request));
         }
     }
 
-    fn refuse(&mut self, now: Time, offer: Offer) {
+    fn mark_offer_refused(&mut self, now: Time, offer: InstanceOffer) {
         tracing::info!(
             machine_type = offer.machine_type,
             zone = offer.zone,
@@ -170,17 +170,17 @@
     }
 
     /// A rental request has no answer; it is repeated under its name.
-    pub fn rent_unanswered(&mut self, request: &str) {
-        let mut renting = self.renting.iter_mut();
-        if let Some(rental) = renting.find(|r| r.request.request == request) {
+    pub fn provision_unanswered(&mut self, request: &str) {
+        let mut renting = self.provisioning.iter_mut();
+        if let Some(rental) = renting.find(|r| r.request.request_name == request) {
             rental.in_flight = false;
         }
     }
 
     /// The request under way of that name, if the answer is not to a former leader's.
-    fn answered(&mut self, request: &str) -> Option<RentRequest> {
-        let mut renting = self.renting.iter();
-        let index = renting.position(|r| r.request.request == request)?;
-        Some(self.renting.swap_remove(index).request)
+    fn take_answered_request(&mut self, request: &str) -> Option<ProvisionRequest> {
+        let mut renting = self.provisioning.iter();
+        let index = renting.position(|r| r.request.request_name == request)?;
+        Some(self.provisioning.swap_remove(index).request)
     }
 }
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -63,7 +63,7 @@
 }
 
 fn plan(fleet: &mut Fleet, now: u64, demand: &[Demand]) -> Vec<CloudRequest> {
-    fleet.plan(
+    fleet.plan_requests(
         Time(now),
         &catalog(),
         std::iter::empty(),
@@ -83,9 +83,9 @@
         let mut asked = BTreeSet::new();
         for now in (0..20_000).step_by(1_000) {
             for request in plan(&mut fleet, now, &demand) {
-                if let CloudRequest::Provision(rent) = request {
-                    fleet.rent_refused(Time(now), &rent.request);
-                    asked.insert(rent.zone);
+                if let CloudRequest::Provision(request) = request {
+                    fleet.provision_refused(Time(now), &request.request_name);
+                    asked.insert(request.zone);
                 }
             }
         }
@@ -102,13 +102,13 @@
     let mut asked = 0;
     for now in (0..5_000).step_by(1_000) {
         for request in plan(&mut fleet, now, &demand(2_400, None)) {
-            let CloudRequest::Provision(rent) = request else {
+            let CloudRequest::Provision(request) = request else {
                 panic!("{request:?}");
             };
-            asked += rent.count;
-            let names = (asked - rent.count..asked).map(|n| MachineId(format!("i-{n:06}")));
+            asked += request.count;
+            let names = (asked - request.count..asked).map(|n| MachineId(format!("i-{n:06}")));
             let machines = names.collect();
-            fleet.rented(Time(now), &rent.request, &MachineNames { machines });
+            fleet.provisioned(Time(now), &request.request_name, &MachineIds { machines });
         }
     }
     assert_eq!(asked, 600, "four tasks on each");
@@ -118,7 +118,7 @@
 #[test]
 fn a_machine_that_is_up_counts_as_silent_only_from_its_first_sighting() {
     let mut fleet = fleet(2);
-    fleet.listed(Time(500_000), &listed(ListedState::Running, 400.0));
+    fleet.machine_list_read(Time(500_000), &listed(ListedState::Running, 400.0));
     for now in [501_000, 520_000, 540_000] {
         assert_eq!(plan(&mut fleet, now, &[]), vec![], "at {now} ms");
     }
@@ -133,7 +133,7 @@
 #[test]
 fn a_machine_that_never_boots_goes_back() {
     let mut fleet = fleet(2);
-    fleet.listed(Time(100_000), &listed(ListedState::Starting, 90.0));
+    fleet.machine_list_read(Time(100_000), &listed(ListedState::Starting, 90.0));
     plan(&mut fleet, 100_000, &[]);
     let requests = plan(&mut fleet, 101_000, &[]);
     assert!(matches!(&requests[..], [CloudRequest::Release(_)]));
@@ -152,14 +152,14 @@
         vec![],
         "what was asked for counts"
     );
-    fleet.rent_unanswered(&first.request);
+    fleet.provision_unanswered(&first.request_name);
     let again = plan(&mut fleet, 2_000, &demand(8, Some(900.0)));
     assert_eq!(
         again,
         vec![CloudRequest::Provision(first.clone())],
         "same name, same request"
     );
-    fleet.rent_refused(Time(3_000), &first.request);
+    fleet.provision_refused(Time(3_000), &first.request_name);
     let patient = plan(&mut fleet, 3_500, &demand(8, None));
     assert_eq!(
         patient,
@@ -168,6 +168,6 @@
     );
     let second = plan(&mut fleet, 4_000, &demand(8, Some(900.0)));
     assert!(
-        matches!(&second[..], [CloudRequest::Provision(r)] if !r.spot && r.request != first.request)
+        matches!(&second[..], [CloudRequest::Provision(r)] if !r.spot && r.request_name != first.request_name)
     );
 }
--- a/crates/worksshunt-core/src/users/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -4,10 +4,10 @@
 
 use super::*;
 
-fn users(jobs: u64) -> Users {
-    let mut users = Users::new(LEAST_EXCHANGES);
+fn users(jobs: u64) -> JobApi {
+    let mut users = JobApi::new(LEAST_EXCHANGES);
     for id in 1..=jobs {
-        users.accept(Time(0), RequestId(id), small_job(id));
+        users.queue_submission(Time(0), RequestId(id), small_job(id));
     }
     users
 }
@@ -25,7 +25,7 @@
     })
 }
 
-fn limits() -> StateLimits {
+fn limits() -> KeyValueLimits {
     serde_json::from_value(serde_json::json!({
         "rps": 200.0, "write_rps": 25.0, "value_kb": 8.0, "txn_ops": 20}))
     .expect("limits")
@@ -35,7 +35,7 @@
 fn many_submissions_share_keys_within_the_limits_of_a_transaction() {
     let mut users = users(200);
     let mut pages = 0;
-    let txn = users.accept_txn(
+    let write = users.next_write(
         20,
         &limits(),
         Some(|| {
@@ -43,12 +43,12 @@
             format!("j/+n.1.{pages}")
         }),
     );
-    let txn = txn.expect("a transaction");
-    assert!(txn.changes.len() <= PAGES_AT_ONCE && txn.conditions.len() <= 80);
-    assert!(serde_json::json!(txn).to_string().len() < 64 * 1024);
-    let taken = users.accept_answered().len();
+    let write = write.expect("a transaction");
+    assert!(write.changes.len() <= PAGES_AT_ONCE && write.expected.len() <= 80);
+    assert!(serde_json::json!(write).to_string().len() < 64 * 1024);
+    let taken = users.write_answered().len();
     assert!((30..200).contains(&taken), "{taken} at once");
-    assert!(users.wants_accept(), "the others go on waiting");
+    assert!(users.write_due(), "the others go on waiting");
 }
 
 // Guards against submissions that hang for ever at a controller that has just lost its lease, after
@@ -56,16 +56,16 @@
 #[test]
 fn without_a_name_for_pages_each_job_has_its_own_key() {
     let mut users = users(30);
-    let txn = users.accept_txn(20, &limits(), None::<fn() -> String>);
-    assert_eq!(txn.map(|txn| txn.changes.len()), Some(20));
-    assert_eq!(users.accept_answered().len(), 20);
-    assert_eq!(users.overdue(Time(SUBMIT_PATIENCE_MS)).len(), 10);
+    let write = users.next_write(20, &limits(), None::<fn() -> String>);
+    assert_eq!(write.map(|write| write.changes.len()), Some(20));
+    assert_eq!(users.write_answered().len(), 20);
+    assert_eq!(users.take_overdue(Time(SUBMIT_PATIENCE_MS)).len(), 10);
 }
 
 #[test]
 fn another_request_is_one_too_many_only_when_as_many_wait_as_may() {
     let mut users = users(LEAST_EXCHANGES as u64 - 1);
-    assert!(!users.full());
-    users.accept_again(vec![(Time(0), RequestId(0), small_job(999_999))]);
-    assert!(users.full());
+    assert!(!users.is_full());
+    users.requeue_submissions(vec![(Time(0), RequestId(0), small_job(999_999))]);
+    assert!(users.is_full());
 }
--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -7,20 +7,20 @@
 use worksshunt_wire::{JobId, TaskId};
 
 use crate::constants::{DONE_CHUNK, MAX_TASKS};
-use crate::pages::Entry;
+use crate::pages::PageEntry;
 
 /// The completed tasks of a job, and the zones they ran in where those matter.
 #[derive(Debug, Clone, Default)]
-pub struct DoneSet {
+pub struct CompletedTasks {
     bits: Vec<u8>,
     count: u32,
     zones: BTreeMap<String, u32>,
 }
 
-impl DoneSet {
+impl CompletedTasks {
     /// No task done yet.
-    pub fn new(tasks: u32) -> DoneSet {
-        DoneSet {
+    pub fn new(tasks: u32) -> CompletedTasks {
+        CompletedTasks {
             bits: vec![0; tasks.div_ceil(8) as usize],
             count: 0,
             zones: BTreeMap::new(),
@@ -104,7 +104,7 @@
     }
 }
 
-impl Entry for Completions {
+impl PageEntry for Completions {
     type Key = CompletionsKey;
 
     fn size(&self, _: &CompletionsKey) -> usize {
--- a/crates/worksshunt-core/src/jobs/mirror.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 
 use serde_json::Value;
-use worksshunt_wire::state::{Changes, Listing, WatchEvent};
+use worksshunt_wire::key_value::{Listing, WatchEvent, WatchResponse};
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{JobId, Revision};
 
 use crate::constants::{CLOSED_KEPT, FINALS_KEPT};
 
-use super::{id_of, is_intake, read_intake, Job, OPEN};
+use super::{id_of, is_submission_batch, read_submission_batch, Job, OPEN};
 
 /// An open job as the store has it.
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
 
 /// A page of jobs taken in together.
 #[derive(Debug, Clone)]
-pub struct Intake {
+pub struct SubmissionBatch {
     /// The jobs.
     pub jobs: Vec<Rc<Job>>,
     /// Revision of its key.
@@ -32,7 +32,7 @@
 
 /// What changed in the mirror.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MirrorChange {
+pub enum JobCacheChange {
     /// A job was accepted.
     Opened(JobId),
     /// A job is over.
@@ -42,12 +42,12 @@
 /// A controller's copy of the open jobs, never newer than the store, and the final states it
 /// happened to learn.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct JobCache {
     open: BTreeMap<JobId, OpenJob>,
     /// Jobs accepted many at a time, each of which the leader gives a key of its own.
-    intake: BTreeMap<String, Intake>,
+    submission_batches: BTreeMap<String, SubmissionBatch>,
     /// Open jobs in a form that this version does not understand. They are left as they are.
-    odd: BTreeSet<JobId>,
+    unreadable: BTreeSet<JobId>,
     revision: Option<Revision>,
     finals: HashMap<JobId, JobState>,
     finals_order: VecDeque<JobId>,
@@ -55,9 +55,9 @@
     closed: VecDeque<Rc<Job>>,
 }
 
-impl Mirror {
+impl JobCache {
     /// Whether it has been read at all.
-    pub fn loaded(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.revision.is_some()
     }
 
@@ -68,7 +68,7 @@
 
     /// The store no longer has the changes since then: the jobs must be listed again. What was
     /// known stays, so that the listing shows what has changed.
-    pub fn outdated(&mut self) {
+    pub fn mark_outdated(&mut self) {
         self.revision = None;
     }
 
@@ -78,23 +78,23 @@
     }
 
     /// Whether there is such a job that this version cannot read.
-    pub fn is_odd(&self, id: JobId) -> bool {
-        self.odd.contains(&id)
+    pub fn is_unreadable(&self, id: JobId) -> bool {
+        self.unreadable.contains(&id)
     }
 
     /// Pages of jobs taken in together.
-    pub fn intake(&self) -> impl Iterator<Item = (&String, &Intake)> {
-        self.intake.iter()
+    pub fn submission_batches(&self) -> impl Iterator<Item = (&String, &SubmissionBatch)> {
+        self.submission_batches.iter()
     }
 
     /// Whether the job is on such a page. It may have become an open job, and be over, since.
-    pub fn taken_in(&self, id: JobId) -> bool {
-        let mut jobs = self.intake.values().flat_map(|page| &page.jobs);
+    pub fn is_in_batch(&self, id: JobId) -> bool {
+        let mut jobs = self.submission_batches.values().flat_map(|page| &page.jobs);
         jobs.any(|job| job.spec.id == id)
     }
 
     /// All open jobs.
-    pub fn open(&self) -> impl Iterator<Item = (&JobId, &OpenJob)> {
+    pub fn open_jobs(&self) -> impl Iterator<Item = (&JobId, &OpenJob)> {
         self.open.iter()
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// A job that was open here, if it was not long ago.
-    pub fn closed(&self, id: JobId) -> Option<&Rc<Job>> {
+    pub fn recently_closed(&self, id: JobId) -> Option<&Rc<Job>> {
         self.closed.iter().rev().find(|job| job.spec.id == id)
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Takes over a full listing of the open jobs.
-    pub fn load(&mut self, listing: &Listing) -> Vec<MirrorChange> {
+    pub fn load(&mut self, listing: &Listing) -> Vec<JobCacheChange> {
         let mut changes = Vec::new();
         let listed: BTreeMap<JobId, OpenJob> = listing
             .pairs
@@ -144,21 +144,24 @@
             })
             .collect();
         let ids = listing.pairs.iter().filter_map(|p| id_of(&p.key, OPEN));
-        self.odd = ids.filter(|id| !listed.contains_key(id)).collect();
+        self.unreadable = ids.filter(|id| !listed.contains_key(id)).collect();
         let known = std::mem::take(&mut self.open);
         for id in listed.keys().filter(|id| !known.contains_key(id)) {
-            changes.push(MirrorChange::Opened(*id));
+            changes.push(JobCacheChange::Opened(*id));
         }
         for (id, open) in known {
             if !listed.contains_key(&id) {
-                changes.push(MirrorChange::Closed(id));
+                changes.push(JobCacheChange::Closed(id));
                 self.remember_closed(open);
             }
         }
-        let intake = listing.pairs.iter().filter(|pair| is_intake(&pair.key));
-        self.intake = intake
+        let intake = listing
+            .pairs
+            .iter()
+            .filter(|pair| is_submission_batch(&pair.key));
+        self.submission_batches = intake
             .filter_map(|pair| {
-                let page = read_intake(&pair.key, &pair.value, pair.version)?;
+                let page = read_submission_batch(&pair.key, &pair.value, pair.version)?;
                 Some((pair.key.clone(), page))
             })
             .collect();
@@ -169,7 +172,7 @@
 
     /// Applies a watch's answer. Answers may overlap and overtake each other: the version of each
     /// key decides.
-    pub fn apply(&mut self, changes: &Changes) -> Vec<MirrorChange> {
+    pub fn apply_changes(&mut self, changes: &WatchResponse) -> Vec<JobCacheChange> {
         let mut out = Vec::new();
         let Some(revision) = self.revision else {
             return out;
@@ -185,20 +188,20 @@
                     if *version <= revision {
                         continue;
                     }
-                    if is_intake(key) {
-                        if let Some(page) = read_intake(key, value, *version) {
-                            self.intake.insert(key.clone(), page);
+                    if is_submission_batch(key) {
+                        if let Some(page) = read_submission_batch(key, value, *version) {
+                            self.submission_batches.insert(key.clone(), page);
                         }
                     } else if let Some(id) = id_of(key, OPEN) {
                         match read_open(id, value, *version) {
                             Some(open) => {
-                                self.odd.remove(&id);
+                                self.unreadable.remove(&id);
                                 if self.open.insert(id, open).is_none() {
-                                    out.push(MirrorChange::Opened(id));
+                                    out.push(JobCacheChange::Opened(id));
                                 }
                             }
                             None => {
-                                self.odd.insert(id);
+                                self.unreadable.insert(id);
                             }
                         }
                     }
@@ -207,14 +210,14 @@
                     if *version <= revision {
                         continue;
                     }
-                    if self.intake.remove(key).is_some() {
+                    if self.submission_batches.remove(key).is_some() {
                         continue;
                     }
                     if let Some(id) = id_of(key, OPEN) {
-                        self.odd.remove(&id);
+                        self.unreadable.remove(&id);
                         if let Some(open) = self.open.remove(&id) {
                             self.remember_closed(open);
-                            out.push(MirrorChange::Closed(id));
+                            out.push(JobCacheChange::Closed(id));
                         }
                     }
                 }
--- a/crates/worksshunt-core/src/jobs/mod.rs
+++ b/crates/worksshunt-core/src/jobs/mod.rs
@@ -4,7 +4,7 @@
 //! final state of one that is over, `d/N` a page of completed tasks of open ones.
 
 mod completions;
-mod mirror;
+mod job_cache;
 
 use std::rc::Rc;
 
@@ -12,12 +12,14 @@
 use serde_json::Value;
 use worksshunt_wire::cloud::MachineType;
 use worksshunt_wire::user::{JobKind, JobSpec, JobState, Priority};
-use worksshunt_wire::{JobId, NodeName, Revision, TeamName};
+use worksshunt_wire::{ControllerName, JobId, Revision, TeamName};
 
-use crate::room::Room;
+use crate::resources::Resources;
 
-pub use completions::{completions_key, read_completions, Completions, CompletionsKey, DoneSet};
-pub use mirror::{Intake, Mirror, MirrorChange, OpenJob};
+pub use completions::{
+    completions_key, read_completions, CompletedTasks, Completions, CompletionsKey,
+};
+pub use job_cache::{JobCache, JobCacheChange, OpenJob, SubmissionBatch};
 
 /// Prefix of open jobs.
 pub const OPEN: &str = "j/";
@@ -27,7 +29,7 @@
 pub const DONE: &str = "d/";
 
 /// Key of an open job.
-pub fn open_key(id: JobId) -> String {
+pub fn open_job_key(id: JobId) -> String {
     format!("{OPEN}{id}")
 }
 
@@ -35,17 +37,17 @@
 const INTAKE: &str = "j/+";
 
 /// Key of a page of jobs taken in by one life of a controller.
-pub fn intake_key(node: &NodeName, lease: u64, number: u64) -> String {
+pub fn submission_batch_key(node: &ControllerName, lease: u64, number: u64) -> String {
     format!("{INTAKE}{node}.{lease}.{number}")
 }
 
 /// Whether a key is that of such a page.
-pub fn is_intake(key: &str) -> bool {
+pub fn is_submission_batch(key: &str) -> bool {
     key.starts_with(INTAKE)
 }
 
 /// The job that the key of an open job or of a final state belongs to.
-pub fn job_of(key: &str) -> Option<JobId> {
+pub fn job_of_key(key: &str) -> Option<JobId> {
     id_of(key, OPEN).or_else(|| id_of(key, FINAL))
 }
 
@@ -59,7 +61,7 @@
 }
 
 /// A page of jobs taken in together, as stored.
-pub fn intake_value(jobs: &[&Job]) -> Value {
+pub fn submission_batch_value(jobs: &[&Job]) -> Value {
     let jobs = jobs.to_vec();
     serde_json::json!(StoredIntake {
         v: INTAKE_FORM,
@@ -68,9 +70,9 @@
 }
 
 /// Reads a page; none of a version that is not understood, which is left alone.
-fn read_intake(key: &str, value: &Value, version: Revision) -> Option<Intake> {
+fn read_submission_batch(key: &str, value: &Value, version: Revision) -> Option<SubmissionBatch> {
     match StoredIntake::<Job>::deserialize(value) {
-        Ok(stored) if stored.v == INTAKE_FORM => Some(Intake {
+        Ok(stored) if stored.v == INTAKE_FORM => Some(SubmissionBatch {
             jobs: stored.jobs.into_iter().map(Rc::new).collect(),
             version,
         }),
@@ -82,7 +84,7 @@
 }
 
 /// Key of a final state.
-pub fn final_key(id: JobId) -> String {
+pub fn final_state_key(id: JobId) -> String {
     format!("{FINAL}{id}")
 }
 
@@ -139,12 +141,12 @@
     }
 
     /// What one of its tasks takes.
-    pub fn room(&self) -> Room {
-        Room::of_task(&self.spec)
+    pub fn resources(&self) -> Resources {
+        Resources::of_task(&self.spec)
     }
 
     /// When it should be complete, milliseconds since 1970.
-    pub fn due_ms(&self) -> Option<u64> {
+    pub fn deadline_ms(&self) -> Option<u64> {
         let deadline = self.spec.deadline_s?;
         Some(self.accepted_ms.saturating_add((deadline * 1_000.0) as u64))
     }
@@ -152,11 +154,11 @@
     /// When its last tasks have to start for that, by the estimate.
     pub fn latest_start_ms(&self) -> Option<u64> {
         let estimate_ms = (self.spec.estimate_s * 1_000.0) as u64;
-        Some(self.due_ms()?.saturating_sub(estimate_ms))
+        Some(self.deadline_ms()?.saturating_sub(estimate_ms))
     }
 
     /// Whether a machine of that type, zone and kind may run its tasks.
-    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+    pub fn allows_machine(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (!spot || self.spec.spot)
             && self.spec.zone.as_ref().is_none_or(|z| z == zone)
             && self
@@ -168,12 +170,12 @@
 
     /// Whether it leaves such a machine to services, where any are open and spot machines are up
     /// (`kept`): those may use ordinary ones only and have to be there within seconds.
-    pub fn leaves(&self, spot: bool, kept: bool) -> bool {
+    pub fn leaves_machine_to_others(&self, spot: bool, kept: bool) -> bool {
         kept && !spot && self.spec.spot
     }
 
     /// Whether zones of its tasks depend on each other.
-    pub fn zones_matter(&self) -> bool {
+    pub fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
@@ -188,14 +190,14 @@
 }
 
 /// A final state as stored.
-pub fn final_value(state: JobState) -> Value {
+pub fn final_state_value(state: JobState) -> Value {
     serde_json::json!({ "state": state })
 }
 
 /// The final state of a cancelled job as stored. Its tasks go on using what they use until they are
 /// gone, which a leader that never knew the job open has to reckon with: so the job is kept along.
-pub fn cancelled_value(job: Option<&Job>) -> Value {
-    let mut value = final_value(JobState::Cancelled);
+pub fn cancelled_state_value(job: Option<&Job>) -> Value {
+    let mut value = final_state_value(JobState::Cancelled);
     if let Some(job) = job {
         value["job"] = serde_json::json!(job);
     }
@@ -208,7 +210,7 @@
 }
 
 /// Reads a stored final state.
-pub fn read_final(value: &Value) -> Option<JobState> {
+pub fn read_final_state(value: &Value) -> Option<JobState> {
     serde_json::from_value(value.get("state")?.clone()).ok()
 }
 
--- a/crates/worksshunt-core/src/jobs/tests.rs
+++ b/crates/worksshunt-core/src/jobs/tests.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use worksshunt_wire::state::{Changes, Listing, WatchEvent};
+use worksshunt_wire::key_value::{Listing, WatchEvent, WatchResponse};
 use worksshunt_wire::TaskId;
 
 use super::*;
 use crate::constants::{DONE_CHUNK, MAX_TASKS};
-use crate::pages::Entry;
+use crate::pages::PageEntry;
 
 #[test]
 fn completed_tasks_survive_the_store() {
@@ -62,25 +62,25 @@
         key: "j/j-000001".into(),
         version: Revision(6),
     };
-    let answer = |revision, events: &[&WatchEvent]| Changes {
+    let answer = |revision, events: &[&WatchEvent]| WatchResponse {
         revision: Revision(revision),
         events: events.iter().map(|e| (*e).clone()).collect(),
     };
-    let mut mirror = Mirror::default();
-    mirror.load(&Listing {
+    let mut job_cache = JobCache::default();
+    job_cache.load(&Listing {
         pairs: Vec::new(),
         more: false,
         revision: Revision(4),
     });
-    let changes = mirror.apply(&answer(6, &[&put, &delete]));
+    let changes = job_cache.apply_changes(&answer(6, &[&put, &delete]));
     assert_eq!(
         changes,
         [
-            MirrorChange::Opened(JobId(1)),
-            MirrorChange::Closed(JobId(1))
+            JobCacheChange::Opened(JobId(1)),
+            JobCacheChange::Closed(JobId(1))
         ]
     );
-    assert_eq!(mirror.apply(&answer(5, &[&put])), []);
-    assert!(mirror.get(JobId(1)).is_none());
-    assert_eq!(mirror.revision(), Some(Revision(6)));
+    assert_eq!(job_cache.apply_changes(&answer(5, &[&put])), []);
+    assert!(job_cache.get(JobId(1)).is_none());
+    assert_eq!(job_cache.revision(), Some(Revision(6)));
 }
--- a/crates/worksshunt-core/src/machines/orders.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -1,20 +1,20 @@
 //! Direct orders to workers, and what became of them.
 
 use worksshunt_wire::cloud::Catalog;
-use worksshunt_wire::worker::{Command, Orders, Report};
-use worksshunt_wire::{Attempt, Epoch, MachineId, Session};
+use worksshunt_wire::worker::{Command, CommandBatch, Heartbeat};
+use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId};
 
 use crate::constants::{ORDERS_PAUSE_MS, PROBE_PAUSE_MS};
 use crate::time::Time;
 
-use super::machine::{AttemptState, Reach, TrackedAttempt};
-use super::Part;
+use super::machine::{AttemptState, Reachability, TrackedAttempt};
+use super::Partition;
 
 /// What became of direct orders.
 #[derive(Debug, Clone, PartialEq)]
-pub enum OrdersReply {
+pub enum DirectCommandsOutcome {
     /// The worker answered, with its report after them.
-    Answered(Report),
+    Answered(Heartbeat),
     /// They never left.
     NotSent,
     /// No answer: they may be carried out at any time.
@@ -23,69 +23,81 @@
 
 /// Direct orders to a worker, to be sent by the service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DirectOrders {
+pub struct DirectCommands {
     /// The machine.
     pub machine: MachineId,
     /// Its worker's address.
-    pub addr: String,
+    pub address: String,
     /// The orders.
-    pub orders: Orders,
+    pub batch: CommandBatch,
 }
 
-impl Part {
+impl Partition {
     /// Launches, stops and probes that can go straight to workers now, for at most so many machines. Only
     /// with authority. What finds no place goes with the answer to the machine's next report.
-    pub fn direct_orders(&mut self, now: Time, token: Epoch, most: usize) -> Vec<DirectOrders> {
+    pub fn next_direct_commands(
+        &mut self,
+        now: Time,
+        token: Epoch,
+        most: usize,
+    ) -> Vec<DirectCommands> {
         let mut all = Vec::new();
-        while self.order_later.first().is_some_and(|(at, _)| *at <= now) {
-            self.to_order
-                .extend(self.order_later.pop_first().map(|(_, id)| id));
+        while self
+            .deferred_commands
+            .first()
+            .is_some_and(|(at, _)| *at <= now)
+        {
+            self.pending_commands
+                .extend(self.deferred_commands.pop_first().map(|(_, id)| id));
         }
         while all.len() < most {
-            let Some(id) = self.to_order.pop_first() else {
+            let Some(id) = self.pending_commands.pop_first() else {
                 break;
             };
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
             };
             let Some(info) = &machine.info else { continue };
-            if machine.lost || now.since(machine.lease.heard) > self.patience.silent_ms {
+            if machine.lost
+                || now.since(machine.lease.last_message_at) > self.timeouts.missed_heartbeats_ms
+            {
                 // The next report of it puts it back here.
                 continue;
             }
-            if machine.ordering {
+            if machine.commands_in_flight {
                 // So does what becomes of the orders under way.
                 continue;
             }
-            if now < machine.order_from {
-                self.order_later.insert((machine.order_from, id));
+            if now < machine.commands_not_before {
+                self.deferred_commands
+                    .insert((machine.commands_not_before, id));
                 continue;
             }
-            let session = machine.lease.newest.0;
-            let probe = matches!(machine.reach, Reach::Suspect { .. });
-            let notice = machine.notice.is_some();
+            let incarnation = machine.lease.newest_message.0;
+            let probe = matches!(machine.reachability, Reachability::Suspect { .. });
+            let notice = machine.reclaim_at.is_some();
             let commands: Vec<Command> = machine
                 .attempts
                 .iter_mut()
-                .filter_map(|(attempt, tracked)| order(*attempt, tracked, session, notice, now))
+                .filter_map(|(attempt, tracked)| order(*attempt, tracked, incarnation, notice, now))
                 .collect();
             if commands.is_empty() && !probe {
                 continue;
             }
-            let renewed_ago_ms = now.since(machine.lease.renewed);
+            let renewed_ago_ms = now.since(machine.lease.renewed_at);
             for command in &commands {
-                tracing::debug!(machine = %id, %token, ?session, renewed_ago_ms, %command, "direct order");
+                tracing::debug!(machine = %id, %token, ?incarnation, renewed_ago_ms, %command, "direct order");
             }
-            machine.ordering = true;
+            machine.commands_in_flight = true;
             if probe {
-                machine.order_from = now + PROBE_PAUSE_MS;
+                machine.commands_not_before = now + PROBE_PAUSE_MS;
             }
-            all.push(DirectOrders {
+            all.push(DirectCommands {
                 machine: id.clone(),
-                addr: info.addr.clone(),
-                orders: Orders {
-                    token,
-                    session,
+                address: info.command_address.clone(),
+                batch: CommandBatch {
+                    fencing_token: token,
+                    incarnation: incarnation,
                     commands,
                 },
             });
@@ -94,11 +106,11 @@
     }
 
     /// Direct orders were answered, or not.
-    pub fn ordered(
+    pub fn direct_commands_answered(
         &mut self,
         now: Time,
-        sent: &DirectOrders,
-        reply: &OrdersReply,
+        sent: &DirectCommands,
+        reply: &DirectCommandsOutcome,
         epoch: Epoch,
         catalog: &Catalog,
     ) {
@@ -106,42 +118,42 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.ordering = false;
-        self.to_order.insert(id.clone());
+        machine.commands_in_flight = false;
+        self.pending_commands.insert(id.clone());
         // Whatever was answered, or never left, cannot take effect later.
         let after = match reply {
-            OrdersReply::Answered(report) => {
-                if report.session >= machine.lease.newest.0 {
-                    machine.reach(Reach::Confirmed);
+            DirectCommandsOutcome::Answered(heartbeat) => {
+                if heartbeat.incarnation >= machine.lease.newest_message.0 {
+                    machine.set_reachability(Reachability::Confirmed);
                 }
-                machine.order_from = now;
-                self.take_in(now, report, epoch, catalog, true);
+                machine.commands_not_before = now;
+                self.apply_message(now, heartbeat, epoch, catalog, true);
                 AttemptState::Launched
             }
-            OrdersReply::NotSent => {
-                machine.order_from = now + ORDERS_PAUSE_MS;
+            DirectCommandsOutcome::NotSent => {
+                machine.commands_not_before = now + ORDERS_PAUSE_MS;
                 AttemptState::Recorded
             }
-            OrdersReply::NoAnswer => {
-                machine.reach(Reach::Suspect { since: now });
-                machine.order_from = now + PROBE_PAUSE_MS;
-                self.give_up_unlaunched(id, now);
-                self.look_at(id, now);
+            DirectCommandsOutcome::NoAnswer => {
+                machine.set_reachability(Reachability::Suspect { since: now });
+                machine.commands_not_before = now + PROBE_PAUSE_MS;
+                self.end_unlaunched(id, now);
+                self.refresh_summary(id, now);
                 return;
             }
         };
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        for command in &sent.orders.commands {
+        for command in &sent.batch.commands {
             let Command::Launch { attempt, .. } = command else {
                 continue;
             };
-            machine.kept.remove(attempt);
+            machine.unreaped.remove(attempt);
             if let Some(tracked) = machine.attempts.get_mut(attempt) {
-                tracked.ordered = false;
+                tracked.direct_launch_unanswered = false;
                 if tracked.state == AttemptState::DirectlyLaunched {
-                    tracked.step(after);
+                    tracked.advance(after);
                 }
             }
         }
@@ -152,22 +164,22 @@
 fn order(
     attempt: Attempt,
     tracked: &mut TrackedAttempt,
-    session: Session,
+    incarnation: Incarnation,
     notice: bool,
     now: Time,
 ) -> Option<Command> {
     let task = tracked.task;
     let launch = tracked.state == AttemptState::Recorded
-        && tracked.stop.is_none()
+        && tracked.stop_grace_s.is_none()
         && !notice
-        && tracked.session == session;
+        && tracked.incarnation == incarnation;
     if launch {
-        tracked.step(AttemptState::DirectlyLaunched);
-        tracked.ordered = true;
+        tracked.advance(AttemptState::DirectlyLaunched);
+        tracked.direct_launch_unanswered = true;
         tracked.placed_at = now;
         return Some(Command::Launch { task, attempt });
     }
-    match (tracked.stop, tracked.state) {
+    match (tracked.stop_grace_s, tracked.state) {
         (Some(grace_s), AttemptState::Fetching | AttemptState::Running(_))
             if !tracked.stop_sent =>
         {
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 
 use worksshunt_wire::peer::Phase;
-use worksshunt_wire::{Attempt, JobId, Session, TaskId};
+use worksshunt_wire::{Attempt, Incarnation, JobId, TaskId};
 
 use crate::constants::{FAULTY_JOBS, UNHEEDED_ANSWERS};
 use crate::jobs::Job;
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::time::Time;
 
-use super::lease::{LeaseAccount, MessageNumber};
+use super::worker_lease::{SequenceNumber, WorkerLease};
 
 /// Where an attempt on a machine stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,17 +43,17 @@
     /// Unknown for an attempt whose job was over before this epoch began.
     pub job: Option<Rc<Job>>,
     pub state: AttemptState,
-    pub session: Session,
+    pub incarnation: Incarnation,
     pub placed_at: Time,
     /// Size band, if the placement was over the machine's capacity.
-    pub over_capacity: Option<usize>,
+    pub over_capacity_band: Option<usize>,
     pub inherited: bool,
     /// Grace in seconds, once the attempt is to be stopped.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// The completion is in the store.
     pub durable: bool,
     /// A direct launch of it was not answered and may yet arrive.
-    pub ordered: bool,
+    pub direct_launch_unanswered: bool,
     /// The stop was sent straight to the worker.
     pub stop_sent: bool,
 }
@@ -64,26 +64,26 @@
         task: TaskId,
         job: Option<Rc<Job>>,
         state: AttemptState,
-        session: Session,
+        incarnation: Incarnation,
         now: Time,
     ) -> TrackedAttempt {
         TrackedAttempt {
             task,
             job,
             state,
-            session,
+            incarnation: incarnation,
             placed_at: now,
-            over_capacity: None,
+            over_capacity_band: None,
             inherited: state == AttemptState::Inherited,
-            stop: None,
+            stop_grace_s: None,
             durable: false,
-            ordered: false,
+            direct_launch_unanswered: false,
             stop_sent: false,
         }
     }
 
     /// The one place where an attempt's state changes.
-    pub fn step(&mut self, next: AttemptState) {
+    pub fn advance(&mut self, next: AttemptState) {
         self.state = match (self.state, next) {
             // A completed task stays so, and a running one keeps its first sighting.
             (AttemptState::Completed, _) => AttemptState::Completed,
@@ -100,12 +100,12 @@
     }
 
     /// Whether it has completed and that is in the store.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.state == AttemptState::Completed && self.durable
     }
 
     /// How the leader is told of it.
-    pub fn phase(&self) -> Phase {
+    pub fn reported_phase(&self) -> Phase {
         match self.state {
             AttemptState::Running(_) => Phase::Running,
             AttemptState::Completed => Phase::Completed,
@@ -116,18 +116,18 @@
 
 /// What a worker said of its machine.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Info {
+pub(super) struct MachineInfo {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub room: Room,
-    pub addr: String,
+    pub capacity: Resources,
+    pub command_address: String,
 }
 
 /// Whether answers and orders reach the worker. Hearing it proves nothing: reports may arrive while
 /// nothing gets back, and a report may be a late copy of one long past.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum Reachability {
     /// Its reports do not show this epoch's token yet, so none of them need be of this epoch.
     Unconfirmed { since: Time },
     /// It has acted on something this owner said.
@@ -138,157 +138,163 @@
 
 /// How long is waited for a machine; derived from the settings.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Patience {
+pub(super) struct MachineTimeouts {
     /// Without a report until it gets no tasks, ms.
-    pub silent_ms: u64,
+    pub missed_heartbeats_ms: u64,
     /// Without proof that it is reached until it goes back, ms.
-    pub unreached_ms: u64,
+    pub unreachable_ms: u64,
 }
 
 /// What the leader is told of a machine, apart from what never changes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub(super) struct Summary {
+pub(super) struct MachineSummary {
     pub known: bool,
-    pub usable: bool,
+    pub schedulable: bool,
     pub empty: bool,
-    pub noticed: bool,
-    pub unreached: bool,
+    pub reclaim_notice: bool,
+    pub unreachable: bool,
     pub lost: bool,
-    pub free: Room,
+    pub free: Resources,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Machine {
-    pub info: Option<Info>,
-    pub lease: LeaseAccount,
+    pub info: Option<MachineInfo>,
+    pub lease: WorkerLease,
     pub lost: bool,
-    pub reach: Reach,
+    pub reachability: Reachability,
     /// Answers given since its reports last showed this epoch's token.
-    pub unheeded: u32,
+    pub unheeded_responses: u32,
     /// Direct orders are on their way.
-    pub ordering: bool,
+    pub commands_in_flight: bool,
     /// No direct orders before: the last ones were not answered.
-    pub order_from: Time,
+    pub commands_not_before: Time,
     /// Ended attempts the worker must remember, because an unanswered direct launch of them would
     /// start them a second time; with the session in which that can happen.
-    pub kept: BTreeMap<Attempt, Session>,
+    pub unreaped: BTreeMap<Attempt, Incarnation>,
     /// When the cloud takes it, once it gave notice.
-    pub notice: Option<Time>,
+    pub reclaim_at: Option<Time>,
     pub draining: bool,
     pub claimed: bool,
     /// The worker lists tasks that are on no record.
-    pub foreign: bool,
+    pub has_unknown_tasks: bool,
     /// Jobs whose tasks failed on it since a task last completed there.
-    pub failing: BTreeSet<JobId>,
+    pub failing_jobs: BTreeSet<JobId>,
     pub attempts: BTreeMap<Attempt, TrackedAttempt>,
     /// Since when nothing is on it.
     pub empty_since: Option<Time>,
     /// As it was when last looked at.
-    pub summary: Summary,
+    pub summary: MachineSummary,
 }
 
 impl Machine {
     /// A machine whose worker's lease can have been renewed until then, and of whose messages none newer than
     /// that was seen.
-    pub fn new(now: Time, renewed: Time, newest: MessageNumber) -> Machine {
+    pub fn new(now: Time, renewed: Time, newest: SequenceNumber) -> Machine {
         Machine {
             info: None,
-            lease: LeaseAccount::new(renewed, newest),
+            lease: WorkerLease::new(renewed, newest),
             lost: false,
-            reach: Reach::Unconfirmed { since: now },
-            unheeded: 0,
-            ordering: false,
-            order_from: Time::default(),
-            kept: BTreeMap::new(),
-            notice: None,
+            reachability: Reachability::Unconfirmed { since: now },
+            unheeded_responses: 0,
+            commands_in_flight: false,
+            commands_not_before: Time::default(),
+            unreaped: BTreeMap::new(),
+            reclaim_at: None,
             draining: false,
             claimed: false,
-            foreign: false,
-            failing: BTreeSet::new(),
+            has_unknown_tasks: false,
+            failing_jobs: BTreeSet::new(),
             attempts: BTreeMap::new(),
             empty_since: None,
-            summary: Summary::default(),
+            summary: MachineSummary::default(),
         }
     }
 
     /// The one place where the machine's reach changes.
-    pub fn reach(&mut self, next: Reach) {
-        self.reach = match (self.reach, next) {
-            (Reach::Suspect { since }, Reach::Suspect { .. }) => Reach::Suspect { since },
-            (Reach::Unconfirmed { since }, Reach::Suspect { .. }) => Reach::Suspect { since },
+    pub fn set_reachability(&mut self, next: Reachability) {
+        self.reachability = match (self.reachability, next) {
+            (Reachability::Suspect { since }, Reachability::Suspect { .. }) => {
+                Reachability::Suspect { since }
+            }
+            (Reachability::Unconfirmed { since }, Reachability::Suspect { .. }) => {
+                Reachability::Suspect { since }
+            }
             (_, next) => next,
         };
-        if self.reach == Reach::Confirmed {
-            self.unheeded = 0;
+        if self.reachability == Reachability::Confirmed {
+            self.unheeded_responses = 0;
         }
     }
 
     /// Reckons with what the token in a report shows; `current` if it is this epoch's.
-    pub fn token_shown(&mut self, current: bool, now: Time) {
+    pub fn record_shown_token(&mut self, current: bool, now: Time) {
         if current {
-            self.unheeded = 0;
-            if matches!(self.reach, Reach::Unconfirmed { .. }) {
-                self.reach(Reach::Confirmed);
+            self.unheeded_responses = 0;
+            if matches!(self.reachability, Reachability::Unconfirmed { .. }) {
+                self.set_reachability(Reachability::Confirmed);
             }
-        } else if self.unheeded >= UNHEEDED_ANSWERS && self.reach == Reach::Confirmed {
-            self.reach(Reach::Suspect { since: now });
+        } else if self.unheeded_responses >= UNHEEDED_ANSWERS
+            && self.reachability == Reachability::Confirmed
+        {
+            self.set_reachability(Reachability::Suspect { since: now });
         }
     }
 
     /// What is free now.
-    pub fn free(&self) -> Room {
+    pub fn free(&self) -> Resources {
         let Some(info) = &self.info else {
-            return Room::default();
+            return Resources::default();
         };
-        let mut free = info.room;
+        let mut free = info.capacity;
         for tracked in self.attempts.values() {
             match (&tracked.job, tracked.state) {
                 (_, AttemptState::Completed) => {}
-                (Some(job), _) => free.take(&job.room()),
+                (Some(job), _) => free.allocate(&job.resources()),
                 // Of unknown size: nothing may join it.
-                (None, _) => return Room::default(),
+                (None, _) => return Resources::default(),
             }
         }
         free
     }
 
     /// Share of its resources that is taken, given what is free.
-    pub fn fullness(&self, free: &Room) -> f64 {
+    pub fn utilization(&self, free: &Resources) -> f64 {
         let Some(info) = &self.info else {
             return 1.0;
         };
         let share = |free: f64, all: f64| if all > 0.0 { 1.0 - free / all } else { 0.0 };
-        share(free.cpus, info.room.cpus)
-            .max(share(free.gpus, info.room.gpus))
-            .max(share(free.memory_gb, info.room.memory_gb))
+        share(free.cpus, info.capacity.cpus)
+            .max(share(free.gpus, info.capacity.gpus))
+            .max(share(free.memory_gb, info.capacity.memory_gb))
     }
 
-    pub fn usable(&self, now: Time, patience: Patience) -> bool {
+    pub fn is_schedulable(&self, now: Time, patience: MachineTimeouts) -> bool {
         self.info.is_some()
             && !self.lost
             && !self.draining
-            && !self.foreign
-            && self.reach == Reach::Confirmed
-            && self.failing.len() < FAULTY_JOBS
-            && self.notice.is_none()
-            && now.since(self.lease.heard) <= patience.silent_ms
+            && !self.has_unknown_tasks
+            && self.reachability == Reachability::Confirmed
+            && self.failing_jobs.len() < FAULTY_JOBS
+            && self.reclaim_at.is_none()
+            && now.since(self.lease.last_message_at) <= patience.missed_heartbeats_ms
     }
 
-    pub fn summarize(&self, now: Time, patience: Patience) -> Summary {
-        let since = match self.reach {
-            Reach::Confirmed => None,
-            Reach::Unconfirmed { since } | Reach::Suspect { since } => Some(since),
+    pub fn summarize(&self, now: Time, patience: MachineTimeouts) -> MachineSummary {
+        let since = match self.reachability {
+            Reachability::Confirmed => None,
+            Reachability::Unconfirmed { since } | Reachability::Suspect { since } => Some(since),
         };
-        let unreached = since.is_some_and(|since| now.since(since) >= patience.unreached_ms);
-        let proven_once = !matches!(self.reach, Reach::Unconfirmed { .. });
-        Summary {
+        let unreached = since.is_some_and(|since| now.since(since) >= patience.unreachable_ms);
+        let proven_once = !matches!(self.reachability, Reachability::Unconfirmed { .. });
+        MachineSummary {
             // A machine is not spoken of before it is known to be there now.
             known: self.info.is_some() && (proven_once || unreached),
-            usable: self.usable(now, patience),
+            schedulable: self.is_schedulable(now, patience),
             // What is settled may have to be remembered by the worker for long, but keeps no machine.
-            empty: self.attempts.values().all(TrackedAttempt::settled),
-            noticed: self.notice.is_some(),
-            unreached,
+            empty: self.attempts.values().all(TrackedAttempt::is_settled),
+            reclaim_notice: self.reclaim_at.is_some(),
+            unreachable: unreached,
             lost: self.lost,
             free: self.free(),
         }
--- a/crates/worksshunt-core/src/machines/exchange.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync.rs
@@ -2,36 +2,38 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_wire::peer::{AttemptUp, Ended, MachineUp, SyncDown, SyncUp};
-use worksshunt_wire::{Attempt, Epoch, MachineId, NodeName};
+use worksshunt_wire::peer::{
+    AttemptEnded, AttemptStatus, LeaderDirectives, MachineStatus, PartitionStatus,
+};
+use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
 
 use crate::constants::{SYNC_CHANGES, SYNC_MACHINES};
 use crate::time::Time;
 
 use super::machine::{AttemptState, Machine};
-use super::{grace, Part, Queued};
+use super::{grace, Partition, Queued};
 
 /// What the leader does not know yet, and what it is being told.
 #[derive(Debug, Default)]
-pub(super) struct Outgoing {
+pub(super) struct PendingUpdates {
     pub machines: BTreeSet<MachineId>,
-    pub forgotten: BTreeSet<MachineId>,
+    pub removed_machines: BTreeSet<MachineId>,
     pub attempts: BTreeSet<Attempt>,
-    pub ended: Vec<Ended>,
+    pub ended_attempts: Vec<AttemptEnded>,
     /// Number of the last message.
-    number: u64,
+    sequence: u64,
     /// Number of the last answer acted on.
-    seen: u64,
+    acknowledged: u64,
     /// What the message under way tells.
-    under_way: Option<Told>,
+    in_flight: Option<UpdateBatch>,
 }
 
 #[derive(Debug, Default)]
-struct Told {
+struct UpdateBatch {
     machines: BTreeSet<MachineId>,
-    forgotten: BTreeSet<MachineId>,
+    removed_machines: BTreeSet<MachineId>,
     attempts: BTreeSet<Attempt>,
-    ended: Vec<Ended>,
+    ended_attempts: Vec<AttemptEnded>,
 }
 
 /// Takes out the first entries of a set, so many at the most.
@@ -47,80 +49,85 @@
     first
 }
 
-impl Outgoing {
+impl PendingUpdates {
     /// Takes out what the next message tells. What is too much for one message is left for the next.
-    fn begin(&mut self) -> Told {
-        let ended = self.ended.len().min(SYNC_CHANGES);
-        Told {
+    fn take_batch(&mut self) -> UpdateBatch {
+        let ended = self.ended_attempts.len().min(SYNC_CHANGES);
+        UpdateBatch {
             machines: take_first(&mut self.machines, SYNC_MACHINES),
-            forgotten: take_first(&mut self.forgotten, SYNC_MACHINES),
+            removed_machines: take_first(&mut self.removed_machines, SYNC_MACHINES),
             attempts: take_first(&mut self.attempts, SYNC_CHANGES),
-            ended: self.ended.drain(..ended).collect(),
+            ended_attempts: self.ended_attempts.drain(..ended).collect(),
         }
     }
 
     /// The message under way was not answered: all of it has to be told again.
-    fn tell_again(&mut self) {
-        if let Some(told) = self.under_way.take() {
+    fn requeue_unacknowledged(&mut self) {
+        if let Some(told) = self.in_flight.take() {
             self.machines.extend(told.machines);
-            self.forgotten.extend(told.forgotten);
+            self.removed_machines.extend(told.removed_machines);
             self.attempts.extend(told.attempts);
             // What was told first is told first again.
-            let later = std::mem::replace(&mut self.ended, told.ended);
-            self.ended.extend(later);
+            let later = std::mem::replace(&mut self.ended_attempts, told.ended_attempts);
+            self.ended_attempts.extend(later);
         }
     }
 }
 
-impl Part {
+impl Partition {
     /// Whether something changed that the leader should hear of soon.
-    pub fn changed(&self) -> bool {
-        let o = &self.outgoing;
+    pub fn has_pending_updates(&self) -> bool {
+        let o = &self.pending_updates;
         !(o.machines.is_empty()
-            && o.forgotten.is_empty()
+            && o.removed_machines.is_empty()
             && o.attempts.is_empty()
-            && o.ended.is_empty())
+            && o.ended_attempts.is_empty())
     }
 
     /// What has changed since the leader last confirmed, as much of it as one message tells.
-    pub fn sync_up(&mut self, now: Time, epoch: Epoch, from: &NodeName) -> SyncUp {
-        self.outgoing.tell_again();
-        let told = self.outgoing.begin();
+    pub fn next_status(
+        &mut self,
+        now: Time,
+        epoch: Epoch,
+        from: &ControllerName,
+    ) -> PartitionStatus {
+        self.pending_updates.requeue_unacknowledged();
+        let told = self.pending_updates.take_batch();
         let machines = told.machines.iter();
         let attempts = told.attempts.iter();
-        let up = SyncUp {
+        let status = PartitionStatus {
             epoch,
             from: from.clone(),
-            number: self.outgoing.number + 1,
-            seen: self.outgoing.seen,
+            sequence: self.pending_updates.sequence + 1,
+            acknowledged: self.pending_updates.acknowledged,
             machines: machines
                 .filter_map(|id| machine_up(id, self.machines.get(id)?, now))
                 .collect(),
-            forgotten: told
-                .forgotten
+            removed_machines: told
+                .removed_machines
                 .iter()
                 .filter(|id| !self.machines.contains_key(id))
                 .cloned()
                 .collect(),
             attempts: attempts
-                .filter_map(|attempt| self.attempt_up(*attempt, now))
+                .filter_map(|attempt| self.attempt_status(*attempt, now))
                 .collect(),
-            ended: told.ended.clone(),
+            ended_attempts: told.ended_attempts.clone(),
         };
-        self.outgoing.number += 1;
-        self.outgoing.under_way = Some(told);
-        up
+        self.pending_updates.sequence += 1;
+        self.pending_updates.in_flight = Some(told);
+        status
     }
 
-    fn attempt_up(&self, attempt: Attempt, now: Time) -> Option<AttemptUp> {
-        let id = self.homes.get(&attempt)?;
+    fn attempt_status(&self, attempt: Attempt, now: Time) -> Option<AttemptStatus> {
+        let id = self.machine_by_attempt.get(&attempt)?;
         let tracked = self.machines.get(id)?.attempts.get(&attempt)?;
-        Some(AttemptUp {
+        Some(AttemptStatus {
             task: tracked.task,
             attempt,
             machine: id.clone(),
-            phase: tracked.phase(),
-            ran_ms: match tracked.state {
+            phase: tracked.reported_phase(),
+            running_ms: match tracked.state {
                 AttemptState::Running(since) => now.since(since),
                 _ => 0,
             },
@@ -128,46 +135,53 @@
     }
 
     /// The leader did not answer.
-    pub fn unanswered(&mut self) {
-        self.outgoing.tell_again();
+    pub fn status_unanswered(&mut self) {
+        self.pending_updates.requeue_unacknowledged();
     }
 
     /// Takes in the leader's answer. One that belongs to another message is ignored.
-    pub fn apply(&mut self, down: &SyncDown, now: Time) {
-        if down.number != self.outgoing.number || self.outgoing.under_way.take().is_none() {
+    pub fn apply_directives(&mut self, directives: &LeaderDirectives, now: Time) {
+        if directives.in_reply_to != self.pending_updates.sequence
+            || self.pending_updates.in_flight.take().is_none()
+        {
             return;
         }
-        self.outgoing.seen = down.seq;
-        for give in &down.gives {
+        self.pending_updates.acknowledged = directives.sequence;
+        for assignment in &directives.assignments {
             self.queue.push_back(Queued {
-                give: give.clone(),
-                since: now,
+                assignment: assignment.clone(),
+                queued_at: now,
             });
-            self.placeable = true;
+            self.placement_needed = true;
         }
-        for attempt in &down.stops {
-            let queued = self.queue.iter().position(|q| q.give.attempt == *attempt);
+        for attempt in &directives.stop_attempts {
+            let queued = self
+                .queue
+                .iter()
+                .position(|q| q.assignment.attempt == *attempt);
             if let Some(queued) = queued.and_then(|index| self.queue.remove(index)) {
-                self.hand_back(&queued.give);
+                self.return_unplaced(&queued.assignment);
             }
-            let job = self.homes.get(attempt).and_then(|id| {
+            let job = self.machine_by_attempt.get(attempt).and_then(|id| {
                 let tracked = self.machines.get(id)?.attempts.get(attempt)?;
                 tracked.job.clone()
             });
-            self.stop(*attempt, job.map_or(0.0, |job| grace(&job)), now);
+            self.request_stop(*attempt, job.map_or(0.0, |job| grace(&job)), now);
         }
-        for attempt in &down.durable {
+        for attempt in &directives.durable_attempts {
             let machine = self
-                .homes
+                .machine_by_attempt
                 .get(attempt)
                 .and_then(|id| self.machines.get_mut(id));
             if let Some(tracked) = machine.and_then(|machine| machine.attempts.get_mut(attempt)) {
                 tracked.durable = true;
             }
         }
-        let Some(wishes) = &down.wishes else { return };
-        let drains: BTreeSet<&MachineId> = wishes.drains.iter().collect();
-        let claims: BTreeSet<&MachineId> = wishes.claims.iter().collect();
+        let Some(directives) = &directives.machine_directives else {
+            return;
+        };
+        let drains: BTreeSet<&MachineId> = directives.draining.iter().collect();
+        let claims: BTreeSet<&MachineId> = directives.claimed.iter().collect();
         let mut changed = Vec::new();
         for (id, machine) in &mut self.machines {
             let (draining, claimed) = (drains.contains(id), claims.contains(id));
@@ -178,31 +192,31 @@
             }
         }
         for id in changed {
-            self.look_at(&id, now);
-            self.placeable = true;
+            self.refresh_summary(&id, now);
+            self.placement_needed = true;
         }
-        for id in &wishes.gone {
-            self.returned(id, now);
+        for id in &directives.terminated {
+            self.machine_terminated(id, now);
         }
     }
 }
 
 /// What the leader is told of a machine; nothing before it is known to be there.
-fn machine_up(id: &MachineId, machine: &Machine, now: Time) -> Option<MachineUp> {
+fn machine_up(id: &MachineId, machine: &Machine, now: Time) -> Option<MachineStatus> {
     let info = machine.info.as_ref()?;
     let summary = machine.summary;
-    summary.known.then(|| MachineUp {
+    summary.known.then(|| MachineStatus {
         id: id.clone(),
         machine_type: info.machine_type.clone(),
         zone: info.zone.clone(),
         spot: info.spot,
-        usable: summary.usable,
+        schedulable: summary.schedulable,
         idle_ms: machine.empty_since.map(|since| now.since(since)),
         cpus: summary.free.cpus,
         gpus: summary.free.gpus,
         memory_gb: summary.free.memory_gb,
-        noticed: summary.noticed,
-        unreached: summary.unreached,
+        reclaim_notice: summary.reclaim_notice,
+        unreachable: summary.unreachable,
         lost: summary.lost,
     })
 }
--- a/crates/worksshunt-core/src/machines/exchange/tests.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync/tests.rs
@@ -1,43 +1,43 @@
 //! Tests of `exchange`: how much one message tells.
 
-use worksshunt_wire::peer::End;
+use worksshunt_wire::peer::AttemptOutcome;
 use worksshunt_wire::{JobId, TaskId};
 
 use super::*;
 
-fn ended(n: usize) -> Ended {
-    Ended {
+fn ended(n: usize) -> AttemptEnded {
+    AttemptEnded {
         task: TaskId {
             job: JobId(1),
             index: n as u32,
         },
         attempt: Attempt(n as u64),
         machine: None,
-        how: End::Unplaced,
+        outcome: AttemptOutcome::Unplaced,
     }
 }
 
 /// What a message tells of so many changes of each kind.
-fn told(machines: usize, changes: usize) -> (Outgoing, Told) {
-    let mut outgoing = Outgoing {
+fn told(machines: usize, changes: usize) -> (PendingUpdates, UpdateBatch) {
+    let mut outgoing = PendingUpdates {
         machines: (0..machines)
             .map(|n| MachineId(format!("i-{n:06}")))
             .collect(),
         attempts: (0..changes).map(|n| Attempt(n as u64)).collect(),
-        ended: (0..changes).map(ended).collect(),
-        ..Outgoing::default()
+        ended_attempts: (0..changes).map(ended).collect(),
+        ..PendingUpdates::default()
     };
-    let told = outgoing.begin();
+    let told = outgoing.take_batch();
     (outgoing, told)
 }
 
 #[test]
 fn as_much_as_a_message_takes_is_told_at_once() {
     let (left, told) = told(SYNC_MACHINES, SYNC_CHANGES);
-    assert!(left.machines.is_empty() && left.attempts.is_empty() && left.ended.is_empty());
+    assert!(left.machines.is_empty() && left.attempts.is_empty() && left.ended_attempts.is_empty());
     assert_eq!(told.machines.len(), SYNC_MACHINES);
     assert_eq!(
-        (told.attempts.len(), told.ended.len()),
+        (told.attempts.len(), told.ended_attempts.len()),
         (SYNC_CHANGES, SYNC_CHANGES)
     );
 }
@@ -47,16 +47,20 @@
     let (mut left, first) = told(SYNC_MACHINES + 1, SYNC_CHANGES + 2);
     assert_eq!(first.machines.len(), SYNC_MACHINES);
     assert_eq!(
-        (first.attempts.len(), first.ended.len()),
+        (first.attempts.len(), first.ended_attempts.len()),
         (SYNC_CHANGES, SYNC_CHANGES)
     );
     assert_eq!(
-        (left.machines.len(), left.attempts.len(), left.ended.len()),
+        (
+            left.machines.len(),
+            left.attempts.len(),
+            left.ended_attempts.len()
+        ),
         (1, 2, 2)
     );
-    let second = left.begin();
+    let second = left.take_batch();
     assert_eq!(
-        second.ended,
+        second.ended_attempts,
         vec![ended(SYNC_CHANGES), ended(SYNC_CHANGES + 1)]
     );
 }
@@ -64,9 +68,9 @@
 #[test]
 fn what_was_not_answered_is_told_again_before_what_came_later() {
     let (mut left, first) = told(SYNC_MACHINES + 1, SYNC_CHANGES + 2);
-    left.under_way = Some(first);
-    left.tell_again();
+    left.in_flight = Some(first);
+    left.requeue_unacknowledged();
     assert_eq!(left.machines.len(), SYNC_MACHINES + 1);
-    let all: Vec<Ended> = (0..SYNC_CHANGES + 2).map(ended).collect();
-    assert_eq!(left.ended, all);
+    let all: Vec<AttemptEnded> = (0..SYNC_CHANGES + 2).map(ended).collect();
+    assert_eq!(left.ended_attempts, all);
 }
--- a/crates/worksshunt-core/src/machines/tests.rs
+++ b/crates/worksshunt-core/src/machines/tests.rs
@@ -5,24 +5,25 @@
 use super::*;
 
 /// A part with so many machines that were never heard of.
-pub(super) fn part(machines: usize) -> Part {
+pub(super) fn partition(machines: usize) -> Partition {
     let workers = json!({"report_s": 5.0, "lease_s": 26.5, "cancel_s": 46.5});
     let state = json!({"rps": 500.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 20});
     let workers = serde_json::from_value(workers).expect("workers");
     let state = serde_json::from_value(state).expect("limits");
-    let mut part = Part::new(Parameters::default(), &workers, &state);
+    let mut partition = Partition::new(Parameters::default(), &workers, &state);
     for n in 0..machines {
-        let machine = Machine::new(Time(0), Time(0), (Session(0), 0));
-        part.machines
+        let machine = Machine::new(Time(0), Time(0), (Incarnation(0), 0));
+        partition
+            .machines
             .insert(MachineId(format!("i-{n:06}")), machine);
     }
-    part
+    partition
 }
 
 /// How many machines each of some ticks looks at.
 fn swept(machines: usize) -> [usize; 4] {
-    let mut part = part(machines);
-    [(); 4].map(|()| part.sweep().count())
+    let mut partition = partition(machines);
+    [(); 4].map(|()| partition.sweep().count())
 }
 
 #[test]
@@ -43,7 +44,7 @@
 // Guards against machines past the first thousand that are held for ever.
 #[test]
 fn a_lease_that_ran_out_is_noticed_on_every_machine_of_a_large_part() {
-    let mut part = part(SWEEP_MACHINES * 2 + 5);
+    let mut partition = partition(SWEEP_MACHINES * 2 + 5);
     let late = Time(
         lease_bound_ms(&Workers {
             report_s: 5.0,
@@ -51,12 +52,12 @@
             cancel_s: 46.5,
         }) + 1,
     );
-    part.tick(late);
+    partition.tick(late);
     assert_eq!(
-        part.machines.values().filter(|m| m.lost).count(),
+        partition.machines.values().filter(|m| m.lost).count(),
         SWEEP_MACHINES
     );
-    part.tick(late);
-    part.tick(late);
-    assert!(part.machines.values().all(|machine| machine.lost));
+    partition.tick(late);
+    partition.tick(late);
+    assert!(partition.machines.values().all(|machine| machine.lost));
 }
--- a/crates/worksshunt-core/src/membership/tests.rs
+++ b/crates/worksshunt-core/src/membership/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn listing(revision: u64, pairs: Vec<worksshunt_wire::state::Pair>) -> Listing {
+fn listing(revision: u64, pairs: Vec<worksshunt_wire::key_value::KeyValue>) -> Listing {
     Listing {
         pairs,
         more: false,
@@ -15,13 +15,16 @@
 #[test]
 fn a_read_from_before_the_member_key_does_not_show_it_gone() {
     let mut membership = Membership::new("estiba-0".into(), std::iter::empty(), 10_000);
-    membership.granted(7);
-    assert!(membership.join_txn().is_none(), "its version is not known");
-    membership.control_read(Time(10), &listing(4, Vec::new()));
-    assert!(membership.join_txn().is_some());
-    membership.joined(Revision(5));
-    let early = membership.control_read(Time(20), &listing(4, Vec::new()));
-    assert_eq!(early, Finding::Unchanged);
-    let gone = membership.control_read(Time(30), &listing(6, Vec::new()));
-    assert_eq!(gone, Finding::MemberKeyGone);
+    membership.lease_granted(7);
+    assert!(
+        membership.member_key_write().is_none(),
+        "its version is not known"
+    );
+    membership.process_control_keys(Time(10), &listing(4, Vec::new()));
+    assert!(membership.member_key_write().is_some());
+    membership.member_key_written(Revision(5));
+    let early = membership.process_control_keys(Time(20), &listing(4, Vec::new()));
+    assert_eq!(early, MembershipAction::Unchanged);
+    let gone = membership.process_control_keys(Time(30), &listing(6, Vec::new()));
+    assert_eq!(gone, MembershipAction::MemberKeyGone);
 }
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -21,15 +21,15 @@
 
 /// The objectives by class.
 #[derive(Debug, Clone, Default)]
-pub struct Objectives {
+pub struct ServiceLevelObjectives {
     classes: BTreeMap<String, Class>,
     /// Seconds within which work within a guarantee should start.
     guarantee_s: Option<f64>,
 }
 
-impl Objectives {
+impl ServiceLevelObjectives {
     /// Reads the settings' list.
-    pub fn new(list: &[Objective]) -> Objectives {
+    pub fn new(list: &[Objective]) -> ServiceLevelObjectives {
         let mut classes: BTreeMap<String, Class> = BTreeMap::new();
         let mut guarantee_s = None;
         for objective in list {
@@ -47,7 +47,7 @@
                 _ => {}
             }
         }
-        Objectives {
+        ServiceLevelObjectives {
             classes,
             guarantee_s,
         }
@@ -55,7 +55,7 @@
 
     /// Seconds after acceptance by which a task of the job has to start, for each thing expected of
     /// the job.
-    fn starts(&self, job: &Job) -> Vec<f64> {
+    fn latest_starts_s(&self, job: &Job) -> Vec<f64> {
         let class = self.classes.get(&job.spec.class);
         let mut done: Vec<f64> = class.map_or(Vec::new(), |c| c.finish_s.clone());
         if let Some(deadline) = job.spec.deadline_s {
@@ -72,9 +72,9 @@
 
     /// Whether something expected of the job can still be met, but not for much longer if its tasks
     /// go on waiting. A job of which nothing is expected is always pressing.
-    pub fn pressing(&self, job: &Job, wall_ms: u64, guaranteed: bool) -> bool {
+    pub fn at_risk(&self, job: &Job, wall_ms: u64, guaranteed: bool) -> bool {
         let age_s = wall_ms.saturating_sub(job.accepted_ms) as f64 / 1_000.0;
-        let mut starts = self.starts(job);
+        let mut starts = self.latest_starts_s(job);
         if guaranteed {
             starts.extend(self.guarantee_s);
         }
@@ -87,23 +87,26 @@
     /// The moment that decides among jobs of one priority: its deadline; where its tasks are expected to
     /// start in time, its latest start. By deadline long jobs wait for shorter ones that come much later
     /// whenever there is more work than room, but fewer jobs miss it.
-    pub fn decides_ms(&self, job: &Job) -> Option<u64> {
+    pub fn ordering_time_ms(&self, job: &Job) -> Option<u64> {
         let class = self.classes.get(&job.spec.class);
         match class.and_then(|class| class.start_s) {
             Some(_) => job.latest_start_ms(),
-            None => job.due_ms(),
+            None => job.deadline_ms(),
         }
     }
 
     /// The last moment at which a task of the job can start for anything expected of the job to be met; none
     /// where nothing is expected of it.
     pub fn last_start_ms(&self, job: &Job) -> Option<u64> {
-        let last_s = self.starts(job).into_iter().max_by(f64::total_cmp)?;
+        let last_s = self
+            .latest_starts_s(job)
+            .into_iter()
+            .max_by(f64::total_cmp)?;
         Some(job.accepted_ms + (last_s.max(0.0) * 1_000.0) as u64)
     }
 
     /// Classes whose tasks should start sooner than that.
-    pub fn start_within(&self, seconds: f64) -> impl Iterator<Item = &String> {
+    pub fn classes_starting_within(&self, seconds: f64) -> impl Iterator<Item = &String> {
         let sooner = move |class: &Class| class.start_s.is_some_and(|start| start < seconds);
         let classes = self.classes.iter();
         classes
@@ -112,7 +115,7 @@
     }
 
     /// Whether a job within its team's guarantee has waited nearly as long as that allows.
-    pub fn guarantee_presses(&self, job: &Job, wall_ms: u64) -> bool {
+    pub fn guarantee_at_risk(&self, job: &Job, wall_ms: u64) -> bool {
         let age_s = wall_ms.saturating_sub(job.accepted_ms) as f64 / 1_000.0;
         self.guarantee_s
             .is_none_or(|within_s| age_s >= within_s - GUARANTEE_LEAD_S)
@@ -121,7 +124,7 @@
     /// Seconds a task of the job may wait, counted from acceptance, for the first thing expected
     /// of the job to be met.
     pub fn slack_s(&self, job: &Job) -> f64 {
-        self.starts(job)
+        self.latest_starts_s(job)
             .into_iter()
             .min_by(f64::total_cmp)
             .unwrap_or(SLACK_DEFAULT_S)
