--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 
 use serde_json::Value;
-use worksshunt_wire::settings::StateLimits;
-use worksshunt_wire::state::{Change, Condition};
+use worksshunt_wire::key_value::{Change, ExpectedRevision};
+use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::Revision;
 
 use crate::constants::{
@@ -22,14 +22,14 @@
 use crate::time::Time;
 
 /// Bytes a page may take, so that it keeps the value limit and a write of several the transaction's.
-pub fn page_bytes(state: &StateLimits) -> usize {
+pub fn page_bytes(state: &KeyValueLimits) -> usize {
     let value = (state.value_kb * 1_024.0) as usize;
     let most = value.min(TXN_BYTES / PAGES_AT_ONCE);
     most - most / PAGE_MARGIN
 }
 
 /// What pages lease.
-pub trait Entry: Sized {
+pub trait PageEntry: Sized {
     /// What an entry is found by.
     type Key: Ord + Clone;
     /// Bytes it takes on a page, at most.
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug)]
-struct Page<E: Entry> {
+struct Page<E: PageEntry> {
     key: String,
     state: PageState,
     entries: BTreeMap<E::Key, E>,
@@ -59,21 +59,21 @@
     /// When the stored page should be rewritten for entries that are no longer needed.
     rewrite_at: Option<Time>,
     /// How much that would do: entries that are no longer needed, those that mislead many times over.
-    stale: u32,
+    stale_weight: u32,
 }
 
 /// One page to be written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PageWrite {
     /// The version it must have, and the new content.
-    pub condition: Condition,
+    pub condition: ExpectedRevision,
     /// The change.
     pub change: Change,
 }
 
 /// A set of pages.
 #[derive(Debug)]
-pub struct Pages<E: Entry> {
+pub struct Pages<E: PageEntry> {
     prefix: String,
     bytes: usize,
     /// Number of the next new page. None is used twice in an epoch: a late copy of a page's first
@@ -83,10 +83,10 @@
     /// Entries that are on no page yet.
     pending: BTreeMap<E::Key, E>,
     /// Keys brought by the write under way.
-    bringing: Vec<E::Key>,
+    entries_being_written: Vec<E::Key>,
 }
 
-impl<E: Entry> Pages<E> {
+impl<E: PageEntry> Pages<E> {
     /// No page yet. Keys are `prefix` and a number, values take at most so many bytes.
     pub fn new(prefix: String, bytes: usize) -> Pages<E> {
         Pages {
@@ -95,12 +95,17 @@
             next: 0,
             pages: Vec::new(),
             pending: BTreeMap::new(),
-            bringing: Vec::new(),
+            entries_being_written: Vec::new(),
         }
     }
 
     /// Takes over a page found in the store.
-    pub fn adopt(&mut self, key: String, version: Revision, entries: BTreeMap<E::Key, E>) {
+    pub fn adopt_stored_page(
+        &mut self,
+        key: String,
+        version: Revision,
+        entries: BTreeMap<E::Key, E>,
+    ) {
         let size = entries.iter().map(|(key, entry)| entry.size(key)).sum();
         let number = key.strip_prefix(&self.prefix).and_then(|n| n.parse().ok());
         self.next = self
@@ -112,15 +117,15 @@
             entries,
             size,
             rewrite_at: None,
-            stale: 0,
+            stale_weight: 0,
         });
     }
 
     /// A page found in the store had entries that were dropped: it is to be rewritten at once.
-    pub fn rewrite(&mut self, key: &str, now: Time) {
+    pub fn mark_for_rewrite(&mut self, key: &str, now: Time) {
         for page in self.pages.iter_mut().filter(|page| page.key == key) {
             page.rewrite_at = Some(now);
-            page.stale += URGENT_ENTRIES;
+            page.stale_weight += URGENT_ENTRIES;
         }
     }
 
@@ -143,26 +148,26 @@
             if let Some(entry) = page.entries.remove(key) {
                 page.size = page.size.saturating_sub(entry.size(key));
                 page.rewrite_at = Some(page.rewrite_at.map_or(at, |before| before.min(at)));
-                page.stale += if urgent { URGENT_ENTRIES } else { 1 };
+                page.stale_weight += if urgent { URGENT_ENTRIES } else { 1 };
             }
         }
     }
 
     /// What waits to be written under a key.
-    pub fn waiting(&self, key: &E::Key) -> Option<&E> {
+    pub fn pending_entry(&self, key: &E::Key) -> Option<&E> {
         self.pending.get(key)
     }
 
     /// The next write, of at most so many pages; nothing while one is under way.
-    pub fn write(&mut self, now: Time, most: usize) -> Vec<PageWrite> {
+    pub fn next_writes(&mut self, now: Time, most: usize) -> Vec<PageWrite> {
         let mut writes = Vec::new();
         if self.pages.iter().any(|p| p.state == PageState::Writing) {
             return writes;
         }
         while writes.len() < most && !self.pending.is_empty() {
-            let index = self.next_page();
-            self.fill(index);
-            writes.extend(self.begin(index));
+            let index = self.choose_page();
+            self.fill_page(index);
+            writes.extend(self.begin_write(index));
         }
         while writes.len() < most {
             // A page written under larger limits than today's stays as it is until what is left of it
@@ -175,30 +180,30 @@
             let Some(index) = self.pages.iter().position(due) else {
                 break;
             };
-            writes.extend(self.begin(index));
+            writes.extend(self.begin_write(index));
         }
         writes
     }
 
     /// The page that the next entries go to: of those with room, the one that most will be dropped
     /// from on the occasion.
-    fn next_page(&mut self) -> usize {
+    fn choose_page(&mut self) -> usize {
         let room = |page: &Page<E>| page.size + self.bytes / PAGE_ROOM <= self.bytes;
         let best = self
             .pages
             .iter()
             .enumerate()
             .filter(|(_, page)| matches!(page.state, PageState::Stored(_)) && room(page))
-            .max_by_key(|(_, page)| (page.stale, std::cmp::Reverse(page.size)))
+            .max_by_key(|(_, page)| (page.stale_weight, std::cmp::Reverse(page.size)))
             .map(|(index, _)| index);
         best.unwrap_or_else(|| {
             let key = format!("{}{}", self.prefix, self.next);
-            self.adopt(key, Revision(0), BTreeMap::new());
+            self.adopt_stored_page(key, Revision(0), BTreeMap::new());
             self.pages.len() - 1
         })
     }
 
-    fn fill(&mut self, index: usize) {
+    fn fill_page(&mut self, index: usize) {
         let page = &mut self.pages[index];
         while let Some((key, entry)) = self.pending.pop_first() {
             let size = entry.size(&key);
@@ -206,7 +211,7 @@
                 self.pending.insert(key, entry);
                 break;
             }
-            self.bringing.push(key.clone());
+            self.entries_being_written.push(key.clone());
             match page.entries.get_mut(&key) {
                 Some(before) => {
                     let old = before.size(&key);
@@ -221,14 +226,14 @@
         }
     }
 
-    fn begin(&mut self, index: usize) -> Option<PageWrite> {
+    fn begin_write(&mut self, index: usize) -> Option<PageWrite> {
         let page = &mut self.pages[index];
         let PageState::Stored(version) = page.state else {
             return None;
         };
         page.state = PageState::Writing;
         page.rewrite_at = None;
-        page.stale = 0;
+        page.stale_weight = 0;
         let key = page.key.clone();
         let change = if page.entries.is_empty() {
             Change::Delete { key: key.clone() }
@@ -240,14 +245,14 @@
             }
         };
         Some(PageWrite {
-            condition: Condition { key, version },
+            condition: ExpectedRevision { key, version },
             change,
         })
     }
 
     /// The write under way is durable, at that revision if it is known. Returns the keys of the
     /// entries it brought.
-    pub fn written(&mut self, revision: Option<Revision>) -> Vec<E::Key> {
+    pub fn write_applied(&mut self, revision: Option<Revision>) -> Vec<E::Key> {
         let needed = |page: &Page<E>| !page.entries.is_empty() || page.rewrite_at.is_some();
         // A page that was removed is gone; one that lost its entries since will be.
         self.pages
@@ -257,11 +262,11 @@
                 page.state = revision.map_or(PageState::Uncertain, PageState::Stored);
             }
         }
-        std::mem::take(&mut self.bringing)
+        std::mem::take(&mut self.entries_being_written)
     }
 
     /// Keys whose versions have to be read.
-    pub fn uncertain(&self) -> impl Iterator<Item = &String> {
+    pub fn uncertain_keys(&self) -> impl Iterator<Item = &String> {
         self.pages
             .iter()
             .filter(|page| page.state == PageState::Uncertain)
@@ -269,7 +274,7 @@
     }
 
     /// An uncertain page's version was read.
-    pub fn found(&mut self, key: &str, version: Revision) {
+    pub fn version_read(&mut self, key: &str, version: Revision) {
         for page in &mut self.pages {
             if page.key == key && page.state == PageState::Uncertain {
                 page.state = PageState::Stored(version);
--- a/crates/worksshunt-core/src/placement.rs
+++ b/crates/worksshunt-core/src/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-use worksshunt_wire::{MachineId, NodeName};
+use worksshunt_wire::{ControllerName, MachineId};
 
 use crate::constants::{SIZE_BANDS_S, SPEED_WEIGHT};
 
@@ -62,7 +62,7 @@
     }
 
     /// Learns from a completed task. A measurement replaces the assumed speed gradually.
-    pub fn learn(&mut self, estimate_s: f64, held_s: f64, start: f64) {
+    pub fn record_measurement(&mut self, estimate_s: f64, held_s: f64, start: f64) {
         if held_s > 0.0 && estimate_s > 0.0 {
             let before = self.value(start);
             self.0 = Some(before + SPEED_WEIGHT * (estimate_s / held_s - before));
@@ -175,7 +175,7 @@
 
 /// The member a machine belongs to: rendezvous hashing, so that a change of members moves only
 /// the machines of those that left or came.
-pub fn owner<'a>(machine: &MachineId, members: &'a [NodeName]) -> Option<&'a NodeName> {
+pub fn owner<'a>(machine: &MachineId, members: &'a [ControllerName]) -> Option<&'a ControllerName> {
     members.iter().max_by_key(|member| {
         let mut hash = Fnv::default();
         hash.write(machine.0.as_bytes());
--- a/crates/worksshunt-core/src/placement/tests.rs
+++ b/crates/worksshunt-core/src/placement/tests.rs
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_lost_member_moves_only_its_own_machines() {
-    let three: Vec<NodeName> = ["estiba-0", "estiba-1", "estiba-2"]
-        .map(NodeName::from)
+    let three: Vec<ControllerName> = ["estiba-0", "estiba-1", "estiba-2"]
+        .map(ControllerName::from)
         .into();
     let two = three[..2].to_vec();
     let mut counts = BTreeMap::new();
--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -38,7 +38,7 @@
     teams: BTreeMap<TeamName, Team>,
     used: BTreeMap<TeamName, Usage>,
     /// What is kept free for tasks that come first.
-    kept: BTreeMap<TeamName, Usage>,
+    reserved: BTreeMap<TeamName, Usage>,
 }
 
 /// Processors in use by team.
@@ -58,7 +58,7 @@
         Quota {
             teams: teams.iter().map(|t| (t.name.clone(), t.clone())).collect(),
             used: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            reserved: BTreeMap::new(),
         }
     }
 
@@ -78,51 +78,59 @@
     }
 
     /// Whether one more task of the job keeps its team within its limit.
-    pub fn admits(&self, job: &Job) -> bool {
-        self.admitted(job) > 0
+    pub fn admits_one_more(&self, job: &Job) -> bool {
+        self.tasks_within_limit(job) > 0
     }
 
     /// How many more tasks of the job its team's limit admits beside what is kept.
-    pub fn admitted(&self, job: &Job) -> u32 {
-        let kept = self.kept.get(&job.spec.team).copied().unwrap_or_default();
-        self.room(job, kept, Team::limits)
+    pub fn tasks_within_limit(&self, job: &Job) -> u32 {
+        let kept = self
+            .reserved
+            .get(&job.spec.team)
+            .copied()
+            .unwrap_or_default();
+        self.remaining_tasks(job, kept, Team::limits)
     }
 
     /// How many more tasks of a job that something is kept for its team's limit admits.
-    pub fn admitted_first(&self, job: &Job) -> u32 {
+    pub fn tasks_within_limit_ignoring_reservations(&self, job: &Job) -> u32 {
         let nothing = Usage::default();
-        self.room(job, nothing, Team::limits)
+        self.remaining_tasks(job, nothing, Team::limits)
     }
 
     /// Keeps room for one task of the job within its team's limit.
-    pub fn keep(&mut self, job: &Job) {
-        let kept = self.kept.entry(job.spec.team.clone()).or_default();
+    pub fn reserve(&mut self, job: &Job) {
+        let kept = self.reserved.entry(job.spec.team.clone()).or_default();
         kept.add(job, 1);
     }
 
     /// Nothing has to be kept for the job any more.
-    pub fn keep_no_more(&mut self, job: &Job) {
-        let kept = self.kept.entry(job.spec.team.clone()).or_default();
+    pub fn cancel_reservation(&mut self, job: &Job) {
+        let kept = self.reserved.entry(job.spec.team.clone()).or_default();
         kept.remove(job);
     }
 
     /// Keeps room for none any more.
-    pub fn keep_nothing(&mut self) {
-        self.kept.clear();
+    pub fn clear_reservations(&mut self) {
+        self.reserved.clear();
     }
 
     /// Whether one more task of the job keeps its team within its guarantee.
-    pub fn guarantees(&self, job: &Job) -> bool {
-        self.guaranteed(job) > 0
+    pub fn guarantees_one_more(&self, job: &Job) -> bool {
+        self.tasks_within_guarantee(job) > 0
     }
 
     /// How many more tasks of the job lie within its team's guarantee.
-    pub fn guaranteed(&self, job: &Job) -> u32 {
-        let kept = self.kept.get(&job.spec.team).copied().unwrap_or_default();
-        self.room(job, kept, |team| (team.cpus, team.gpus))
+    pub fn tasks_within_guarantee(&self, job: &Job) -> u32 {
+        let kept = self
+            .reserved
+            .get(&job.spec.team)
+            .copied()
+            .unwrap_or_default();
+        self.remaining_tasks(job, kept, |team| (team.cpus, team.gpus))
     }
 
-    fn room(&self, job: &Job, kept: Usage, bound: impl Fn(&Team) -> (f64, f64)) -> u32 {
+    fn remaining_tasks(&self, job: &Job, kept: Usage, bound: impl Fn(&Team) -> (f64, f64)) -> u32 {
         let Some(team) = self.teams.get(&job.spec.team) else {
             return 0;
         };
@@ -140,7 +148,7 @@
     }
 
     /// The teams with nothing in use.
-    pub fn unused(&self) -> Quota {
+    pub fn without_usage(&self) -> Quota {
         Quota {
             teams: self.teams.clone(),
             ..Quota::default()
@@ -149,9 +157,9 @@
 
     /// Counts all tasks of the job in; whether they fit into the team's guarantee beside what was
     /// counted before.
-    pub fn fits_all(&mut self, job: &Job) -> bool {
-        let fits = self.guaranteed(job) >= job.spec.tasks;
-        self.take_many(job, job.spec.tasks);
+    pub fn charge_all_within_guarantee(&mut self, job: &Job) -> bool {
+        let fits = self.tasks_within_guarantee(job) >= job.spec.tasks;
+        self.charge_many(job, job.spec.tasks);
         fits
     }
 
@@ -171,18 +179,18 @@
     }
 
     /// Counts one more task of the job.
-    pub fn take(&mut self, job: &Job) {
-        self.take_many(job, 1);
+    pub fn charge(&mut self, job: &Job) {
+        self.charge_many(job, 1);
     }
 
     /// Counts more tasks of the job.
-    pub fn take_many(&mut self, job: &Job, tasks: u32) {
+    pub fn charge_many(&mut self, job: &Job, tasks: u32) {
         let used = self.used.entry(job.spec.team.clone()).or_default();
         used.add(job, tasks);
     }
 
     /// Counts one task of the job less.
-    pub fn give_back(&mut self, job: &Job) {
+    pub fn refund(&mut self, job: &Job) {
         let used = self.used.entry(job.spec.team.clone()).or_default();
         used.remove(job);
     }
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -8,10 +8,10 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use worksshunt_wire::state::Pair;
-use worksshunt_wire::{Attempt, Epoch, MachineId, NodeName, Session, TaskId};
+use worksshunt_wire::key_value::KeyValue;
+use worksshunt_wire::{Attempt, ControllerName, Epoch, Incarnation, MachineId, TaskId};
 
-use crate::pages::Entry;
+use crate::pages::PageEntry;
 
 /// Prefix of the machines' records.
 pub const RECORDS: &str = "a/";
@@ -20,13 +20,13 @@
 const FORM: u32 = 2;
 
 /// Prefix of one owner's pages in an epoch.
-pub fn page_prefix(epoch: Epoch, owner: &NodeName) -> String {
+pub fn page_prefix(epoch: Epoch, owner: &ControllerName) -> String {
     format!("{RECORDS}{epoch}.{owner}.")
 }
 
 /// An attempt that may be on a machine.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Recorded {
+pub struct AttemptRecord {
     /// The machine.
     pub machine: MachineId,
     /// The task.
@@ -34,34 +34,34 @@
     /// The attempt.
     pub attempt: Attempt,
     /// The worker's session it is meant for.
-    pub session: Session,
+    pub incarnation: Incarnation,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Stored {
     v: u32,
-    on: Vec<(MachineId, TaskId, Attempt, Session)>,
+    on: Vec<(MachineId, TaskId, Attempt, Incarnation)>,
 }
 
-impl Entry for Recorded {
+impl PageEntry for AttemptRecord {
     type Key = Attempt;
 
     fn size(&self, _: &Attempt) -> usize {
         let digits = |number: u64| number.checked_ilog10().unwrap_or(0) as usize + 1;
         let task = digits(self.task.job.0).max(6) + digits(self.task.index.into()) + 3;
-        let numbers = digits(self.attempt.0) + digits(self.session.0);
+        let numbers = digits(self.attempt.0) + digits(self.incarnation.0);
         // Two texts in quotes, two numbers, and what stands between them.
         self.machine.0.len() + task + numbers + 10
     }
 
-    fn join(&mut self, later: Recorded) {
+    fn join(&mut self, later: AttemptRecord) {
         *self = later;
     }
 
-    fn value(entries: &BTreeMap<Attempt, Recorded>) -> Value {
+    fn value(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
         let on = entries
             .values()
-            .map(|r| (r.machine.clone(), r.task, r.attempt, r.session))
+            .map(|r| (r.machine.clone(), r.task, r.attempt, r.incarnation))
             .collect();
         serde_json::json!(Stored { v: FORM, on })
     }
@@ -73,26 +73,28 @@
 pub struct UnknownForm(pub String);
 
 /// Reads a page. The first release kept one key per machine, which is understood too.
-pub fn read(pair: &Pair) -> Result<Vec<Recorded>, UnknownForm> {
+pub fn read(pair: &KeyValue) -> Result<Vec<AttemptRecord>, UnknownForm> {
     let unknown = || UnknownForm(pair.key.clone());
     let name = pair.key.strip_prefix(RECORDS).ok_or_else(unknown)?;
-    if let Ok(old) = Vec::<(TaskId, Attempt, Session)>::deserialize(&pair.value) {
-        let on = old.into_iter().map(|(task, attempt, session)| Recorded {
-            machine: name.into(),
-            task,
-            attempt,
-            session,
-        });
+    if let Ok(old) = Vec::<(TaskId, Attempt, Incarnation)>::deserialize(&pair.value) {
+        let on = old
+            .into_iter()
+            .map(|(task, attempt, incarnation)| AttemptRecord {
+                machine: name.into(),
+                task,
+                attempt,
+                incarnation: incarnation,
+            });
         return Ok(on.collect());
     }
     match Stored::deserialize(&pair.value) {
         Ok(Stored { v: FORM, on }) => Ok(on
             .into_iter()
-            .map(|(machine, task, attempt, session)| Recorded {
+            .map(|(machine, task, attempt, incarnation)| AttemptRecord {
                 machine,
                 task,
                 attempt,
-                session,
+                incarnation: incarnation,
             })
             .collect()),
         _ => Err(unknown()),
@@ -102,7 +104,7 @@
 /// Drops all but the latest attempt at each task from the pages, and returns the keys of pages that
 /// had others. An attempt is made only when those before it are certainly gone; until its page is
 /// rewritten one may still be listed, on a machine of which nothing will ever be heard.
-pub fn keep_latest(pages: &mut [(Pair, Vec<Recorded>)]) -> BTreeSet<String> {
+pub fn retain_latest_attempts(pages: &mut [(KeyValue, Vec<AttemptRecord>)]) -> BTreeSet<String> {
     let mut latest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
     for record in pages.iter().flat_map(|(_, records)| records) {
         let attempt = latest.entry(record.task).or_insert(record.attempt);
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 
-fn pair(value: Value) -> Pair {
-    Pair {
+fn pair(value: Value) -> KeyValue {
+    KeyValue {
         key: "a/i-000007".to_owned(),
         value,
         version: Revision(1),
@@ -14,21 +14,21 @@
 
 #[test]
 fn records_are_read_as_written_and_take_no_more_room_than_reckoned() {
-    let entries: BTreeMap<Attempt, Recorded> = (0..300u64)
+    let entries: BTreeMap<Attempt, AttemptRecord> = (0..300u64)
         .map(|n| {
-            let record = Recorded {
+            let record = AttemptRecord {
                 machine: MachineId(format!("i-{n:06}")),
                 task: TaskId {
                     job: JobId(n * n * n),
                     index: n as u32 * 300,
                 },
                 attempt: Attempt(n << 40),
-                session: Session(n),
+                incarnation: Incarnation(n),
             };
             (record.attempt, record)
         })
         .collect();
-    let value = Recorded::value(&entries);
+    let value = AttemptRecord::value(&entries);
     let size: usize = entries.iter().map(|(key, entry)| entry.size(key)).sum();
     assert!(value.to_string().len() <= size + 32);
     let read = read(&pair(value)).expect("records");
@@ -39,14 +39,14 @@
 // of machines that are no longer there have run out.
 #[test]
 fn of_several_attempts_at_a_task_only_the_latest_is_out() {
-    let record = |machine: &str, index, attempt| Recorded {
+    let record = |machine: &str, index, attempt| AttemptRecord {
         machine: machine.into(),
         task: TaskId {
             job: JobId(1),
             index,
         },
         attempt: Attempt(attempt),
-        session: Session(1),
+        incarnation: Incarnation(1),
     };
     let page = |records| (pair(Value::Null), records);
     let mut pages = vec![
@@ -54,7 +54,7 @@
         page(vec![record("i-2", 0, 9)]),
     ];
     pages[1].0.key = "a/2".to_owned();
-    let stale = keep_latest(&mut pages);
+    let stale = retain_latest_attempts(&mut pages);
     assert_eq!(stale, BTreeSet::from(["a/i-000007".to_owned()]));
     assert_eq!(pages[0].1, [record("i-1", 1, 6)]);
     assert_eq!(pages[1].1, [record("i-2", 0, 9)]);
--- a/crates/worksshunt-core/src/room.rs
+++ b/crates/worksshunt-core/src/resources.rs
@@ -7,7 +7,7 @@
 
 /// Resources of a machine or a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     /// Processors.
     pub cpus: f64,
     /// Accelerators.
@@ -16,10 +16,10 @@
     pub memory_gb: f64,
 }
 
-impl Room {
+impl Resources {
     /// All of a machine type.
-    pub fn of_type(t: &MachineType) -> Room {
-        Room {
+    pub fn of_machine_type(t: &MachineType) -> Resources {
+        Resources {
             cpus: t.cpus,
             gpus: t.gpus,
             memory_gb: t.memory_gb,
@@ -27,8 +27,8 @@
     }
 
     /// What one task of such a job takes.
-    pub fn of_task(spec: &JobSpec) -> Room {
-        Room {
+    pub fn of_task(spec: &JobSpec) -> Resources {
+        Resources {
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
@@ -36,21 +36,21 @@
     }
 
     /// Whether `need` fits in here.
-    pub fn holds(&self, need: &Room) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + ROUNDING
             && need.gpus <= self.gpus + ROUNDING
             && need.memory_gb <= self.memory_gb + ROUNDING
     }
 
     /// Takes `need` out.
-    pub fn take(&mut self, need: &Room) {
+    pub fn allocate(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.memory_gb -= need.memory_gb;
     }
 
     /// Puts `back` in.
-    pub fn give_back(&mut self, back: &Room) {
+    pub fn release(&mut self, back: &Resources) {
         self.cpus += back.cpus;
         self.gpus += back.gpus;
         self.memory_gb += back.memory_gb;
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -12,7 +12,7 @@
 use crate::jobs::Job;
 use crate::time::{Now, Time};
 
-use super::work::Work;
+use super::job_tasks::JobTasks;
 use super::Scheduler;
 
 /// A group of waiting tasks, for the fleet.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Forecast {
     /// By class of services.
-    pub classes: Vec<Expected>,
+    pub classes: Vec<ExpectedDemand>,
     /// Processors to stand by for what nothing is known of yet.
     pub standby_cpus: f64,
     /// Silent machines with replicas on them, for which nobody should wait until their leases end.
@@ -53,7 +53,7 @@
 
 /// What is likely to be asked for next of a class of services.
 #[derive(Debug, Clone)]
-pub struct Expected {
+pub struct ExpectedDemand {
     /// One of the jobs.
     pub job: Rc<Job>,
     /// Replicas of the largest.
@@ -70,30 +70,34 @@
     /// Open jobs in order of service, with as many waiting tasks as the teams' limits let run.
     pub fn demand(&self, now: Now) -> Vec<Demand> {
         let mut quota = self.quota.clone();
-        let mut works: Vec<&Work> = self
+        let mut works: Vec<&JobTasks> = self
             .jobs
             .values()
             .filter(|work| work.not_before <= now.steady)
             .collect();
         works.sort_by_cached_key(|work| work.rank(now.wall_ms));
         let mut ran: BTreeMap<JobId, (u32, f64)> = BTreeMap::new();
-        for out in self.outs.values().filter(|o| o.phase != Phase::Completed) {
+        for out in self
+            .active_attempts
+            .values()
+            .filter(|o| o.phase != Phase::Completed)
+        {
             let Some(job) = &out.job else { continue };
             let estimate_s = job.spec.estimate_s;
-            let ran_s = out.ran_ms(now.steady) as f64 / 1_000.0;
+            let ran_s = out.running_ms(now.steady) as f64 / 1_000.0;
             let left = (estimate_s - ran_s).max(estimate_s * LEFT_AT_LEAST);
             let sum = ran.entry(out.task.job).or_default();
             sum.0 += 1;
             sum.1 += left;
         }
-        let has_spot = self.has_spot(now.steady);
-        let kept = self.keeps_ordinary(now.steady);
+        let has_spot = self.has_spot_machines(now.steady);
+        let kept = self.reserves_on_demand_machines(now.steady);
         let mut demand = Vec::new();
         for work in works {
             let (running, running_s) = ran.get(&work.job.spec.id).copied().unwrap_or_default();
             let waiting = work.waiting();
-            let tasks = waiting.min(quota.admitted(&work.job));
-            quota.take_many(&work.job, tasks);
+            let tasks = waiting.min(quota.tasks_within_limit(&work.job));
+            quota.charge_many(&work.job, tasks);
             if waiting + running > 0 {
                 // Not only where there are machines: a zone may have lost its last one.
                 let bounds = self.zone_bounds(&work.job);
@@ -108,7 +112,7 @@
                     slack_s: self.objectives.slack_s(&work.job),
                     zone,
                     full_zones: bounds.map_or(BTreeSet::new(), |bounds| bounds.full()),
-                    spot_only: work.job.leaves(false, kept),
+                    spot_only: work.job.leaves_machine_to_others(false, kept),
                     spotless: !has_spot,
                 });
             }
@@ -117,20 +121,23 @@
     }
 
     /// Notes whether any spot machine takes tasks.
-    pub fn look_for_spot(&mut self, now: Time) {
-        if self.machines().any(|view| view.up.spot && view.up.usable) {
-            self.spot_seen = now;
+    pub fn note_spot_machines(&mut self, now: Time) {
+        if self
+            .machines()
+            .any(|view| view.status.spot && view.status.schedulable)
+        {
+            self.spot_last_seen = now;
         }
     }
 
     /// Whether there are spot machines, or may be soon.
-    fn has_spot(&self, now: Time) -> bool {
-        now.since(self.spot_seen) < SPOT_PATIENCE_MS
+    fn has_spot_machines(&self, now: Time) -> bool {
+        now.since(self.spot_last_seen) < SPOT_PATIENCE_MS
     }
 
     /// Whether ordinary machines are left to services by work that has others.
-    pub(super) fn keeps_ordinary(&self, now: Time) -> bool {
-        !self.services.is_empty() && self.has_spot(now)
+    pub(super) fn reserves_on_demand_machines(&self, now: Time) -> bool {
+        !self.services.is_empty() && self.has_spot_machines(now)
     }
 
     /// Whether a replica has newly found no room.
@@ -141,8 +148,8 @@
     /// What is likely to be asked for next, judged by the services that are open. Before anything of
     /// a class was seen whose tasks should start sooner than a machine boots, it may be a service.
     pub fn forecast(&self, now: Now, boot_s: f64) -> Forecast {
-        let mut soon = self.objectives.start_within(boot_s);
-        let unseen = soon.any(|class| !self.seen.contains(class));
+        let mut soon = self.objectives.classes_starting_within(boot_s);
+        let unseen = soon.any(|class| !self.classes_seen.contains(class));
         let share = if unseen { STANDBY_SHARE } else { 0.0 };
         Forecast {
             classes: self.expected(now),
@@ -151,11 +158,11 @@
         }
     }
 
-    fn expected(&self, now: Now) -> Vec<Expected> {
-        let mut classes: BTreeMap<&str, Expected> = BTreeMap::new();
+    fn expected(&self, now: Now) -> Vec<ExpectedDemand> {
+        let mut classes: BTreeMap<&str, ExpectedDemand> = BTreeMap::new();
         let works = self.services.iter().filter_map(|id| self.jobs.get(id));
-        for Work { job, .. } in works {
-            let class = classes.entry(&job.spec.class).or_insert(Expected {
+        for JobTasks { job, .. } in works {
+            let class = classes.entry(&job.spec.class).or_insert(ExpectedDemand {
                 job: Rc::clone(job),
                 largest: 0,
                 lately: 0,
--- a/crates/worksshunt-core/src/scheduler/handout.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -4,18 +4,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::{Attempt, JobId, MachineId, NodeName, TaskId};
+use worksshunt_wire::{Attempt, ControllerName, JobId, MachineId, TaskId};
 
 use crate::constants::{
     ATTEMPTS_PER_EPOCH, OLD_JOB_MS, ROUND_EVERY_MS, STARVED_MS, STARVED_OLD_MS, STARVED_SHARE,
 };
 use crate::jobs::Job;
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::time::{Budget, Now, Time};
 
-use super::parts::{Down, PartView};
-use super::work::Work;
-use super::{Out, Scheduler};
+use super::job_tasks::JobTasks;
+use super::partitions::{Directive, PartitionView};
+use super::{ActiveAttempt, Scheduler};
 
 /// What a job is served for in a round, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,51 +32,51 @@
 
 /// A round under way: jobs in order of service, and how far it has come.
 #[derive(Debug, Default)]
-pub(super) struct Round {
+pub(super) struct SchedulingRound {
     order: Vec<(Pass, JobId)>,
     position: usize,
     began: Option<Time>,
     /// Something changed that another round may make use of.
-    stirred: bool,
+    requested: bool,
     /// Jobs that come first as long as their team is within its guarantee, as of the round's beginning.
-    pressing: BTreeSet<JobId>,
+    at_risk: BTreeSet<JobId>,
 }
 
-impl Round {
-    pub fn stir(&mut self) {
-        self.stirred = true;
+impl SchedulingRound {
+    pub fn request(&mut self) {
+        self.requested = true;
     }
 
     /// Whether the job comes first as long as its team is within its guarantee.
-    pub fn presses(&self, job: &Job) -> bool {
-        self.pressing.contains(&job.spec.id)
+    pub fn is_at_risk(&self, job: &Job) -> bool {
+        self.at_risk.contains(&job.spec.id)
     }
 }
 
 /// Where a task may go: a part, a machine with room there, and the zone if it is bound to it.
-struct Place {
-    part: NodeName,
+struct PlacementTarget {
+    owner: ControllerName,
     machine: MachineId,
     zone: Option<String>,
     claimed: bool,
 }
 
 /// A part's machines that fit a job, the emptiest first, and the room on all of them.
-struct Shelf<'a> {
-    part: &'a NodeName,
-    free: f64,
-    machines: Vec<(Room, &'a MachineId)>,
+struct CandidateMachines<'a> {
+    owner: &'a ControllerName,
+    free_cpus: f64,
+    machines: Vec<(Resources, &'a MachineId)>,
 }
 
-impl<'a> Shelf<'a> {
+impl<'a> CandidateMachines<'a> {
     /// Takes the room of one task from the fullest machine.
-    fn take(&mut self, need: &Room) -> Option<&'a MachineId> {
+    fn allocate(&mut self, need: &Resources) -> Option<&'a MachineId> {
         let (room, id) = self.machines.last_mut()?;
         let id = *id;
-        room.take(need);
-        self.free -= need.cpus;
-        if !room.holds(need) {
-            self.free -= room.cpus;
+        room.allocate(need);
+        self.free_cpus -= need.cpus;
+        if !room.fits(need) {
+            self.free_cpus -= room.cpus;
             self.machines.pop();
         }
         Some(id)
@@ -84,29 +84,29 @@
 }
 
 impl Scheduler {
-    fn sort_jobs(&mut self, now: Now) {
-        let mut works: Vec<&Work> = self
+    fn begin_round(&mut self, now: Now) {
+        let mut works: Vec<&JobTasks> = self
             .jobs
             .values()
             .filter(|work| work.not_before <= now.steady && work.waiting() > 0)
             .collect();
         works.sort_by_cached_key(|work| work.rank(now.wall_ms));
-        let mut starved: Vec<&Work> = works
+        let mut starved: Vec<&JobTasks> = works
             .iter()
             .copied()
             .filter(|work| is_starved(work, now))
             .collect();
         starved.sort_by_key(|work| work.job.accepted_ms);
-        let id = |work: &&Work| work.job.spec.id;
-        let presses = |work: &&Work| self.objectives.guarantee_presses(&work.job, now.wall_ms);
-        let mut pressing: Vec<&Work> = works.iter().copied().filter(presses).collect();
+        let id = |work: &&JobTasks| work.job.spec.id;
+        let presses = |work: &&JobTasks| self.objectives.guarantee_at_risk(&work.job, now.wall_ms);
+        let mut pressing: Vec<&JobTasks> = works.iter().copied().filter(presses).collect();
         if !pressing.is_empty() {
             let within = self.within_guarantees();
             pressing
                 .sort_by_key(|work| (Reverse(work.job.spec.priority), !within.contains(&id(work))));
         }
         let pressing_ids = pressing.iter().map(id).collect();
-        let order = |pass, works: &[&Work]| -> Vec<(Pass, JobId)> {
+        let order = |pass, works: &[&JobTasks]| -> Vec<(Pass, JobId)> {
             works.iter().map(|work| (pass, id(work))).collect()
         };
         let mut all = order(Pass::Starved, &starved);
@@ -116,22 +116,22 @@
             all.extend(order(Pass::WithinLimit, equals));
         }
         self.round.order = all;
-        self.round.pressing = pressing_ids;
+        self.round.at_risk = pressing_ids;
         self.round.position = 0;
-        self.quota.keep_nothing();
-        self.round.stirred = false;
+        self.quota.clear_reservations();
+        self.round.requested = false;
         self.round.began = Some(now.steady);
     }
 
     /// Jobs that fit into their teams' guarantees together with the teams' earlier ones: those that users
     /// take to be within it.
     fn within_guarantees(&self) -> BTreeSet<JobId> {
-        let mut works: Vec<&Work> = self.jobs.values().collect();
+        let mut works: Vec<&JobTasks> = self.jobs.values().collect();
         works.sort_unstable_by_key(|work| (work.job.accepted_ms, work.job.spec.id));
-        let mut guarantees = self.quota.unused();
+        let mut guarantees = self.quota.without_usage();
         works
             .into_iter()
-            .filter(|work| guarantees.fits_all(&work.job))
+            .filter(|work| guarantees.charge_all_within_guarantee(&work.job))
             .map(|work| work.job.spec.id)
             .collect()
     }
@@ -141,24 +141,24 @@
     /// the jobs that users take to be within it; then by priority, among equals what leaves its team
     /// within its guarantee before the rest. Each by deadline or latest start, and age. Goes on where the last call
     /// stopped.
-    pub fn round(&mut self, now: Now, budget: &Budget) {
+    pub fn run_round(&mut self, now: Now, budget: &Budget) {
         if self.round.position >= self.round.order.len() {
             let fresh = |began: Time| now.steady.since(began) < ROUND_EVERY_MS;
-            if !self.round.stirred || self.round.began.is_some_and(fresh) {
+            if !self.round.requested || self.round.began.is_some_and(fresh) {
                 return;
             }
-            self.sort_jobs(now);
+            self.begin_round(now);
         }
         while let Some((pass, id)) = self.round.order.get(self.round.position).copied() {
-            if budget.spent() || self.numbers_used_up() {
+            if budget.exhausted() || self.attempts_exhausted() {
                 return;
             }
-            self.hand_out(now, pass, id);
+            self.dispatch_job(now, pass, id);
             self.round.position += 1;
         }
     }
 
-    fn hand_out(&mut self, now: Now, pass: Pass, id: JobId) {
+    fn dispatch_job(&mut self, now: Now, pass: Pass, id: JobId) {
         let Some(work) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -167,10 +167,12 @@
         let mut most = match pass {
             Pass::Starved => self
                 .quota
-                .admitted_first(&job)
+                .tasks_within_limit_ignoring_reservations(&job)
                 .min((waiting / STARVED_SHARE).max(1)),
-            Pass::GuaranteeAtRisk | Pass::WithinGuarantee => self.quota.guaranteed(&job),
-            Pass::WithinLimit => self.quota.admitted(&job),
+            Pass::GuaranteeAtRisk | Pass::WithinGuarantee => {
+                self.quota.tasks_within_guarantee(&job)
+            }
+            Pass::WithinLimit => self.quota.tasks_within_limit(&job),
         }
         .min(waiting);
         if waiting == 0 {
@@ -179,19 +181,19 @@
         // What ends is left to a starved job: narrower tasks of its team would always forestall it.
         let mut kept = pass == Pass::Starved && waiting > 0;
         if kept {
-            self.quota.keep(&job);
+            self.quota.reserve(&job);
         }
         while most > 0 {
             // Each task of such a job decides where the next may go.
-            let at_once = if job.zones_matter() { 1 } else { most };
-            let places = self.places(now.steady, &job, at_once);
+            let at_once = if job.has_zone_constraint() { 1 } else { most };
+            let places = self.placement_targets(now.steady, &job, at_once);
             let found = places.len() as u32;
             if kept && found > 0 {
-                self.quota.keep_no_more(&job);
+                self.quota.cancel_reservation(&job);
                 kept = false;
             }
             for place in places {
-                self.hand_out_to(now, &job, place);
+                self.dispatch_task(now, &job, place);
             }
             if found < at_once {
                 if let Some(work) = self.jobs.get_mut(&id) {
@@ -204,8 +206,8 @@
         }
     }
 
-    fn hand_out_to(&mut self, now: Now, job: &Job, place: Place) {
-        if self.numbers_used_up() {
+    fn dispatch_task(&mut self, now: Now, job: &Job, place: PlacementTarget) {
+        if self.attempts_exhausted() {
             return;
         }
         let id = job.spec.id;
@@ -215,111 +217,121 @@
         let Some(index) = work.next_waiting() else {
             return;
         };
-        if work.served.replace(now.steady).is_none() {
+        if work.last_dispatch.replace(now.steady).is_none() {
             let waited_ms = now.wall_ms.saturating_sub(job.accepted_ms);
             tracing::debug!(job = %id, tasks = job.spec.tasks, class = job.spec.class, waited_ms, "begins");
         }
         work.stuck_since = None;
-        self.attempts += 1;
-        let attempt = Attempt(self.epoch.0 * ATTEMPTS_PER_EPOCH + self.attempts);
-        let mut out = Out::new(TaskId { job: id, index }, place.part.clone());
+        self.attempts_numbered += 1;
+        let attempt = Attempt(self.epoch.0 * ATTEMPTS_PER_EPOCH + self.attempts_numbered);
+        let mut out = ActiveAttempt::new(TaskId { job: id, index }, place.owner.clone());
         out.zone = place.zone;
-        out.claimed = place.claimed.then(|| place.machine.clone());
-        if let Some(part) = self.parts.get_mut(&place.part) {
-            part.reserve(&place.machine, job);
-            part.post(Down::Assign(attempt));
+        out.claimed_machine = place.claimed.then(|| place.machine.clone());
+        if let Some(partition) = self.partitions.get_mut(&place.owner) {
+            partition.reserve(&place.machine, job);
+            partition.enqueue(Directive::Assign(attempt));
         }
-        out.reserved = Some(place.machine);
-        self.insert_out(attempt, out);
+        out.reserved_on = Some(place.machine);
+        self.insert_attempt(attempt, out);
     }
 
     /// Places for so many tasks of a job, as many as there are.
-    fn places(&self, now: Time, job: &Job, most: u32) -> Vec<Place> {
+    fn placement_targets(&self, now: Time, job: &Job, most: u32) -> Vec<PlacementTarget> {
         let zones = self.allowed_zones(job);
-        let mut places: Vec<Place> = Vec::new();
+        let mut places: Vec<PlacementTarget> = Vec::new();
         if let Some(place) = self.claimed_with_room(job, zones.as_ref()) {
             places.push(place);
         }
-        let need = job.room();
-        let mut shelves: Vec<Shelf> = self
-            .parts
+        let need = job.resources();
+        let mut shelves: Vec<CandidateMachines> = self
+            .partitions
             .iter()
-            .filter(|(_, part)| part.speaks(now))
-            .map(|(name, part)| self.shelf(now, name, part, job, zones.as_ref()))
+            .filter(|(_, partition)| partition.is_responsive(now))
+            .map(|(name, partition)| {
+                self.candidate_machines(now, name, partition, job, zones.as_ref())
+            })
             .collect();
         while (places.len() as u32) < most {
             // The part with the most free room that fits the task.
             let roomiest = shelves
                 .iter_mut()
                 .filter(|shelf| !shelf.machines.is_empty())
-                .reduce(|a, b| if b.free > a.free { b } else { a });
+                .reduce(|a, b| if b.free_cpus > a.free_cpus { b } else { a });
             let Some(shelf) = roomiest else { break };
-            let Some(machine) = shelf.take(&need) else {
+            let Some(machine) = shelf.allocate(&need) else {
                 break;
             };
-            places.push(Place {
-                part: shelf.part.clone(),
+            places.push(PlacementTarget {
+                owner: shelf.owner.clone(),
                 machine: machine.clone(),
                 zone: zones
                     .as_ref()
-                    .and_then(|_| self.zone_of(shelf.part, machine)),
+                    .and_then(|_| self.zone_of(shelf.owner, machine)),
                 claimed: false,
             });
         }
         places
     }
 
-    fn shelf<'a>(
+    fn candidate_machines<'a>(
         &'a self,
         now: Time,
-        name: &'a NodeName,
-        part: &'a PartView,
+        name: &'a ControllerName,
+        partition: &'a PartitionView,
         job: &Job,
         zones: Option<&BTreeSet<String>>,
-    ) -> Shelf<'a> {
-        let need = job.room();
-        let kept = job.spec.spot && self.keeps_ordinary(now);
-        let mut machines: Vec<(Room, &MachineId)> = part
-            .with_room(need.cpus)
+    ) -> CandidateMachines<'a> {
+        let need = job.resources();
+        let kept = job.spec.spot && self.reserves_on_demand_machines(now);
+        let mut machines: Vec<(Resources, &MachineId)> = partition
+            .with_free_cpus(need.cpus)
             .filter_map(|view| {
-                let id = &view.up.id;
-                let fits = view.room.holds(&need)
-                    && !job.leaves(view.up.spot, kept)
-                    && job.allows(&view.up.machine_type, &view.up.zone, view.up.spot)
-                    && zones.is_none_or(|zones| zones.contains(&view.up.zone))
+                let id = &view.status.id;
+                let fits = view.free.fits(&need)
+                    && !job.leaves_machine_to_others(view.status.spot, kept)
+                    && job.allows_machine(
+                        &view.status.machine_type,
+                        &view.status.zone,
+                        view.status.spot,
+                    )
+                    && zones.is_none_or(|zones| zones.contains(&view.status.zone))
                     && !self.claims.contains_key(id)
-                    && !self.drains.contains(id);
-                fits.then_some((view.room, id))
+                    && !self.draining.contains(id);
+                fits.then_some((view.free, id))
             })
             .collect();
         machines.sort_by(|(a, _), (b, _)| b.cpus.total_cmp(&a.cpus));
-        Shelf {
-            part: name,
-            free: machines.iter().map(|(room, _)| room.cpus).sum(),
+        CandidateMachines {
+            owner: name,
+            free_cpus: machines.iter().map(|(room, _)| room.cpus).sum(),
             machines,
         }
     }
 
-    fn zone_of(&self, part: &NodeName, machine: &MachineId) -> Option<String> {
-        let view = self.parts.get(part)?.machines.get(machine)?;
-        Some(view.up.zone.clone())
+    fn zone_of(&self, partition: &ControllerName, machine: &MachineId) -> Option<String> {
+        let view = self.partitions.get(partition)?.machines.get(machine)?;
+        Some(view.status.zone.clone())
     }
 
     /// A machine claimed for the job that has room by now.
-    fn claimed_with_room(&self, job: &Job, zones: Option<&BTreeSet<String>>) -> Option<Place> {
-        let need = job.room();
+    fn claimed_with_room(
+        &self,
+        job: &Job,
+        zones: Option<&BTreeSet<String>>,
+    ) -> Option<PlacementTarget> {
+        let need = job.resources();
         self.claims_for(job.spec.id).find_map(|machine| {
-            let (part, view) = self
-                .parts
+            let (partition, view) = self
+                .partitions
                 .iter()
-                .find_map(|(name, part)| Some((name, part.machines.get(machine)?)))?;
-            let fits = view.up.usable
-                && view.room.holds(&need)
-                && zones.is_none_or(|zones| zones.contains(&view.up.zone));
-            fits.then(|| Place {
-                part: part.clone(),
+                .find_map(|(name, partition)| Some((name, partition.machines.get(machine)?)))?;
+            let fits = view.status.schedulable
+                && view.free.fits(&need)
+                && zones.is_none_or(|zones| zones.contains(&view.status.zone));
+            fits.then(|| PlacementTarget {
+                owner: partition.clone(),
                 machine: machine.clone(),
-                zone: zones.map(|_| view.up.zone.clone()),
+                zone: zones.map(|_| view.status.zone.clone()),
                 claimed: true,
             })
         })
@@ -327,14 +339,14 @@
 
     /// The zones the job's next task may be in; none where its other tasks do not decide that.
     pub(super) fn allowed_zones(&self, job: &Job) -> Option<BTreeSet<String>> {
-        Some(self.zone_room(job)?.into_keys().collect())
+        Some(self.zone_allowance(job)?.into_keys().collect())
     }
 
     /// How many more of the job's tasks each zone that has machines may have; none where its other tasks do
     /// not decide that.
-    pub(super) fn zone_room(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
+    pub(super) fn zone_allowance(&self, job: &Job) -> Option<BTreeMap<String, u32>> {
         let bounds = self.zone_bounds(job)?;
-        let all: BTreeSet<String> = self.machines().map(|m| m.up.zone.clone()).collect();
+        let all: BTreeSet<String> = self.machines().map(|m| m.status.zone.clone()).collect();
         Some(
             all.into_iter()
                 .filter_map(|zone| {
@@ -347,7 +359,7 @@
 
     /// What the job's tasks say of the zones of those to come; none where they do not decide that.
     pub(super) fn zone_bounds(&self, job: &Job) -> Option<ZoneBounds> {
-        if !job.zones_matter() {
+        if !job.has_zone_constraint() {
             return None;
         }
         let work = self.jobs.get(&job.spec.id)?;
@@ -359,9 +371,9 @@
             }
             for attempt in attempts {
                 // The owner may have described the machine only after it named the attempt.
-                let zone = self.outs.get(attempt).and_then(|out| {
+                let zone = self.active_attempts.get(attempt).and_then(|out| {
                     let machine = out.machine.as_ref();
-                    let there = || self.zone_of(&out.part, machine?);
+                    let there = || self.zone_of(&out.owner, machine?);
                     out.zone.clone().or_else(there)
                 });
                 match zone {
@@ -424,10 +436,10 @@
 }
 
 /// Whether a job has had nothing for so long that its age has to win; an old job sooner.
-fn is_starved(work: &Work, now: Now) -> bool {
+fn is_starved(work: &JobTasks, now: Now) -> bool {
     let age_ms = now.wall_ms.saturating_sub(work.job.accepted_ms);
     let waited_ms = work
-        .served
+        .last_dispatch
         .map_or(age_ms, |served| now.steady.since(served));
     let patience_ms = if age_ms >= OLD_JOB_MS {
         STARVED_OLD_MS
--- a/crates/worksshunt-core/src/scheduler/work.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -7,8 +7,8 @@
 use worksshunt_wire::user::Priority;
 use worksshunt_wire::{Attempt, JobId};
 
-use crate::jobs::{DoneSet, Job};
-use crate::objectives::Objectives;
+use crate::jobs::{CompletedTasks, Job};
+use crate::objectives::ServiceLevelObjectives;
 use crate::time::Time;
 
 /// A job's place in the order of service; the least comes first.
@@ -19,23 +19,23 @@
     /// its priority it would only make them miss theirs too.
     missed: bool,
     /// Deadline or latest start.
-    decides_ms: u64,
+    ordering_time_ms: u64,
     accepted_ms: u64,
     id: JobId,
 }
 
 /// An open job's tasks.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct JobTasks {
     pub(super) job: Rc<Job>,
     /// When its tasks have to start or be done; never if nobody says.
-    decides_ms: u64,
+    ordering_time_ms: u64,
     /// After this its waiting tasks can meet nothing that is expected of it; never if nothing is.
     last_start_ms: u64,
     /// Tasks known to be done, durable or not.
-    pub(super) done: DoneSet,
+    pub(super) done: CompletedTasks,
     /// Those of them that are not in the store yet.
-    pub(super) undurable: BTreeSet<u32>,
+    pub(super) not_durable: BTreeSet<u32>,
     /// Attempts that may be on a machine or on their way, by task.
     pub(super) active: BTreeMap<u32, Vec<Attempt>>,
     /// How many of those tasks are not done.
@@ -47,27 +47,27 @@
     pub(super) errors: u32,
     pub(super) not_before: Time,
     /// When a task of it was last handed out.
-    pub(super) served: Option<Time>,
+    pub(super) last_dispatch: Option<Time>,
     /// Since when it has had waiting tasks that no part had room for.
     pub(super) stuck_since: Option<Time>,
 }
 
-impl Work {
+impl JobTasks {
     /// A job that was accepted, with no task handed out.
-    pub(super) fn new(job: Rc<Job>, objectives: &Objectives) -> Work {
-        Work {
+    pub(super) fn new(job: Rc<Job>, objectives: &ServiceLevelObjectives) -> JobTasks {
+        JobTasks {
             last_start_ms: objectives.last_start_ms(&job).unwrap_or(u64::MAX),
-            decides_ms: objectives.decides_ms(&job).unwrap_or(u64::MAX),
-            done: DoneSet::new(job.spec.tasks),
+            ordering_time_ms: objectives.ordering_time_ms(&job).unwrap_or(u64::MAX),
+            done: CompletedTasks::new(job.spec.tasks),
             job,
-            undurable: BTreeSet::new(),
+            not_durable: BTreeSet::new(),
             active: BTreeMap::new(),
             active_undone: 0,
             running: 0,
             first_waiting: 0,
             errors: 0,
             not_before: Time::default(),
-            served: None,
+            last_dispatch: None,
             stuck_since: None,
         }
     }
@@ -77,7 +77,7 @@
         Rank {
             priority: Reverse(self.job.spec.priority),
             missed: wall_ms > self.last_start_ms,
-            decides_ms: self.decides_ms,
+            ordering_time_ms: self.ordering_time_ms,
             accepted_ms: self.job.accepted_ms,
             id: self.job.spec.id,
         }
@@ -125,7 +125,7 @@
     }
 
     /// Marks a task done; false if it was already.
-    pub(super) fn finish(&mut self, index: u32) -> bool {
+    pub(super) fn mark_done(&mut self, index: u32) -> bool {
         let new = self.done.insert(index);
         if new && self.active.contains_key(&index) {
             self.active_undone = self.active_undone.saturating_sub(1);
@@ -134,7 +134,7 @@
     }
 
     /// Whether all tasks are done.
-    pub(super) fn complete(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.done.count() == self.job.spec.tasks
     }
 }
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -6,77 +6,77 @@
 
 mod claims;
 mod demand;
-mod durability;
-mod handout;
-mod parts;
+mod dispatch;
+mod job_tasks;
+mod partitions;
+mod pending_writes;
 mod preempt;
-mod work;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::peer::{End, Ended, Phase};
+use worksshunt_wire::key_value::KeyValue;
+use worksshunt_wire::peer::{AttemptEnded, AttemptOutcome, Phase};
 use worksshunt_wire::settings::Facts;
-use worksshunt_wire::state::Pair;
-use worksshunt_wire::{Attempt, Epoch, JobId, MachineId, NodeName, TaskId};
+use worksshunt_wire::{Attempt, ControllerName, Epoch, JobId, MachineId, TaskId};
 
 use crate::constants::{
     ATTEMPTS_PER_EPOCH, ERRORS_BEFORE_BACKOFF, ERROR_BACKOFF_MAX_MS, ERROR_BACKOFF_MS,
     REPLICA_BACKOFF_MAX_MS, SILENT_RETURN_LEAST_MS, SILENT_RETURN_REPORTS, STEADY_REPLICA_MS,
 };
-use crate::jobs::{completions_key, read_completions, Completions, Job, Mirror, DONE};
-use crate::objectives::Objectives;
+use crate::jobs::{completions_key, read_completions, Completions, Job, JobCache, DONE};
+use crate::objectives::ServiceLevelObjectives;
 use crate::pages::{page_bytes, Pages};
 use crate::placement::owner;
 use crate::quota::Quota;
-use crate::records::{Recorded, RECORDS};
+use crate::records::{AttemptRecord, RECORDS};
 use crate::time::Time;
 
 use claims::Claim;
 pub use claims::{claim_key, CLAIMS};
-pub use demand::{Demand, Expected, Forecast};
-pub use durability::Due;
-use handout::Round;
-pub use parts::MachineView;
-use parts::{Down, PartView};
-use work::Work;
+pub use demand::{Demand, ExpectedDemand, Forecast};
+use dispatch::SchedulingRound;
+use job_tasks::JobTasks;
+pub use partitions::MachineView;
+use partitions::{Directive, PartitionView};
+pub use pending_writes::PendingWrite;
 
 /// An attempt that may be on a machine or on its way to one.
 #[derive(Debug)]
-struct Out {
+struct ActiveAttempt {
     task: TaskId,
     /// None for an attempt of a job that was done before this epoch, and so uses nothing.
     job: Option<Rc<Job>>,
-    part: NodeName,
+    owner: ControllerName,
     phase: Phase,
     /// Since when it runs, once it was seen running.
     running_since: Option<Time>,
     machine: Option<MachineId>,
     zone: Option<String>,
     /// The machine its room is taken from until its owner has chosen one.
-    reserved: Option<MachineId>,
-    claimed: Option<MachineId>,
+    reserved_on: Option<MachineId>,
+    claimed_machine: Option<MachineId>,
     /// It is to be stopped, to make room.
     preempted: bool,
 }
 
-impl Out {
-    fn new(task: TaskId, part: NodeName) -> Out {
-        Out {
+impl ActiveAttempt {
+    fn new(task: TaskId, partition: ControllerName) -> ActiveAttempt {
+        ActiveAttempt {
             task,
             job: None,
-            part,
+            owner: partition,
             phase: Phase::Queued,
             running_since: None,
             machine: None,
             zone: None,
-            reserved: None,
-            claimed: None,
+            reserved_on: None,
+            claimed_machine: None,
             preempted: false,
         }
     }
 
-    fn ran_ms(&self, now: Time) -> u64 {
+    fn running_ms(&self, now: Time) -> u64 {
         self.running_since.map_or(0, |since| now.since(since))
     }
 }
@@ -86,48 +86,48 @@
 pub struct Scheduler {
     epoch: Epoch,
     /// Attempts numbered in this epoch, and how many there may be.
-    attempts: u64,
-    attempts_most: u64,
+    attempts_numbered: u64,
+    attempt_limit: u64,
     quota: Quota,
-    objectives: Objectives,
-    jobs: BTreeMap<JobId, Work>,
-    outs: BTreeMap<Attempt, Out>,
-    parts: BTreeMap<NodeName, PartView>,
+    objectives: ServiceLevelObjectives,
+    jobs: BTreeMap<JobId, JobTasks>,
+    active_attempts: BTreeMap<Attempt, ActiveAttempt>,
+    partitions: BTreeMap<ControllerName, PartitionView>,
     claims: BTreeMap<MachineId, Claim>,
-    round: Round,
-    due: BTreeSet<Due>,
-    pages: Pages<Completions>,
+    round: SchedulingRound,
+    pending_writes: BTreeSet<PendingWrite>,
+    completion_pages: Pages<Completions>,
     /// Machines' records of former epochs, with the attempts that may still be on machines.
-    former: Pages<Recorded>,
+    former_record_pages: Pages<AttemptRecord>,
     /// Which of the two was first in the last write.
-    former_first: bool,
+    former_records_first: bool,
     /// How long a machine with replicas takes no tasks before it is given up.
-    silent_return_ms: u64,
+    silent_release_ms: u64,
     /// Machines that are to go back, as the fleet has it.
-    drains: BTreeSet<MachineId>,
+    draining: BTreeSet<MachineId>,
     /// When a spot machine last took tasks; the beginning of the epoch before that.
-    spot_seen: Time,
+    spot_last_seen: Time,
     /// Open jobs of a form that this version does not understand, whose attempts are let be.
-    odd: BTreeSet<JobId>,
+    unreadable_jobs: BTreeSet<JobId>,
     /// Open services.
     services: BTreeSet<JobId>,
     /// Classes of which there has been a job.
-    seen: BTreeSet<String>,
+    classes_seen: BTreeSet<String>,
     /// A replica has found no room since others were last stopped.
     replica_stuck: bool,
 }
 
 /// What a new leader finds in the store.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct StoredState {
     /// Pages of machines' records.
-    pub records: Vec<(Pair, Vec<Recorded>)>,
+    pub record_pages: Vec<(KeyValue, Vec<AttemptRecord>)>,
     /// Keys of those among them that list more than that.
-    pub stale: BTreeSet<String>,
+    pub stale_record_pages: BTreeSet<String>,
     /// Pages of completions.
-    pub done: Vec<Pair>,
+    pub completion_pages: Vec<KeyValue>,
     /// Claims.
-    pub claims: Vec<Pair>,
+    pub claims: Vec<KeyValue>,
     /// Jobs on record that were cancelled. Until their attempts are certainly gone those use what they use.
     pub cancelled: BTreeMap<JobId, Rc<Job>>,
 }
@@ -137,72 +137,75 @@
     pub fn load(
         now: Time,
         epoch: Epoch,
-        members: &[NodeName],
+        members: &[ControllerName],
         facts: &Facts,
-        mirror: &Mirror,
-        found: &Found,
+        job_cache: &JobCache,
+        found: &StoredState,
     ) -> Scheduler {
         let mut this = Scheduler {
             epoch,
-            attempts: 0,
-            attempts_most: ATTEMPTS_PER_EPOCH - 1,
+            attempts_numbered: 0,
+            attempt_limit: ATTEMPTS_PER_EPOCH - 1,
             quota: Quota::new(&facts.teams),
-            objectives: Objectives::new(&facts.objectives),
+            objectives: ServiceLevelObjectives::new(&facts.objectives),
             jobs: BTreeMap::new(),
-            outs: BTreeMap::new(),
-            parts: members
+            active_attempts: BTreeMap::new(),
+            partitions: members
                 .iter()
-                .map(|name| (name.clone(), PartView::default()))
+                .map(|name| (name.clone(), PartitionView::default()))
                 .collect(),
             claims: BTreeMap::new(),
-            round: Round::default(),
-            due: BTreeSet::new(),
-            pages: Pages::new(DONE.to_owned(), page_bytes(&facts.state)),
-            former: Pages::new(RECORDS.to_owned(), page_bytes(&facts.state)),
-            former_first: false,
-            silent_return_ms: ((facts.workers.report_s * 1_000.0 * SILENT_RETURN_REPORTS) as u64)
+            round: SchedulingRound::default(),
+            pending_writes: BTreeSet::new(),
+            completion_pages: Pages::new(DONE.to_owned(), page_bytes(&facts.state)),
+            former_record_pages: Pages::new(RECORDS.to_owned(), page_bytes(&facts.state)),
+            former_records_first: false,
+            silent_release_ms: ((facts.workers.report_s * 1_000.0 * SILENT_RETURN_REPORTS) as u64)
                 .max(SILENT_RETURN_LEAST_MS),
-            drains: BTreeSet::new(),
-            spot_seen: now,
-            odd: BTreeSet::new(),
+            draining: BTreeSet::new(),
+            spot_last_seen: now,
+            unreadable_jobs: BTreeSet::new(),
             services: BTreeSet::new(),
-            seen: BTreeSet::new(),
+            classes_seen: BTreeSet::new(),
             replica_stuck: false,
         };
-        for (id, open) in mirror.open() {
-            this.open(*id, &open.job);
+        for (id, open) in job_cache.open_jobs() {
+            this.open_job(*id, &open.job);
         }
-        for pair in &found.done {
+        for pair in &found.completion_pages {
             this.load_completions(now, pair);
         }
-        let recorded = found.records.iter().flat_map(|(_, records)| records);
+        let recorded = found.record_pages.iter().flat_map(|(_, records)| records);
         let ids = recorded.map(|record| record.task.job);
-        this.odd = ids.filter(|id| mirror.is_odd(*id)).collect();
-        for (pair, records) in &found.records {
+        this.unreadable_jobs = ids.filter(|id| job_cache.is_unreadable(*id)).collect();
+        for (pair, records) in &found.record_pages {
             this.load_records(now, pair, records, members, &found.cancelled);
         }
-        for key in &found.stale {
-            this.former.rewrite(key, now);
+        for key in &found.stale_record_pages {
+            this.former_record_pages.mark_for_rewrite(key, now);
         }
         // Claims of former leaders lapse.
         for pair in &found.claims {
-            this.due.insert(Due::Remove(pair.key.clone()));
+            this.pending_writes
+                .insert(PendingWrite::RemoveKey(pair.key.clone()));
         }
         let complete: Vec<JobId> = this
             .jobs
             .iter()
-            .filter(|(_, work)| work.complete())
+            .filter(|(_, work)| work.is_complete())
             .map(|(id, _)| *id)
             .collect();
-        this.due.extend(complete.into_iter().map(Due::Finish));
+        this.pending_writes
+            .extend(complete.into_iter().map(PendingWrite::FinishJob));
         this
     }
 
-    fn load_completions(&mut self, now: Time, pair: &Pair) {
+    fn load_completions(&mut self, now: Time, pair: &KeyValue) {
         let Some(entries) = read_completions(&pair.value) else {
             // Results are kept by the platform: such tasks run once more and end at once.
             tracing::error!(key = pair.key, "completions of another version are dropped");
-            self.due.insert(Due::Remove(pair.key.clone()));
+            self.pending_writes
+                .insert(PendingWrite::RemoveKey(pair.key.clone()));
             return;
         };
         let mut over = Vec::new();
@@ -212,34 +215,36 @@
                 continue;
             };
             for task in &entry.tasks {
-                work.finish(*task);
+                work.mark_done(*task);
             }
             for (zone, tasks) in &entry.zones {
                 work.done.count_zone(zone, *tasks);
             }
-            work.served = Some(now);
+            work.last_dispatch = Some(now);
         }
-        self.pages.adopt(pair.key.clone(), pair.version, entries);
+        self.completion_pages
+            .adopt_stored_page(pair.key.clone(), pair.version, entries);
         for key in over {
-            self.pages.remove(&key, now, false);
+            self.completion_pages.remove(&key, now, false);
         }
     }
 
     fn load_records(
         &mut self,
         now: Time,
-        pair: &Pair,
-        records: &[Recorded],
-        members: &[NodeName],
+        pair: &KeyValue,
+        records: &[AttemptRecord],
+        members: &[ControllerName],
         cancelled: &BTreeMap<JobId, Rc<Job>>,
     ) {
         let entries = records.iter().map(|r| (r.attempt, r.clone())).collect();
-        self.former.adopt(pair.key.clone(), pair.version, entries);
+        self.former_record_pages
+            .adopt_stored_page(pair.key.clone(), pair.version, entries);
         for record in records {
-            let Some(part) = owner(&record.machine, members) else {
+            let Some(partition) = owner(&record.machine, members) else {
                 continue;
             };
-            let mut out = Out::new(record.task, part.clone());
+            let mut out = ActiveAttempt::new(record.task, partition.clone());
             // Of a task that is done no other attempt was made, and this one uses nothing any more.
             let done = self.jobs.get(&record.task.job);
             let done = done.is_some_and(|work| work.done.contains(record.task.index));
@@ -250,49 +255,49 @@
             };
             out.machine = Some(record.machine.clone());
             out.job = cancelled.get(&record.task.job).cloned();
-            self.insert_out(record.attempt, out);
+            self.insert_attempt(record.attempt, out);
             if let Some(work) = self.jobs.get_mut(&record.task.job) {
-                work.served = Some(now);
+                work.last_dispatch = Some(now);
             }
         }
     }
 
     /// Numbers at most so many attempts, for tests of what follows.
     pub fn limit_attempts(&mut self, most: u64) {
-        self.attempts_most = most.min(ATTEMPTS_PER_EPOCH - 1);
+        self.attempt_limit = most.min(ATTEMPTS_PER_EPOCH - 1);
     }
 
     /// Whether there are no more numbers for attempts in this epoch. The next one's must not be used in it.
-    pub fn numbers_used_up(&self) -> bool {
-        self.attempts >= self.attempts_most
+    pub fn attempts_exhausted(&self) -> bool {
+        self.attempts_numbered >= self.attempt_limit
     }
 
     /// A job was accepted.
-    pub fn open(&mut self, id: JobId, job: &Rc<Job>) {
+    pub fn open_job(&mut self, id: JobId, job: &Rc<Job>) {
         self.jobs
             .entry(id)
-            .or_insert_with(|| Work::new(Rc::clone(job), &self.objectives));
+            .or_insert_with(|| JobTasks::new(Rc::clone(job), &self.objectives));
         if job.is_service() {
             self.services.insert(id);
         }
-        if !self.seen.contains(&job.spec.class) {
-            self.seen.insert(job.spec.class.clone());
+        if !self.classes_seen.contains(&job.spec.class) {
+            self.classes_seen.insert(job.spec.class.clone());
         }
-        self.round.stir();
+        self.round.request();
     }
 
     /// These machines are to go back: nothing is handed out to them, whether or not their owners know.
-    pub fn drain(&mut self, drains: BTreeSet<MachineId>) {
-        self.drains = drains;
+    pub fn set_draining(&mut self, drains: BTreeSet<MachineId>) {
+        self.draining = drains;
     }
 
     /// Another round may hand something out.
-    pub fn stir(&mut self) {
-        self.round.stir();
+    pub fn request_round(&mut self) {
+        self.round.request();
     }
 
     /// A job is over.
-    pub fn close(&mut self, id: JobId, now: Time) {
+    pub fn close_job(&mut self, id: JobId, now: Time) {
         let Some(work) = self.jobs.remove(&id) else {
             return;
         };
@@ -302,30 +307,30 @@
             index: work.job.spec.tasks - 1,
         });
         for chunk in 0..=last.1 {
-            self.pages.remove(&(id, chunk), now, false);
+            self.completion_pages.remove(&(id, chunk), now, false);
         }
         for attempt in work.active.into_values().flatten() {
-            self.tell(attempt, |phase| match phase {
-                Phase::Completed => Down::MarkDurable(attempt),
-                _ => Down::Stop(attempt),
+            self.send_directive(attempt, |phase| match phase {
+                Phase::Completed => Directive::MarkDurable(attempt),
+                _ => Directive::Stop(attempt),
             });
         }
-        self.due.remove(&Due::Finish(id));
+        self.pending_writes.remove(&PendingWrite::FinishJob(id));
         self.release_claims_of(id);
-        self.round.stir();
+        self.round.request();
     }
 
     /// Leaves word for the owner of an attempt.
-    fn tell(&mut self, attempt: Attempt, what: impl FnOnce(Phase) -> Down) {
-        if let Some(out) = self.outs.get(&attempt) {
-            if let Some(part) = self.parts.get_mut(&out.part) {
-                part.post(what(out.phase));
+    fn send_directive(&mut self, attempt: Attempt, what: impl FnOnce(Phase) -> Directive) {
+        if let Some(out) = self.active_attempts.get(&attempt) {
+            if let Some(partition) = self.partitions.get_mut(&out.owner) {
+                partition.enqueue(what(out.phase));
             }
         }
     }
 
-    fn insert_out(&mut self, attempt: Attempt, mut out: Out) {
-        if self.outs.contains_key(&attempt) {
+    fn insert_attempt(&mut self, attempt: Attempt, mut out: ActiveAttempt) {
+        if self.active_attempts.contains_key(&attempt) {
             return;
         }
         if let Some(work) = self.jobs.get_mut(&out.task.job) {
@@ -333,35 +338,41 @@
             work.activate(out.task.index, attempt);
         }
         if let (Some(job), true) = (&out.job, out.phase != Phase::Completed) {
-            self.quota.take(job);
+            self.quota.charge(job);
         }
-        self.outs.insert(attempt, out);
+        self.active_attempts.insert(attempt, out);
     }
 
     /// An attempt is certainly gone, or never left.
-    fn remove_out(&mut self, attempt: Attempt, how: End, now: Time) -> Option<Out> {
+    fn remove_attempt(
+        &mut self,
+        attempt: Attempt,
+        how: AttemptOutcome,
+        now: Time,
+    ) -> Option<ActiveAttempt> {
         self.set_phase(attempt, Phase::Queued, 0, now);
-        let out = self.outs.remove(&attempt)?;
+        let out = self.active_attempts.remove(&attempt)?;
         if let Some(job) = &out.job {
             // A completed attempt gave its share back when it completed.
             if out.phase != Phase::Completed {
-                self.quota.give_back(job);
+                self.quota.refund(job);
             }
         }
-        if let (Some(part), Some(job)) = (self.parts.get_mut(&out.part), &out.job) {
-            part.unreserve(out.reserved.as_ref(), job);
+        if let (Some(partition), Some(job)) = (self.partitions.get_mut(&out.owner), &out.job) {
+            partition.unreserve(out.reserved_on.as_ref(), job);
         }
         if let Some(work) = self.jobs.get_mut(&out.task.job) {
             work.deactivate(out.task.index, attempt);
         }
-        self.former.remove(&attempt, now, how == End::Lost);
-        self.round.stir();
+        self.former_record_pages
+            .remove(&attempt, now, how == AttemptOutcome::Lost);
+        self.round.request();
         Some(out)
     }
 
     /// The one place where an attempt's phase changes. A completed attempt stays so.
     fn set_phase(&mut self, attempt: Attempt, phase: Phase, ran_ms: u64, now: Time) {
-        let Some(out) = self.outs.get_mut(&attempt) else {
+        let Some(out) = self.active_attempts.get_mut(&attempt) else {
             return;
         };
         if out.phase == Phase::Completed || out.phase == phase {
@@ -387,47 +398,49 @@
             .collect()
     }
 
-    fn wanted(&self, task: TaskId) -> bool {
+    fn is_wanted(&self, task: TaskId) -> bool {
         let work = self.jobs.get(&task.job);
-        work.is_some_and(|work| !work.done.contains(task.index)) || self.odd.contains(&task.job)
+        work.is_some_and(|work| !work.done.contains(task.index))
+            || self.unreadable_jobs.contains(&task.job)
     }
 
     fn is_durable(&self, task: TaskId) -> bool {
         self.jobs.get(&task.job).is_none_or(|work| {
-            work.done.contains(task.index) && !work.undurable.contains(&task.index)
+            work.done.contains(task.index) && !work.not_durable.contains(&task.index)
         })
     }
 
-    fn completed(&mut self, attempt: Attempt, task: TaskId, zone: Option<&str>) {
+    fn task_completed(&mut self, attempt: Attempt, task: TaskId, zone: Option<&str>) {
         let Some(work) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if !work.finish(task.index) {
+        if !work.mark_done(task.index) {
             return;
         }
-        work.undurable.insert(task.index);
+        work.not_durable.insert(task.index);
         work.errors = 0;
         let mut entry = Completions {
             tasks: BTreeSet::from([task.index]),
             zones: BTreeMap::new(),
         };
-        if let (true, Some(zone)) = (work.job.zones_matter(), zone) {
+        if let (true, Some(zone)) = (work.job.has_zone_constraint(), zone) {
             work.done.count_zone(zone, 1);
             entry.zones.insert(zone.to_owned(), 1);
         }
         let others = work.active.get(&task.index).cloned().unwrap_or_default();
-        if work.complete() {
-            self.due.insert(Due::Finish(task.job));
+        if work.is_complete() {
+            self.pending_writes
+                .insert(PendingWrite::FinishJob(task.job));
         } else {
-            self.pages.add(completions_key(task), entry);
+            self.completion_pages.add(completions_key(task), entry);
         }
         for other in others.into_iter().filter(|other| *other != attempt) {
-            self.tell(other, |_| Down::Stop(other));
+            self.send_directive(other, |_| Directive::Stop(other));
         }
     }
 
     /// An attempt failed after running so long.
-    fn failed(&mut self, now: Time, ended: &Ended, ran_ms: u64) {
+    fn task_failed(&mut self, now: Time, ended: &AttemptEnded, ran_ms: u64) {
         let Some(work) = self.jobs.get_mut(&ended.task.job) else {
             return;
         };
@@ -453,21 +466,26 @@
 
     /// Writes what is going on to the log.
     pub fn log_load(&self) {
-        let usable = self.machines().filter(|view| view.up.usable);
+        let usable = self.machines().filter(|view| view.status.schedulable);
         let (machines, free) =
-            usable.fold((0, 0.0), |(n, free), view| (n + 1, free + view.room.cpus));
+            usable.fold((0, 0.0), |(n, free), view| (n + 1, free + view.free.cpus));
         let ordinary = self
             .machines()
-            .filter(|view| view.up.usable && !view.up.spot);
+            .filter(|view| view.status.schedulable && !view.status.spot);
         let (ordinary, ordinary_free) =
-            ordinary.fold((0, 0.0), |(n, free), view| (n + 1, free + view.room.cpus));
-        let waiting: u32 = self.jobs.values().map(Work::waiting).sum();
+            ordinary.fold((0, 0.0), |(n, free), view| (n + 1, free + view.free.cpus));
+        let waiting: u32 = self.jobs.values().map(JobTasks::waiting).sum();
         let stuck = self
             .jobs
             .values()
             .filter(|w| w.stuck_since.is_some())
             .count();
-        let in_phase = |phase| self.outs.values().filter(|o| o.phase == phase).count();
+        let in_phase = |phase| {
+            self.active_attempts
+                .values()
+                .filter(|o| o.phase == phase)
+                .count()
+        };
         tracing::debug!(
             jobs = self.jobs.len(), waiting, stuck, machines, free, ordinary, ordinary_free,
             queued = in_phase(Phase::Queued), placed = in_phase(Phase::Placed),
--- a/crates/worksshunt-core/src/scheduler/durability.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -7,56 +7,60 @@
 use crate::pages::PageWrite;
 use crate::time::Time;
 
-use super::parts::Down;
+use super::partitions::Directive;
 use super::Scheduler;
 
 /// What the leader wants written apart from completions, the most useful first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum PendingWrite {
     /// All tasks of the job are done.
-    Finish(JobId),
+    FinishJob(JobId),
     /// A claim on a machine, or its end.
-    Claim(MachineId),
+    UpdateClaim(MachineId),
     /// A key of a former epoch that nothing needs any more.
-    Remove(String),
+    RemoveKey(String),
 }
 
 impl Scheduler {
     /// What waits to be written apart from completions, the most useful first.
-    pub fn due(&self) -> impl Iterator<Item = &Due> {
-        self.due.iter()
+    pub fn pending_writes(&self) -> impl Iterator<Item = &PendingWrite> {
+        self.pending_writes.iter()
     }
 
     /// A key of a former epoch is gone.
-    pub fn removed(&mut self, key: &str) {
-        self.due.remove(&Due::Remove(key.to_owned()));
+    pub fn key_removed(&mut self, key: &str) {
+        self.pending_writes
+            .remove(&PendingWrite::RemoveKey(key.to_owned()));
     }
 
     /// A job could not be called done: its user was faster, or it is done already.
-    pub fn not_finished(&mut self, id: JobId) {
-        self.due.remove(&Due::Finish(id));
+    pub fn finish_refused(&mut self, id: JobId) {
+        self.pending_writes.remove(&PendingWrite::FinishJob(id));
     }
 
     /// The next write of completions, and of records of former epochs, of at most so many pages. They
     /// take turns at being first: on a busy day there are always completions to be written, and records
     /// that nothing is dropped from mislead the next epoch by all that has ended since.
-    pub fn pages_write(&mut self, now: Time, most: usize) -> Vec<PageWrite> {
-        self.former_first = !self.former_first;
+    pub fn next_page_writes(&mut self, now: Time, most: usize) -> Vec<PageWrite> {
+        self.former_records_first = !self.former_records_first;
         let mut writes = Vec::new();
-        if self.former_first {
-            writes = self.former.write(now, most);
+        if self.former_records_first {
+            writes = self.former_record_pages.next_writes(now, most);
         }
-        writes.extend(self.pages.write(now, most - writes.len()));
-        if !self.former_first {
-            writes.extend(self.former.write(now, most - writes.len()));
+        writes.extend(self.completion_pages.next_writes(now, most - writes.len()));
+        if !self.former_records_first {
+            writes.extend(
+                self.former_record_pages
+                    .next_writes(now, most - writes.len()),
+            );
         }
         writes
     }
 
     /// The pages under way are durable.
-    pub fn pages_written(&mut self, revision: Option<Revision>) {
-        self.former.written(revision);
-        for (job, chunk) in self.pages.written(revision) {
+    pub fn page_writes_applied(&mut self, revision: Option<Revision>) {
+        self.former_record_pages.write_applied(revision);
+        for (job, chunk) in self.completion_pages.write_applied(revision) {
             self.chunk_durable(job, chunk);
         }
     }
@@ -64,46 +68,49 @@
     fn chunk_durable(&mut self, job: JobId, chunk: u32) {
         // What completed since the write began is pending again and stays undurable.
         let pending = self
-            .pages
-            .waiting(&(job, chunk))
+            .completion_pages
+            .pending_entry(&(job, chunk))
             .cloned()
             .unwrap_or_default();
         // All of a complete job becomes durable with its end.
-        let Some(work) = self.jobs.get_mut(&job).filter(|work| !work.complete()) else {
+        let Some(work) = self.jobs.get_mut(&job).filter(|work| !work.is_complete()) else {
             return;
         };
         let in_chunk = |index: &u32| completions_key(TaskId { job, index: *index }).1 == chunk;
         let written: Vec<u32> = work
-            .undurable
+            .not_durable
             .iter()
             .copied()
             .filter(|index| in_chunk(index) && !pending.tasks.contains(index))
             .collect();
         let mut attempts = Vec::new();
         for index in written {
-            work.undurable.remove(&index);
+            work.not_durable.remove(&index);
             attempts.extend(work.active.get(&index).into_iter().flatten().copied());
         }
         for attempt in attempts {
             if self
-                .outs
+                .active_attempts
                 .get(&attempt)
                 .is_some_and(|o| o.phase == Phase::Completed)
             {
-                self.tell(attempt, |_| Down::MarkDurable(attempt));
+                self.send_directive(attempt, |_| Directive::MarkDurable(attempt));
             }
         }
     }
 
     /// Pages whose versions have to be read.
     pub fn uncertain_pages(&self) -> Vec<String> {
-        let uncertain = self.pages.uncertain().chain(self.former.uncertain());
+        let uncertain = self
+            .completion_pages
+            .uncertain_keys()
+            .chain(self.former_record_pages.uncertain_keys());
         uncertain.cloned().collect()
     }
 
     /// A page's version was read.
-    pub fn page_found(&mut self, key: &str, version: Revision) {
-        self.pages.found(key, version);
-        self.former.found(key, version);
+    pub fn page_version_read(&mut self, key: &str, version: Revision) {
+        self.completion_pages.version_read(key, version);
+        self.former_record_pages.version_read(key, version);
     }
 }
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -3,18 +3,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use worksshunt_wire::peer::{MachineUp, Phase};
+use worksshunt_wire::peer::{MachineStatus, Phase};
 use worksshunt_wire::user::Priority;
 use worksshunt_wire::{Attempt, MachineId, TeamName};
 
 use crate::constants::{PREEMPT_AFTER_MS, REPLICA_LOSS_MS};
 use crate::jobs::Job;
 use crate::quota::Quota;
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::time::{Budget, Now};
 
-use super::parts::Down;
-use super::work::{Rank, Work};
+use super::job_tasks::{JobTasks, Rank};
+use super::partitions::Directive;
 use super::Scheduler;
 
 /// What a job may claim of its team's guarantee.
@@ -29,7 +29,7 @@
 }
 
 /// A task that may be stopped for another.
-struct Victim {
+struct PreemptibleAttempt {
     /// The work that would be lost, milliseconds.
     loses_ms: u64,
     attempt: Attempt,
@@ -65,18 +65,18 @@
     /// Whether room for the job can be there at all: on some machine as it is, or where tasks may be stopped. Most
     /// jobs that wait on a full fleet are answered for by this, without a look at what runs on each machine.
     fn may_have_room(&self, job: &Job, stoppable: &[bool]) -> bool {
-        let need = job.room();
+        let need = job.resources();
         let mut machines = self.machines.values();
-        stoppable.contains(&true) || machines.any(|ground| ground.room.holds(&need))
+        stoppable.contains(&true) || machines.any(|ground| ground.room.fits(&need))
     }
 }
 
 /// A machine with the room that is or will be free there, and what runs on it.
 struct Ground<'a> {
-    machine: &'a MachineUp,
-    room: Room,
+    machine: &'a MachineStatus,
+    room: Resources,
     /// Least loss first.
-    victims: Vec<Victim>,
+    victims: Vec<PreemptibleAttempt>,
 }
 
 /// A job that waits for room, in order of service.
@@ -89,15 +89,15 @@
     /// stopped twice in a row.
     pub fn preempt(&mut self, now: Now, budget: &Budget) {
         self.replica_stuck = false;
-        let waits = |work: &&Work| {
+        let waits = |work: &&JobTasks| {
             let long = |since| now.steady.since(since) >= PREEMPT_AFTER_MS;
             let is_service = work.job.is_service();
             work.stuck_since
                 .is_some_and(|since| is_service || long(since))
-                && (is_service || !work.job.zones_matter())
+                && (is_service || !work.job.has_zone_constraint())
                 && !work.job.spec.one_zone
-                && self.quota.admits(&work.job)
-                && self.presses(&work.job, now, self.quota.guarantees(&work.job))
+                && self.quota.admits_one_more(&work.job)
+                && self.is_at_risk(&work.job, now, self.quota.guarantees_one_more(&work.job))
         };
         let mut stuck: Vec<Stuck> = self
             .jobs
@@ -111,34 +111,34 @@
         stuck.sort_by_key(|(rank, _, _)| *rank);
         let chosen = self.choose_victims(&stuck, now, budget);
         for attempt in chosen {
-            if let Some(out) = self.outs.get_mut(&attempt) {
+            if let Some(out) = self.active_attempts.get_mut(&attempt) {
                 out.preempted = true;
             }
-            self.tell(attempt, |_| Down::Stop(attempt));
+            self.send_directive(attempt, |_| Directive::Stop(attempt));
         }
     }
 
-    fn presses(&self, job: &Job, now: Now, guaranteed: bool) -> bool {
-        job.is_service() || self.objectives.pressing(job, now.wall_ms, guaranteed)
+    fn is_at_risk(&self, job: &Job, now: Now, guaranteed: bool) -> bool {
+        job.is_service() || self.objectives.at_risk(job, now.wall_ms, guaranteed)
     }
 
     fn choose_victims(&self, stuck: &[Stuck], now: Now, budget: &Budget) -> Vec<Attempt> {
-        let mut grounds = self.grounds(now);
+        let mut grounds = self.preemption_candidates(now);
         let mut quota = self.quota.clone();
         let mut chosen = Vec::new();
         for (_, job, waiting) in stuck {
-            let mut zones = self.zone_room(job);
+            let mut zones = self.zone_allowance(job);
             for _ in 0..*waiting {
-                let guaranteed = quota.guarantees(job);
-                let guarantee = match (guaranteed, self.round.presses(job)) {
+                let guaranteed = quota.guarantees_one_more(job);
+                let guarantee = match (guaranteed, self.round.is_at_risk(job)) {
                     (true, true) => Guarantee::First,
                     (true, false) => Guarantee::AmongEquals,
                     (false, _) => Guarantee::UsedUp,
                 };
-                if budget.spent() {
+                if budget.exhausted() {
                     return chosen;
                 }
-                if !quota.admits(job) || !self.presses(job, now, guaranteed) {
+                if !quota.admits_one_more(job) || !self.is_at_risk(job, now, guaranteed) {
                     break;
                 }
                 let stoppable = grounds.stoppable(job, guarantee, &quota);
@@ -162,23 +162,23 @@
         chosen
     }
 
-    fn grounds(&self, now: Now) -> Grounds<'_> {
+    fn preemption_candidates(&self, now: Now) -> Grounds<'_> {
         let mut indices: BTreeMap<Class, usize> = BTreeMap::new();
         let mut classes: Vec<Rc<Job>> = Vec::new();
         let mut grounds: BTreeMap<MachineId, Ground> = self
             .machines()
-            .filter(|view| view.up.usable && !view.up.noticed)
-            .filter(|view| !self.claims.contains_key(&view.up.id))
+            .filter(|view| view.status.schedulable && !view.status.reclaim_notice)
+            .filter(|view| !self.claims.contains_key(&view.status.id))
             .map(|view| {
                 let ground = Ground {
-                    machine: &view.up,
-                    room: view.room,
+                    machine: &view.status,
+                    room: view.free,
                     victims: Vec::new(),
                 };
-                (view.up.id.clone(), ground)
+                (view.status.id.clone(), ground)
             })
             .collect();
-        for (attempt, out) in &self.outs {
+        for (attempt, out) in &self.active_attempts {
             let (Some(id), Some(job)) = (&out.machine, &out.job) else {
                 continue;
             };
@@ -190,10 +190,10 @@
             }
             if out.preempted {
                 // Room that earlier stops will leave.
-                ground.room.give_back(&job.room());
+                ground.room.release(&job.resources());
                 continue;
             }
-            let ran_ms = out.ran_ms(now.steady);
+            let ran_ms = out.running_ms(now.steady);
             let loses_ms = match job.spec.checkpoint_s {
                 // What a replica is there for ends with every stop, so it is stopped last.
                 _ if job.is_service() => REPLICA_LOSS_MS,
@@ -204,7 +204,7 @@
                 classes.push(Rc::clone(job));
                 classes.len() - 1
             });
-            ground.victims.push(Victim {
+            ground.victims.push(PreemptibleAttempt {
                 loses_ms,
                 attempt: *attempt,
                 job: Rc::clone(job),
@@ -231,12 +231,12 @@
     grounds: &mut BTreeMap<MachineId, Ground>,
     chosen: &mut Vec<Attempt>,
 ) -> Option<String> {
-    let need = job.room();
+    let need = job.resources();
     let mut best: Option<(u64, MachineId, Vec<usize>)> = None;
     for (id, ground) in grounds.iter() {
         let machine = ground.machine;
         let open = |zones: &BTreeMap<String, u32>| zones.get(&machine.zone).is_some_and(|n| *n > 0);
-        if !job.allows(&machine.machine_type, &machine.zone, machine.spot)
+        if !job.allows_machine(&machine.machine_type, &machine.zone, machine.spot)
             || !zones.is_none_or(open)
         {
             continue;
@@ -245,7 +245,7 @@
         let mut cost = 0;
         let mut stopped: Vec<usize> = Vec::new();
         for (index, victim) in ground.victims.iter().enumerate() {
-            if room.holds(&need) {
+            if room.fits(&need) {
                 break;
             }
             if !stoppable[victim.class] {
@@ -258,12 +258,12 @@
                 .filter(|other| other.spec.team == victim.job.spec.team);
             let over = quota.over_guarantee_without(&victim.job.spec.team, same_team);
             if may_stop(&victim.job, over, job, guarantee) {
-                room.give_back(&victim.job.room());
+                room.release(&victim.job.resources());
                 cost += victim.loses_ms;
                 stopped.push(index);
             }
         }
-        if room.holds(&need) && best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
+        if room.fits(&need) && best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
             best = Some((cost, id.clone(), stopped));
             if cost == 0 {
                 break;
@@ -271,16 +271,16 @@
         }
     }
     let (lost_ms, id, stopped) = best?;
-    quota.take(job);
+    quota.charge(job);
     let ground = grounds.get_mut(&id)?;
     for index in stopped.into_iter().rev() {
         let victim = ground.victims.remove(index);
-        ground.room.give_back(&victim.job.room());
-        quota.give_back(&victim.job);
+        ground.room.release(&victim.job.resources());
+        quota.refund(&victim.job);
         tracing::debug!(attempt = %victim.attempt, machine = %id, lost_ms, job = %job.spec.id, "preempted");
         chosen.push(victim.attempt);
     }
-    ground.room.take(&need);
+    ground.room.allocate(&need);
     Some(ground.machine.zone.clone())
 }
 
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -7,7 +7,7 @@
 
 use crate::constants::{MAX_TASKS, ROUNDING};
 use crate::quota::Quota;
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// Why a submission is refused for good.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -74,9 +74,9 @@
     if over(spec.cpus, cpus_max) || over(spec.gpus, gpus_max) {
         return impossible(text);
     }
-    let need = Room::of_task(spec);
+    let need = Resources::of_task(spec);
     let fits = catalog.types.iter().any(|t| {
-        Room::of_type(t).holds(&need)
+        Resources::of_machine_type(t).fits(&need)
             && spec
                 .machine_types
                 .as_ref()
--- a/crates/worksshunt-core/src/time.rs
+++ b/crates/worksshunt-core/src/time.rs
@@ -48,24 +48,24 @@
 
 impl Budget<'_> {
     /// Whether the time is used up.
-    pub fn spent(&self) -> bool {
+    pub fn exhausted(&self) -> bool {
         (self.clock)() >= self.until
     }
 }
 
 /// Tokens that come back at a steady rate.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket of `burst` tokens that regains `rate` a second.
-    pub fn new(rate: f64, burst: f64) -> Bucket {
-        Bucket {
+    pub fn new(rate: f64, burst: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             burst,
             level: burst,
@@ -98,18 +98,18 @@
 
 impl Periodic {
     /// Whether it should be done now.
-    pub fn due(&self, now: Time) -> bool {
+    pub fn is_due(&self, now: Time) -> bool {
         !self.in_flight && now >= self.next
     }
 
     /// It is under way; next time no sooner than after so long.
-    pub fn sent(&mut self, now: Time, every_ms: u64) {
+    pub fn mark_sent(&mut self, now: Time, every_ms: u64) {
         self.in_flight = true;
         self.next = now + every_ms;
     }
 
     /// It has ended; next time after so long.
-    pub fn retry(&mut self, now: Time, after_ms: u64) {
+    pub fn schedule_retry(&mut self, now: Time, after_ms: u64) {
         self.in_flight = false;
         self.next = now + after_ms;
     }
--- a/crates/worksshunt-core/tests/scale/ends.rs
+++ b/crates/worksshunt-core/tests/scale/ends.rs
@@ -11,7 +11,7 @@
 fn jobs_end_as_fast_as_they_come_in() {
     let mut cluster = Cluster::large(1_000);
     cluster.boot_ms = 2_000;
-    cluster.run_ms = 8_000;
+    cluster.task_run_ms = 8_000;
     cluster.run(2_000);
     let mut submitted = 0;
     let mut submit = |cluster: &mut Cluster, jobs: u64| {
--- a/crates/worksshunt-core/tests/scale/fixtures.rs
+++ b/crates/worksshunt-core/tests/scale/fixtures.rs
@@ -36,7 +36,7 @@
 /// A deployment of [`MACHINES`] machines, all full of tasks that run so long.
 pub fn full_deployment(run_ms: u64) -> Cluster {
     let mut cluster = Cluster::large(MACHINES);
-    cluster.run_ms = run_ms;
+    cluster.task_run_ms = run_ms;
     cluster.boot_ms = 2_000;
     cluster.run(2_000);
     submit_jobs(&mut cluster, 1..=JOBS_AT_ONCE + 8);
@@ -63,7 +63,7 @@
             for _ in 0..QUESTIONS_PER_S {
                 self.asked += 1;
                 let node = (self.asked % 3) as usize;
-                let life = cluster.life(node);
+                let life = cluster.controller_incarnation(node);
                 let slot = cluster.send_status(node, JobId(1 + self.asked % JOBS_AT_ONCE));
                 self.open.push((cluster.now, node, life, slot));
             }
@@ -86,7 +86,7 @@
                 }
                 return false;
             }
-            let ended = life.is_none() || cluster.life(*node) != *life;
+            let ended = life.is_none() || cluster.controller_incarnation(*node) != *life;
             let late = cluster.now > sent + USER_DEADLINE_MS;
             assert!(
                 ended || !late,
--- a/crates/worksshunt-core/tests/scale/state_service.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,6 +1,6 @@
 //! The state service away, slow and refusing, with thousands of machines to keep.
 
-use worksshunt_core::time::Bucket;
+use worksshunt_core::time::TokenBucket;
 use worksshunt_simulation::{Cluster, LateWrites};
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
@@ -9,19 +9,24 @@
 fn an_outage_longer_than_a_lease_then_slow_answers_and_lost_ones() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
-    cluster.trouble.state_down = true;
+    cluster.faults.key_value_store_down = true;
     users.ask_for(&mut cluster, 20);
-    let lost = |w: &Cluster| w.workers.keys().filter(|id| w.session(id) > 1).count();
+    let lost = |w: &Cluster| {
+        w.workers
+            .keys()
+            .filter(|id| w.worker_incarnation(id) > 1)
+            .count()
+    };
     assert_eq!(lost(&cluster), 0, "leases outlive the outage");
-    cluster.trouble.state_down = false;
-    cluster.trouble.state_slow_ms = 600;
-    cluster.trouble.late_writes = Some(LateWrites {
+    cluster.faults.key_value_store_down = false;
+    cluster.faults.key_value_store_slow_ms = 600;
+    cluster.faults.late_writes = Some(LateWrites {
         share: 0.2,
         after_ms: (0, 3_000),
     });
     users.ask_for(&mut cluster, 20);
-    cluster.trouble.state_slow_ms = 0;
-    cluster.trouble.late_writes = None;
+    cluster.faults.key_value_store_slow_ms = 0;
+    cluster.faults.late_writes = None;
     assert!(cluster.effects("late write") > 5, "answers were lost");
     assert!(users.served > 0 && users.refused > 0);
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
@@ -33,12 +38,12 @@
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
     let full = cluster.state_rates.clone();
-    cluster.state_rates = Some((Bucket::new(60.0, 60.0), Bucket::new(10.0, 10.0)));
+    cluster.state_rates = Some((TokenBucket::new(60.0, 60.0), TokenBucket::new(10.0, 10.0)));
     users.ask_for(&mut cluster, 45);
     assert!(
-        cluster.meter.refused > 100,
+        cluster.usage.refused > 100,
         "{} refused",
-        cluster.meter.refused
+        cluster.usage.refused
     );
     cluster.state_rates = full;
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -10,13 +10,13 @@
 fn half_of_the_machines_are_cut_off_and_back_in_the_same_second() {
     let mut cluster = full_deployment(40_000);
     let mut users = Users::default();
-    cluster.trouble.copies_after_ms = vec![9_000, 30_000];
+    cluster.faults.heartbeat_copies_after_ms = vec![9_000, 30_000];
     cluster.run(3_000);
-    cluster.trouble.zone_cut = Some(("b".into(), BTreeSet::new()));
+    cluster.faults.partitioned_zone = Some(("b".into(), BTreeSet::new()));
     users.ask_for(&mut cluster, 22);
-    cluster.trouble.zone_cut = None;
+    cluster.faults.partitioned_zone = None;
     users.ask_for(&mut cluster, 20);
-    cluster.trouble.copies_after_ms.clear();
+    cluster.faults.heartbeat_copies_after_ms.clear();
     assert!(
         cluster.effects("copy") > 50_000,
         "late copies of all reports came"
@@ -31,13 +31,13 @@
     let mut users = Users::default();
     cluster.run(22_000);
     for id in 1..=8 {
-        cluster.send_withdraw((id % 3) as usize, JobId(id));
+        cluster.send_cancel((id % 3) as usize, JobId(id));
     }
     cluster.run(700);
     let leader = cluster.leader();
-    cluster.bounce(leader, 300);
+    cluster.restart(leader, 300);
     users.ask_for(&mut cluster, 40);
-    assert_eq!(cluster.rules.starts_after_cancel, 0);
+    assert_eq!(cluster.invariants.starts_after_cancel, 0);
     assert!(users.served > users.refused, "questions are answered");
     finish(&mut cluster, 9..=JOBS_AT_ONCE + 8, 180_000);
 }
--- a/crates/worksshunt-core/tests/scale/main.rs
+++ b/crates/worksshunt-core/tests/scale/main.rs
@@ -3,7 +3,7 @@
 
 mod ends;
 mod fixtures;
+mod key_value_store;
 mod loss;
 mod restart;
 mod start;
-mod state_service;
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -12,7 +12,7 @@
 fn one_controller_takes_all_machines_and_gives_them_back() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
-    let begun = cluster.starts.len();
+    let begun = cluster.task_starts.len();
     let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
     let left = (cluster.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != left).collect();
@@ -24,11 +24,11 @@
     );
     others.iter().for_each(|node| cluster.start(*node));
     users.ask_for(&mut cluster, 20);
-    let again = cluster.starts[begun..]
+    let again = cluster.task_starts[begun..]
         .iter()
         .filter(|(_, task, _)| running.contains(task));
     assert_eq!(again.count(), 0, "nothing that ran was started again");
-    let (most, dropped) = (cluster.meter.sync_most, cluster.meter.frames_dropped);
+    let (most, dropped) = (cluster.usage.sync_most, cluster.usage.frames_dropped);
     assert!(
         dropped == 0 && most < FRAME_BYTES / 8,
         "an exchange of {most} bytes"
@@ -47,7 +47,7 @@
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     for id in ORPHANED_JOBS {
-        cluster.send_withdraw(0, JobId(id));
+        cluster.send_cancel(0, JobId(id));
     }
     let cancelled = |w: &Cluster| {
         ORPHANED_JOBS
@@ -80,24 +80,24 @@
         .collect();
     let lost = running.iter().filter(|task| !orphaned(task)).count() - kept.len();
     users.ask_for(&mut cluster, 5);
-    cluster.meter.reset();
-    let begun = cluster.starts.len();
+    cluster.usage.reset();
+    let begun = cluster.task_starts.len();
     (0..3).for_each(|node| cluster.start(node));
     users.ask_for(&mut cluster, 20);
-    let again = cluster.starts[begun..]
+    let again = cluster.task_starts[begun..]
         .iter()
         .filter(|(_, task, _)| kept.contains(task));
     assert_eq!(again.count(), 0, "work under way is kept");
     // Each stop is told with the answer to a report and straight to the worker, whichever arrives.
-    let halts = cluster.meter.halts as usize;
+    let halts = cluster.usage.halts as usize;
     assert!(
         halts <= orphans * 2,
         "{halts} stops for {orphans} orphans of which some vanished"
     );
-    let launches = cluster.meter.launches as usize;
+    let launches = cluster.usage.launches as usize;
     assert_eq!(
         launches,
-        cluster.starts.len() - begun,
+        cluster.task_starts.len() - begun,
         "each start was ordered once"
     );
     let room = TASKS_AT_ONCE - kept.len();
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -18,9 +18,9 @@
     assert!(running >= TASKS_AT_ONCE * 9 / 10, "{running} run");
     finish(&mut cluster, 1..=64, 90_000);
     let tasks = 64 * JOB_TASKS as usize;
-    assert_eq!(cluster.starts.len(), tasks, "each task started once");
-    assert_eq!(cluster.meter.launches, tasks as u64);
-    let meter = &cluster.meter;
+    assert_eq!(cluster.task_starts.len(), tasks, "each task started once");
+    assert_eq!(cluster.usage.launches, tasks as u64);
+    let meter = &cluster.usage;
     assert!(
         meter.changes <= tasks as u64 / 20,
         "{} changes",
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -15,20 +15,20 @@
         for cancel_ms in [0, 450, 2_000] {
             let moment = format!("{slow_ms} slower, cancelled after {cancel_ms}");
             let mut cluster = busy(5, 40_000);
-            cluster.trouble.close_looks = true;
-            cluster.trouble.state_slow_ms = slow_ms;
+            cluster.faults.rapid_status_queries = true;
+            cluster.faults.key_value_store_slow_ms = slow_ms;
             cluster.run(cancel_ms);
             for id in 1..=3 {
-                cluster.send_withdraw(id as usize % 3, JobId(id));
+                cluster.send_cancel(id as usize % 3, JobId(id));
             }
             cluster.send_submit(1, &job(7, 2));
             cluster.run(9_000);
-            cluster.trouble.state_slow_ms = 0;
+            cluster.faults.key_value_store_slow_ms = 0;
             for id in 1..=3 {
-                cluster.send_withdraw(id as usize % 3, JobId(id));
+                cluster.send_cancel(id as usize % 3, JobId(id));
             }
             cluster.run(32_000);
-            assert!(cluster.rules.any_cancelled(), "{moment}");
+            assert!(cluster.invariants.any_cancelled(), "{moment}");
             assert!(cluster.effects("close look") > 0, "{moment}");
             settle(&mut cluster, &moment);
         }
@@ -41,9 +41,9 @@
     for away_ms in (12_000..24_000).step_by(800) {
         let moment = format!("away for {away_ms}");
         let mut cluster = busy(5, 30_000);
-        cluster.trouble.copies_after_ms = vec![away_ms + 2_000];
+        cluster.faults.heartbeat_copies_after_ms = vec![away_ms + 2_000];
         cluster.run(3_000);
-        let hung = cluster.starts[0].2.clone();
+        let hung = cluster.task_starts[0].2.clone();
         cluster.hang(&hung, away_ms - 2_000);
         (0..3).for_each(|node| cluster.crash(node));
         cluster.run(away_ms);
@@ -63,16 +63,16 @@
             let moment = format!("{alone} back after {back_ms}");
             let mut cluster = busy(5, 40_000);
             let leader = cluster.leader();
-            cluster.bounce(leader, back_ms);
+            cluster.restart(leader, back_ms);
             cluster.run(back_ms + 1_500);
             let leader = cluster.leader();
-            cluster.bounce(leader, back_ms);
+            cluster.restart(leader, back_ms);
             cluster.run(back_ms + 700);
             cluster.submit(
                 (0..3).find(|n| cluster.is_up(*n)).expect("one"),
                 &long_job(9, 4),
             );
-            cluster.send_withdraw(alone, JobId(1));
+            cluster.send_cancel(alone, JobId(1));
             cluster.run(back_ms);
             (0..3).for_each(|node| cluster.crash(node));
             cluster.run(back_ms);
@@ -97,22 +97,22 @@
         let mut cluster = busy(6, 120_000);
         let leader = cluster.leader();
         let node = others(leader)[step as usize % 2];
-        cluster.later(300, move |w| {
-            w.trouble.refused.insert(leader);
+        cluster.schedule(300, move |w| {
+            w.faults.refused_by_key_value_store.insert(leader);
         });
-        cluster.later(cancel_ms, move |w| {
+        cluster.schedule(cancel_ms, move |w| {
             for id in 1..=4 {
-                w.send_withdraw(node, JobId(id));
+                w.send_cancel(node, JobId(id));
             }
         });
-        cluster.later(1_300, |w| w.trouble.state_down = true);
+        cluster.schedule(1_300, |w| w.faults.key_value_store_down = true);
         cluster.run(33_000 + 1_300);
         assert!(
-            cluster.rules.any_cancelled() && cluster.effects("refused") > 0,
+            cluster.invariants.any_cancelled() && cluster.effects("refused") > 0,
             "{moment}"
         );
-        cluster.trouble.state_down = false;
-        cluster.trouble.refused.clear();
+        cluster.faults.key_value_store_down = false;
+        cluster.faults.refused_by_key_value_store.clear();
         cluster.run(35_000);
         settle(&mut cluster, &moment);
     }
@@ -125,7 +125,7 @@
         for cancel_ms in (0..6_000).step_by(600) {
             let moment = format!("{how}, cancelled after {cancel_ms}");
             let mut cluster = ready_with_boots_of(50.0);
-            cluster.run_ms = 40_000;
+            cluster.task_run_ms = 40_000;
             cluster.submit(0, &red(1, 8));
             cluster.until("tasks", 30_000, |w| w.running().len() == 8);
             cluster.submit(1, &red(2, 8));
@@ -133,10 +133,10 @@
             for id in machines_of(&cluster, 1) {
                 match how {
                     "deaf" => {
-                        cluster.trouble.deaf.insert(id);
+                        cluster.faults.unreachable_machines.insert(id);
                     }
                     "mute" => {
-                        cluster.trouble.mute.insert(id);
+                        cluster.faults.silent_machines.insert(id);
                     }
                     _ => cluster.hang(&id, 12_000),
                 }
@@ -145,15 +145,15 @@
             let leader = cluster.leader();
             cluster.crash(leader);
             let node = others(leader)[0];
-            cluster.later(cancel_ms, move |w| {
-                w.send_withdraw(node, JobId(1));
+            cluster.schedule(cancel_ms, move |w| {
+                w.send_cancel(node, JobId(1));
             });
             cluster.run(6_500);
             cluster.start(leader);
             cluster.run(7_000);
-            assert!(cluster.rules.any_cancelled(), "{moment}");
-            cluster.trouble.deaf.clear();
-            cluster.trouble.mute.clear();
+            assert!(cluster.invariants.any_cancelled(), "{moment}");
+            cluster.faults.unreachable_machines.clear();
+            cluster.faults.silent_machines.clear();
             cluster.run(30_000);
             settle(&mut cluster, &moment);
             assert!(cluster.all_done(2, 8), "{moment}");
@@ -167,9 +167,9 @@
     for crash_ms in (0..12_000).step_by(400) {
         let moment = format!("the leader ends after {crash_ms}");
         let mut cluster = ready();
-        cluster.run_ms = 3_000;
+        cluster.task_run_ms = 3_000;
         cluster.run_spread_ms = 6_000;
-        cluster.trouble.close_looks = true;
+        cluster.faults.rapid_status_queries = true;
         for id in 1..=6 {
             cluster.send_submit(id as usize % 3, &job(id, 2 + id as u32 % 2));
         }
@@ -178,11 +178,11 @@
         });
         cluster.run(crash_ms);
         let leader = cluster.leader();
-        cluster.bounce(leader, if crash_ms % 800 == 0 { 300 } else { 5_000 });
+        cluster.restart(leader, if crash_ms % 800 == 0 { 300 } else { 5_000 });
         cluster.run(12_000);
         assert!(cluster.effects("close look") > 0, "{moment}");
         settle(&mut cluster, &moment);
-        let (tasks, starts) = (15, cluster.starts.len());
+        let (tasks, starts) = (15, cluster.task_starts.len());
         assert_eq!(starts, tasks, "{moment}: each task ran once");
     }
 }
@@ -197,13 +197,13 @@
             let first = cluster.epoch();
             for change in 0..10 {
                 let leader = cluster.leader();
-                cluster.bounce(leader, 200 + 450 * (change % 4));
+                cluster.restart(leader, 200 + 450 * (change % 4));
                 if outage_ms > 0 && change % 3 == 1 {
-                    cluster.later(600, |w| w.trouble.state_down = true);
-                    cluster.later(600 + outage_ms, |w| w.trouble.state_down = false);
+                    cluster.schedule(600, |w| w.faults.key_value_store_down = true);
+                    cluster.schedule(600 + outage_ms, |w| w.faults.key_value_store_down = false);
                 }
                 let node = others(leader)[0];
-                cluster.send_withdraw(node, JobId(1 + change % 2));
+                cluster.send_cancel(node, JobId(1 + change % 2));
                 cluster.send_submit(node, &job(20 + change, 3));
                 cluster.run(every_ms);
             }
@@ -224,9 +224,9 @@
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.run_ms = 2_000;
-        cluster.trouble.cancel_at_end = 1.0;
-        cluster.trouble.close_looks = true;
+        cluster.task_run_ms = 2_000;
+        cluster.faults.cancel_at_completion = 1.0;
+        cluster.faults.rapid_status_queries = true;
         for id in 1..=12 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 4));
             cluster.run(17 * seed);
@@ -243,25 +243,25 @@
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.run_ms = 6_000;
-        cluster.trouble.close_looks = true;
-        cluster.trouble.cancel_at_end = 0.3;
-        cluster.trouble.late_writes = Some(LateWrites {
+        cluster.task_run_ms = 6_000;
+        cluster.faults.rapid_status_queries = true;
+        cluster.faults.cancel_at_completion = 0.3;
+        cluster.faults.late_writes = Some(LateWrites {
             share: 0.3,
             after_ms: (2_000, 12_000),
         });
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 5));
             if id % 4 == 0 {
-                cluster.later(200 * seed, move |w| {
-                    w.send_withdraw(id as usize % 3, JobId(id));
+                cluster.schedule(200 * seed, move |w| {
+                    w.send_cancel(id as usize % 3, JobId(id));
                 });
             }
             cluster.run(400);
         }
         cluster.run(10_000);
         let leader = cluster.leader();
-        cluster.bounce(leader, 700);
+        cluster.restart(leader, 700);
         cluster.run(20_000);
         assert!(cluster.effects("late write") > 20, "seed {seed}");
         settle(&mut cluster, &format!("seed {seed}"));
@@ -277,22 +277,22 @@
         let moment = format!("cancelled after {cancel_ms}");
         let mut cluster = busy(6, 100_000);
         let leader = cluster.leader();
-        cluster.trouble.cut_from_state.insert(leader);
-        cluster.trouble.cut_from_peers.insert(leader);
+        cluster.faults.cut_from_key_value_store.insert(leader);
+        cluster.faults.cut_from_peers.insert(leader);
         cluster.run(cancel_ms);
         let node = others(leader)[0];
         for id in 1..=6 {
-            cluster.send_withdraw(node, JobId(id));
+            cluster.send_cancel(node, JobId(id));
             cluster.send_status(leader, JobId(id));
         }
         cluster.run(6_000);
         for id in 1..=6 {
-            cluster.send_withdraw(node, JobId(id));
+            cluster.send_cancel(node, JobId(id));
             cluster.send_status(leader, JobId(id));
         }
         cluster.run(30_000);
         assert_ne!(cluster.leader(), leader, "{moment}");
-        assert!(cluster.rules.any_cancelled(), "{moment}");
+        assert!(cluster.invariants.any_cancelled(), "{moment}");
         settle(&mut cluster, &moment);
         assert_eq!(cluster.running(), Vec::new(), "{moment}");
     }
@@ -305,16 +305,16 @@
         let moment = format!("{slow_ms} slower");
         let mut cluster = ready();
         cluster.capacity = 3;
-        cluster.run_ms = 4_000;
-        cluster.hop_ms = 60;
-        cluster.trouble.state_slow_ms = slow_ms;
+        cluster.task_run_ms = 4_000;
+        cluster.link_delay_ms = 60;
+        cluster.faults.key_value_store_slow_ms = slow_ms;
         for id in 1..=24 {
             let mut job = job(id, 6);
             job["Turno"] = json!(["low", "normal", "urgent"][id as usize % 3]);
             cluster.send_submit(id as usize % 3, &job);
             cluster.run(300);
         }
-        cluster.send_withdraw(1, JobId(3));
+        cluster.send_cancel(1, JobId(3));
         cluster.until("a full fleet", 30_000, |w| w.running().len() >= 10);
         settle(&mut cluster, &moment);
     }
@@ -331,10 +331,10 @@
             cluster.submit(others(node)[0], &red(8, 8));
             cluster.submit(others(node)[0], &long_job(9, 8));
             cluster.run(step * 13);
-            cluster.freeze(node, still_ms);
+            cluster.pause(node, still_ms);
             cluster.run(700);
             for id in [1, 8] {
-                cluster.send_withdraw(others(node)[0], JobId(id));
+                cluster.send_cancel(others(node)[0], JobId(id));
             }
             cluster.submit(others(node)[0], &red(10, 8));
             cluster.run(still_ms);
@@ -355,12 +355,12 @@
     for seed in 1..=6 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.trouble.close_looks = true;
+        cluster.faults.rapid_status_queries = true;
         cluster.submit(0, &job(1, 3));
         cluster.submit(1, &red(2, 8));
         let leader = cluster.leader();
-        cluster.bounce(leader, 150 * seed);
-        cluster.trouble.late_writes = Some(LateWrites {
+        cluster.restart(leader, 150 * seed);
+        cluster.faults.late_writes = Some(LateWrites {
             share: 0.3,
             after_ms: (0, 3_000),
         });
@@ -387,7 +387,7 @@
             replies.push((400, cluster.send_submit(node, &lacks)));
             replies.push((422, cluster.send_submit(node, &never)));
             replies.push((404, cluster.send_status(node, JobId(60))));
-            replies.push((404, cluster.send_withdraw(node, JobId(61))));
+            replies.push((404, cluster.send_cancel(node, JobId(61))));
             let bytes = b"{\"Ref\": ".to_vec();
             replies.push((400, cluster.send(node, |r| Event::Submit(r, bytes))));
             cluster.run(230);
@@ -409,7 +409,7 @@
         assert!(refused > 60, "seed {seed}: {refused}");
         settle(&mut cluster, &format!("seed {seed}"));
         // What is done stays so, whoever cancels it.
-        let reply = cluster.withdraw(0, 1);
+        let reply = cluster.cancel(0, 1);
         assert!(
             reply.status == 200 && reply.body.contains("done"),
             "{reply:?}"
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
@@ -14,21 +14,21 @@
             let moment = format!("outage {outage_ms}, cancelled after {cancel_ms}");
             let mut cluster = busy(6, 120_000);
             let leader = cluster.leader();
-            cluster.trouble.refused.insert(leader);
+            cluster.faults.refused_by_key_value_store.insert(leader);
             cluster.run(cancel_ms);
             for id in 1..=4 {
-                cluster.send_withdraw(others(leader)[id as usize % 2], JobId(id));
+                cluster.send_cancel(others(leader)[id as usize % 2], JobId(id));
             }
             cluster.run(2_400 - cancel_ms);
-            cluster.trouble.state_down = true;
-            cluster.later(12_000, |w| w.trouble.refused.clear());
+            cluster.faults.key_value_store_down = true;
+            cluster.schedule(12_000, |w| w.faults.refused_by_key_value_store.clear());
             cluster.run(outage_ms);
             assert!(
-                cluster.rules.any_cancelled(),
+                cluster.invariants.any_cancelled(),
                 "{moment}: none was confirmed"
             );
             assert!(cluster.effects("refused") > 0, "{moment}");
-            cluster.trouble.state_down = false;
+            cluster.faults.key_value_store_down = false;
             cluster.run(40_000);
             settle(&mut cluster, &moment);
         }
@@ -41,14 +41,14 @@
 fn a_controller_whose_watch_is_never_answered_stops_renewing_leases() {
     for after_ms in [0, 700, 5_000] {
         let mut cluster = busy(6, 200_000);
-        cluster.trouble.watchless = (0..3).collect();
+        cluster.faults.without_watch_responses = (0..3).collect();
         cluster.run(after_ms);
         let second = others(cluster.leader())[0];
         for id in 1..=4 {
-            cluster.send_withdraw(second, JobId(id));
+            cluster.send_cancel(second, JobId(id));
         }
         cluster.run(1_000);
-        assert!(cluster.rules.any_cancelled());
+        assert!(cluster.invariants.any_cancelled());
         cluster.run(40_000);
         assert!(cluster.effects("unanswered watch") > 0);
         settle(&mut cluster, &format!("after {after_ms}"));
@@ -61,14 +61,14 @@
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.trouble.close_looks = true;
-        cluster.trouble.cancel_at_end = 0.5;
+        cluster.faults.rapid_status_queries = true;
+        cluster.faults.cancel_at_completion = 0.5;
         for id in 1..=18 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
             if id % 3 == 0 {
                 let node = (id as usize + seed as usize) % 3;
-                cluster.later(5 * seed + id, move |w| {
-                    w.send_withdraw(node, JobId(id));
+                cluster.schedule(5 * seed + id, move |w| {
+                    w.send_cancel(node, JobId(id));
                 });
             }
             cluster.run(37 * seed);
@@ -93,9 +93,9 @@
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.trouble.close_looks = true;
-        cluster.trouble.cancel_at_end = 0.3;
-        cluster.trouble.late_writes = Some(LateWrites {
+        cluster.faults.rapid_status_queries = true;
+        cluster.faults.cancel_at_completion = 0.3;
+        cluster.faults.late_writes = Some(LateWrites {
             share: 0.35,
             after_ms: (0, 0),
         });
@@ -103,8 +103,8 @@
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
             let node = (id as usize + 1) % 3;
             if id % 4 == 0 {
-                cluster.later(40 * seed, move |w| {
-                    w.send_withdraw(node, JobId(id));
+                cluster.schedule(40 * seed, move |w| {
+                    w.send_cancel(node, JobId(id));
                 });
             }
             cluster.run(300);
@@ -128,7 +128,7 @@
             let moment = format!("all {all}, the leader ends after {crash_ms}");
             let mut cluster = ready_with_boots_of(50.0);
             cluster.capacity = 8;
-            cluster.run_ms = 60_000;
+            cluster.task_run_ms = 60_000;
             cluster.submit(0, &red(1, 4));
             cluster.submit(1, &red(2, 4));
             cluster.until("tasks", 30_000, |w| w.running().len() == 8);
@@ -140,11 +140,11 @@
                 cluster.hang(&id, 9_000);
             }
             for id in machines_of(&cluster, 2) {
-                cluster.trouble.deaf.insert(id);
+                cluster.faults.unreachable_machines.insert(id);
             }
             cluster.run(1_000);
             for id in 1..=2 {
-                cluster.send_withdraw(others(leader)[0], JobId(id));
+                cluster.send_cancel(others(leader)[0], JobId(id));
             }
             cluster.run(crash_ms);
             let gone: Vec<usize> = (0..3).filter(|n| all || *n == leader).collect();
@@ -155,16 +155,16 @@
             cluster.run(6_000);
             // Whoever got no answer asks again.
             for id in 1..=2 {
-                cluster.send_withdraw(others(leader)[0], JobId(id));
+                cluster.send_cancel(others(leader)[0], JobId(id));
             }
             cluster.run(2_000);
             assert!(
                 cluster.epoch() > epoch,
                 "{moment}: the leader did not change"
             );
-            cluster.trouble.deaf.clear();
+            cluster.faults.unreachable_machines.clear();
             cluster.run(25_000);
-            assert!(cluster.rules.any_cancelled(), "{moment}");
+            assert!(cluster.invariants.any_cancelled(), "{moment}");
             settle(&mut cluster, &moment);
         }
     }
@@ -178,7 +178,7 @@
         let moment = format!("cancelled {cancel_ms} ms after the epoch began");
         let mut cluster = ready_with_boots_of(50.0);
         cluster.capacity = 8;
-        cluster.run_ms = 40_000;
+        cluster.task_run_ms = 40_000;
         for id in 1..=4 {
             cluster.submit(0, &red(id, 2));
         }
@@ -192,11 +192,11 @@
         let leader = cluster.leader();
         for id in 1..=4 {
             for machine in machines_of(&cluster, id) {
-                cluster.trouble.deaf.insert(machine);
+                cluster.faults.unreachable_machines.insert(machine);
             }
         }
         // Its end is asked for by the new leader.
-        cluster.send_withdraw(others(leader)[0], JobId(1));
+        cluster.send_cancel(others(leader)[0], JobId(1));
         cluster.run(300);
         cluster.crash(leader);
         let epoch = cluster.epoch();
@@ -205,11 +205,11 @@
         }
         cluster.run(cancel_ms);
         for id in 2..=4 {
-            cluster.send_withdraw(others(leader)[1], JobId(id));
+            cluster.send_cancel(others(leader)[1], JobId(id));
         }
         cluster.run(8_000);
-        assert!(cluster.rules.any_cancelled(), "{moment}");
-        let broken = &cluster.rules.broken;
+        assert!(cluster.invariants.any_cancelled(), "{moment}");
+        let broken = &cluster.invariants.broken;
         assert!(broken.is_empty(), "{moment}: {broken:?}");
     }
 }
@@ -224,18 +224,18 @@
             let leader = cluster.leader();
             let gone = if leads { leader } else { others(leader)[0] };
             let owned = cluster.reporting_to(gone);
-            cluster.bounce(gone, 2_000);
+            cluster.restart(gone, 2_000);
             cluster.run(cancel_ms);
             for id in 1..=6 {
-                cluster.send_withdraw(others(gone)[id as usize % 2], JobId(id));
+                cluster.send_cancel(others(gone)[id as usize % 2], JobId(id));
             }
             cluster.run(6_000);
             // Whoever got no answer asks again.
             for id in 1..=6 {
-                cluster.send_withdraw(others(gone)[id as usize % 2], JobId(id));
+                cluster.send_cancel(others(gone)[id as usize % 2], JobId(id));
             }
             cluster.run(45_000);
-            assert!(cluster.rules.any_cancelled(), "{moment}");
+            assert!(cluster.invariants.any_cancelled(), "{moment}");
             assert!(owned > 0, "{moment}: it had no work");
             settle(&mut cluster, &moment);
             assert_eq!(cluster.running(), Vec::new());
@@ -253,9 +253,9 @@
             cluster.seed(seed);
             cluster.boot_ms = 1_500;
             cluster.list_lag_ms = 6_000;
-            cluster.run_ms = 20_000;
+            cluster.task_run_ms = 20_000;
             cluster.submit(0, &long_job(1, 16));
-            cluster.trouble.late_writes = Some(LateWrites {
+            cluster.faults.late_writes = Some(LateWrites {
                 share: 0.4,
                 after_ms: (2_000, 12_000),
             });
@@ -279,10 +279,10 @@
             let moment = format!("hung {hung}, the leader ends after {crash_ms}");
             let mut cluster = busy(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
-            cluster.trouble.copies_for_next = true;
+            cluster.faults.heartbeat_copies_for_next_leader = true;
             cluster.run(2_500);
             if hung {
-                let id = cluster.starts[0].2.clone();
+                let id = cluster.task_starts[0].2.clone();
                 cluster.hang(&id, 12_000);
             }
             cluster.run(crash_ms);
@@ -303,7 +303,7 @@
 fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
     let mut cluster = ready();
     cluster.capacity = 20;
-    cluster.run_ms = 3_000;
+    cluster.task_run_ms = 3_000;
     cluster.seed(7);
     let jobs = 4 * 120;
     for id in 1..=jobs {
@@ -311,19 +311,19 @@
         if id % 4 == 0 {
             let wait_ms = 30 + (id * 7_919) % 9_000;
             let node = (id / 4) as usize % 3;
-            cluster.later(wait_ms, move |w| {
-                w.send_withdraw(node, JobId(id));
+            cluster.schedule(wait_ms, move |w| {
+                w.send_cancel(node, JobId(id));
             });
         }
         if id == 200 {
             let leader = cluster.leader();
-            cluster.bounce(leader, 4_000);
+            cluster.restart(leader, 4_000);
         }
         cluster.run(250);
     }
-    assert!(cluster.rules.accepted().len() > jobs as usize * 9 / 10);
-    assert!(cluster.rules.any_cancelled());
+    assert!(cluster.invariants.accepted().len() > jobs as usize * 9 / 10);
+    assert!(cluster.invariants.any_cancelled());
     settle(&mut cluster, "a stream");
-    let late = cluster.rules.starts_after_cancel;
+    let late = cluster.invariants.starts_after_cancel;
     assert!(late <= 6, "{late} starts after a confirmed cancellation");
 }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -13,16 +13,16 @@
         let moment = format!("released after {release_ms}");
         let mut cluster = busy(4, 12_000);
         cluster.submit(1, &long_job(9, 12));
-        let held = cluster.starts[0].2.clone();
-        cluster.trouble.hold_reports.insert(held.clone());
+        let held = cluster.task_starts[0].2.clone();
+        cluster.faults.hold_heartbeats.insert(held.clone());
         cluster.run(4_000);
         let leader = cluster.leader();
-        cluster.bounce(leader, 400);
+        cluster.restart(leader, 400);
         cluster.run(6_000 + release_ms);
         assert_ne!(cluster.epoch(), 1, "{moment}");
-        assert!(cluster.release_reports(&[0, 1, 2]) > 0, "{moment}");
+        assert!(cluster.release_heartbeats(&[0, 1, 2]) > 0, "{moment}");
         cluster.run(3_000);
-        cluster.trouble.hold_reports.clear();
+        cluster.faults.hold_heartbeats.clear();
         cluster.run(15_000);
         settle(&mut cluster, &moment);
         assert!(cluster.all_done(9, 12));
@@ -40,10 +40,10 @@
             for id in &ids {
                 match how {
                     "deaf" => {
-                        cluster.trouble.deaf.insert(id.clone());
+                        cluster.faults.unreachable_machines.insert(id.clone());
                     }
                     "mute" => {
-                        cluster.trouble.mute.insert(id.clone());
+                        cluster.faults.silent_machines.insert(id.clone());
                     }
                     _ => cluster.hang(id, 13_000),
                 }
@@ -52,11 +52,11 @@
             cluster.run(crash_ms);
             let leader = cluster.leader();
             let epoch = cluster.epoch();
-            cluster.bounce(leader, 3_000);
+            cluster.restart(leader, 3_000);
             cluster.run(14_000);
             assert!(cluster.epoch() > epoch, "{moment}");
-            cluster.trouble.deaf.clear();
-            cluster.trouble.mute.clear();
+            cluster.faults.unreachable_machines.clear();
+            cluster.faults.silent_machines.clear();
             cluster.run(20_000);
             settle(&mut cluster, &moment);
         }
@@ -70,13 +70,13 @@
         let moment = format!("copies after {after_ms}");
         let mut cluster = busy(4, 9_000);
         cluster.submit(0, &long_job(9, 30));
-        cluster.trouble.copies_after_ms = vec![after_ms, after_ms + 900];
-        let lost = cluster.starts[0].2.clone();
+        cluster.faults.heartbeat_copies_after_ms = vec![after_ms, after_ms + 900];
+        let lost = cluster.task_starts[0].2.clone();
         // Its lease runs out, so that its next session has other attempts at the same tasks.
         cluster.hang(&lost, 18_000);
         cluster.run(30_000);
         let leader = cluster.leader();
-        cluster.bounce(leader, 500);
+        cluster.restart(leader, 500);
         cluster.run(20_000);
         assert!(cluster.effects("copy") > 100, "{moment}");
         settle(&mut cluster, &moment);
@@ -90,24 +90,24 @@
     for release_ms in (200..14_000).step_by(600) {
         let moment = format!("released after {release_ms}");
         let mut cluster = ready_with_boots_of(50.0);
-        cluster.run_ms = 25_000;
+        cluster.task_run_ms = 25_000;
         for _ in 0..5 {
             cluster.machine("a", true, 0);
         }
         cluster.run(9_000);
-        cluster.trouble.hold_orders = true;
+        cluster.faults.hold_commands = true;
         cluster.submit(0, &long_job(1, 12));
         cluster.submit(1, &red(2, 8));
         cluster.run(2_000);
-        cluster.send_withdraw(0, JobId(1));
+        cluster.send_cancel(0, JobId(1));
         cluster.run(release_ms);
         if release_ms % 1_200 == 200 {
             let leader = cluster.leader();
-            cluster.bounce(leader, 300);
+            cluster.restart(leader, 300);
             cluster.run(1_500);
         }
-        assert!(cluster.release_orders() > 0, "{moment}");
-        cluster.trouble.hold_orders = false;
+        assert!(cluster.release_commands() > 0, "{moment}");
+        cluster.faults.hold_commands = false;
         cluster.run(35_000);
         settle(&mut cluster, &moment);
     }
@@ -119,7 +119,7 @@
     for loss_ms in (0..10_000).step_by(1_000) {
         let moment = format!("lost after {loss_ms}");
         let mut cluster = ready();
-        cluster.run_ms = 12_000;
+        cluster.task_run_ms = 12_000;
         let bound = |id: u64, field: &str, value: serde_json::Value| {
             let mut bound = long_job(id, 6);
             bound[field] = value;
@@ -138,7 +138,7 @@
         }
         if loss_ms % 2_000 == 0 {
             let leader = cluster.leader();
-            cluster.bounce(leader, 2_000);
+            cluster.restart(leader, 2_000);
         }
         cluster.run(40_000);
         settle(&mut cluster, &moment);
@@ -151,15 +151,15 @@
 #[test]
 fn no_machine_is_rented_in_a_zone_that_may_have_no_more_of_the_tasks_that_wait() {
     let mut cluster = ready();
-    cluster.run_ms = 3_000;
+    cluster.task_run_ms = 3_000;
     cluster.capacity = 1;
-    cluster.trouble.cloud_down = true;
+    cluster.faults.cloud_down = true;
     cluster.machine("a", true, 0);
     let mut spread = long_job(1, 6);
     spread["Spread"] = json!(true);
     cluster.submit(0, &spread);
-    cluster.until("the first half", 30_000, |w| w.starts.len() >= 3);
-    cluster.trouble.cloud_down = false;
+    cluster.until("the first half", 30_000, |w| w.task_starts.len() >= 3);
+    cluster.faults.cloud_down = false;
     cluster.until("all tasks", 90_000, |w| w.all_done(1, 6));
     settle(&mut cluster, "spread");
 }
@@ -170,12 +170,12 @@
     for mute_ms in (3_000..30_000).step_by(1_800) {
         let moment = format!("mute for {mute_ms}");
         let mut cluster = busy(5, 30_000);
-        cluster.trouble.mute = cluster.workers.keys().cloned().collect();
-        cluster.send_withdraw(0, JobId(1));
+        cluster.faults.silent_machines = cluster.workers.keys().cloned().collect();
+        cluster.send_cancel(0, JobId(1));
         cluster.submit(1, &long_job(9, 8));
         cluster.run(mute_ms);
         assert!(cluster.effects("unheard report") > 0, "{moment}");
-        cluster.trouble.mute.clear();
+        cluster.faults.silent_machines.clear();
         cluster.run(30_000);
         settle(&mut cluster, &moment);
         assert!(cluster.all_done(9, 8), "{moment}");
@@ -186,30 +186,30 @@
 // orders only, is in a later session, whose lease began with it (found by a day of mixed troubles).
 #[test]
 fn a_machine_whose_reports_are_lost_begins_another_session_and_answers_orders() {
-    let mut sessions = 0;
+    let mut incarnations = 0;
     for release_ms in (7_000..17_000).step_by(250) {
         let moment = format!("a report arrives after {release_ms}");
         let mut cluster = ready_with_boots_of(50.0);
-        cluster.run_ms = 30_000;
+        cluster.task_run_ms = 30_000;
         let id = cluster.machine("a", true, 0);
         cluster.run(6_000);
-        cluster.trouble.cloud_down = true;
-        cluster.trouble.hold_reports.insert(id.clone());
+        cluster.faults.cloud_down = true;
+        cluster.faults.hold_heartbeats.insert(id.clone());
         cluster.run(release_ms);
-        assert!(cluster.release_reports(&[0, 1, 2]) > 0, "{moment}");
+        assert!(cluster.release_heartbeats(&[0, 1, 2]) > 0, "{moment}");
         for job in 1..=6 {
             cluster.send_submit(0, &long_job(job, 1));
             cluster.run(1_300);
         }
         // By the time at which the lease is taken to be over there is another machine.
-        cluster.trouble.cloud_down = false;
+        cluster.faults.cloud_down = false;
         cluster.run(22_000);
-        sessions += cluster.session(&id);
-        cluster.trouble.hold_reports.clear();
+        incarnations += cluster.worker_incarnation(&id);
+        cluster.faults.hold_heartbeats.clear();
         cluster.run(5_000);
         settle(&mut cluster, &moment);
     }
-    assert!(sessions > 40, "no session rose");
+    assert!(incarnations > 40, "no session rose");
 }
 
 // Guards against what goes on inside a zone that nobody outside can see.
@@ -219,7 +219,7 @@
         for cut_ms in [8_000, 15_000, 19_000, 26_000] {
             let moment = format!("{inside} inside for {cut_ms}");
             let mut cluster = ready_with_boots_of(50.0);
-            cluster.run_ms = 60_000;
+            cluster.task_run_ms = 60_000;
             for zone in ["a", "b", "a", "b", "a", "b"] {
                 cluster.machine(zone, true, 0);
             }
@@ -227,14 +227,14 @@
             cluster.submit(0, &long_job(1, 12));
             cluster.submit(1, &red(2, 8));
             cluster.until("tasks", 30_000, |w| w.running().len() == 20);
-            cluster.trouble.zone_cut = Some(("b".to_owned(), [inside].into()));
+            cluster.faults.partitioned_zone = Some(("b".to_owned(), [inside].into()));
             cluster.run(2_000);
             let node = others(inside)[0];
-            cluster.send_withdraw(node, JobId(2));
+            cluster.send_cancel(node, JobId(2));
             cluster.submit(node, &red(3, 8));
             cluster.run(cut_ms);
             assert!(cluster.effects("unheard report") > 0, "{moment}");
-            cluster.trouble.zone_cut = None;
+            cluster.faults.partitioned_zone = None;
             cluster.run(30_000);
             settle(&mut cluster, &moment);
             assert!(
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -30,7 +30,7 @@
 /// Has all tasks of so many jobs of four tasks each run, for so long.
 pub fn fill(cluster: &mut Cluster, jobs: u64, run_ms: u64) {
     cluster.capacity = jobs as usize + 2;
-    cluster.run_ms = run_ms;
+    cluster.task_run_ms = run_ms;
     for id in 1..=jobs {
         cluster.submit(id as usize % 3, &long_job(id, 4));
     }
@@ -51,7 +51,7 @@
 
 fn machines_of(cluster: &Cluster, job: u64) -> Vec<MachineId> {
     let mut ids: Vec<MachineId> = cluster
-        .starts
+        .task_starts
         .iter()
         .filter(|s| s.1.job == JobId(job))
         .map(|s| s.2.clone())
--- a/crates/worksshunt-core/tests/scenarios/troubles.rs
+++ b/crates/worksshunt-core/tests/scenarios/faults.rs
@@ -11,18 +11,18 @@
 use worksshunt_simulation::{job, Cluster};
 
 fn starts_on(cluster: &Cluster, id: &MachineId) -> usize {
-    cluster.starts.iter().filter(|s| s.2 == *id).count()
+    cluster.task_starts.iter().filter(|s| s.2 == *id).count()
 }
 
 // Guards against machines that are heard, and therefore given tasks, while nothing reaches them.
 #[test]
 fn a_machine_that_is_heard_but_not_reached_gets_no_tasks_and_goes_back() {
     let mut cluster = ready();
-    cluster.run_ms = 20_000;
+    cluster.task_run_ms = 20_000;
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |w| w.running().len() == 8);
-    let deaf = cluster.starts[0].2.clone();
-    cluster.trouble.deaf.insert(deaf.clone());
+    let deaf = cluster.task_starts[0].2.clone();
+    cluster.faults.unreachable_machines.insert(deaf.clone());
     cluster.run(20_000);
     let before = cluster.launches_on(&deaf);
     cluster.submit(1, &long_job(2, 24));
@@ -34,9 +34,11 @@
         before,
         "it was given nothing more"
     );
-    let orders = cluster.orders_to(&deaf);
+    let orders = cluster.commands_sent_count(&deaf);
     assert!(orders < 40, "probed, not hammered: {orders} orders");
-    cluster.until("its return", 90_000, |w| w.returned.contains(&deaf));
+    cluster.until("its return", 90_000, |w| {
+        w.released_machines.contains(&deaf)
+    });
     cluster.check();
 }
 
@@ -46,9 +48,9 @@
     let mut cluster = ready_with_boots_of(50.0);
     let deaf = cluster.machine("a", true, 0);
     cluster.run(4_000);
-    cluster.trouble.deaf.insert(deaf.clone());
+    cluster.faults.unreachable_machines.insert(deaf.clone());
     cluster.run(18_500);
-    assert!(!cluster.returned.contains(&deaf), "not yet");
+    assert!(!cluster.released_machines.contains(&deaf), "not yet");
     cluster.submit(0, &long_job(1, 8));
     cluster.until("all tasks", 60_000, |w| w.all_done(1, 8));
     assert_eq!(cluster.launches_on(&deaf), 0);
@@ -58,14 +60,14 @@
 #[test]
 fn a_machine_that_can_be_reached_again_serves_again() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.run_ms = 4_000;
+    cluster.task_run_ms = 4_000;
     cluster.capacity = 1;
     cluster.submit(0, &job(1, 60));
     cluster.until("tasks", 30_000, |w| w.running().len() == 4);
-    let deaf = cluster.starts[0].2.clone();
-    cluster.trouble.deaf.insert(deaf.clone());
+    let deaf = cluster.task_starts[0].2.clone();
+    cluster.faults.unreachable_machines.insert(deaf.clone());
     cluster.run(25_000);
-    cluster.trouble.deaf.clear();
+    cluster.faults.unreachable_machines.clear();
     let before = starts_on(&cluster, &deaf);
     cluster.until("tasks on it again", 15_000, |w| {
         starts_on(w, &deaf) > before
@@ -79,11 +81,11 @@
 #[test]
 fn late_copies_of_reports_change_nothing() {
     let mut cluster = ready();
-    cluster.run_ms = 9_000;
-    cluster.trouble.copies_after_ms = vec![700, 6_000, 17_000, 40_000];
+    cluster.task_run_ms = 9_000;
+    cluster.faults.heartbeat_copies_after_ms = vec![700, 6_000, 17_000, 40_000];
     cluster.submit(0, &job(1, 40));
     cluster.until("tasks", 30_000, |w| w.running().len() > 8);
-    let hung = cluster.starts[0].2.clone();
+    let hung = cluster.task_starts[0].2.clone();
     cluster.workers.get_mut(&hung).expect("a worker").hung = true;
     cluster.run(8_000);
     (0..3).for_each(|node| cluster.crash(node));
@@ -109,14 +111,14 @@
 #[test]
 fn a_late_copy_is_no_sign_of_life() {
     let mut cluster = ready();
-    cluster.run_ms = 60_000;
-    cluster.trouble.copies_after_ms = vec![3_000, 9_000, 15_000, 21_000];
+    cluster.task_run_ms = 60_000;
+    cluster.faults.heartbeat_copies_after_ms = vec![3_000, 9_000, 15_000, 21_000];
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |w| w.running().len() == 8);
-    let dead = cluster.starts[0].2.clone();
+    let dead = cluster.task_starts[0].2.clone();
     cluster.run(25_000);
     cluster.workers.get_mut(&dead).expect("a worker").hung = true;
-    cluster.until("other starts", 30_000, |w| w.starts.len() > 8);
+    cluster.until("other starts", 30_000, |w| w.task_starts.len() > 8);
     cluster.check();
 }
 
@@ -127,15 +129,15 @@
     let mut cluster = ready();
     cluster.submit(0, &job(1, 3));
     cluster.until("tasks", 30_000, |w| !w.running().is_empty());
-    let id = cluster.starts[0].2.clone();
+    let id = cluster.task_starts[0].2.clone();
     cluster.run(3_000);
-    let mut copy = cluster.report_of(&id);
+    let mut copy = cluster.heartbeat_of(&id);
     // The last one it sent, which never arrived itself.
-    copy.seq += 1_000;
+    copy.sequence += 1_000;
     copy.tasks.clear();
     cluster.until("an empty fleet", 120_000, |w| w.workers.is_empty());
     cluster.run(2_000);
-    let before = cluster.orders_to(&id);
+    let before = cluster.commands_sent_count(&id);
     for round in 0..2 {
         for node in 0..3 {
             cluster.deliver_copy(node, copy.clone());
@@ -145,7 +147,11 @@
         let tasks = 20 + 20 * round as u32;
         cluster.submit(0, &job(job_id, tasks));
         cluster.until("another job", 60_000, |w| w.all_done(job_id, tasks));
-        assert_eq!(cluster.orders_to(&id), before, "nobody speaks to it");
+        assert_eq!(
+            cluster.commands_sent_count(&id),
+            before,
+            "nobody speaks to it"
+        );
         (0..3).for_each(|node| cluster.crash(node));
         (0..3).for_each(|node| cluster.start(node));
         cluster.run(10_000);
@@ -158,21 +164,21 @@
 #[test]
 fn a_controller_left_with_its_workers_alone_gives_them_up() {
     let mut cluster = ready();
-    cluster.run_ms = 60_000;
+    cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 24));
     cluster.until("tasks", 30_000, |w| w.running().len() == 24);
     cluster.run(3_000);
     let (leader, epoch) = (cluster.leader(), cluster.epoch());
-    cluster.trouble.cut_from_state.insert(leader);
-    cluster.trouble.cut_from_peers.insert(leader);
+    cluster.faults.cut_from_key_value_store.insert(leader);
+    cluster.faults.cut_from_peers.insert(leader);
     cluster.run(7_000);
     assert!(!cluster.healthy(leader), "users should not be sent there");
     cluster.until("another leader", 10_000, |w| w.leader() != leader);
     cluster.run(20_000);
-    cluster.trouble.cut_from_state.clear();
-    cluster.trouble.cut_from_peers.clear();
+    cluster.faults.cut_from_key_value_store.clear();
+    cluster.faults.cut_from_peers.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 24));
-    assert_eq!(cluster.starts.len(), 24, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 24, "no lease ran out");
     assert_eq!(
         cluster.epoch(),
         epoch + 2,
@@ -186,12 +192,12 @@
 #[test]
 fn a_machine_goes_back_although_an_order_to_it_was_never_answered() {
     let mut cluster = ready();
-    cluster.trouble.hold_orders = true;
+    cluster.faults.hold_commands = true;
     cluster.submit(0, &job(1, 8));
     cluster.until("all tasks", 60_000, |w| w.all_done(1, 8));
-    cluster.trouble.hold_orders = false;
+    cluster.faults.hold_commands = false;
     cluster.until("an empty fleet", 60_000, |w| w.workers.is_empty());
-    assert!(cluster.release_orders() > 0, "none was held back");
+    assert!(cluster.release_commands() > 0, "none was held back");
     cluster.check();
 }
 
@@ -200,16 +206,16 @@
 fn tasks_go_where_the_leader_is_heard() {
     let mut cluster = ready_with_boots_of(50.0);
     let leader = cluster.leader();
-    cluster.run_ms = 2_000;
+    cluster.task_run_ms = 2_000;
     for _ in 0..9 {
         cluster.machine("a", true, 0);
     }
     cluster.run(10_000);
-    cluster.trouble.cut_from_peers = (0..3).filter(|node| *node != leader).collect();
+    cluster.faults.cut_from_peers = (0..3).filter(|node| *node != leader).collect();
     cluster.run(1_000);
     cluster.submit(leader, &job(1, 36));
     cluster.until("all tasks", 20_000, |w| w.all_done(1, 36));
-    cluster.trouble.cut_from_peers.clear();
+    cluster.faults.cut_from_peers.clear();
     cluster.run(10_000);
     cluster.check();
 }
@@ -218,14 +224,14 @@
 #[test]
 fn tasks_of_a_machine_that_is_no_longer_listed_run_again_before_its_lease_ends() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.run_ms = 60_000;
+    cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 12));
     cluster.until("tasks", 30_000, |w| w.running().len() == 12);
     cluster.run(5_000);
-    let (_, task, taken) = cluster.starts[0].clone();
+    let (_, task, taken) = cluster.task_starts[0].clone();
     cluster.workers.remove(&taken);
     cluster.run(14_000);
-    let again = cluster.starts.iter().filter(|s| s.1 == task).count();
+    let again = cluster.task_starts.iter().filter(|s| s.1 == task).count();
     assert_eq!(again, 2, "it runs elsewhere, 2 s before the lease is over");
     cluster.check();
 }
@@ -235,13 +241,13 @@
 #[test]
 fn the_leader_takes_over_parts_whose_owners_do_not_reach_it() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.run_ms = 30_000;
+    cluster.task_run_ms = 30_000;
     for _ in 0..9 {
         cluster.machine("a", true, 0);
     }
     cluster.run(10_000);
     let leader = cluster.leader();
-    cluster.trouble.cut_from_peers = (0..3).filter(|node| *node != leader).collect();
+    cluster.faults.cut_from_peers = (0..3).filter(|node| *node != leader).collect();
     cluster.crash(leader);
     cluster.start(leader);
     cluster.run(5_000);
@@ -250,7 +256,7 @@
     let epoch = cluster.epoch();
     cluster.submit(leader, &long_job(2, 4));
     cluster.until("another machine", 10_000, |w| w.workers.len() > 9);
-    cluster.trouble.cut_from_peers.clear();
+    cluster.faults.cut_from_peers.clear();
     cluster.run(20_000);
     assert!(
         (epoch + 1..=epoch + 2).contains(&cluster.epoch()),
@@ -259,21 +265,21 @@
     cluster.until("all tasks", 60_000, |w| {
         w.all_done(1, 36) && w.all_done(2, 4)
     });
-    assert_eq!(cluster.starts.len(), 40, "nothing was lost on the way");
+    assert_eq!(cluster.task_starts.len(), 40, "nothing was lost on the way");
     cluster.check();
 }
 
 #[test]
 fn nothing_is_lost_when_all_controllers_are_left_with_their_workers() {
     let mut cluster = ready();
-    cluster.run_ms = 30_000;
+    cluster.task_run_ms = 30_000;
     cluster.submit(0, &long_job(1, 12));
     cluster.until("tasks", 30_000, |w| w.running().len() == 12);
-    cluster.trouble.cut_from_state = (0..3).collect();
-    cluster.trouble.cut_from_peers = (0..3).collect();
+    cluster.faults.cut_from_key_value_store = (0..3).collect();
+    cluster.faults.cut_from_peers = (0..3).collect();
     cluster.run(30_000);
-    cluster.trouble.cut_from_state.clear();
-    cluster.trouble.cut_from_peers.clear();
+    cluster.faults.cut_from_key_value_store.clear();
+    cluster.faults.cut_from_peers.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 12));
     cluster.run(3_000);
     assert_eq!(cluster.state(2, 1), (200, "done".into()));
@@ -289,7 +295,7 @@
         cluster.machine("a", true, 0);
     }
     cluster.run(10_000);
-    cluster.trouble.slow_txns_ms = 1_200;
+    cluster.faults.slow_writes_ms = 1_200;
     let mut slowest = 0;
     for id in 1..=12 {
         let asked = cluster.now;
@@ -301,7 +307,7 @@
     cluster.until("all tasks", 60_000, |w| {
         (1..=12).all(|id| w.all_done(id, 3))
     });
-    assert_eq!(cluster.starts.len(), 36, "each ran once");
+    assert_eq!(cluster.task_starts.len(), 36, "each ran once");
     cluster.check();
 }
 
@@ -316,17 +322,17 @@
     }
     (0..3).for_each(|node| cluster.start(node));
     cluster.run(4_000);
-    cluster.run_ms = 2_000;
+    cluster.task_run_ms = 2_000;
     cluster.submit(0, &long_job(1, 4_000));
     cluster.until("tasks", 30_000, |w| w.running().len() == 40);
     cluster.run(10_000);
     (0..3).for_each(|node| cluster.crash(node));
     (0..3).for_each(|node| cluster.start(node));
     let former = format!("a/{}.", cluster.epoch());
-    let before = cluster.starts.len();
+    let before = cluster.task_starts.len();
     cluster.run(20_000);
     assert_eq!(cluster.keys(&former), Vec::<String>::new());
-    assert!(cluster.starts.len() > before + 100, "tasks went on");
+    assert!(cluster.task_starts.len() > before + 100, "tasks went on");
     cluster.check();
 }
 
@@ -334,16 +340,16 @@
 #[test]
 fn controllers_back_within_a_moment_share_one_leader_and_repeat_no_number() {
     let mut cluster = ready();
-    cluster.run_ms = 30_000;
+    cluster.task_run_ms = 30_000;
     cluster.submit(0, &long_job(1, 16));
     cluster.until("tasks", 30_000, |w| w.running().len() == 16);
     for round in 0..4 {
         let leader = cluster.leader();
-        cluster.trouble.hold_txns.insert(leader);
+        cluster.faults.hold_writes.insert(leader);
         cluster.run(300);
         cluster.crash(leader);
         cluster.run(200);
-        cluster.trouble.hold_txns.clear();
+        cluster.faults.hold_writes.clear();
         cluster.start(leader);
         cluster.run(400);
         // In the middle of the election that follows, another goes, or all; and late copies of what
@@ -354,13 +360,13 @@
             (0..3).for_each(|node| cluster.crash(node));
             (0..3).for_each(|node| cluster.start(node));
         }
-        cluster.release_txns();
+        cluster.release_writes();
         cluster.run(7_000);
         let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
         assert_eq!(members.as_array().map(Vec::len), Some(3), "all are back");
     }
     cluster.until("all tasks", 200_000, |w| w.all_done(1, 16));
-    assert_eq!(cluster.starts.len(), 16, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 16, "no lease ran out");
     cluster.check();
 }
 
@@ -371,11 +377,11 @@
     let other = (cluster.leader() + 1) % 3;
     cluster.crash(other);
     cluster.run(8_000);
-    cluster.trouble.hold_txns.insert(other);
+    cluster.faults.hold_writes.insert(other);
     cluster.start(other);
     cluster.run(400);
     cluster.crash(other);
-    cluster.trouble.hold_txns.clear();
+    cluster.faults.hold_writes.clear();
     cluster.start(other);
     cluster.until("its epoch", 3_000, |w| {
         let members = &w.stored("c/epoch").expect("an epoch")["members"];
@@ -383,7 +389,7 @@
     });
     let epoch = cluster.epoch();
     assert!(
-        !cluster.release_txns().is_empty(),
+        !cluster.release_writes().is_empty(),
         "something was held back"
     );
     cluster.run(10_000);
@@ -414,7 +420,7 @@
 fn the_largest_job_of_the_lowest_class_begins_in_time_under_a_burst() {
     let mut cluster = ready();
     cluster.capacity = 2;
-    cluster.run_ms = 5_000;
+    cluster.task_run_ms = 5_000;
     let mut large = job(1, 200);
     large["Turno"] = json!("low");
     large["EntregaS"] = json!(5_000.0);
@@ -427,7 +433,7 @@
     cluster.submit(0, &urgent(2));
     cluster.submit(1, &large);
     let submitted = cluster.now;
-    let began = |w: &Cluster| w.starts.iter().any(|s| s.1.job == JobId(1));
+    let began = |w: &Cluster| w.task_starts.iter().any(|s| s.1.job == JobId(1));
     for id in 3.. {
         if began(&cluster) {
             break;
@@ -441,11 +447,11 @@
         index: 0,
     };
     assert!(
-        cluster.starts.iter().any(|s| s.1 == first),
+        cluster.task_starts.iter().any(|s| s.1 == first),
         "with some of its tasks"
     );
     let urgent = cluster
-        .starts
+        .task_starts
         .iter()
         .filter(|s| s.1.job != JobId(1))
         .count();
@@ -458,7 +464,7 @@
 #[test]
 fn a_wide_job_gets_done_beside_narrow_ones_of_its_team() {
     let mut cluster = ready();
-    cluster.run_ms = 7_000;
+    cluster.task_run_ms = 7_000;
     cluster.run_spread_ms = 900;
     let red = |id: u64, tasks: u32| {
         let mut red = job(id, tasks);
@@ -473,7 +479,7 @@
     cluster.submit(1, &wide);
     let submitted = cluster.now;
     cluster.until("its first task", 130_000, |w| {
-        w.starts.iter().any(|s| s.1.job == JobId(1))
+        w.task_starts.iter().any(|s| s.1.job == JobId(1))
     });
     cluster.until("all of it", 250_000, |w| w.all_done(1, 4));
     assert!(cluster.now < submitted + 330_000);
@@ -496,8 +502,8 @@
     (0..3).for_each(|node| cluster.start(node));
     let machines = 1_850;
     cluster.capacity = machines;
-    cluster.run_ms = 12_000;
-    cluster.ready_s = 50.0;
+    cluster.task_run_ms = 12_000;
+    cluster.nominal_boot_s = 50.0;
     let ids: Vec<MachineId> = (0..machines)
         .map(|n| cluster.machine(if n % 2 == 0 { "a" } else { "b" }, true, 0))
         .collect();
@@ -518,8 +524,8 @@
     cluster.run(2_000);
     (0..3).for_each(|node| cluster.start(node));
     let began = cluster.now;
-    let before = cluster.starts.len();
-    cluster.until("another start", 12_000, |w| w.starts.len() > before);
+    let before = cluster.task_starts.len();
+    cluster.until("another start", 12_000, |w| w.task_starts.len() > before);
     cluster.run(20_000);
     hang(&mut cluster, false);
     cluster.until("all tasks", 90_000, |w| {
@@ -527,7 +533,7 @@
     });
     assert!(cluster.now < began + 110_000);
     assert!(cluster.epoch() <= 6, "epoch {}", cluster.epoch());
-    let lost = cluster.starts.len() - 8_000;
+    let lost = cluster.task_starts.len() - 8_000;
     assert!(
         lost < 2 * 4 * machines / 3,
         "{lost} starts more than needed"
@@ -548,9 +554,9 @@
     let good = json!({"Estiba": "i-000001", "Addr": "10.1.0.1:1", "Modelo": "m4", "Patio": "a",
         "Prestados": true, "Jornada": 1, "Folio": 1, "Vara": 0, "Piezas": []});
     let with = |field: &str, value: serde_json::Value| {
-        let mut report = good.clone();
-        report[field] = value;
-        report.to_string()
+        let mut heartbeat = good.clone();
+        heartbeat[field] = value;
+        heartbeat.to_string()
     };
     let odd = [
         "{\"Estiba\": \"i-0".to_owned(),
--- a/crates/worksshunt-core/tests/scenarios/rules.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -3,40 +3,40 @@
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
-use worksshunt_core::users::{Reply, RequestId};
+use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
 use crate::{long_job, ready};
-use worksshunt_simulation::rules::{Question, Rules};
+use worksshunt_simulation::invariants::{Invariants, JobQuery};
 use worksshunt_simulation::{job, settings, Cluster};
 
-fn rules() -> Rules {
-    let mut rules = Rules::default();
+fn rules() -> Invariants {
+    let mut rules = Invariants::default();
     rules.keep(&settings(0));
     rules
 }
 
-fn submission(rules: &mut Rules, id: u64) -> Question {
+fn submission(rules: &mut Invariants, id: u64) -> JobQuery {
     let body = job(id, 1).to_string().into_bytes();
     rules.asked(&Event::Submit(RequestId(1), body))
 }
 
-fn status(rules: &mut Rules, id: u64) -> Question {
+fn status(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
     rules.asked(&Event::Status(RequestId(1), id))
 }
 
-fn withdrawal(rules: &mut Rules, id: u64) -> Question {
+fn withdrawal(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
     rules.asked(&Event::Cancel(RequestId(1), id))
 }
 
-fn says(state: &str) -> Reply {
-    Reply::json(200, &json!({ "Estado": state }))
+fn says(state: &str) -> HttpResponse {
+    HttpResponse::json(200, &json!({ "Estado": state }))
 }
 
-fn none() -> Reply {
-    Reply::error(404, "no such job")
+fn none() -> HttpResponse {
+    HttpResponse::error(404, "no such job")
 }
 
 fn task(job: u64, index: u32) -> TaskId {
@@ -45,14 +45,14 @@
 }
 
 /// A checker that has seen job 1 accepted.
-fn accepted() -> Rules {
+fn accepted() -> Invariants {
     let mut rules = rules();
     let question = submission(&mut rules, 1);
     rules.answered(0, &question, &says("pending"));
     rules
 }
 
-fn breaks(rules: &Rules, rule: &str) -> bool {
+fn breaks(rules: &Invariants, rule: &str) -> bool {
     rules.broken.iter().any(|text| text.starts_with(rule))
 }
 
@@ -61,7 +61,7 @@
     let mut rules = accepted();
     let before = status(&mut rules, 1);
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &Reply::later("busy"));
+    rules.answered(1, &question, &HttpResponse::retry_later("busy"));
     rules.answered(2, &before, &says("pending"));
     assert!(rules.broken.is_empty());
     let question = status(&mut rules, 1);
@@ -70,7 +70,7 @@
     for status in [400, 422] {
         let mut rules = accepted();
         let question = submission(&mut rules, 1);
-        rules.answered(1, &question, &Reply::error(status, "no"));
+        rules.answered(1, &question, &HttpResponse::error(status, "no"));
         assert!(breaks(&rules, "forgotten"), "{status}");
     }
 }
@@ -139,56 +139,56 @@
 fn with_machines(count: usize, zone: &str, spot: bool) -> (Cluster, Vec<MachineId>) {
     let mut cluster = ready();
     let ids: Vec<MachineId> = (0..count).map(|_| cluster.machine(zone, spot, 0)).collect();
-    cluster.trouble.deaf = ids.iter().cloned().collect();
+    cluster.faults.unreachable_machines = ids.iter().cloned().collect();
     (cluster, ids)
 }
 
 #[test]
 fn a_task_on_two_machines_is_found_also_when_one_hangs() {
     let (mut cluster, ids) = with_machines(2, "a", true);
-    cluster.trouble.cloud_down = true;
+    cluster.faults.cloud_down = true;
     cluster.submit(0, &long_job(1, 1));
-    cluster.smuggle(&ids[0], task(1, 0), 7);
+    cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
     cluster.hang(&ids[0], 20_000);
-    assert!(cluster.rules.broken.is_empty());
-    cluster.smuggle(&ids[1], task(1, 0), 8);
+    assert!(cluster.invariants.broken.is_empty());
+    cluster.inject_task(&ids[1], task(1, 0), 8);
     cluster.run(300);
-    assert!(breaks(&cluster.rules, "ran_twice"));
+    assert!(breaks(&cluster.invariants, "ran_twice"));
 }
 
 #[test]
 fn a_team_over_its_limit_is_found_also_on_hung_machines() {
     let (mut cluster, ids) = with_machines(3, "a", true);
-    cluster.trouble.cloud_down = true;
+    cluster.faults.cloud_down = true;
     let mut red = long_job(1, 9);
     red["Cuadrilla"] = json!("red");
     cluster.submit(0, &red);
     for index in 0..8 {
         let id = &ids[index as usize / 4];
-        cluster.smuggle(id, task(1, index), 7 + u64::from(index));
+        cluster.inject_task(id, task(1, index), 7 + u64::from(index));
     }
     cluster.run(300);
     cluster.hang(&ids[0], 20_000);
-    assert!(cluster.rules.broken.is_empty());
-    cluster.smuggle(&ids[2], task(1, 8), 80);
+    assert!(cluster.invariants.broken.is_empty());
+    cluster.inject_task(&ids[2], task(1, 8), 80);
     cluster.run(300);
-    assert!(breaks(&cluster.rules, "quota"));
+    assert!(breaks(&cluster.invariants, "quota"));
 }
 
 #[test]
 fn a_task_in_the_wrong_place_is_found() {
     let wrong = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
         let (mut cluster, ids) = with_machines(2, zone, spot);
-        cluster.trouble.cloud_down = true;
+        cluster.faults.cloud_down = true;
         let mut odd = long_job(1, 4);
         odd[field] = value;
         cluster.submit(0, &odd);
         for index in 0..3 {
-            cluster.smuggle(&ids[0], task(1, index), 7 + u64::from(index));
+            cluster.inject_task(&ids[0], task(1, index), 7 + u64::from(index));
         }
         cluster.run(300);
-        breaks(&cluster.rules, "wrong_place")
+        breaks(&cluster.invariants, "wrong_place")
     };
     assert!(wrong("Patio", json!("b"), "a", true));
     assert!(!wrong("Patio", json!("a"), "a", true));
@@ -201,24 +201,24 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_found_once_its_time_is_over_and_its_start_at_once() {
     let (mut cluster, ids) = with_machines(1, "a", true);
-    cluster.trouble.cloud_down = true;
-    cluster.run_ms = 100_000;
+    cluster.faults.cloud_down = true;
+    cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 2));
-    cluster.smuggle(&ids[0], task(1, 0), 7);
+    cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
-    assert_eq!(cluster.withdraw(1, 1).status, 200);
-    assert_eq!(cluster.rules.starts_after_cancel, 0);
-    cluster.smuggle(&ids[0], task(1, 1), 8);
+    assert_eq!(cluster.cancel(1, 1).status, 200);
+    assert_eq!(cluster.invariants.starts_after_cancel, 0);
+    cluster.inject_task(&ids[0], task(1, 1), 8);
     cluster.run(300);
-    assert_eq!(cluster.rules.starts_after_cancel, 1);
+    assert_eq!(cluster.invariants.starts_after_cancel, 1);
     // The machine is deaf, so its lease ends the tasks; others are put there again.
     cluster.run(29_000);
-    assert!(cluster.rules.broken.is_empty());
-    cluster.smuggle(&ids[0], task(1, 0), 9);
+    assert!(cluster.invariants.broken.is_empty());
+    cluster.inject_task(&ids[0], task(1, 0), 9);
     cluster.run(300);
     cluster.hang(&ids[0], 3_000);
     cluster.run(4_000);
-    assert!(breaks(&cluster.rules, "ran_cancelled"));
+    assert!(breaks(&cluster.invariants, "ran_cancelled"));
 }
 
 #[test]
@@ -226,18 +226,22 @@
     let mut cluster = ready();
     cluster.submit(0, &long_job(1, 4));
     cluster.until("tasks", 30_000, |w| w.running().len() == 4);
-    let spot = cluster.starts[0].2.clone();
+    let spot = cluster.task_starts[0].2.clone();
     let stranger = job(9, 1).to_string().into_bytes();
-    let question = cluster.rules.asked(&Event::Submit(RequestId(0), stranger));
+    let question = cluster
+        .invariants
+        .asked(&Event::Submit(RequestId(0), stranger));
     let now = cluster.now;
-    cluster.rules.answered(now, &question, &says("pending"));
+    cluster
+        .invariants
+        .answered(now, &question, &says("pending"));
     // Accepted by the checker's lights, unknown to the controllers; there is always a machine for it.
-    cluster.run_ms = 1_000;
+    cluster.task_run_ms = 1_000;
     for id in 10..80 {
         cluster.submit(0, &job(id, 1));
         cluster.run(1_500);
     }
-    assert!(breaks(&cluster.rules, "waits"), "beside {spot:?}");
+    assert!(breaks(&cluster.invariants, "waits"), "beside {spot:?}");
     let forgotten = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
     assert!(forgotten.is_err());
 }
@@ -251,5 +255,5 @@
     cluster.put("j/j-000001", json!({ "spec": "of another version" }));
     let found = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
     assert!(found.is_err());
-    assert!(breaks(&cluster.rules, "forgotten"));
+    assert!(breaks(&cluster.invariants, "forgotten"));
 }
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -22,7 +22,7 @@
 fn two_machines() -> (Cluster, Doomed) {
     let mut cluster = ready_with_boots_of(200.0);
     cluster.capacity = 2;
-    cluster.run_ms = 120_000;
+    cluster.task_run_ms = 120_000;
     for id in 1..=5 {
         cluster.submit(0, &long_job(id, 1));
     }
@@ -49,34 +49,40 @@
     let machine = doomed.machine.clone();
     let slow = (machine.clone(), REPORT_UNDER_WAY_MS);
     cluster.until("a pause between reports", 5_000, |c| {
-        !c.reports_now(&machine)
+        !c.awaits_heartbeat_response(&machine)
     });
-    cluster.trouble.slow_reports_ms.extend([slow]);
-    cluster.until("a report under way", 5_000, |c| c.reports_now(&machine));
-    let orders = cluster.orders_to(&machine);
+    cluster.faults.slow_heartbeats_ms.extend([slow]);
+    cluster.until("a report under way", 5_000, |c| {
+        c.awaits_heartbeat_response(&machine)
+    });
+    let orders = cluster.commands_sent_count(&machine);
     let called_off = doomed.jobs.pop_first().expect("a job");
-    cluster.send_withdraw(0, called_off);
-    cluster.until("an order", 1_000, |c| c.orders_to(&machine) > orders);
-    cluster.until("an answer", 4_000, |c| !c.reports_now(&machine));
-    cluster.trouble.slow_reports_ms.clear();
+    cluster.send_cancel(0, called_off);
+    cluster.until("an order", 1_000, |c| {
+        c.commands_sent_count(&machine) > orders
+    });
+    cluster.until("an answer", 4_000, |c| {
+        !c.awaits_heartbeat_response(&machine)
+    });
+    cluster.faults.slow_heartbeats_ms.clear();
 }
 
 /// Nothing passes between the machine and controllers any more.
 fn cut_off(cluster: &mut Cluster, machine: &MachineId) {
-    cluster.trouble.mute.insert(machine.clone());
-    cluster.trouble.deaf.insert(machine.clone());
+    cluster.faults.silent_machines.insert(machine.clone());
+    cluster.faults.unreachable_machines.insert(machine.clone());
 }
 
 /// So much later no rule was broken, and what was on the machine goes on elsewhere.
 fn goes_on_elsewhere(cluster: &mut Cluster, doomed: &Doomed, within_ms: u64) {
-    let started = cluster.starts.len();
+    let started = cluster.task_starts.len();
     cluster.run(within_ms);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.invariants.broken.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.invariants.broken
     );
-    let again = &cluster.starts[started..];
+    let again = &cluster.task_starts[started..];
     let again: BTreeSet<JobId> = again.iter().map(|(_, task, _)| task.job).collect();
     assert_eq!(again, doomed.jobs, "what was there goes on elsewhere");
 }
@@ -107,7 +113,7 @@
     const RED_MOST: usize = 8;
     let mut cluster = ready_with_boots_of(200.0);
     cluster.capacity = 3;
-    cluster.run_ms = 120_000;
+    cluster.task_run_ms = 120_000;
     cluster.submit(0, &long_job(100, 4));
     let red = |id: u64, tasks: u32| {
         let mut job = long_job(id, tasks);
@@ -118,30 +124,30 @@
         cluster.submit(0, &red(id, 1));
     }
     cluster.until("all to run", 60_000, |c| c.running().len() == RED_MOST + 4);
-    cluster.withdraw(0, 100);
+    cluster.cancel(0, 100);
     cluster.submit(0, &red(9, 4));
     cluster.run(3_000);
     assert_eq!(cluster.running().len(), RED_MOST, "the rest waits");
     let mut doomed = most_jobs(&cluster);
     order_overtakes_report(&mut cluster, &mut doomed);
     cut_off(&mut cluster, &doomed.machine);
-    let started = cluster.starts.len();
+    let started = cluster.task_starts.len();
     cluster.run(30_000);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.invariants.broken.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.invariants.broken
     );
-    assert!(cluster.starts.len() > started, "others go on");
+    assert!(cluster.task_starts.len() > started, "others go on");
 }
 
 // The other side of the fix: what renews a lease must not keep a dead machine's tasks for as long as copies of it come.
 #[test]
 fn copies_of_an_overtaken_report_do_not_keep_the_tasks_of_a_dead_machine() {
     let (mut cluster, mut doomed) = two_machines();
-    cluster.trouble.copies_after_ms = (4..120).map(|half| half * 500).collect();
+    cluster.faults.heartbeat_copies_after_ms = (4..120).map(|half| half * 500).collect();
     order_overtakes_report(&mut cluster, &mut doomed);
-    cluster.trouble.copies_after_ms.clear();
+    cluster.faults.heartbeat_copies_after_ms.clear();
     // It is still listed, so nothing but its lease tells that its tasks are gone.
     cluster.hang(&doomed.machine, 120_000);
     goes_on_elsewhere(&mut cluster, &doomed, 20_000);
--- a/crates/worksshunt-core/tests/scenarios/main.rs
+++ b/crates/worksshunt-core/tests/scenarios/main.rs
@@ -1,14 +1,14 @@
 //! Short scenarios about whole deployments on virtual time.
 
 mod combined_faults;
+mod faults;
+mod invariants;
 mod leases;
 mod mixed;
 mod order;
 mod ordinary;
 mod outage;
-mod rules;
 mod services;
-mod troubles;
 mod upgrade;
 
 use worksshunt_simulation::{long_job, Cluster};
@@ -22,7 +22,7 @@
 /// that while they are idle.
 fn ready_with_boots_of(ready_s: f64) -> Cluster {
     let mut cluster = Cluster::new();
-    cluster.ready_s = ready_s;
+    cluster.nominal_boot_s = ready_s;
     cluster.until("an epoch", 5_000, |w| w.stored("c/epoch").is_some());
     cluster.run(1_000);
     cluster
--- a/crates/worksshunt-core/tests/scenarios/order.rs
+++ b/crates/worksshunt-core/tests/scenarios/order.rs
@@ -17,20 +17,20 @@
 /// Which of these jobs gets the only machine when the four tasks end that keep it busy while they come.
 fn served_first(cluster: &mut Cluster, waiting: &[Value; 2]) -> JobId {
     cluster.capacity = 1;
-    cluster.run_ms = 10_000;
+    cluster.task_run_ms = 10_000;
     cluster.submit(0, &due(1, 10.0, 60.0));
     cluster.until("the first", 20_000, |w| w.running().len() == 4);
     cluster.submit(1, &waiting[0]);
     cluster.submit(2, &waiting[1]);
-    cluster.until("the next", 20_000, |w| w.starts.len() > 4);
-    cluster.starts[4].1.job
+    cluster.until("the next", 20_000, |w| w.task_starts.len() > 4);
+    cluster.task_starts[4].1.job
 }
 
 /// A full fleet of two machines, run by team blue (guarantee 8) at low priority.
 fn full_fleet(tasks: u32) -> Cluster {
     let mut cluster = ready();
     cluster.capacity = 3;
-    cluster.run_ms = 100_000;
+    cluster.task_run_ms = 100_000;
     let mut low = long_job(1, tasks);
     low["Turno"] = json!("low");
     cluster.submit(0, &low);
@@ -89,7 +89,7 @@
     (0..3).for_each(|node| cluster.start(node));
     // Room for both teams' guarantees, 8 and 4 processors, and no more.
     cluster.capacity = 3;
-    cluster.run_ms = 10_000;
+    cluster.task_run_ms = 10_000;
     cluster.run(3_000);
     for id in 10..25 {
         let mut urgent = job(id, 10);
@@ -100,7 +100,7 @@
     low["Cuadrilla"] = json!("red");
     low["Turno"] = json!("low");
     cluster.submit(0, &low);
-    let began = |w: &Cluster| w.starts.iter().any(|s| s.1.job == JobId(1));
+    let began = |w: &Cluster| w.task_starts.iter().any(|s| s.1.job == JobId(1));
     cluster.run(30_000);
     assert!(!began(&cluster), "urgent work comes first");
     cluster.run(32_000);
@@ -134,7 +134,7 @@
     same["Turno"] = json!("low");
     cluster.submit(0, &same);
     cluster.run(30_000);
-    assert_eq!(cluster.starts.len(), 12);
+    assert_eq!(cluster.task_starts.len(), 12);
     cluster.check();
 }
 
--- a/crates/worksshunt-core/tests/scenarios/ordinary.rs
+++ b/crates/worksshunt-core/tests/scenarios/ordinary.rs
@@ -1,9 +1,9 @@
 //! What the service does day by day, and when controllers, machines or the state service fail.
 
 use serde_json::json;
-use worksshunt_core::controller::{Event, StoreReply};
+use worksshunt_core::controller::{Event, KvResponse};
 use worksshunt_core::placement::owner;
-use worksshunt_wire::{JobId, NodeName, TaskId};
+use worksshunt_wire::{ControllerName, JobId, TaskId};
 
 use crate::{long_job, ready, ready_with_boots_of};
 use worksshunt_simulation::{job, Cluster};
@@ -19,7 +19,7 @@
         assert_eq!(cluster.state(node, 1), (200, "done".into()));
     }
     assert_eq!(cluster.submit(2, &job(1, 6)).status, 200);
-    assert_eq!(cluster.starts.len(), 6, "each task started once");
+    assert_eq!(cluster.task_starts.len(), 6, "each task started once");
     assert!(cluster.stored("j/j-000001").is_none());
     cluster.check();
 }
@@ -44,7 +44,7 @@
     cluster.start(leader);
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 20));
     cluster.check();
-    assert_eq!(cluster.starts.len(), 20, "nothing was started again");
+    assert_eq!(cluster.task_starts.len(), 20, "nothing was started again");
 }
 
 #[test]
@@ -68,15 +68,15 @@
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
     cluster.until("machines", 30_000, |w| !w.workers.is_empty());
-    cluster.trouble.hold_txns.insert(leader);
+    cluster.faults.hold_writes.insert(leader);
     cluster.run(8_000);
     cluster.crash(leader);
     cluster.until("another leader", 20_000, |w| w.leader() != leader);
-    cluster.trouble.hold_txns.clear();
-    let replies = cluster.release_txns();
+    cluster.faults.hold_writes.clear();
+    let replies = cluster.release_writes();
     assert!(!replies.is_empty(), "something was held back");
     for reply in replies {
-        assert!(matches!(reply, StoreReply::Conflict(_)), "{reply:?}");
+        assert!(matches!(reply, KvResponse::Conflict(_)), "{reply:?}");
     }
     cluster.start(leader);
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
@@ -89,20 +89,20 @@
     cluster.submit(0, &job(1, 8));
     cluster.until("tasks", 30_000, |w| !w.running().is_empty());
     let leader = cluster.leader();
-    cluster.trouble.cut_from_state.insert(leader);
+    cluster.faults.cut_from_key_value_store.insert(leader);
     cluster.run(7_000);
-    let report = json!({"Estiba": "i-000000", "Addr": "10.1.0.1:1", "Modelo": "m4", "Patio": "a",
+    let heartbeat = json!({"Estiba": "i-000000", "Addr": "10.1.0.1:1", "Modelo": "m4", "Patio": "a",
         "Prestados": true, "Jornada": 9, "Folio": 1, "Vara": 0, "Piezas": []});
     for machine in 0..12 {
-        let mut report = report.clone();
-        report["Estiba"] = json!(format!("i-{machine:06}"));
-        let body = report.to_string().into_bytes();
+        let mut heartbeat = heartbeat.clone();
+        heartbeat["Estiba"] = json!(format!("i-{machine:06}"));
+        let body = heartbeat.to_string().into_bytes();
         let reply = cluster.ask(leader, |request| Event::Heartbeat(request, body));
         assert_ne!(reply.status, 200, "it answered a worker without authority");
     }
     let reply = cluster.submit(leader, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
-    cluster.trouble.cut_from_state.clear();
+    cluster.faults.cut_from_key_value_store.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
     cluster.check();
 }
@@ -112,13 +112,13 @@
 #[test]
 fn only_a_controller_that_lost_the_state_service_alone_is_unhealthy() {
     let mut cluster = ready();
-    cluster.trouble.cut_from_state.insert(1);
+    cluster.faults.cut_from_key_value_store.insert(1);
     cluster.run(4_500);
     assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true, false, true]);
-    cluster.trouble.cut_from_state.clear();
+    cluster.faults.cut_from_key_value_store.clear();
     cluster.run(5_000);
     assert!(cluster.healthy(1));
-    cluster.trouble.state_down = true;
+    cluster.faults.key_value_store_down = true;
     cluster.run(40_000);
     assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true; 3]);
 }
@@ -126,16 +126,16 @@
 #[test]
 fn a_short_outage_of_the_state_service_costs_no_lease() {
     let mut cluster = ready();
-    cluster.run_ms = 60_000;
+    cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |w| w.running().len() == 8);
-    cluster.trouble.state_down = true;
+    cluster.faults.key_value_store_down = true;
     cluster.run(15_000);
     let reply = cluster.submit(1, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
-    cluster.trouble.state_down = false;
+    cluster.faults.key_value_store_down = false;
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
-    assert_eq!(cluster.starts.len(), 8, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 8, "no lease ran out");
     cluster.check();
 }
 
@@ -160,15 +160,15 @@
     let mut cluster = ready();
     cluster.submit(0, &job(1, 12));
     cluster.until("tasks", 30_000, |w| w.running().len() > 3);
-    assert!(cluster.withdraw(1, 1).body.contains("aborted"));
+    assert!(cluster.cancel(1, 1).body.contains("aborted"));
     cluster.until("none running", 6_000, |w| w.running().is_empty());
-    let started = cluster.starts.len();
+    let started = cluster.task_starts.len();
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(1_000);
     cluster.start(leader);
     cluster.run(30_000);
-    assert_eq!(cluster.starts.len(), started, "none starts after that");
+    assert_eq!(cluster.task_starts.len(), started, "none starts after that");
     for node in 0..3 {
         assert_eq!(cluster.state(node, 1), (200, "aborted".into()));
     }
@@ -182,7 +182,7 @@
     cluster.machine("a", true, 0);
     cluster.run(4_000);
     cluster.submit(0, &job(1, 4));
-    cluster.withdraw(2, 1);
+    cluster.cancel(2, 1);
     cluster.run(20_000);
     assert_eq!(cluster.running(), vec![]);
     cluster.check();
@@ -195,13 +195,13 @@
     cluster.submit(0, &job(1, 2));
     cluster.until("tasks", 30_000, |w| w.running().len() == 2);
     cluster.run(6_000);
-    cluster.trouble.hold_txns = (0..3).collect();
+    cluster.faults.hold_writes = (0..3).collect();
     cluster.until("all tasks", 30_000, |w| w.all_done(1, 2));
     cluster.run(2_000);
     for node in 0..3 {
         assert_ne!(cluster.state(node, 1).1, "done");
     }
-    cluster.trouble.hold_txns.clear();
+    cluster.faults.hold_writes.clear();
     cluster.run(4_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     cluster.check();
@@ -214,16 +214,16 @@
     cluster.submit(0, &job(1, 3));
     cluster.until("tasks", 30_000, |w| w.running().len() == 3);
     cluster.run(6_000);
-    cluster.trouble.hold_txns = (0..3).collect();
+    cluster.faults.hold_writes = (0..3).collect();
     cluster.until("all tasks", 30_000, |w| w.all_done(1, 3));
     cluster.run(4_000);
     (0..3).for_each(|node| cluster.crash(node));
-    cluster.trouble.hold_txns.clear();
+    cluster.faults.hold_writes.clear();
     cluster.run(5_000);
     (0..3).for_each(|node| cluster.start(node));
     cluster.run(20_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
-    assert_eq!(cluster.starts.len(), 3, "no work was repeated");
+    assert_eq!(cluster.task_starts.len(), 3, "no work was repeated");
     cluster.check();
 }
 
@@ -231,28 +231,28 @@
 #[test]
 fn late_direct_orders_start_nothing_a_second_time() {
     let mut cluster = ready();
-    cluster.trouble.hold_orders = true;
+    cluster.faults.hold_commands = true;
     cluster.submit(0, &job(1, 8));
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
     cluster.run(5_000);
     cluster.submit(0, &job(2, 3));
-    assert!(cluster.release_orders() > 0, "something was held back");
+    assert!(cluster.release_commands() > 0, "something was held back");
     cluster.until("all tasks", 60_000, |w| w.all_done(2, 3));
     cluster.run(10_000);
-    assert_eq!(cluster.starts.len(), 11, "{:?}", cluster.starts);
+    assert_eq!(cluster.task_starts.len(), 11, "{:?}", cluster.task_starts);
     cluster.check();
 }
 
 #[test]
 fn a_hung_machine_loses_its_tasks_only_after_its_lease() {
     let mut cluster = ready();
-    cluster.run_ms = 20_000;
+    cluster.task_run_ms = 20_000;
     cluster.submit(0, &job(1, 4));
     cluster.until("tasks", 30_000, |w| w.running().len() == 4);
-    let machine = cluster.starts[0].2.clone();
+    let machine = cluster.task_starts[0].2.clone();
     let hung_at = cluster.now;
     cluster.workers.get_mut(&machine).expect("a worker").hung = true;
-    cluster.until("a second start", 90_000, |w| w.starts.len() > 4);
+    cluster.until("a second start", 90_000, |w| w.task_starts.len() > 4);
     assert!(
         cluster.now > hung_at + 16_000,
         "started before the lease was over"
@@ -268,14 +268,14 @@
 #[test]
 fn a_dead_machine_is_found_out_during_a_rolling_restart() {
     let mut cluster = ready();
-    cluster.run_ms = 100_000;
+    cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 24));
     cluster.until("tasks", 30_000, |w| w.running().len() == 24);
     let leader = cluster.leader();
     let other = (leader + 1) % 3;
     // A machine that is the leader's with and without the controller that restarts.
-    let names: Vec<NodeName> = (0..3).map(|n| NodeName(format!("n{n}"))).collect();
-    let rest: Vec<NodeName> = names
+    let names: Vec<ControllerName> = (0..3).map(|n| ControllerName(format!("n{n}"))).collect();
+    let rest: Vec<ControllerName> = names
         .iter()
         .filter(|n| **n != names[other])
         .cloned()
@@ -293,7 +293,10 @@
         cluster.start(other);
         cluster.run(4_000);
     }
-    assert!(cluster.starts.len() > 24, "nothing was given up after 40 s");
+    assert!(
+        cluster.task_starts.len() > 24,
+        "nothing was given up after 40 s"
+    );
     cluster.check();
 }
 
@@ -301,15 +304,15 @@
 #[test]
 fn a_controller_that_workers_do_not_reach_gives_up_its_machines() {
     let mut cluster = ready();
-    cluster.run_ms = 60_000;
+    cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 40));
     cluster.until("tasks", 30_000, |w| w.running().len() == 40);
     cluster.run(5_000);
-    cluster.trouble.cut_from_workers.insert(1);
+    cluster.faults.cut_from_workers.insert(1);
     cluster.run(30_000);
-    cluster.trouble.cut_from_workers.clear();
+    cluster.faults.cut_from_workers.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 40));
-    assert_eq!(cluster.starts.len(), 40, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 40, "no lease ran out");
     cluster.check();
 }
 
@@ -340,8 +343,8 @@
 #[test]
 fn tasks_on_machines_decide_the_zone_before_tasks_that_are_done() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.trouble.cloud_down = true;
-    cluster.run_ms = 20_000;
+    cluster.faults.cloud_down = true;
+    cluster.task_run_ms = 20_000;
     cluster.machine("b", true, 0);
     let mut bound = long_job(1, 6);
     bound["SamePlace"] = json!(true);
@@ -354,12 +357,12 @@
     (0..3).for_each(|node| cluster.start(node));
     cluster.run(12_000);
     assert_eq!(cluster.launches_on(&other), 0);
-    cluster.until("the fifth task", 40_000, |w| w.starts.len() == 5);
-    cluster.rules.completed(TaskId {
+    cluster.until("the fifth task", 40_000, |w| w.task_starts.len() == 5);
+    cluster.invariants.completed(TaskId {
         job: JobId(1),
         index: 5,
     });
-    cluster.trouble.cloud_down = false;
+    cluster.faults.cloud_down = false;
     cluster.until("its end", 60_000, |w| w.keys("j/").is_empty());
     cluster.check();
 }
@@ -368,7 +371,7 @@
 #[test]
 fn a_team_without_guarantee_and_limit_uses_what_there_is() {
     let mut cluster = ready();
-    cluster.run_ms = 20_000;
+    cluster.task_run_ms = 20_000;
     let mut white = long_job(1, 40);
     white["Cuadrilla"] = json!("white");
     assert_eq!(cluster.submit(0, &white).status, 201);
@@ -388,10 +391,10 @@
 fn a_wide_task_gets_a_machine_by_a_claim() {
     let mut cluster = ready();
     cluster.capacity = 2;
-    cluster.run_ms = 3_000;
+    cluster.task_run_ms = 3_000;
     cluster.submit(0, &job(1, 400));
     cluster.until("a full fleet", 40_000, |w| w.running().len() == 8);
-    cluster.run_ms = 2_700;
+    cluster.task_run_ms = 2_700;
     let mut wide = job(2, 1);
     wide["Cores"] = json!(4.0);
     wide["CalculoS"] = json!(3.0);
@@ -409,14 +412,14 @@
 fn a_job_that_always_fails_waits_ever_longer() {
     let mut cluster = ready();
     cluster.capacity = 1;
-    cluster.run_ms = 1_000;
-    cluster.trouble.failing.insert(JobId(1));
+    cluster.task_run_ms = 1_000;
+    cluster.faults.failing_jobs.insert(JobId(1));
     cluster.submit(0, &job(1, 1));
     cluster.submit(1, &job(2, 30));
     cluster.until("the good job", 120_000, |w| w.all_done(2, 30));
     cluster.run(60_000);
     let tries = cluster
-        .starts
+        .task_starts
         .iter()
         .filter(|s| s.1.job == JobId(1))
         .count();
@@ -428,10 +431,10 @@
 #[test]
 fn a_faulty_machine_gets_no_more_work_and_goes_back() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.run_ms = 2_000;
+    cluster.task_run_ms = 2_000;
     let faulty = cluster.machine("a", true, 0);
     cluster.machine("a", true, 0);
-    cluster.trouble.faulty.insert(faulty.clone());
+    cluster.faults.faulty_machines.insert(faulty.clone());
     cluster.run(4_000);
     for id in 1..=20 {
         cluster.submit(0, &job(id, 3));
@@ -439,8 +442,10 @@
     cluster.until("all tasks", 90_000, |w| {
         (1..=20).all(|id| w.all_done(id, 3))
     });
-    cluster.until("its return", 90_000, |w| w.returned.contains(&faulty));
-    let failed = cluster.starts.iter().filter(|s| s.2 == faulty).count();
+    cluster.until("its return", 90_000, |w| {
+        w.released_machines.contains(&faulty)
+    });
+    let failed = cluster.task_starts.iter().filter(|s| s.2 == faulty).count();
     assert!((3..=8).contains(&failed), "{failed} starts on it");
     cluster.check();
 }
@@ -449,7 +454,7 @@
 #[test]
 fn a_new_leader_keeps_machines_older_than_any_boot() {
     let mut cluster = ready();
-    cluster.run_ms = 120_000;
+    cluster.task_run_ms = 120_000;
     cluster.submit(0, &long_job(1, 40));
     cluster.until("tasks", 30_000, |w| w.running().len() == 40);
     cluster.run(60_000);
@@ -459,7 +464,7 @@
     cluster.start(leader);
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 40));
     assert_eq!(
-        cluster.starts.len(),
+        cluster.task_starts.len(),
         40,
         "no machine was taken from its tasks"
     );
@@ -469,9 +474,9 @@
 #[test]
 fn the_largest_job_runs_and_can_be_cancelled() {
     let mut cluster = ready();
-    cluster.run_ms = 1_000;
+    cluster.task_run_ms = 1_000;
     cluster.submit(0, &job(1, 100_000));
-    cluster.until("many tasks", 120_000, |w| w.starts.len() > 500);
+    cluster.until("many tasks", 120_000, |w| w.task_starts.len() > 500);
     let mut urgent = job(2, 10);
     urgent["Turno"] = json!("urgent");
     cluster.submit(1, &urgent);
@@ -481,13 +486,13 @@
     cluster.run(10_000);
     cluster.start(leader);
     cluster.run(10_000);
-    let starts = cluster.starts.len();
+    let starts = cluster.task_starts.len();
     cluster.run(5_000);
     assert!(
-        cluster.starts.len() > starts,
+        cluster.task_starts.len() > starts,
         "it goes on under another leader"
     );
-    assert_eq!(cluster.withdraw(leader, 1).status, 200);
+    assert_eq!(cluster.cancel(leader, 1).status, 200);
     cluster.until("none running", 10_000, |w| w.running().is_empty());
     cluster.check();
 }
@@ -528,7 +533,7 @@
         assert_eq!(cluster.state(node, 7), (200, "pending".into()));
         assert_eq!(cluster.submit(node, &job(8, 1)).status, 200);
     }
-    assert!(cluster.withdraw(2, 9).body.contains("aborted"));
+    assert!(cluster.cancel(2, 9).body.contains("aborted"));
     cluster.until("all the others", 120_000, |w| {
         (1..=40).all(|id| id == 9 || w.all_done(id, 1))
     });
@@ -537,7 +542,7 @@
         assert_eq!(cluster.state(1, id), (200, "done".into()));
     }
     assert_eq!(cluster.state(1, 9), (200, "aborted".into()));
-    assert_eq!(cluster.starts.len(), 39);
+    assert_eq!(cluster.task_starts.len(), 39);
     assert!(cluster.keys("j/").is_empty(), "{:?}", cluster.keys("j/"));
     cluster.check();
 }
@@ -578,7 +583,7 @@
         assert_eq!(cluster.submit(0, job).status, 422, "{job}");
     }
     assert_eq!(cluster.state(0, 7).0, 404);
-    assert_eq!(cluster.withdraw(0, 7).status, 404);
+    assert_eq!(cluster.cancel(0, 7).status, 404);
     // A known job is answered with its state, whatever else the repeat says.
     assert_eq!(cluster.submit(0, &job(7, 2)).status, 201);
     assert_eq!(cluster.submit(1, &change("Piezas", json!(0))).status, 200);
@@ -597,11 +602,16 @@
     cluster.limit_attempts(16);
     cluster.run(4_000);
     let first = cluster.epoch();
-    let sessions_begun = |w: &Cluster| w.workers.keys().filter(|id| w.session(id) > 1).count();
+    let sessions_begun = |w: &Cluster| {
+        w.workers
+            .keys()
+            .filter(|id| w.worker_incarnation(id) > 1)
+            .count()
+    };
     cluster.submit(0, &job(1, 50));
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 50));
     assert_eq!(cluster.epoch(), first + 3, "16, 32 and 48 of 50 attempts");
-    assert_eq!(cluster.starts.len(), 50, "each task started once");
+    assert_eq!(cluster.task_starts.len(), 50, "each task started once");
     assert_eq!(sessions_begun(&cluster), 0, "no lease was lost");
     cluster.run(3_000);
     cluster.check();
