--- a/crates/worksshunt-core/tests/scenarios/outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/outage.rs
@@ -1,9 +1,9 @@
 //! Outages of the state service that are longer than a lease.
 
-use worksshunt_core::epoch_poll::EpochPoll;
+use worksshunt_core::epoch_confirmation::EpochConfirmation;
 use worksshunt_core::time::Time;
 use worksshunt_wire::peer::KnownEpoch;
-use worksshunt_wire::{Epoch, JobId, NodeName};
+use worksshunt_wire::{ControllerName, Epoch, JobId};
 
 use crate::combined_faults::{fill, settle};
 use worksshunt_simulation::Cluster;
@@ -21,7 +21,7 @@
 /// A cluster in which eight tasks run for longer than any outage here.
 fn busy() -> Cluster {
     let mut cluster = Cluster::new();
-    cluster.ready_s = 50.0;
+    cluster.nominal_boot_s = 50.0;
     for node in 0..3 {
         cluster.settings[node].facts.workers.cancel_s = CANCEL_S;
         cluster.start(node);
@@ -33,14 +33,18 @@
 }
 
 fn outage(cluster: &mut Cluster, ms: u64) {
-    cluster.trouble.state_down = true;
+    cluster.faults.key_value_store_down = true;
     cluster.run(ms);
-    cluster.trouble.state_down = false;
+    cluster.faults.key_value_store_down = false;
 }
 
 fn starts(cluster: &Cluster) -> usize {
     let ours = |id: &JobId| id.0 <= 2;
-    cluster.starts.iter().filter(|s| ours(&s.1.job)).count()
+    cluster
+        .task_starts
+        .iter()
+        .filter(|s| ours(&s.1.job))
+        .count()
 }
 
 // Guards against 1,383 tasks killed by their leases in an outage of 20 s (vriesdok-noord, rough).
@@ -58,13 +62,13 @@
 #[test]
 fn tasks_outlive_an_outage_that_ends_with_a_restart_of_all_controllers() {
     let mut cluster = busy();
-    cluster.trouble.state_down = true;
+    cluster.faults.key_value_store_down = true;
     cluster.run(LONG_OUTAGE_MS - 6_000);
     for node in 0..3 {
-        cluster.bounce(node, 3_000);
+        cluster.restart(node, 3_000);
     }
     cluster.run(6_000);
-    cluster.trouble.state_down = false;
+    cluster.faults.key_value_store_down = false;
     cluster.run(10_000);
     assert_eq!(starts(&cluster), 8, "none started a second time");
     settle(&mut cluster, "after the outage");
@@ -74,7 +78,7 @@
 #[test]
 fn one_silent_controller_ends_the_authority_of_all() {
     let mut cluster = busy();
-    cluster.trouble.cut_from_peers.insert(2);
+    cluster.faults.cut_from_peers.insert(2);
     outage(&mut cluster, LONG_OUTAGE_MS);
     assert_eq!(cluster.running().len(), 0, "all leases ran out");
     settle(&mut cluster, "after the outage");
@@ -85,7 +89,7 @@
 fn a_controller_that_alone_is_refused_gives_its_workers_up() {
     let mut cluster = busy();
     let alone = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    cluster.trouble.refused.insert(alone);
+    cluster.faults.refused_by_key_value_store.insert(alone);
     cluster.run(LEASE_AND_AUTHORITY_MS);
     assert_eq!(cluster.reporting_to(alone), 0);
     assert_eq!(starts(&cluster), 8, "none started a second time");
@@ -99,20 +103,20 @@
     let mut cluster = busy();
     let former = (0..3).find(|n| *n != cluster.leader()).expect("another");
     let others: Vec<usize> = (0..3).filter(|n| *n != former).collect();
-    cluster.trouble.refused.insert(former);
-    cluster.trouble.cut_from_peers.insert(former);
+    cluster.faults.refused_by_key_value_store.insert(former);
+    cluster.faults.cut_from_peers.insert(former);
     // Its workers report to nobody else.
-    cluster.trouble.cut_from_workers.extend(&others);
+    cluster.faults.cut_from_workers.extend(&others);
     cluster.run(5_000 + moment);
-    cluster.trouble.state_down = true;
-    cluster.trouble.cut_from_peers.clear();
+    cluster.faults.key_value_store_down = true;
+    cluster.faults.cut_from_peers.clear();
     if peers_restart {
         for node in others {
-            cluster.bounce(node, 100);
+            cluster.restart(node, 100);
         }
     }
     cluster.run(LEASE_AND_AUTHORITY_MS);
-    cluster.trouble.state_down = false;
+    cluster.faults.key_value_store_down = false;
     cluster.run(3_000);
     let what = format!("asked after {moment} ms, peers restart: {peers_restart}");
     settle(&mut cluster, &what);
@@ -134,7 +138,7 @@
     }
 }
 
-fn name(text: &str) -> NodeName {
+fn name(text: &str) -> ControllerName {
     text.into()
 }
 
@@ -142,28 +146,28 @@
     KnownEpoch {
         poll,
         epoch: Epoch(epoch),
-        state_service_answers: false,
+        key_value_store_reachable: false,
     }
 }
 
-fn poll() -> (EpochPoll, u64) {
-    let mut poll = EpochPoll::default();
+fn poll() -> (EpochConfirmation, u64) {
+    let mut poll = EpochConfirmation::default();
     let others = [name("n1"), name("n2")].into_iter().collect();
-    let number = poll.begin(Time(1_000), Epoch(4), others);
+    let number = poll.begin_poll(Time(1_000), Epoch(4), others);
     (poll, number)
 }
 
 #[test]
 fn a_poll_confirms_its_epoch_once_all_have_answered() {
     let (mut poll, number) = poll();
-    assert_eq!(poll.confirmed(Epoch(4)), None);
-    poll.answered(&name("n1"), &known(number, 4));
-    poll.answered(&name("n1"), &known(number, 4));
-    assert_eq!(poll.confirmed(Epoch(4)), None, "one of two, twice");
-    poll.answered(&name("n2"), &known(number, 0));
-    assert_eq!(poll.confirmed(Epoch(4)), Some(Time(1_000)));
+    assert_eq!(poll.confirmed_at(Epoch(4)), None);
+    poll.record_response(&name("n1"), &known(number, 4));
+    poll.record_response(&name("n1"), &known(number, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), None, "one of two, twice");
+    poll.record_response(&name("n2"), &known(number, 0));
+    assert_eq!(poll.confirmed_at(Epoch(4)), Some(Time(1_000)));
     assert_eq!(
-        poll.confirmed(Epoch(5)),
+        poll.confirmed_at(Epoch(5)),
         None,
         "another epoch began meanwhile"
     );
@@ -172,37 +176,37 @@
 #[test]
 fn a_poll_fails_by_a_newer_epoch_or_a_state_service_that_answers_others() {
     let reaches = |number| KnownEpoch {
-        state_service_answers: true,
+        key_value_store_reachable: true,
         ..known(number, 4)
     };
     for odd in [known(1, 5), reaches(1)] {
         let (mut poll, number) = poll();
         assert_eq!(number, 1);
-        poll.answered(&name("n1"), &odd);
-        poll.answered(&name("n1"), &known(number, 4));
-        poll.answered(&name("n2"), &known(number, 4));
-        assert_eq!(poll.confirmed(Epoch(4)), None, "{odd:?}");
+        poll.record_response(&name("n1"), &odd);
+        poll.record_response(&name("n1"), &known(number, 4));
+        poll.record_response(&name("n2"), &known(number, 4));
+        assert_eq!(poll.confirmed_at(Epoch(4)), None, "{odd:?}");
     }
 }
 
 #[test]
 fn answers_to_an_earlier_poll_count_for_nothing() {
     let (mut poll, first) = poll();
-    poll.answered(&name("n1"), &known(first, 4));
+    poll.record_response(&name("n1"), &known(first, 4));
     let others = [name("n1"), name("n2")].into_iter().collect();
-    let second = poll.begin(Time(2_000), Epoch(4), others);
-    poll.answered(&name("n1"), &known(first, 4));
-    poll.answered(&name("n2"), &known(second, 4));
-    assert_eq!(poll.confirmed(Epoch(4)), None);
-    poll.answered(&name("n1"), &known(second, 4));
-    assert_eq!(poll.confirmed(Epoch(4)), Some(Time(2_000)));
+    let second = poll.begin_poll(Time(2_000), Epoch(4), others);
+    poll.record_response(&name("n1"), &known(first, 4));
+    poll.record_response(&name("n2"), &known(second, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), None);
+    poll.record_response(&name("n1"), &known(second, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), Some(Time(2_000)));
 }
 
 #[test]
 fn only_the_first_confirmation_of_an_outage_is_news() {
-    let mut poll = EpochPoll::default();
-    assert!(poll.note_confirmation());
-    assert!(!poll.note_confirmation());
-    poll.state_service_answered();
-    assert!(poll.note_confirmation(), "another outage");
+    let mut poll = EpochConfirmation::default();
+    assert!(poll.mark_confirmed());
+    assert!(!poll.mark_confirmed());
+    poll.key_value_store_answered();
+    assert!(poll.mark_confirmed(), "another outage");
 }
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -23,7 +23,7 @@
 /// A cluster in which a service has all its replicas up.
 fn serving(job: &serde_json::Value, replicas: usize) -> Cluster {
     let mut cluster = ready();
-    cluster.run_ms = 20_000;
+    cluster.task_run_ms = 20_000;
     assert_eq!(cluster.submit(0, job).status, 201);
     cluster.until("replicas", 30_000, |w| w.running().len() == replicas);
     cluster
@@ -31,7 +31,7 @@
 
 /// The machine with most tasks on it.
 fn busiest(cluster: &Cluster) -> MachineId {
-    let last = cluster.starts.last().expect("a start");
+    let last = cluster.task_starts.last().expect("a start");
     last.2.clone()
 }
 
@@ -40,24 +40,24 @@
     let mut cluster = serving(&service(1, 6), 6);
     cluster.run(60_000);
     assert_eq!(cluster.state(1, 1), (200, "running".into()));
-    assert_eq!(cluster.starts.len(), 6, "replicas run on");
+    assert_eq!(cluster.task_starts.len(), 6, "replicas run on");
     let lost = busiest(&cluster);
     cluster.workers.remove(&lost);
     cluster.until("all up again", 40_000, |w| w.running().len() == 6);
-    let starts = cluster.starts.len();
+    let starts = cluster.task_starts.len();
     (0..3).for_each(|node| cluster.crash(node));
     cluster.run(4_000);
     (0..3).for_each(|node| cluster.start(node));
     cluster.run(30_000);
     assert_eq!(cluster.running().len(), 6);
     assert_eq!(
-        cluster.starts.len(),
+        cluster.task_starts.len(),
         starts,
         "a crash of all costs no replica"
     );
     assert_eq!(cluster.state(2, 1), (200, "running".into()));
     assert!(cluster.keys("d/").is_empty() && cluster.keys("f/").is_empty());
-    assert_eq!(cluster.withdraw(2, 1).status, 200);
+    assert_eq!(cluster.cancel(2, 1).status, 200);
     cluster.run(10_000);
     assert_eq!(cluster.state(0, 1), (200, "aborted".into()));
     assert!(cluster.running().is_empty());
@@ -76,22 +76,22 @@
 #[test]
 fn a_replica_that_ends_runs_again_after_a_bounded_wait() {
     let mut cluster = ready();
-    cluster.run_ms = 500;
-    cluster.trouble.ending.insert(JobId(1));
+    cluster.task_run_ms = 500;
+    cluster.faults.ending_services.insert(JobId(1));
     cluster.submit(0, &service(1, 1));
     for _ in 0..9 {
         cluster.run(10_000);
         assert_ne!(cluster.state(1, 1).1, "done");
     }
-    let starts = cluster.starts.len();
+    let starts = cluster.task_starts.len();
     assert!((5..25).contains(&starts), "{starts} starts in 90 s");
     assert!(cluster.keys("d/").is_empty() && cluster.keys("f/").is_empty());
-    cluster.trouble.ending.clear();
+    cluster.faults.ending_services.clear();
     cluster.until("it to stay up", 25_000, |w| w.running().len() == 1);
     cluster.run(60_000);
-    cluster.trouble.ending.insert(JobId(1));
+    cluster.faults.ending_services.insert(JobId(1));
     cluster.run(1_000);
-    cluster.trouble.ending.clear();
+    cluster.faults.ending_services.clear();
     cluster.until("no wait after it ran well", 4_000, |w| {
         w.running().len() == 1
     });
@@ -103,7 +103,7 @@
 fn one_faulty_machine_does_not_keep_a_service_down() {
     let mut cluster = serving(&service(1, 4), 4);
     let faulty = busiest(&cluster);
-    cluster.trouble.faulty.insert(faulty);
+    cluster.faults.faulty_machines.insert(faulty);
     cluster.until("failures", 30_000, |w| w.running().len() < 4);
     cluster.until("replicas elsewhere", 30_000, |w| w.running().len() == 4);
     cluster.check();
@@ -132,7 +132,7 @@
 fn a_replica_has_other_work_stopped_at_once() {
     for spread in [false, true] {
         let mut cluster = ready();
-        cluster.run_ms = 60_000;
+        cluster.task_run_ms = 60_000;
         cluster.capacity = 2;
         for (id, zone) in [(1, "a"), (3, "b")] {
             let mut low = long_job(id, 4);
@@ -162,15 +162,15 @@
         let ordinary = w.workers.iter().filter(|(_, worker)| !worker.spot);
         ordinary.map(|(id, _)| id.clone()).collect()
     };
-    for (_, task, machine) in &cluster.starts {
+    for (_, task, machine) in &cluster.task_starts {
         let spot = !ordinary(&cluster).contains(machine);
         assert_eq!(spot, task.job == JobId(2), "{task} on {machine}");
     }
     cluster.submit(2, &service(3, 4));
     let up = |w: &Cluster| w.running().iter().filter(|t| t.job == JobId(3)).count() == 4;
     cluster.until("replicas without a boot", 3_000, up);
-    cluster.withdraw(0, 1);
-    cluster.withdraw(0, 3);
+    cluster.cancel(0, 1);
+    cluster.cancel(0, 3);
     cluster.until("nothing kept for nobody", 120_000, |w| w.workers.is_empty());
     cluster.check();
 }
@@ -180,15 +180,15 @@
 #[test]
 fn work_is_done_in_time_where_there_are_no_spot_machines() {
     let mut cluster = ready();
-    cluster.trouble.no_spot = true;
+    cluster.faults.no_spot = true;
     cluster.submit(0, &service(1, 4));
     cluster.until("the service", 30_000, |w| w.running().len() == 4);
-    cluster.run_ms = 40_000;
+    cluster.task_run_ms = 40_000;
     let mut pressed = long_job(2, 8);
     pressed["EntregaS"] = json!(200.0);
     cluster.submit(1, &pressed);
     cluster.until("work with a deadline", 120_000, |w| w.all_done(2, 8));
-    cluster.withdraw(0, 1);
+    cluster.cancel(0, 1);
     cluster.until("nothing up", 120_000, |w| w.workers.is_empty());
     cluster.submit(1, &long_job(3, 24));
     cluster.until("work without one", 200_000, |w| w.all_done(3, 24));
@@ -221,7 +221,7 @@
 /// A service of four replicas among some 13 machines in each zone.
 fn service_in_a_crowd() -> Cluster {
     let mut cluster = serving(&service(1, 4), 4);
-    cluster.run_ms = 200_000;
+    cluster.task_run_ms = 200_000;
     cluster.capacity = 40;
     for (id, zone) in [(2, "a"), (3, "b")] {
         let mut crowd = long_job(id, 48);
@@ -243,12 +243,14 @@
 fn a_service_is_up_again_before_the_lease_of_its_dead_machine_ends() {
     let mut cluster = service_in_a_crowd();
     let dead = cluster
-        .starts
+        .task_starts
         .iter()
         .find(|(_, task, _)| task.job == JobId(1));
     let dead = dead.expect("a replica").2.clone();
     cluster.workers.get_mut(&dead).expect("a worker").hung = true;
-    cluster.until("its return", 13_000, |w| w.returned.contains(&dead));
+    cluster.until("its return", 13_000, |w| {
+        w.released_machines.contains(&dead)
+    });
     cluster.until("all up again", 3_000, |w| replicas(w) == 4);
     cluster.check();
 }
@@ -269,7 +271,8 @@
             cluster.workers.get_mut(id).expect("a worker").hung = hung;
         }
     };
-    let given_up = |w: &Cluster, of: &[MachineId]| of.iter().any(|id| w.returned.contains(id));
+    let given_up =
+        |w: &Cluster, of: &[MachineId]| of.iter().any(|id| w.released_machines.contains(id));
     hang(&mut cluster, true);
     cluster.run(15_000);
     assert!(!given_up(&cluster, &zone), "a zone");
@@ -278,7 +281,7 @@
     cluster.run(10_000);
     let busy = busy(&cluster);
     let other = (cluster.leader() + 1) % 3;
-    cluster.trouble.cut_from_workers.insert(other);
+    cluster.faults.cut_from_workers.insert(other);
     cluster.run(15_000);
     assert!(
         !given_up(&cluster, &busy),
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -11,8 +11,8 @@
 use worksshunt_core::jobs::{read_completions, Job};
 use worksshunt_core::membership::EpochRecord;
 use worksshunt_core::records;
-use worksshunt_wire::peer::{End, PeerAnswer, PeerRequest, Phase};
-use worksshunt_wire::state::Pair;
+use worksshunt_wire::key_value::KeyValue;
+use worksshunt_wire::peer::{AttemptOutcome, PeerRequest, PeerResponse, Phase};
 use worksshunt_wire::{JobId, Revision};
 
 use crate::{long_job, ready};
@@ -41,25 +41,25 @@
         .iter()
         .map(|frame| borsh::from_slice(frame).expect("a request"))
         .collect();
-    let answers: Vec<PeerAnswer> = frames[2..]
+    let answers: Vec<PeerResponse> = frames[2..]
         .iter()
         .map(|frame| borsh::from_slice(frame).expect("an answer"))
         .collect();
     let PeerRequest::Sync(up) = &requests[0] else {
         panic!("{:?}", requests[0]);
     };
-    assert_eq!((up.epoch.0, up.number, up.seen), (7, 9, 8));
-    assert!(up.machines[0].lost && up.machines[0].spot && !up.machines[0].noticed);
+    assert_eq!((up.epoch.0, up.sequence, up.acknowledged), (7, 9, 8));
+    assert!(up.machines[0].lost && up.machines[0].spot && !up.machines[0].reclaim_notice);
     let phases: Vec<Phase> = up.attempts.iter().map(|a| a.phase).collect();
     use Phase::*;
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
-    let ends: Vec<End> = up.ended.iter().map(|e| e.how).collect();
-    use End::*;
+    let ends: Vec<AttemptOutcome> = up.ended_attempts.iter().map(|e| e.outcome).collect();
+    use AttemptOutcome::*;
     assert_eq!(ends, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
-    let PeerAnswer::Sync(down) = &answers[0] else {
+    let PeerResponse::Sync(down) = &answers[0] else {
         panic!("{:?}", answers[0]);
     };
-    assert_eq!(down.gives[0].zone.as_deref(), Some("a"));
+    assert_eq!(down.assignments[0].zone.as_deref(), Some("a"));
     assert_eq!(down.progress, Some(vec![(JobId(412), 2, 5)]));
     let written: Vec<Vec<u8>> = requests
         .iter()
@@ -75,7 +75,7 @@
     let store = production_store();
     let mut read = BTreeMap::new();
     for (key, value) in &store {
-        let pair = Pair {
+        let pair = KeyValue {
             key: key.clone(),
             value: value.clone(),
             version: Revision(1),
@@ -86,13 +86,13 @@
             "a/" => {
                 let on = records::read(&pair).expect("records");
                 let entries = on.into_iter().map(|r| (r.attempt, r)).collect();
-                let written = worksshunt_core::pages::Entry::value(&entries);
+                let written = worksshunt_core::pages::PageEntry::value(&entries);
                 assert_eq!(written, *value);
             }
             "d/" => {
                 let entries = read_completions(value).expect("completions");
                 assert!(!entries.is_empty());
-                assert_eq!(worksshunt_core::pages::Entry::value(&entries), *value);
+                assert_eq!(worksshunt_core::pages::PageEntry::value(&entries), *value);
             }
             "j/" => {
                 let jobs = value["jobs"].as_array();
@@ -233,7 +233,7 @@
         let page = value["jobs"].as_array().cloned().unwrap_or_default();
         for stored in page.iter().chain([&value]) {
             if let Ok(job) = serde_json::from_value::<Job>(stored.clone()) {
-                cluster.rules.accepted_before(job.spec);
+                cluster.invariants.accepted_before(job.spec);
             }
         }
         cluster.put(&key, value);
@@ -242,7 +242,7 @@
         largest > limits.0,
         "{largest} bytes are no test of the limit"
     );
-    cluster.trouble.state_limits = Some(limits);
+    cluster.faults.key_value_limits = Some(limits);
     for node in 0..3 {
         if announced {
             let kb = limits.0 as f64 / 1_024.0;
@@ -304,7 +304,7 @@
 #[test]
 fn a_job_that_cannot_be_read_is_left_alone() {
     let mut cluster = ready();
-    cluster.run_ms = 100_000;
+    cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 4));
     cluster.until("tasks", 30_000, |w| w.running().len() == 4);
     (0..3).for_each(|node| cluster.crash(node));
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -5,18 +5,21 @@
 use serde_json::{json, Value};
 use worksshunt_core::constants::DONE_CHUNK;
 use worksshunt_core::jobs::{
-    cancelled_value, final_key, final_value, intake_key, intake_value, is_intake, job_of, open_key,
-    read_cancelled, read_completions, read_final, Completions, Job,
+    cancelled_state_value, final_state_key, final_state_value, is_submission_batch, job_of_key,
+    open_job_key, read_cancelled, read_completions, read_final_state, submission_batch_key,
+    submission_batch_value, Completions, Job,
 };
-use worksshunt_core::membership::{member_key, EpochRecord, Finding, Member, Membership, EPOCH};
-use worksshunt_core::pages::Entry;
-use worksshunt_core::records::{self, page_prefix, Recorded};
+use worksshunt_core::membership::{
+    member_key, EpochRecord, Member, Membership, MembershipAction, EPOCH,
+};
+use worksshunt_core::pages::PageEntry;
+use worksshunt_core::records::{self, page_prefix, AttemptRecord};
 use worksshunt_core::scheduler::claim_key;
 use worksshunt_core::time::Time;
 use worksshunt_wire::cloud::{Catalog, MachineType};
-use worksshunt_wire::state::{Change, Listing, Pair};
+use worksshunt_wire::key_value::{Change, KeyValue, Listing};
 use worksshunt_wire::user::{JobKind, JobSpec, JobState, Priority};
-use worksshunt_wire::{Attempt, Epoch, JobId, NodeName, Revision, Session};
+use worksshunt_wire::{Attempt, ControllerName, Epoch, Incarnation, JobId, Revision};
 
 use crate::{pair, store, stored, task};
 
@@ -79,7 +82,7 @@
         number: Epoch(4),
         leader: member("n0", 71),
         members: vec![member("n0", 71), member("n1", 72), member("n2", 73)],
-        unreached: vec![member("n1", 72)],
+        without_partition: vec![member("n1", 72)],
         services: true,
     }
 }
@@ -101,7 +104,7 @@
     assert_eq!(read, record);
     let fields = value.as_object_mut().expect("an object");
     fields.remove("unreached");
-    record.unreached.clear();
+    record.without_partition.clear();
     let read: EpochRecord = serde_json::from_value(value).expect("an epoch");
     assert_eq!(read, record);
 }
@@ -116,7 +119,7 @@
 
 #[test]
 fn the_member_key_keeps_its_form() {
-    let name = |name: &str| NodeName::from(name);
+    let name = |name: &str| ControllerName::from(name);
     assert_eq!(member_key(&name("n2")), "c/n/n2");
     let nothing = Listing {
         pairs: Vec::new(),
@@ -124,24 +127,24 @@
         revision: Revision(1),
     };
     let mut unfit = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
-    unfit.set_fit(false);
-    unfit.granted(73);
-    unfit.control_read(Time(1), &nothing);
-    let txn = unfit.join_txn().expect("a member key");
-    let (key, value) = put(&txn.changes);
+    unfit.set_ready(false);
+    unfit.lease_granted(73);
+    unfit.process_control_keys(Time(1), &nothing);
+    let write = unfit.member_key_write().expect("a member key");
+    let (key, value) = put(&write.changes);
     written(key, value);
 
     // Another controller's key is read: whether it reaches its part, its lease, and that it knows services.
     let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
-    reader.set_fit(true);
-    reader.granted(71);
-    reader.control_read(Time(1), &nothing);
-    let txn = reader.join_txn().expect("a member key");
-    let (own_key, own_value) = put(&txn.changes);
+    reader.set_ready(true);
+    reader.lease_granted(71);
+    reader.process_control_keys(Time(1), &nothing);
+    let write = reader.member_key_write().expect("a member key");
+    let (own_key, own_value) = put(&write.changes);
     let own = r#"{"hold":71,"reached":true,"standing":true}"#;
     assert_eq!(own_value.to_string(), own);
-    reader.joined(Revision(2));
-    let own = Pair {
+    reader.member_key_written(Revision(2));
+    let own = KeyValue {
         key: own_key.to_owned(),
         value: own_value.clone(),
         version: Revision(2),
@@ -151,15 +154,15 @@
         more: false,
         revision: Revision(3),
     };
-    let Finding::Propose(txn) = reader.control_read(Time(2), &listing) else {
+    let MembershipAction::Propose(write) = reader.process_control_keys(Time(2), &listing) else {
         panic!("no epoch is proposed");
     };
-    let (key, value) = put(&txn.changes);
+    let (key, value) = put(&write.changes);
     let proposed = EpochRecord {
         number: Epoch(1),
         leader: member("n0", 71),
         members: vec![member("n0", 71), member("n2", 73)],
-        unreached: vec![member("n2", 73)],
+        without_partition: vec![member("n2", 73)],
         services: true,
     };
     assert_eq!((key, value), (EPOCH, &json!(proposed)));
@@ -173,17 +176,17 @@
         job
     };
     for (key, job) in [("j/j-000001", full_job(1, 7)), ("j/j-000002", service())] {
-        assert_eq!(open_key(job.spec.id), key);
-        assert_eq!(job_of(key), Some(job.spec.id));
+        assert_eq!(open_job_key(job.spec.id), key);
+        assert_eq!(job_of_key(key), Some(job.spec.id));
         let read: Job = serde_json::from_value(stored(key)).expect("a job");
         assert_eq!(read, job);
         written(key, &json!(job));
     }
     let key = "j/+n1.72.5";
-    assert_eq!(intake_key(&"n1".into(), 72, 5), key);
-    assert!(is_intake(key));
+    assert_eq!(submission_batch_key(&"n1".into(), 72, 5), key);
+    assert!(is_submission_batch(key));
     let jobs = [full_job(11, 1), red_job()];
-    written(key, &intake_value(&[&jobs[0], &jobs[1]]));
+    written(key, &submission_batch_value(&[&jobs[0], &jobs[1]]));
     let read: Vec<Job> = serde_json::from_value(stored(key)["jobs"].clone()).expect("jobs");
     assert_eq!(read, jobs);
 }
@@ -197,27 +200,27 @@
 #[test]
 fn final_states_keep_their_form() {
     let done = "f/j-000005";
-    assert_eq!(final_key(JobId(5)), done);
-    assert_eq!(job_of(done), Some(JobId(5)));
-    assert_eq!(read_final(&stored(done)), Some(JobState::Done));
-    written(done, &final_value(JobState::Done));
+    assert_eq!(final_state_key(JobId(5)), done);
+    assert_eq!(job_of_key(done), Some(JobId(5)));
+    assert_eq!(read_final_state(&stored(done)), Some(JobState::Done));
+    written(done, &final_state_value(JobState::Done));
     let bare = "f/j-000006";
-    assert_eq!(read_final(&stored(bare)), Some(JobState::Cancelled));
+    assert_eq!(read_final_state(&stored(bare)), Some(JobState::Cancelled));
     assert_eq!(read_cancelled(&stored(bare)), None);
-    written(bare, &cancelled_value(None));
+    written(bare, &cancelled_state_value(None));
     let kept = "f/j-000007";
-    assert_eq!(read_final(&stored(kept)), Some(JobState::Cancelled));
+    assert_eq!(read_final_state(&stored(kept)), Some(JobState::Cancelled));
     assert_eq!(read_cancelled(&stored(kept)), Some(full_job(7, 7)));
-    written(kept, &cancelled_value(Some(&full_job(7, 7))));
+    written(kept, &cancelled_state_value(Some(&full_job(7, 7))));
 }
 
 #[test]
 fn attempts_keep_their_form() {
-    let recorded = |machine: &str, task, attempt, session| Recorded {
+    let recorded = |machine: &str, task, attempt, incarnation| AttemptRecord {
         machine: machine.into(),
         task,
         attempt: Attempt(attempt),
-        session: Session(session),
+        incarnation: Incarnation(incarnation),
     };
     assert_eq!(page_prefix(Epoch(4), &"n1".into()), "a/4.n1.");
     let page = [
@@ -225,19 +228,19 @@
         recorded("i-000000", task(7, 1), 67_108_868, 1),
     ];
     assert_eq!(records::read(&pair("a/4.n1.3")).expect("a page"), page);
-    let by_attempt = |page: &[Recorded]| -> BTreeMap<Attempt, Recorded> {
+    let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<Attempt, AttemptRecord> {
         page.iter().map(|r| (r.attempt, r.clone())).collect()
     };
-    written("a/4.n1.3", &Recorded::value(&by_attempt(&page)));
+    written("a/4.n1.3", &AttemptRecord::value(&by_attempt(&page)));
     let first_release = [recorded("i-000001", task(1, 2), 67_108_866, 1)];
     let read = records::read(&pair("a/i-000001")).expect("a machine's record");
     assert_eq!(read, first_release);
     // With a session of its own, which no number of the store is.
     let page = [recorded("i-000009", task(3, 4), 5, 6)];
-    let value = Recorded::value(&by_attempt(&page));
+    let value = AttemptRecord::value(&by_attempt(&page));
     let text = r#"{"on":[["i-000009","j-000003/4",5,6]],"v":2}"#;
     assert_eq!(value.to_string(), text);
-    let pair = Pair {
+    let pair = KeyValue {
         value,
         ..pair("a/4.n1.3")
     };
@@ -278,7 +281,7 @@
             price: 1.5,
             spot_price: Some(0.5),
             boot_s: 5.0,
-            fetch_gb_per_s: 1.25,
+            image_pull_gb_per_s: 1.25,
             zones: vec!["a".into(), "b".into()],
         }],
     };
--- a/crates/worksshunt-core/tests/stored_records/main.rs
+++ b/crates/worksshunt-core/tests/stored_records/main.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::Value;
-use worksshunt_wire::state::Pair;
+use worksshunt_wire::key_value::KeyValue;
 use worksshunt_wire::{JobId, Revision, TaskId};
 
 /// The keys of a whole store, each with the exact text of its value.
@@ -35,8 +35,8 @@
     value(store()[key])
 }
 
-fn pair(key: &str) -> Pair {
-    Pair {
+fn pair(key: &str) -> KeyValue {
+    KeyValue {
         key: key.to_owned(),
         value: stored(key),
         version: Revision(1),
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -4,8 +4,8 @@
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
+use worksshunt_core::job_api::RequestId;
 use worksshunt_core::jobs::{read_cancelled, Job};
-use worksshunt_core::users::RequestId;
 use worksshunt_simulation::{job, service, Cluster};
 use worksshunt_wire::{JobId, TaskId};
 
@@ -53,9 +53,9 @@
             break;
         }
     }
-    cluster.send_withdraw(1, task(17, 0).job);
+    cluster.send_cancel(1, task(17, 0).job);
     watch(&mut cluster, history, 5_000);
-    cluster.send_withdraw(0, task(2, 0).job);
+    cluster.send_cancel(0, task(2, 0).job);
     watch(&mut cluster, history, 25_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     assert_eq!(cluster.state(0, 2), (200, "aborted".into()));
@@ -67,10 +67,10 @@
 fn claim(history: &mut History) {
     let mut cluster = ready(history);
     cluster.capacity = 2;
-    cluster.run_ms = 3_000;
+    cluster.task_run_ms = 3_000;
     cluster.submit(0, &job(1, 400));
     cluster.until("a full fleet", 40_000, |w| w.running().len() == 8);
-    cluster.run_ms = 2_700;
+    cluster.task_run_ms = 2_700;
     let mut wide = job(2, 1);
     wide["Cores"] = json!(4.0);
     wide["CalculoS"] = json!(3.0);
@@ -140,45 +140,45 @@
     let mut cluster = Cluster::new();
     (0..3).for_each(|node| cluster.crash(node));
     cluster.seed(5);
-    cluster.run_ms = 25_000;
+    cluster.task_run_ms = 25_000;
     for (key, text) in store() {
         let stored = value(text);
         let page = stored["jobs"].as_array().cloned().unwrap_or_default();
         for stored in page.into_iter().chain([stored.clone()]) {
             if let Ok(job) = serde_json::from_value::<Job>(stored) {
-                cluster.rules.accepted_before(job.spec);
+                cluster.invariants.accepted_before(job.spec);
             }
         }
         cluster.put(key, stored);
     }
     for index in [0, 4, 5, 6] {
-        cluster.rules.completed(task(1, index));
+        cluster.invariants.completed(task(1, index));
     }
     // What users know of the jobs that are over: the first is done, the others they cancelled.
     let cancelled = read_cancelled(&stored("f/j-000007")).expect("a job");
     for id in [5, 6, 7] {
         let mut spec = cancelled.spec.clone();
         spec.id = JobId(id);
-        cluster.rules.accepted_before(spec);
+        cluster.invariants.accepted_before(spec);
     }
-    (0..7).for_each(|index| cluster.rules.completed(task(5, index)));
+    (0..7).for_each(|index| cluster.invariants.completed(task(5, index)));
     for id in [6, 7] {
         let withdrawal = Event::Cancel(RequestId(0), JobId(id).to_string());
-        cluster.rules.asked(&withdrawal);
+        cluster.invariants.asked(&withdrawal);
     }
     let first = cluster.machine("a", true, 0);
     let second = cluster.machine("a", true, 0);
-    cluster.smuggle(&first, task(1, 1), 67_108_865);
-    cluster.smuggle(&first, task(7, 1), 67_108_868);
-    cluster.smuggle(&second, task(1, 2), 67_108_866);
-    cluster.smuggle(&second, task(2, 0), 67_108_867);
+    cluster.inject_task(&first, task(1, 1), 67_108_865);
+    cluster.inject_task(&first, task(7, 1), 67_108_868);
+    cluster.inject_task(&second, task(1, 2), 67_108_866);
+    cluster.inject_task(&second, task(2, 0), 67_108_867);
     (0..2).for_each(|node| cluster.start(node));
     cluster
 }
 
 fn starts_of(cluster: &Cluster, task: TaskId) -> usize {
     cluster
-        .starts
+        .task_starts
         .iter()
         .filter(|start| start.1 == task)
         .count()
@@ -227,7 +227,7 @@
 fn the_stored_catalogue_serves_while_the_cloud_is_down() {
     for known in [true, false] {
         let mut cluster = Cluster::new();
-        cluster.trouble.cloud_down = true;
+        cluster.faults.cloud_down = true;
         if known {
             cluster.put("t/catalog", stored("t/catalog"));
         }
--- a/crates/worksshunt-measure/src/loopback/cloud.rs
+++ b/crates/worksshunt-measure/src/loopback/cloud.rs
@@ -7,10 +7,12 @@
 
 use http_types::Method;
 use serde_json::json;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::server::Incoming;
 use worksshunt_net::Executor;
-use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineList, MachineNames, RentRequest};
+use worksshunt_wire::cloud::{
+    ListedMachine, ListedState, MachineIds, MachineList, ProvisionRequest,
+};
 use worksshunt_wire::MachineId;
 
 use super::observer::Observer;
@@ -42,14 +44,14 @@
         })
     }
 
-    fn rent(&self, request: &RentRequest) -> Reply {
+    fn rent(&self, request: &ProvisionRequest) -> HttpResponse {
         let free = self
             .plan
             .machines
             .saturating_sub(self.machines.borrow().len());
         let count = free.min(request.count as usize);
         if count == 0 {
-            return Reply::error(503, "no capacity");
+            return HttpResponse::error(503, "no capacity");
         }
         let mut machines = Vec::new();
         for _ in 0..count {
@@ -65,19 +67,19 @@
             self.executor.spawn(running).detach();
             machines.push(id);
         }
-        Reply::json(200, &MachineNames { machines })
+        HttpResponse::json(200, &MachineIds { machines })
     }
 
-    fn give_back(&self, names: &MachineNames) -> Reply {
+    fn give_back(&self, names: &MachineIds) -> HttpResponse {
         for id in &names.machines {
             if let Some((worker, _)) = self.machines.borrow_mut().remove(id) {
                 worker.end(&self.observer);
             }
         }
-        Reply::json(200, &())
+        HttpResponse::json(200, &())
     }
 
-    fn list(&self, since: &str) -> Reply {
+    fn list(&self, since: &str) -> HttpResponse {
         let all = self.machines.borrow();
         let listed = |(id, (worker, rented)): (&MachineId, &(Rc<Worker>, Instant))| ListedMachine {
             id: id.clone(),
@@ -94,7 +96,7 @@
         let mut machines: Vec<ListedMachine> = after.take(PAGE + 1).map(listed).collect();
         let more = machines.len() > PAGE;
         machines.truncate(PAGE);
-        Reply::json(200, &MachineList { machines, more })
+        HttpResponse::json(200, &MachineList { machines, more })
     }
 
     /// Answers a request.
@@ -102,7 +104,7 @@
         Box::pin(async move {
             let body = incoming.body.as_deref().unwrap_or_default();
             match (incoming.method, incoming.path.as_str()) {
-                (Method::Get, "/catalog") => Reply::json(
+                (Method::Get, "/catalog") => HttpResponse::json(
                     200,
                     &json!({"Modelos": [{"Name": "m4", "Cores": TASKS_EACH, "Gpus": 0, "RamGb": 16,
                         "Rate": 1.0, "LowPrice": 0.4, "ReadyS": 25.0, "PullGbPerS": 1.0,
--- a/crates/worksshunt-measure/src/loopback/mod.rs
+++ b/crates/worksshunt-measure/src/loopback/mod.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use http_types::Method;
 use serde_json::json;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::server::{self, Handler, Incoming};
 use worksshunt_net::Executor;
@@ -32,7 +32,7 @@
 use state::StateService;
 
 /// The future of an answer.
-pub type Handled = Pin<Box<dyn Future<Output = Reply>>>;
+pub type Handled = Pin<Box<dyn Future<Output = HttpResponse>>>;
 
 /// Tasks that a machine holds.
 pub const TASKS_EACH: usize = 4;
@@ -66,8 +66,8 @@
 }
 
 /// The answer to a request that is not one of the protocol.
-pub fn malformed() -> Reply {
-    Reply::error(400, "malformed")
+pub fn malformed() -> HttpResponse {
+    HttpResponse::error(400, "malformed")
 }
 
 /// A value of a request's query.
--- a/crates/worksshunt-measure/src/loopback/state.rs
+++ b/crates/worksshunt-measure/src/loopback/state.rs
@@ -6,11 +6,11 @@
 
 use async_io::Timer;
 use http_types::Method;
-use worksshunt_core::controller::{StoreOp, StoreReply};
-use worksshunt_core::users::Reply;
+use worksshunt_core::controller::{KvRequest, KvResponse};
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::server::Incoming;
 use worksshunt_simulation::Store;
-use worksshunt_wire::state::{AtRevision, Conflict, Lease, Listing, Txn};
+use worksshunt_wire::key_value::{CompareAndSwap, Conflict, Lease, Listing, StoreRevision};
 use worksshunt_wire::Revision;
 
 use super::{malformed, query, Handled};
@@ -33,37 +33,37 @@
         })
     }
 
-    fn apply(&self, op: &StoreOp) -> StoreReply {
+    fn apply(&self, op: &KvRequest) -> KvResponse {
         let now = self.started.elapsed().as_millis() as u64;
         self.store.borrow_mut().apply(now, op)
     }
 
-    fn answer(&self, op: &StoreOp) -> Reply {
+    fn answer(&self, op: &KvRequest) -> HttpResponse {
         let revision = |this: &StateService| Revision(this.store.borrow().revision());
         match self.apply(op) {
-            StoreReply::LeaseGranted(lease) => Reply::json(200, &Lease { lease }),
-            StoreReply::LeaseRenewed => Reply::json(200, &()),
-            StoreReply::Found(pair) => Reply::json(200, &pair),
-            StoreReply::Committed(revision) => Reply::json(200, &AtRevision { revision }),
-            StoreReply::Changes(changes) => Reply::json(200, &changes),
-            StoreReply::Conflict(failed) => Reply::json(409, &Conflict { failed }),
-            StoreReply::Missing => Reply::json(
+            KvResponse::LeaseGranted(lease) => HttpResponse::json(200, &Lease { lease }),
+            KvResponse::LeaseRenewed => HttpResponse::json(200, &()),
+            KvResponse::Found(pair) => HttpResponse::json(200, &pair),
+            KvResponse::Committed(revision) => HttpResponse::json(200, &StoreRevision { revision }),
+            KvResponse::WatchResponse(changes) => HttpResponse::json(200, &changes),
+            KvResponse::Conflict(failed) => HttpResponse::json(409, &Conflict { failed }),
+            KvResponse::Missing => HttpResponse::json(
                 404,
-                &AtRevision {
+                &StoreRevision {
                     revision: revision(self),
                 },
             ),
-            StoreReply::NoSuchLease if matches!(op, StoreOp::RenewLease(_)) => {
-                Reply::error(404, "no such lease")
+            KvResponse::NoSuchLease if matches!(op, KvRequest::RenewLease(_)) => {
+                HttpResponse::error(404, "no such lease")
             }
-            StoreReply::NoSuchLease => Reply::error(400, "no such lease"),
-            _ => Reply::later("not executed"),
+            KvResponse::NoSuchLease => HttpResponse::error(400, "no such lease"),
+            _ => HttpResponse::retry_later("not executed"),
         }
     }
 
-    fn list(&self, prefix: &str, since: Option<&str>, most: usize) -> Reply {
-        let StoreReply::Listing(all) = self.apply(&StoreOp::List(prefix.to_owned())) else {
-            return Reply::later("not executed");
+    fn list(&self, prefix: &str, since: Option<&str>, most: usize) -> HttpResponse {
+        let KvResponse::Listing(all) = self.apply(&KvRequest::List(prefix.to_owned())) else {
+            return HttpResponse::retry_later("not executed");
         };
         let after = |key: &str| since.is_none_or(|since| key > since);
         let mut pairs = all.pairs;
@@ -75,18 +75,18 @@
             more,
             revision: all.revision,
         };
-        Reply::json(200, &page)
+        HttpResponse::json(200, &page)
     }
 
-    async fn follow(&self, prefix: &str, since: u64, wait: Duration) -> Reply {
+    async fn follow(&self, prefix: &str, since: u64, wait: Duration) -> HttpResponse {
         let ends = Instant::now() + wait;
-        let op = StoreOp::Watch(prefix.to_owned(), Revision(since), 0);
+        let op = KvRequest::Watch(prefix.to_owned(), Revision(since), 0);
         loop {
             match self.apply(&op) {
-                StoreReply::Changes(changes)
+                KvResponse::WatchResponse(changes)
                     if changes.events.is_empty() && Instant::now() < ends => {}
-                StoreReply::Changes(changes) => return Reply::json(200, &changes),
-                _ => return Reply::later("not executed"),
+                KvResponse::WatchResponse(changes) => return HttpResponse::json(200, &changes),
+                _ => return HttpResponse::retry_later("not executed"),
             }
             Timer::after(LOOK).await;
         }
@@ -108,23 +108,23 @@
                     self.follow(starts, number("Since").unwrap_or(0), wait)
                         .await
                 }
-                (Method::Post, "holds") => self.answer(&StoreOp::GrantLease),
+                (Method::Post, "holds") => self.answer(&KvRequest::GrantLease),
                 (Method::Post, "txn") => {
                     let body = incoming.body.as_deref().unwrap_or_default();
-                    match serde_json::from_slice::<Txn>(body) {
-                        Ok(txn) => self.answer(&StoreOp::Txn(txn)),
+                    match serde_json::from_slice::<CompareAndSwap>(body) {
+                        Ok(txn) => self.answer(&KvRequest::CompareAndSwap(txn)),
                         Err(_) => malformed(),
                     }
                 }
                 (Method::Get, path) => match path.strip_prefix("kv/") {
-                    Some(key) => self.answer(&StoreOp::Get(key.to_owned())),
+                    Some(key) => self.answer(&KvRequest::Get(key.to_owned())),
                     None => malformed(),
                 },
                 (_, path) => {
                     let lease = path.strip_prefix("holds/");
                     let lease = lease.and_then(|rest| rest.strip_suffix("/renew"));
                     match lease.and_then(|lease| lease.parse().ok()) {
-                        Some(lease) => self.answer(&StoreOp::RenewLease(lease)),
+                        Some(lease) => self.answer(&KvRequest::RenewLease(lease)),
                         None => malformed(),
                     }
                 }
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -9,15 +9,16 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use http_types::Method;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::server::{self, Incoming};
 use worksshunt_net::{within, Executor};
-use worksshunt_wire::cloud::RentRequest;
+use worksshunt_wire::cloud::ProvisionRequest;
 use worksshunt_wire::worker::{
-    Command, ExitReason, Orders, Redirect, Report, ReportAnswer, ReportedTask, TaskState,
+    Command, CommandBatch, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState,
+    TaskStatus,
 };
-use worksshunt_wire::{Attempt, Epoch, MachineId, Session, TaskId};
+use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId, TaskId};
 
 use super::observer::Observer;
 use super::{malformed, Handled, Plan, TASKS_EACH};
@@ -64,7 +65,7 @@
 
 impl Worker {
     /// The worker of the machine of that number.
-    pub fn new(id: MachineId, number: usize, request: &RentRequest) -> Rc<Worker> {
+    pub fn new(id: MachineId, number: usize, request: &ProvisionRequest) -> Rc<Worker> {
         let octet = |n: usize| u8::try_from(n % 250 + 1).unwrap_or(1);
         let ip = [
             127,
@@ -112,10 +113,10 @@
         }
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> Heartbeat {
         let mut inside = self.inside.borrow_mut();
         inside.seq += 1;
-        let tasks = inside.tasks.iter().map(|(attempt, task)| ReportedTask {
+        let tasks = inside.tasks.iter().map(|(attempt, task)| TaskStatus {
             task: task.task,
             attempt: *attempt,
             state: match task.reason {
@@ -125,16 +126,16 @@
             reason: task.reason,
             saved: None,
         });
-        Report {
+        Heartbeat {
             tasks: tasks.collect(),
             machine: self.id.clone(),
             addr: self.addr.to_string(),
             machine_type: "m4".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: Session(inside.session),
-            seq: inside.seq,
-            token: inside.token,
+            incarnation: Incarnation(inside.session),
+            sequence: inside.seq,
+            fencing_token: inside.token,
             notice_s: None,
         }
     }
@@ -213,13 +214,13 @@
     ) -> Option<Duration> {
         match answer {
             (200, body) => {
-                let answer: ReportAnswer = serde_json::from_slice(body).ok()?;
+                let answer: HeartbeatResponse = serde_json::from_slice(body).ok()?;
                 {
                     let mut inside = self.inside.borrow_mut();
-                    if inside.session != session || answer.token < inside.token {
+                    if inside.session != session || answer.fencing_token < inside.token {
                         return None;
                     }
-                    inside.token = answer.token;
+                    inside.token = answer.fencing_token;
                     inside.renewed = inside.renewed.max(sent);
                 }
                 self.answered.set(self.answered.get() + 1);
@@ -252,23 +253,23 @@
         NEXT
     }
 
-    fn orders(&self, incoming: &Incoming, plan: &Plan, observer: &Observer) -> Reply {
+    fn orders(&self, incoming: &Incoming, plan: &Plan, observer: &Observer) -> HttpResponse {
         let body = incoming.body.as_deref().unwrap_or_default();
-        let Ok(orders) = serde_json::from_slice::<Orders>(body) else {
+        let Ok(orders) = serde_json::from_slice::<CommandBatch>(body) else {
             return malformed();
         };
         let matches = {
             let inside = self.inside.borrow();
-            orders.token >= inside.token && orders.session.0 == inside.session
+            orders.fencing_token >= inside.token && orders.incarnation.0 == inside.session
         };
         if matches {
-            self.inside.borrow_mut().token = orders.token;
+            self.inside.borrow_mut().token = orders.fencing_token;
             for command in &orders.commands {
                 self.execute(command, plan, observer);
             }
             let _ = self.changed.0.try_send(());
         }
-        Reply::json(if matches { 200 } else { 409 }, &self.report())
+        HttpResponse::json(if matches { 200 } else { 409 }, &self.report())
     }
 }
 
@@ -308,7 +309,7 @@
         worker.pass_time(&plan, &observer);
         let sent = Instant::now();
         let report = worker.report();
-        let session = report.session.0;
+        let session = report.incarnation.0;
         let body = serde_json::to_string(&report).unwrap_or_default();
         let answer = client
             .1
--- a/crates/worksshunt-measure/src/main.rs
+++ b/crates/worksshunt-measure/src/main.rs
@@ -7,11 +7,11 @@
 use clap::{Parser, Subcommand};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 
-mod day;
 mod loopback;
 mod plot;
 mod report;
 mod series;
+mod workload;
 
 use series::Series;
 
@@ -93,7 +93,7 @@
     for size in machines {
         for run in 1..=runs {
             eprintln!("{size} machines, run {run} of {runs}");
-            series.days.push(day::play(*size));
+            series.days.push(workload::play(*size));
         }
     }
     series
--- a/crates/worksshunt-measure/src/day.rs
+++ b/crates/worksshunt-measure/src/workload.rs
@@ -85,13 +85,13 @@
 }
 
 fn took(cluster: &mut Cluster) -> BTreeMap<&'static str, Vec<Duration>> {
-    cluster.meter.took.take().unwrap_or_default()
+    cluster.usage.took.take().unwrap_or_default()
 }
 
 fn begin_to_measure(cluster: &mut Cluster) {
-    cluster.meter.bytes = true;
-    cluster.meter.took = Some(BTreeMap::new());
-    cluster.meter.reset();
+    cluster.usage.bytes = true;
+    cluster.usage.took = Some(BTreeMap::new());
+    cluster.usage.reset();
 }
 
 /// What the steady state takes: times by kind of event, messages and bytes.
@@ -117,7 +117,7 @@
         let sum: Duration = times.iter().sum();
         day.put(&format!("{kind}: ms a second"), milliseconds(sum) / seconds);
     }
-    let meter = &cluster.meter;
+    let meter = &cluster.usage;
     for (name, count) in [
         ("state service: requests a second", meter.requests),
         ("state service: changes a second", meter.changes),
@@ -172,7 +172,7 @@
 pub fn play(machines: usize) -> Day {
     let mut day = Day::new(machines);
     let mut cluster = Cluster::large(machines);
-    cluster.run_ms = RUN_MS;
+    cluster.task_run_ms = RUN_MS;
     let mut jobs = Submissions::new(machines);
     cluster.run(2_000);
     let full = |w: &Cluster| w.running().len() >= machines * TASKS_EACH * 9 / 10;
@@ -181,9 +181,9 @@
     alone(&mut day, &mut cluster, &mut jobs);
     restart(&mut day, &mut cluster);
     assert!(
-        cluster.rules.broken.is_empty(),
+        cluster.invariants.broken.is_empty(),
         "{:?}",
-        cluster.rules.broken
+        cluster.invariants.broken
     );
     day
 }
--- a/crates/worksshunt-net/src/client.rs
+++ b/crates/worksshunt-net/src/client.rs
@@ -8,14 +8,14 @@
 use async_lock::Semaphore;
 use http_types::{Method, Request, Url};
 
-use crate::{within, Late, Stream};
+use crate::{within, DeadlineExceeded, Stream};
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The deadline passed.
     #[error(transparent)]
-    Late(#[from] Late),
+    DeadlineExceeded(#[from] DeadlineExceeded),
     /// The connection could not be made: the request was not sent.
     #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -5,21 +5,25 @@
 use http_types::Method;
 use serde::de::DeserializeOwned;
 use worksshunt_core::constants::CLOUD_PAGE;
-use worksshunt_core::controller::CloudReply;
+use worksshunt_core::controller::CloudResponse;
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_wire::cloud::MachineList;
 
 use crate::client::{CallError, HttpClient};
 
 /// Carries out one request.
-pub async fn call(client: &HttpClient, request: &CloudRequest, deadline: Duration) -> CloudReply {
+pub async fn call(
+    client: &HttpClient,
+    request: &CloudRequest,
+    deadline: Duration,
+) -> CloudResponse {
     let result = match request {
         CloudRequest::ReadCatalog => {
             get(client, "/catalog", deadline)
                 .await
                 .map(|answer| match answer {
-                    Some(catalog) => CloudReply::Catalog(catalog),
-                    None => CloudReply::NoAnswer,
+                    Some(catalog) => CloudResponse::Catalog(catalog),
+                    None => CloudResponse::NoAnswer,
                 })
         }
         CloudRequest::ListMachines => list(client, deadline).await,
@@ -38,14 +42,14 @@
                 .await
                 .map(|reply| match reply {
                     // Only that it was done matters; the body says nothing more.
-                    CloudReply::Machines(_) => CloudReply::Machines(names.clone()),
+                    CloudResponse::Machines(_) => CloudResponse::Machines(names.clone()),
                     other => other,
                 })
         }
     };
     result.unwrap_or_else(|error| {
         tracing::debug!(%error, "cloud");
-        CloudReply::NoAnswer
+        CloudResponse::NoAnswer
     })
 }
 
@@ -67,7 +71,7 @@
     path: &str,
     body: String,
     deadline: Duration,
-) -> Result<CloudReply, CallError> {
+) -> Result<CloudResponse, CallError> {
     let (status, body) = client
         .call(Method::Post, path, Some(body), deadline)
         .await?;
@@ -75,17 +79,17 @@
     Ok(match status {
         200 => {
             let names = serde_json::from_slice(&body).unwrap_or_default();
-            CloudReply::Machines(names)
+            CloudResponse::Machines(names)
         }
-        503 if capacity => CloudReply::NoCapacity,
+        503 if capacity => CloudResponse::NoCapacity,
         _ => {
             tracing::debug!(status, path, "cloud");
-            CloudReply::NoAnswer
+            CloudResponse::NoAnswer
         }
     })
 }
 
-async fn list(client: &HttpClient, deadline: Duration) -> Result<CloudReply, CallError> {
+async fn list(client: &HttpClient, deadline: Duration) -> Result<CloudResponse, CallError> {
     let mut pages: Vec<MachineList> = Vec::new();
     loop {
         let last = pages.last().and_then(|page| page.machines.last());
@@ -93,7 +97,7 @@
         let since = since.unwrap_or_default();
         let path = format!("/machines?Most={CLOUD_PAGE}{since}");
         let Some(page) = get::<MachineList>(client, &path, deadline).await? else {
-            return Ok(CloudReply::NoAnswer);
+            return Ok(CloudResponse::NoAnswer);
         };
         if page.machines.len() > CLOUD_PAGE {
             let machines = page.machines.len();
@@ -102,12 +106,12 @@
                 most = CLOUD_PAGE,
                 "page of the machine list too long: refused"
             );
-            return Ok(CloudReply::NoAnswer);
+            return Ok(CloudResponse::NoAnswer);
         }
         let more = page.more && !page.machines.is_empty();
         pages.push(page);
         if !more {
-            return Ok(CloudReply::List(pages));
+            return Ok(CloudResponse::List(pages));
         }
     }
 }
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `cloud`: pages of the machine list.
 
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_wire::cloud::{ListedMachine, ListedState};
 use worksshunt_wire::MachineId;
 
@@ -23,8 +23,8 @@
 }
 
 /// What comes of a list whose only page has so many machines.
-fn listed(machines: usize) -> CloudReply {
-    let reply = Reply::json(200, &page(machines));
+fn listed(machines: usize) -> CloudResponse {
+    let reply = HttpResponse::json(200, &page(machines));
     with_answer(reply, |client| async move {
         call(&client, &CloudRequest::ListMachines, DEADLINE).await
     })
@@ -32,9 +32,9 @@
 
 #[test]
 fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let CloudReply::List(pages) = listed(CLOUD_PAGE) else {
+    let CloudResponse::List(pages) = listed(CLOUD_PAGE) else {
         panic!("the longest page was refused");
     };
     assert_eq!(pages[0].machines.len(), CLOUD_PAGE);
-    assert_eq!(listed(CLOUD_PAGE + 1), CloudReply::NoAnswer);
+    assert_eq!(listed(CLOUD_PAGE + 1), CloudResponse::NoAnswer);
 }
--- a/crates/worksshunt-net/src/connections/tests.rs
+++ b/crates/worksshunt-net/src/connections/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use http_types::Method;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 
 use super::*;
 use crate::client::HttpClient;
@@ -36,7 +36,8 @@
     let listener =
         async_io::Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
-    let handler: server::Handler = Rc::new(|_| Box::pin(async { Reply::json(200, &"fine") }));
+    let handler: server::Handler =
+        Rc::new(|_| Box::pin(async { HttpResponse::json(200, &"fine") }));
     let idle = Duration::from_secs(20);
     let serving = server::serve(Rc::clone(&executor), listener, connections, idle, handler);
     executor.spawn(serving).detach();
--- a/crates/worksshunt-net/src/state.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -5,22 +5,22 @@
 use http_types::Method;
 use serde::de::DeserializeOwned;
 use worksshunt_core::constants::{LEASE_TTL_MS, STATE_PAGE};
-use worksshunt_core::controller::{StoreOp, StoreReply};
-use worksshunt_wire::state::{
-    AtRevision, Changes, Conflict, Lease, LeaseRequest, Listing, Pair, Txn,
+use worksshunt_core::controller::{KvRequest, KvResponse};
+use worksshunt_wire::key_value::{
+    CompareAndSwap, Conflict, KeyValue, Lease, LeaseRequest, Listing, StoreRevision, WatchResponse,
 };
 
 use crate::client::{CallError, HttpClient};
 
 /// Carries out one operation.
-pub async fn call(client: &HttpClient, op: StoreOp, deadline: Duration) -> StoreReply {
+pub async fn call(client: &HttpClient, op: KvRequest, deadline: Duration) -> KvResponse {
     let result = match op {
-        StoreOp::GrantLease => new_lease(client, deadline).await,
-        StoreOp::RenewLease(lease) => renew(client, lease, deadline).await,
-        StoreOp::Get(key) => get(client, &key, deadline).await,
-        StoreOp::List(prefix) => list(client, &prefix, deadline).await,
-        StoreOp::Txn(txn) => transact(client, &txn, deadline).await,
-        StoreOp::Watch(prefix, since, wait_ms) => {
+        KvRequest::GrantLease => new_lease(client, deadline).await,
+        KvRequest::RenewLease(lease) => renew(client, lease, deadline).await,
+        KvRequest::Get(key) => get(client, &key, deadline).await,
+        KvRequest::List(prefix) => list(client, &prefix, deadline).await,
+        KvRequest::CompareAndSwap(txn) => transact(client, &txn, deadline).await,
+        KvRequest::Watch(prefix, since, wait_ms) => {
             let path = format!("/follow?Starts={prefix}&Since={since}&WaitMs={wait_ms}");
             follow(client, &path, deadline).await
         }
@@ -29,33 +29,33 @@
         tracing::debug!(%error, "state service");
         match error {
             // Never sent, so never executed.
-            CallError::Connect(_) => StoreReply::Refused,
-            CallError::Late(_) | CallError::Http(_) => StoreReply::NoAnswer,
+            CallError::Connect(_) => KvResponse::Refused,
+            CallError::DeadlineExceeded(_) | CallError::Http(_) => KvResponse::NoAnswer,
         }
     })
 }
 
-fn read<T: DeserializeOwned>(body: &[u8], then: impl FnOnce(T) -> StoreReply) -> StoreReply {
+fn read<T: DeserializeOwned>(body: &[u8], then: impl FnOnce(T) -> KvResponse) -> KvResponse {
     match serde_json::from_slice(body) {
         Ok(value) => then(value),
         Err(error) => {
             tracing::debug!(%error, "odd answer of the state service");
-            StoreReply::NoAnswer
+            KvResponse::NoAnswer
         }
     }
 }
 
-fn other(status: u16) -> StoreReply {
+fn other(status: u16) -> KvResponse {
     match status {
-        429 | 503 => StoreReply::Refused,
+        429 | 503 => KvResponse::Refused,
         _ => {
             tracing::debug!(status, "odd status of the state service");
-            StoreReply::NoAnswer
+            KvResponse::NoAnswer
         }
     }
 }
 
-async fn new_lease(client: &HttpClient, deadline: Duration) -> Result<StoreReply, CallError> {
+async fn new_lease(client: &HttpClient, deadline: Duration) -> Result<KvResponse, CallError> {
     let body = serde_json::json!(LeaseRequest {
         ttl_ms: LEASE_TTL_MS
     });
@@ -63,7 +63,7 @@
         .call(Method::Post, "/holds", Some(body.to_string()), deadline)
         .await?;
     Ok(match status {
-        200 => read(&body, |lease: Lease| StoreReply::LeaseGranted(lease.lease)),
+        200 => read(&body, |lease: Lease| KvResponse::LeaseGranted(lease.lease)),
         _ => other(status),
     })
 }
@@ -72,22 +72,22 @@
     client: &HttpClient,
     lease: u64,
     deadline: Duration,
-) -> Result<StoreReply, CallError> {
+) -> Result<KvResponse, CallError> {
     let path = format!("/holds/{lease}/renew");
     let (status, _) = client.call(Method::Post, &path, None, deadline).await?;
     Ok(match status {
-        200 => StoreReply::LeaseRenewed,
-        404 => StoreReply::NoSuchLease,
+        200 => KvResponse::LeaseRenewed,
+        404 => KvResponse::NoSuchLease,
         _ => other(status),
     })
 }
 
-async fn get(client: &HttpClient, key: &str, deadline: Duration) -> Result<StoreReply, CallError> {
+async fn get(client: &HttpClient, key: &str, deadline: Duration) -> Result<KvResponse, CallError> {
     let path = format!("/kv/{key}");
     let (status, body) = client.call(Method::Get, &path, None, deadline).await?;
     Ok(match status {
-        200 => read(&body, StoreReply::Found),
-        404 => read(&body, |_: AtRevision| StoreReply::Missing),
+        200 => read(&body, KvResponse::Found),
+        404 => read(&body, |_: StoreRevision| KvResponse::Missing),
         _ => other(status),
     })
 }
@@ -96,8 +96,8 @@
     client: &HttpClient,
     prefix: &str,
     deadline: Duration,
-) -> Result<StoreReply, CallError> {
-    let mut pairs: Vec<Pair> = Vec::new();
+) -> Result<KvResponse, CallError> {
+    let mut pairs: Vec<KeyValue> = Vec::new();
     let mut first = None;
     loop {
         let since = pairs
@@ -110,18 +110,18 @@
             return Ok(other(status));
         }
         let Ok(page) = serde_json::from_slice::<Listing>(&body) else {
-            return Ok(StoreReply::NoAnswer);
+            return Ok(KvResponse::NoAnswer);
         };
         if page.pairs.len() > STATE_PAGE {
             let keys = page.pairs.len();
             tracing::warn!(keys, most = STATE_PAGE, "page of keys too long: refused");
-            return Ok(StoreReply::NoAnswer);
+            return Ok(KvResponse::NoAnswer);
         }
         let revision = *first.get_or_insert(page.revision);
         let more = page.more && !page.pairs.is_empty();
         pairs.extend(page.pairs);
         if !more {
-            return Ok(StoreReply::Listing(Listing {
+            return Ok(KvResponse::Listing(Listing {
                 pairs,
                 more: false,
                 revision,
@@ -132,23 +132,25 @@
 
 async fn transact(
     client: &HttpClient,
-    txn: &Txn,
+    txn: &CompareAndSwap,
     deadline: Duration,
-) -> Result<StoreReply, CallError> {
+) -> Result<KvResponse, CallError> {
     let body = serde_json::json!(txn).to_string();
     let (status, body) = client
         .call(Method::Post, "/txn", Some(body), deadline)
         .await?;
     Ok(match status {
-        200 => read(&body, |at: AtRevision| StoreReply::Committed(at.revision)),
+        200 => read(&body, |at: StoreRevision| {
+            KvResponse::Committed(at.revision)
+        }),
         409 => read(&body, |conflict: Conflict| {
-            StoreReply::Conflict(conflict.failed)
+            KvResponse::Conflict(conflict.failed)
         }),
-        400 if body.windows(13).any(|part| part == b"no such lease") => StoreReply::NoSuchLease,
+        400 if body.windows(13).any(|part| part == b"no such lease") => KvResponse::NoSuchLease,
         400 => {
             let answer = String::from_utf8_lossy(&body);
             tracing::warn!(%answer, "the state service does not take a transaction");
-            StoreReply::TooLarge
+            KvResponse::TooLarge
         }
         _ => other(status),
     })
@@ -158,11 +160,13 @@
     client: &HttpClient,
     path: &str,
     deadline: Duration,
-) -> Result<StoreReply, CallError> {
+) -> Result<KvResponse, CallError> {
     let (status, body) = client.call(Method::Get, path, None, deadline).await?;
     Ok(match status {
-        200 => read(&body, |changes: Changes| StoreReply::Changes(changes)),
-        410 => StoreReply::RevisionCompacted,
+        200 => read(&body, |changes: WatchResponse| {
+            KvResponse::WatchResponse(changes)
+        }),
+        410 => KvResponse::RevisionCompacted,
         _ => other(status),
     })
 }
--- a/crates/worksshunt-net/src/state/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of `state`: pages of keys.
 
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_wire::Revision;
 
 use super::*;
 use crate::test_server::{with_answer, DEADLINE};
 
 /// What comes of a list whose only page has so many keys.
-fn listed(keys: usize) -> StoreReply {
-    let pair = |n: usize| Pair {
+fn listed(keys: usize) -> KvResponse {
+    let pair = |n: usize| KeyValue {
         key: format!("a/{n:06}"),
         value: serde_json::json!(n),
         version: Revision(1),
@@ -18,19 +18,19 @@
         more: false,
         revision: Revision(7),
     };
-    with_answer(Reply::json(200, &page), |client| async move {
-        call(&client, StoreOp::List("a/".to_owned()), DEADLINE).await
+    with_answer(HttpResponse::json(200, &page), |client| async move {
+        call(&client, KvRequest::List("a/".to_owned()), DEADLINE).await
     })
 }
 
 #[test]
 fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let StoreReply::Listing(listing) = listed(STATE_PAGE) else {
+    let KvResponse::Listing(listing) = listed(STATE_PAGE) else {
         panic!("the longest page was refused");
     };
     assert_eq!(
         (listing.pairs.len(), listing.revision),
         (STATE_PAGE, Revision(7))
     );
-    assert_eq!(listed(STATE_PAGE + 1), StoreReply::NoAnswer);
+    assert_eq!(listed(STATE_PAGE + 1), KvResponse::NoAnswer);
 }
--- a/crates/worksshunt-net/src/lib.rs
+++ b/crates/worksshunt-net/src/lib.rs
@@ -16,9 +16,9 @@
 pub mod client;
 pub mod cloud;
 pub mod connections;
+pub mod key_value;
 pub mod peer;
 pub mod server;
-pub mod state;
 #[cfg(test)]
 mod test_server;
 pub mod worker;
@@ -32,13 +32,16 @@
 /// The deadline passed.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("deadline passed")]
-pub struct Late;
+pub struct DeadlineExceeded;
 
 /// Gives a future so much time.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Result<T, Late> {
+pub async fn within<T>(
+    limit: Duration,
+    future: impl Future<Output = T>,
+) -> Result<T, DeadlineExceeded> {
     futures_lite::future::or(async { Ok(future.await) }, async {
         async_io::Timer::after(limit).await;
-        Err(Late)
+        Err(DeadlineExceeded)
     })
     .await
 }
--- a/crates/worksshunt-net/src/peer.rs
+++ b/crates/worksshunt-net/src/peer.rs
@@ -12,7 +12,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use worksshunt_core::constants::FRAME_BYTES;
-use worksshunt_wire::peer::{PeerAnswer, PeerRequest};
+use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 
 use crate::client::CallError;
 use crate::connections::Connections;
@@ -92,7 +92,7 @@
         &self,
         request: &PeerRequest,
         deadline: Duration,
-    ) -> Result<PeerAnswer, CallError> {
+    ) -> Result<PeerResponse, CallError> {
         within(deadline, async {
             let kept = self.kept.borrow_mut().take();
             let mut stream = match kept {
@@ -119,7 +119,8 @@
 }
 
 /// What answers peers; none drops the connection.
-pub type PeerHandler = Rc<dyn Fn(PeerRequest) -> Pin<Box<dyn Future<Output = Option<PeerAnswer>>>>>;
+pub type PeerHandler =
+    Rc<dyn Fn(PeerRequest) -> Pin<Box<dyn Future<Output = Option<PeerResponse>>>>>;
 
 /// Accepts peers for ever.
 pub async fn serve(
--- a/crates/worksshunt-net/src/peer/tests.rs
+++ b/crates/worksshunt-net/src/peer/tests.rs
@@ -22,10 +22,10 @@
     let known = KnownEpoch {
         poll: 3,
         epoch: Epoch(7),
-        state_service_answers: true,
+        key_value_store_reachable: true,
     };
-    let answer = PeerAnswer::KnownEpoch(known);
-    assert_eq!(read::<PeerAnswer>(framed(&answer)).expect("read"), answer);
+    let answer = PeerResponse::KnownEpoch(known);
+    assert_eq!(read::<PeerResponse>(framed(&answer)).expect("read"), answer);
     let request = PeerRequest::KnownEpoch { poll: 3 };
     assert_eq!(
         read::<PeerRequest>(framed(&request)).expect("read"),
--- a/crates/worksshunt-net/src/server.rs
+++ b/crates/worksshunt-net/src/server.rs
@@ -11,7 +11,7 @@
 use futures_lite::AsyncReadExt;
 use http_types::{Method, Request, Response, StatusCode};
 use worksshunt_core::constants::BODY_BYTES;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 
 use crate::connections::Connections;
 use crate::{accept, within, Executor, Stream};
@@ -30,7 +30,7 @@
 }
 
 /// What answers requests.
-pub type Handler = Rc<dyn Fn(Incoming) -> Pin<Box<dyn Future<Output = Reply>>>>;
+pub type Handler = Rc<dyn Fn(Incoming) -> Pin<Box<dyn Future<Output = HttpResponse>>>>;
 
 /// Accepts connections for ever, at most so many at a time. One on which nothing comes for as long as
 /// `idle` is closed: its peer may be dead or cut off.
@@ -107,7 +107,7 @@
     }
 }
 
-fn respond(reply: Reply, keep: bool) -> Response {
+fn respond(reply: HttpResponse, keep: bool) -> Response {
     let status = StatusCode::try_from(reply.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     response.set_body(reply.body);
--- a/crates/worksshunt-net/src/test_server.rs
+++ b/crates/worksshunt-net/src/test_server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Async;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 
 use crate::client::HttpClient;
 use crate::{server, Executor};
@@ -16,7 +16,7 @@
 
 /// What a client makes of a server's answer.
 pub fn with_answer<T, F: Future<Output = T>>(
-    reply: Reply,
+    reply: HttpResponse,
     ask: impl FnOnce(Rc<HttpClient>) -> F,
 ) -> T {
     let executor = Rc::new(Executor::new());
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use http_types::Method;
-use worksshunt_core::machines::{DirectOrders, OrdersReply};
-use worksshunt_wire::worker::Report;
+use worksshunt_core::machines::{DirectCommands, DirectCommandsOutcome};
+use worksshunt_wire::worker::Heartbeat;
 
 use crate::client::{CallError, HttpClient};
 
@@ -44,29 +44,29 @@
     }
 
     /// Sends orders to a worker.
-    pub async fn call(&self, orders: &DirectOrders, deadline: Duration) -> OrdersReply {
-        let Ok(addr) = orders.addr.parse() else {
-            tracing::error!(machine = %orders.machine, addr = orders.addr, "not an address");
-            return OrdersReply::NotSent;
+    pub async fn call(&self, orders: &DirectCommands, deadline: Duration) -> DirectCommandsOutcome {
+        let Ok(addr) = orders.address.parse() else {
+            tracing::error!(machine = %orders.machine, addr = orders.address, "not an address");
+            return DirectCommandsOutcome::NotSent;
         };
-        let body = serde_json::json!(orders.orders).to_string();
+        let body = serde_json::json!(orders.batch).to_string();
         let result = self
             .client(addr)
             .call(Method::Post, "/orders", Some(body), deadline)
             .await;
         let (status, body) = match result {
             Ok(answer) => answer,
-            Err(CallError::Connect(_)) => return OrdersReply::NotSent,
+            Err(CallError::Connect(_)) => return DirectCommandsOutcome::NotSent,
             Err(error) => {
                 tracing::debug!(machine = %orders.machine, %error, "orders");
-                return OrdersReply::NoAnswer;
+                return DirectCommandsOutcome::NoAnswer;
             }
         };
-        match (status, serde_json::from_slice::<Report>(&body)) {
-            (200 | 409, Ok(report)) => OrdersReply::Answered(report),
+        match (status, serde_json::from_slice::<Heartbeat>(&body)) {
+            (200 | 409, Ok(heartbeat)) => DirectCommandsOutcome::Answered(heartbeat),
             _ => {
                 tracing::debug!(machine = %orders.machine, status, "odd answer to orders");
-                OrdersReply::NoAnswer
+                DirectCommandsOutcome::NoAnswer
             }
         }
     }
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -3,58 +3,59 @@
 use std::collections::BTreeMap;
 
 use worksshunt_core::constants::CLOUD_PAGE;
-use worksshunt_core::controller::CloudReply;
+use worksshunt_core::controller::CloudResponse;
 use worksshunt_core::fleet::CloudRequest;
-use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineList, MachineNames};
+use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineIds, MachineList};
 use worksshunt_wire::{Epoch, MachineId};
 
 use super::*;
 
 impl Cluster {
-    pub(super) fn cloud(&mut self, request: &CloudRequest) -> CloudReply {
-        if self.trouble.cloud_down || !self.cloud_admits(request) {
-            return CloudReply::NoAnswer;
+    pub(super) fn cloud_request(&mut self, request: &CloudRequest) -> CloudResponse {
+        if self.faults.cloud_down || !self.cloud_rate_allows(request) {
+            return CloudResponse::NoAnswer;
         }
         match request {
-            CloudRequest::ReadCatalog => CloudReply::Catalog(catalog(self.ready_s)),
-            CloudRequest::ListMachines => CloudReply::List(self.machine_list()),
+            CloudRequest::ReadCatalog => CloudResponse::Catalog(catalog(self.nominal_boot_s)),
+            CloudRequest::ListMachines => CloudResponse::List(self.machine_list()),
             CloudRequest::Provision(rent) => {
-                if let Some(names) = self.rentals.get(&rent.request) {
-                    return CloudReply::Machines(names.clone());
+                if let Some(names) = self.provisioned.get(&rent.request_name) {
+                    return CloudResponse::Machines(names.clone());
                 }
-                if rent.spot && self.trouble.no_spot {
-                    return CloudReply::NoCapacity;
+                if rent.spot && self.faults.no_spot {
+                    return CloudResponse::NoCapacity;
                 }
                 let free = self.capacity.saturating_sub(self.workers.len());
                 let count = free.min(rent.count as usize);
                 if count == 0 {
-                    return CloudReply::NoCapacity;
+                    return CloudResponse::NoCapacity;
                 }
                 let machines = (0..count)
                     .map(|_| self.machine(&rent.zone, rent.spot, self.boot_ms))
                     .collect();
-                let names = MachineNames { machines };
-                self.rentals.insert(rent.request.clone(), names.clone());
-                CloudReply::Machines(names)
+                let names = MachineIds { machines };
+                self.provisioned
+                    .insert(rent.request_name.clone(), names.clone());
+                CloudResponse::Machines(names)
             }
             CloudRequest::Release(names) => {
                 for id in &names.machines {
                     if self.workers.remove(id).is_some() {
-                        self.returned.push(id.clone());
+                        self.released_machines.push(id.clone());
                     }
                 }
-                CloudReply::Machines(names.clone())
+                CloudResponse::Machines(names.clone())
             }
         }
     }
 
     /// Whether the cloud's rate admits a request. A list is as many calls as it has pages.
-    fn cloud_admits(&mut self, request: &CloudRequest) -> bool {
+    fn cloud_rate_allows(&mut self, request: &CloudRequest) -> bool {
         let calls = match request {
             CloudRequest::ListMachines => self.workers.len() / CLOUD_PAGE + 1,
             _ => 1,
         };
-        self.meter.cloud_calls += calls as u64;
+        self.usage.cloud_calls += calls as u64;
         let Some(rate) = &mut self.cloud_rate else {
             return true;
         };
@@ -62,7 +63,7 @@
         if admitted {
             rate.take(calls);
         } else {
-            self.meter.refused += 1;
+            self.usage.refused += 1;
         }
         admitted
     }
@@ -112,20 +113,20 @@
             Worker {
                 zone: zone.to_owned(),
                 spot,
-                session: 1,
-                seq: 0,
-                token: Epoch(0),
+                incarnation: 1,
+                sequence: 0,
+                fencing_token: Epoch(0),
                 tasks: BTreeMap::new(),
-                node: 0,
-                last_answered: up_at,
-                reporting: None,
-                next_report: up_at,
+                controller: 0,
+                last_answered_at: up_at,
+                heartbeat_in_flight: None,
+                next_heartbeat_at: up_at,
                 hung: false,
                 up_at,
                 rented_at: self.now,
             },
         );
-        self.at(up_at, Happening::Worker(id.clone()));
+        self.schedule_at(up_at, SimulationEvent::WorkerStep(id.clone()));
         id
     }
 }
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -7,11 +7,11 @@
 use borsh::BorshSerialize;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
-use worksshunt_core::controller::{Action, CloudReply, Event, StoreOp, StoreReply};
+use worksshunt_core::controller::{Action, CloudResponse, Event, KvRequest, KvResponse};
 use worksshunt_core::fleet::CloudRequest;
-use worksshunt_core::machines::OrdersReply;
-use worksshunt_core::users::Reply;
-use worksshunt_wire::state::{AtRevision, Conflict, Lease};
+use worksshunt_core::job_api::HttpResponse;
+use worksshunt_core::machines::DirectCommandsOutcome;
+use worksshunt_wire::key_value::{Conflict, Lease, StoreRevision};
 use worksshunt_wire::Revision;
 
 use super::*;
@@ -98,7 +98,9 @@
             Ok(()) => self.field(b"passed"),
             Err(failure) => {
                 self.field(b"failed");
-                failure.rules().for_each(|rule| self.field(rule.as_bytes()));
+                failure
+                    .invariants()
+                    .for_each(|rule| self.field(rule.as_bytes()));
             }
         }
         let hash = self.hash.finalize();
@@ -115,7 +117,7 @@
         Action::CallKeyValueStore(_, request, _) => state_service_request(request),
         Action::CallCloud(request) => cloud_request(request),
         Action::SendCommands(orders) => {
-            Message::json("command request", &(&orders.machine, &orders.orders))
+            Message::json("command request", &(&orders.machine, &orders.batch))
         }
         Action::SendToPeer(to, request) => Message::borsh("peer request", &(to, request)),
         Action::RespondToPeer(_, answer) => Message::borsh("peer response sent", answer),
@@ -133,9 +135,11 @@
         Event::KeyValueResponse(_, _, reply) => state_service_response(reply),
         Event::CloudResponse(_, reply) => cloud_response(reply),
         Event::CommandsAnswered(orders, reply) => match reply {
-            OrdersReply::Answered(report) => Message::json("command response", report),
-            OrdersReply::NotSent => Message::json("command not sent", &orders.machine),
-            OrdersReply::NoAnswer => Message::json("command unanswered", &orders.machine),
+            DirectCommandsOutcome::Answered(heartbeat) => {
+                Message::json("command response", heartbeat)
+            }
+            DirectCommandsOutcome::NotSent => Message::json("command not sent", &orders.machine),
+            DirectCommandsOutcome::NoAnswer => Message::json("command unanswered", &orders.machine),
         },
         Event::PeerRequest(_, request) => Message::borsh("peer request received", request),
         Event::PeerResponse(answer) => Message::borsh("peer response", answer),
@@ -144,45 +148,47 @@
     })
 }
 
-fn client_reply(reply: &Reply) -> Message {
+fn client_reply(reply: &HttpResponse) -> Message {
     Message::json(
         "client response",
         &(reply.status, &reply.body, reply.retry_after_s),
     )
 }
 
-fn state_service_request(request: &StoreOp) -> Message {
+fn state_service_request(request: &KvRequest) -> Message {
     match request {
-        StoreOp::GrantLease => Message::empty("lease grant"),
-        StoreOp::RenewLease(lease) => Message::json("lease renewal", lease),
-        StoreOp::Get(key) => Message::bytes("get", key.as_bytes()),
-        StoreOp::List(prefix) => Message::bytes("list", prefix.as_bytes()),
-        StoreOp::Txn(txn) => Message::json("transaction", txn),
-        StoreOp::Watch(prefix, since, wait_ms) => Message::json("watch", &(prefix, since, wait_ms)),
+        KvRequest::GrantLease => Message::empty("lease grant"),
+        KvRequest::RenewLease(lease) => Message::json("lease renewal", lease),
+        KvRequest::Get(key) => Message::bytes("get", key.as_bytes()),
+        KvRequest::List(prefix) => Message::bytes("list", prefix.as_bytes()),
+        KvRequest::CompareAndSwap(write) => Message::json("transaction", write),
+        KvRequest::Watch(prefix, since, wait_ms) => {
+            Message::json("watch", &(prefix, since, wait_ms))
+        }
     }
 }
 
-fn state_service_response(reply: &StoreReply) -> Message {
-    let at = |revision: &Revision| AtRevision {
+fn state_service_response(reply: &KvResponse) -> Message {
+    let at = |revision: &Revision| StoreRevision {
         revision: *revision,
     };
     match reply {
-        StoreReply::LeaseGranted(lease) => Message::json("lease granted", &Lease { lease: *lease }),
-        StoreReply::LeaseRenewed => Message::empty("lease renewed"),
-        StoreReply::NoSuchLease => Message::empty("no such lease"),
-        StoreReply::Found(pair) => Message::json("found", pair),
-        StoreReply::Missing => Message::empty("missing"),
-        StoreReply::Listing(listing) => Message::json("listing", listing),
-        StoreReply::Committed(revision) => Message::json("committed", &at(revision)),
-        StoreReply::Conflict(keys) => {
+        KvResponse::LeaseGranted(lease) => Message::json("lease granted", &Lease { lease: *lease }),
+        KvResponse::LeaseRenewed => Message::empty("lease renewed"),
+        KvResponse::NoSuchLease => Message::empty("no such lease"),
+        KvResponse::Found(pair) => Message::json("found", pair),
+        KvResponse::Missing => Message::empty("missing"),
+        KvResponse::Listing(listing) => Message::json("listing", listing),
+        KvResponse::Committed(revision) => Message::json("committed", &at(revision)),
+        KvResponse::Conflict(keys) => {
             let failed = keys.clone();
             Message::json("conflict", &Conflict { failed })
         }
-        StoreReply::Changes(changes) => Message::json("changes", changes),
-        StoreReply::RevisionCompacted => Message::empty("revision compacted"),
-        StoreReply::TooLarge => Message::empty("too large"),
-        StoreReply::Refused => Message::empty("refused"),
-        StoreReply::NoAnswer => Message::empty("no answer"),
+        KvResponse::WatchResponse(changes) => Message::json("changes", changes),
+        KvResponse::RevisionCompacted => Message::empty("revision compacted"),
+        KvResponse::TooLarge => Message::empty("too large"),
+        KvResponse::Refused => Message::empty("refused"),
+        KvResponse::NoAnswer => Message::empty("no answer"),
     }
 }
 
@@ -195,12 +201,12 @@
     }
 }
 
-fn cloud_response(reply: &CloudReply) -> Message {
+fn cloud_response(reply: &CloudResponse) -> Message {
     match reply {
-        CloudReply::Machines(names) => Message::json("machines", names),
-        CloudReply::NoCapacity => Message::empty("no capacity"),
-        CloudReply::List(pages) => Message::json("machine list received", pages),
-        CloudReply::Catalog(catalog) => Message::json("catalogue received", catalog),
-        CloudReply::NoAnswer => Message::empty("cloud call failed"),
+        CloudResponse::Machines(names) => Message::json("machines", names),
+        CloudResponse::NoCapacity => Message::empty("no capacity"),
+        CloudResponse::List(pages) => Message::json("machine list received", pages),
+        CloudResponse::Catalog(catalog) => Message::json("catalogue received", catalog),
+        CloudResponse::NoAnswer => Message::empty("cloud call failed"),
     }
 }
--- a/crates/worksshunt-simulation/src/failure.rs
+++ b/crates/worksshunt-simulation/src/failure.rs
@@ -13,7 +13,7 @@
 
 impl Failure {
     /// Names of the rules that were broken, in the order in which they were.
-    pub fn rules(&self) -> impl Iterator<Item = &str> {
+    pub fn invariants(&self) -> impl Iterator<Item = &str> {
         let broken: &[String] = match self {
             Failure::RulesBroken(broken) => broken,
             Failure::NotInTime(_) => &[],
--- a/crates/worksshunt-simulation/src/troubles.rs
+++ b/crates/worksshunt-simulation/src/faults.rs
@@ -17,90 +17,90 @@
 
 /// How the cluster departs from a quiet day.
 #[derive(Default)]
-pub struct Troubles {
+pub struct Faults {
     /// The state service is down for all.
-    pub state_down: bool,
+    pub key_value_store_down: bool,
     /// Controllers whose requests never reach the state service.
-    pub cut_from_state: BTreeSet<usize>,
+    pub cut_from_key_value_store: BTreeSet<usize>,
     /// Controllers that no worker reaches, nor they any worker.
     pub cut_from_workers: BTreeSet<usize>,
     /// Controllers whose transactions are kept back until released.
-    pub hold_txns: BTreeSet<usize>,
+    pub hold_writes: BTreeSet<usize>,
     /// Every second transaction takes so long to be carried out.
-    pub slow_txns_ms: u64,
+    pub slow_writes_ms: u64,
     /// Messages between controllers and machines that take much longer than others.
     pub slow_links: Option<SlowLinks>,
     /// Machines whose reports take so much longer to arrive, ms; everything else from and to them does not.
-    pub slow_reports_ms: BTreeMap<MachineId, u64>,
+    pub slow_heartbeats_ms: BTreeMap<MachineId, u64>,
     /// Controllers whose messages from and to machines are held back, and until when. They arrive then, in any
     /// order, whether or not their senders have given up on them.
     pub held_until: BTreeMap<usize, u64>,
     /// Direct orders are kept back until released, and time out.
-    pub hold_orders: bool,
+    pub hold_commands: bool,
     /// Jobs whose tasks fail on every machine.
-    pub failing: BTreeSet<JobId>,
+    pub failing_jobs: BTreeSet<JobId>,
     /// Machines on which every task fails.
-    pub faulty: BTreeSet<MachineId>,
+    pub faulty_machines: BTreeSet<MachineId>,
     /// The cloud does not answer.
     pub cloud_down: bool,
     /// Controllers that no other controller reaches, nor they any.
     pub cut_from_peers: BTreeSet<usize>,
     /// Machines whose reports arrive while answers and orders do not reach them.
-    pub deaf: BTreeSet<MachineId>,
+    pub unreachable_machines: BTreeSet<MachineId>,
     /// The cloud has no spot machines.
     pub no_spot: bool,
     /// Largest value the state service takes, bytes, and most changes in a transaction; none: any.
-    pub state_limits: Option<(usize, usize)>,
+    pub key_value_limits: Option<(usize, usize)>,
     /// Services whose replicas end by themselves, as other tasks do.
-    pub ending: BTreeSet<JobId>,
+    pub ending_services: BTreeSet<JobId>,
     /// Every report is delivered once more after each of these times, to every controller.
-    pub copies_after_ms: Vec<u64>,
+    pub heartbeat_copies_after_ms: Vec<u64>,
     /// Copies of all reports are kept, and reach every controller when the next leader begins.
-    pub copies_for_next: bool,
+    pub heartbeat_copies_for_next_leader: bool,
     /// Controllers whose requests the state service refuses, while their watches wait.
-    pub refused: BTreeSet<usize>,
+    pub refused_by_key_value_store: BTreeSet<usize>,
     /// Transactions without an answer.
     pub late_writes: Option<LateWrites>,
     /// Every answer of the state service takes so much longer.
-    pub state_slow_ms: u64,
+    pub key_value_store_slow_ms: u64,
     /// Controllers whose watches are never answered while everything else is.
-    pub watchless: BTreeSet<usize>,
+    pub without_watch_responses: BTreeSet<usize>,
     /// Machines that reach no controller, while direct orders reach them.
-    pub mute: BTreeSet<MachineId>,
+    pub silent_machines: BTreeSet<MachineId>,
     /// Machines whose reports are kept back until they are released.
-    pub hold_reports: BTreeSet<MachineId>,
+    pub hold_heartbeats: BTreeSet<MachineId>,
     /// A zone cut off, and the controllers inside.
-    pub zone_cut: Option<(String, BTreeSet<usize>)>,
+    pub partitioned_zone: Option<(String, BTreeSet<usize>)>,
     /// Users ask all controllers within milliseconds after a job was accepted or is over, and repeat its
     /// submission.
-    pub close_looks: bool,
+    pub rapid_status_queries: bool,
     /// Share of the jobs that are cancelled at the moment their last task ends.
-    pub cancel_at_end: f64,
+    pub cancel_at_completion: f64,
 }
 
-impl Troubles {
+impl Faults {
     /// Whether there is none that would excuse a job that waits.
     pub(super) fn none(&self) -> bool {
         let sets = [
-            &self.cut_from_state,
+            &self.cut_from_key_value_store,
             &self.cut_from_workers,
-            &self.hold_txns,
+            &self.hold_writes,
             &self.cut_from_peers,
-            &self.refused,
-            &self.watchless,
+            &self.refused_by_key_value_store,
+            &self.without_watch_responses,
         ];
         sets.iter().all(|set| set.is_empty())
             && self.slow_links.is_none()
-            && self.slow_reports_ms.is_empty()
+            && self.slow_heartbeats_ms.is_empty()
             && self.held_until.is_empty()
-            && !self.state_down
-            && !self.hold_orders
+            && !self.key_value_store_down
+            && !self.hold_commands
             && !self.cloud_down
             && !self.no_spot
-            && self.slow_txns_ms == 0
-            && self.state_slow_ms == 0
+            && self.slow_writes_ms == 0
+            && self.key_value_store_slow_ms == 0
             && self.late_writes.is_none()
-            && self.zone_cut.is_none()
-            && self.state_limits.is_none()
+            && self.partitioned_zone.is_none()
+            && self.key_value_limits.is_none()
     }
 }
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use serde_json::{json, Value};
-use worksshunt_core::controller::StoreOp;
-use worksshunt_wire::state::{Change, Txn};
+use worksshunt_core::controller::KvRequest;
+use worksshunt_wire::key_value::{Change, CompareAndSwap};
 use worksshunt_wire::worker::TaskState;
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
@@ -13,7 +13,10 @@
 impl Cluster {
     /// A key's value in the store.
     pub fn stored(&self, key: &str) -> Option<&Value> {
-        self.store.keys.get(key).map(|(value, _, _)| value)
+        self.key_value_store
+            .keys
+            .get(key)
+            .map(|(value, _, _)| value)
     }
 
     /// Puts a value into the store, as somebody else would.
@@ -23,22 +26,24 @@
             value,
             lease: None,
         };
-        let txn = Txn {
-            conditions: Vec::new(),
+        let write = CompareAndSwap {
+            expected: Vec::new(),
             changes: vec![change],
         };
-        self.store.apply(self.now, &StoreOp::Txn(txn));
+        self.key_value_store
+            .apply(self.now, &KvRequest::CompareAndSwap(write));
         self.wake_watches();
     }
 
     /// Removes a key from the store.
     pub fn remove(&mut self, key: &str) {
         let key = key.to_owned();
-        let txn = Txn {
-            conditions: Vec::new(),
+        let write = CompareAndSwap {
+            expected: Vec::new(),
             changes: vec![Change::Delete { key }],
         };
-        self.store.apply(self.now, &StoreOp::Txn(txn));
+        self.key_value_store
+            .apply(self.now, &KvRequest::CompareAndSwap(write));
         self.wake_watches();
     }
 
@@ -65,22 +70,24 @@
     /// How many workers have been answered in this epoch or a later one.
     pub fn answered_in(&self, epoch: u64) -> usize {
         let workers = self.workers.values();
-        workers.filter(|worker| worker.token.0 >= epoch).count()
+        workers
+            .filter(|worker| worker.fencing_token.0 >= epoch)
+            .count()
     }
 
     /// How many direct orders were sent to a machine.
-    pub fn orders_to(&self, id: &MachineId) -> usize {
-        self.orders_sent.iter().filter(|to| *to == id).count()
+    pub fn commands_sent_count(&self, id: &MachineId) -> usize {
+        self.commands_sent_to.iter().filter(|to| *to == id).count()
     }
 
     /// The store's revision.
     pub fn revision(&self) -> u64 {
-        self.store.revision
+        self.key_value_store.revision
     }
 
     /// The store's keys that begin so.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        let keys = self.store.keys.keys();
+        let keys = self.key_value_store.keys.keys();
         keys.filter(|key| key.starts_with(prefix))
             .cloned()
             .collect()
@@ -90,7 +97,7 @@
     pub fn all_done(&self, id: u64, tasks: u32) -> bool {
         (0..tasks).all(|index| {
             let job = JobId(id);
-            self.rules.has_completed(TaskId { job, index })
+            self.invariants.has_completed(TaskId { job, index })
         })
     }
 
@@ -105,15 +112,15 @@
     }
 
     /// The session that a machine's worker is in; 0 if it is gone.
-    pub fn session(&self, id: &MachineId) -> u64 {
-        self.workers.get(id).map_or(0, |worker| worker.session)
+    pub fn worker_incarnation(&self, id: &MachineId) -> u64 {
+        self.workers.get(id).map_or(0, |worker| worker.incarnation)
     }
 
     /// Whether a machine's worker waits for the answer to a report.
-    pub fn reports_now(&self, id: &MachineId) -> bool {
+    pub fn awaits_heartbeat_response(&self, id: &MachineId) -> bool {
         self.workers
             .get(id)
-            .is_some_and(|worker| worker.reporting.is_some())
+            .is_some_and(|worker| worker.heartbeat_in_flight.is_some())
     }
 
     /// Jobs with tasks on a machine.
@@ -124,7 +131,7 @@
 
     /// Tasks on machines; those of a worker whose lease is over are dead, hung or not.
     pub(super) fn on_machines(&self) -> impl Iterator<Item = (&MachineId, &Task)> {
-        let leased = |worker: &Worker| self.now <= worker.last_answered + LEASE_MS;
+        let leased = |worker: &Worker| self.now <= worker.last_answered_at + LEASE_MS;
         self.workers.iter().flat_map(move |(id, worker)| {
             let tasks = worker.tasks.values().filter(move |_| leased(worker));
             tasks
@@ -134,10 +141,10 @@
     }
 
     /// What is on machines, as the rules see it.
-    pub(super) fn seen(&self) -> Vec<Seen<'_>> {
+    pub(super) fn observed_tasks(&self) -> Vec<ObservedTask<'_>> {
         let seen = |(machine, task): (_, &Task)| {
             let worker: &Worker = &self.workers[machine];
-            Seen {
+            ObservedTask {
                 task: task.task,
                 machine,
                 zone: &worker.zone,
--- a/crates/worksshunt-simulation/src/rules.rs
+++ b/crates/worksshunt-simulation/src/invariants.rs
@@ -7,12 +7,12 @@
 
 use serde_json::Value;
 use worksshunt_core::controller::Event;
-use worksshunt_core::users::Reply;
+use worksshunt_core::job_api::HttpResponse;
 use worksshunt_wire::settings::{Settings, Team};
 use worksshunt_wire::user::JobSpec;
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
-use crate::census::{Census, Seen};
+use crate::job_audit::{JobAudit, ObservedTask};
 
 /// How long a job may wait beside a machine with room, ms.
 pub const WAITS_MOST_MS: u64 = 90_000;
@@ -21,7 +21,7 @@
 
 /// What a user asked, and when. Questions and answers are numbered in one order.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct JobQuery {
     /// The job it is about.
     pub id: Option<JobId>,
     submits: bool,
@@ -50,7 +50,7 @@
 
 /// Room on a machine that could take a task.
 #[derive(Debug)]
-pub struct Free<'a> {
+pub struct FreeCapacity<'a> {
     /// The machine's zone.
     pub zone: &'a str,
     /// Whether it is a spot machine.
@@ -61,7 +61,7 @@
 
 /// What judges a cluster.
 #[derive(Debug, Default)]
-pub struct Rules {
+pub struct Invariants {
     cancel_ms: u64,
     limits: BTreeMap<String, f64>,
     /// Jobs as first submitted.
@@ -78,7 +78,7 @@
     pub answers: usize,
 }
 
-impl Rules {
+impl Invariants {
     /// Judges by the limits that these settings name.
     pub fn keep(&mut self, settings: &Settings) {
         let facts = &settings.facts;
@@ -100,7 +100,7 @@
     // --- users ----------------------------------------------------------------------------------
 
     /// A user sends a request.
-    pub fn asked(&mut self, event: &Event) -> Question {
+    pub fn asked(&mut self, event: &Event) -> JobQuery {
         self.order += 1;
         let (id, submits) = match event {
             Event::Submit(_, body) => {
@@ -125,7 +125,7 @@
             Event::Status(_, id) => (id.parse::<JobId>().ok(), false),
             _ => (None, false),
         };
-        Question {
+        JobQuery {
             id,
             submits,
             order: self.order,
@@ -145,7 +145,7 @@
     }
 
     /// A user hears an answer. Tells whether it brought something new: accepted, or over.
-    pub fn answered(&mut self, now: u64, question: &Question, reply: &Reply) -> bool {
+    pub fn answered(&mut self, now: u64, question: &JobQuery, reply: &HttpResponse) -> bool {
         self.order += 1;
         let order = self.order;
         let Some(id) = question.id else {
@@ -254,10 +254,10 @@
         }
     }
 
-    /// A task starts; `census` is all that is on machines, itself included.
-    pub fn started(&mut self, now: u64, task: TaskId, machine: &MachineId, census: &Census) {
+    /// A task starts; `audit` is all that is on machines, itself included.
+    pub fn started(&mut self, now: u64, task: TaskId, machine: &MachineId, audit: &JobAudit) {
         *self.starts.entry(task.job).or_default() += 1;
-        let on = census.of_job(task.job);
+        let on = audit.of_job(task.job);
         if on.iter().any(|o| o.machine != *machine && o.task == task) {
             self.broke("ran_twice", &format!("{task}"));
         }
@@ -283,16 +283,16 @@
         if crowded || (spec.one_zone && zones.len() > 1) {
             self.broke("wrong_place", &format!("{task}: zones {zones:?}"));
         }
-        for (team, used) in self.used(census) {
+        for (team, used) in self.used(audit) {
             if self.limits.get(&team).is_some_and(|most| used > *most) {
                 self.broke("quota", &format!("{team} uses {used} at {now}"));
             }
         }
     }
 
-    fn used(&self, census: &Census) -> BTreeMap<String, f64> {
+    fn used(&self, audit: &JobAudit) -> BTreeMap<String, f64> {
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
-        for (job, tasks) in census.jobs() {
+        for (job, tasks) in audit.jobs() {
             if let Some(spec) = self.jobs.get(job) {
                 *used.entry(spec.team.0.clone()).or_default() += spec.cpus * tasks as f64;
             }
@@ -307,7 +307,7 @@
     }
 
     /// Looks at everything on machines, as often as the cluster likes.
-    pub fn look(&mut self, now: u64, on: &[Seen]) {
+    pub fn look(&mut self, now: u64, on: &[ObservedTask]) {
         let late = |job: JobId| {
             let at = self.cancelled_at(job)?;
             (now > at + self.cancel_ms).then_some(now - at)
@@ -328,17 +328,17 @@
         &mut self,
         now: u64,
         quiet: bool,
-        census: &Census,
-        free: &[Free],
+        audit: &JobAudit,
+        free: &[FreeCapacity],
         hopeless: &BTreeSet<JobId>,
     ) {
-        let used = self.used(census);
+        let used = self.used(audit);
         let mut long = Vec::new();
         for id in self.open() {
             let Some(spec) = self.jobs.get(&id) else {
                 continue;
             };
-            let busy: BTreeSet<u32> = census.of_job(id).iter().map(|o| o.task.index).collect();
+            let busy: BTreeSet<u32> = audit.of_job(id).iter().map(|o| o.task.index).collect();
             let waiting = (0..spec.tasks).any(|index| {
                 !busy.contains(&index) && !self.completed.contains(&TaskId { job: id, index })
             });
--- a/crates/worksshunt-simulation/src/census.rs
+++ b/crates/worksshunt-simulation/src/job_audit.rs
@@ -6,7 +6,7 @@
 
 /// A task on a machine, as it is there.
 #[derive(Debug, Clone)]
-pub struct Seen<'a> {
+pub struct ObservedTask<'a> {
     /// The task.
     pub task: TaskId,
     /// Its machine.
@@ -19,7 +19,7 @@
 
 /// A task on a machine.
 #[derive(Debug, Clone)]
-pub struct Counted {
+pub struct AuditedTask {
     /// The task.
     pub task: TaskId,
     /// Its machine.
@@ -33,20 +33,20 @@
 /// What is on machines at one moment. What starts in the same moment is added; what ends in it is not
 /// taken out, since no controller can have heard of that yet.
 #[derive(Debug, Default)]
-pub struct Census {
+pub struct JobAudit {
     at: u64,
-    by_job: BTreeMap<JobId, Vec<Counted>>,
+    by_job: BTreeMap<JobId, Vec<AuditedTask>>,
 }
 
-impl Census {
+impl JobAudit {
     /// Counts what is there.
-    pub fn new(at: u64, on: &[Seen]) -> Census {
-        let mut census = Census {
+    pub fn new(at: u64, on: &[ObservedTask]) -> JobAudit {
+        let mut audit = JobAudit {
             at,
             by_job: BTreeMap::new(),
         };
-        on.iter().for_each(|seen| census.add(seen));
-        census
+        on.iter().for_each(|seen| audit.add(seen));
+        audit
     }
 
     /// Whether it was taken at that moment.
@@ -55,17 +55,20 @@
     }
 
     /// Adds a task that has started since.
-    pub fn add(&mut self, seen: &Seen) {
-        self.by_job.entry(seen.task.job).or_default().push(Counted {
-            task: seen.task,
-            machine: seen.machine.clone(),
-            zone: seen.zone.to_owned(),
-            spot: seen.spot,
-        });
+    pub fn add(&mut self, seen: &ObservedTask) {
+        self.by_job
+            .entry(seen.task.job)
+            .or_default()
+            .push(AuditedTask {
+                task: seen.task,
+                machine: seen.machine.clone(),
+                zone: seen.zone.to_owned(),
+                spot: seen.spot,
+            });
     }
 
     /// Tasks of a job on machines.
-    pub fn of_job(&self, id: JobId) -> &[Counted] {
+    pub fn of_job(&self, id: JobId) -> &[AuditedTask] {
         self.by_job.get(&id).map_or(&[], Vec::as_slice)
     }
 
--- a/crates/worksshunt-simulation/src/state_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_store.rs
@@ -4,9 +4,11 @@
 
 use serde_json::Value;
 use worksshunt_core::constants::STORE_DEADLINE_MS;
-use worksshunt_core::controller::{Event, StoreOp, StoreReply, StoreTag};
+use worksshunt_core::controller::{Event, KvPurpose, KvRequest, KvResponse};
 use worksshunt_core::time::Time;
-use worksshunt_wire::state::{Change, Changes, Listing, Pair, Txn, WatchEvent};
+use worksshunt_wire::key_value::{
+    Change, CompareAndSwap, KeyValue, Listing, WatchEvent, WatchResponse,
+};
 use worksshunt_wire::Revision;
 
 use super::*;
@@ -65,24 +67,24 @@
         self.keys.get(key).map_or(Revision(0), |(_, v, _)| *v)
     }
 
-    pub(super) fn transact(&mut self, txn: &Txn) -> StoreReply {
-        let failed: Vec<String> = txn
-            .conditions
+    pub(super) fn transact(&mut self, write: &CompareAndSwap) -> KvResponse {
+        let failed: Vec<String> = write
+            .expected
             .iter()
             .filter(|c| self.version(&c.key) != c.version)
             .map(|c| c.key.clone())
             .collect();
-        let orphan = txn.changes.iter().any(
+        let orphan = write.changes.iter().any(
             |c| matches!(c, Change::Put { lease: Some(h), .. } if !self.leases.contains_key(h)),
         );
         if orphan {
-            return StoreReply::NoSuchLease;
+            return KvResponse::NoSuchLease;
         }
         if !failed.is_empty() {
-            return StoreReply::Conflict(failed);
+            return KvResponse::Conflict(failed);
         }
         self.revision += 1;
-        for change in &txn.changes {
+        for change in &write.changes {
             match change {
                 Change::Put { key, value, lease } => {
                     let version = Revision(self.revision);
@@ -98,16 +100,16 @@
                 Change::Delete { key } => self.delete(key),
             }
         }
-        StoreReply::Committed(Revision(self.revision))
+        KvResponse::Committed(Revision(self.revision))
     }
 
-    pub(super) fn changes(&self, prefix: &str, since: Revision) -> Changes {
+    pub(super) fn changes(&self, prefix: &str, since: Revision) -> WatchResponse {
         let of_prefix = |event: &WatchEvent| match event {
             WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key.starts_with(prefix),
         };
         let first = self.log.partition_point(|(at, _)| *at <= since.0);
         let events = self.log[first..].iter().map(|(_, event)| event);
-        Changes {
+        WatchResponse {
             revision: Revision(self.revision),
             events: events.filter(|event| of_prefix(event)).cloned().collect(),
         }
@@ -119,36 +121,36 @@
     }
 
     /// Carries out a request. A watch is answered at once.
-    pub fn apply(&mut self, now: u64, op: &StoreOp) -> StoreReply {
+    pub fn apply(&mut self, now: u64, op: &KvRequest) -> KvResponse {
         self.expire(now);
         match op {
-            StoreOp::GrantLease => {
+            KvRequest::GrantLease => {
                 self.last_lease += 1;
                 let ttl = worksshunt_core::constants::LEASE_TTL_MS;
                 self.leases.insert(self.last_lease, now + ttl);
-                StoreReply::LeaseGranted(self.last_lease)
+                KvResponse::LeaseGranted(self.last_lease)
             }
-            StoreOp::RenewLease(lease) => match self.leases.get_mut(lease) {
+            KvRequest::RenewLease(lease) => match self.leases.get_mut(lease) {
                 Some(until) => {
                     *until = now + worksshunt_core::constants::LEASE_TTL_MS;
-                    StoreReply::LeaseRenewed
+                    KvResponse::LeaseRenewed
                 }
-                None => StoreReply::NoSuchLease,
+                None => KvResponse::NoSuchLease,
             },
-            StoreOp::Get(key) => match self.keys.get(key) {
-                Some((value, version, _)) => StoreReply::Found(Pair {
+            KvRequest::Get(key) => match self.keys.get(key) {
+                Some((value, version, _)) => KvResponse::Found(KeyValue {
                     key: key.clone(),
                     value: value.clone(),
                     version: *version,
                 }),
-                None => StoreReply::Missing,
+                None => KvResponse::Missing,
             },
-            StoreOp::List(prefix) => StoreReply::Listing(Listing {
+            KvRequest::List(prefix) => KvResponse::Listing(Listing {
                 pairs: self
                     .keys
                     .iter()
                     .filter(|(key, _)| key.starts_with(prefix))
-                    .map(|(key, (value, version, _))| Pair {
+                    .map(|(key, (value, version, _))| KeyValue {
                         key: key.clone(),
                         value: value.clone(),
                         version: *version,
@@ -157,119 +159,139 @@
                 more: false,
                 revision: Revision(self.revision),
             }),
-            StoreOp::Txn(txn) => self.transact(txn),
-            StoreOp::Watch(prefix, since, _) => StoreReply::Changes(self.changes(prefix, *since)),
+            KvRequest::CompareAndSwap(write) => self.transact(write),
+            KvRequest::Watch(prefix, since, _) => {
+                KvResponse::WatchResponse(self.changes(prefix, *since))
+            }
         }
     }
 }
 
-pub(super) fn too_large(txn: &Txn, bytes: usize, changes: usize) -> bool {
+pub(super) fn too_large(write: &CompareAndSwap, bytes: usize, changes: usize) -> bool {
     let value = |change: &Change| match change {
         Change::Put { value, .. } => value.to_string().len(),
         Change::Delete { .. } => 0,
     };
-    txn.changes.len() > changes
-        || txn.conditions.len() > changes * 4
-        || txn.changes.iter().any(|change| value(change) > bytes)
+    write.changes.len() > changes
+        || write.expected.len() > changes * 4
+        || write.changes.iter().any(|change| value(change) > bytes)
 }
 
 impl Cluster {
-    pub(super) fn store_request(
+    pub(super) fn key_value_request(
         &mut self,
         node: usize,
-        life: u64,
-        tag: StoreTag,
-        op: StoreOp,
+        incarnation: u64,
+        tag: KvPurpose,
+        op: KvRequest,
         sent: Time,
         until: u64,
     ) {
-        self.after_outage();
-        self.meter.requests += 1;
-        if let StoreOp::Txn(txn) = &op {
-            self.meter.txn(txn);
+        self.renew_leases_after_outage();
+        self.usage.requests += 1;
+        if let KvRequest::CompareAndSwap(write) = &op {
+            self.usage.write(write);
         }
-        let slow_ms = self.trouble.slow_txns_ms;
-        if slow_ms > 0 && matches!(op, StoreOp::Txn(_)) && self.now + slow_ms < until {
-            self.txns += 1;
-            if self.txns.is_multiple_of(2) {
-                let late = Happening::Store(node, life, tag, op, sent, until);
-                self.at(self.now + slow_ms, late);
+        let slow_ms = self.faults.slow_writes_ms;
+        if slow_ms > 0 && matches!(op, KvRequest::CompareAndSwap(_)) && self.now + slow_ms < until {
+            self.write_count += 1;
+            if self.write_count.is_multiple_of(2) {
+                let late = SimulationEvent::KeyValueRequestArrives(
+                    node,
+                    incarnation,
+                    tag,
+                    op,
+                    sent,
+                    until,
+                );
+                self.schedule_at(self.now + slow_ms, late);
                 return;
             }
         }
-        if self.trouble.hold_txns.contains(&node) && matches!(op, StoreOp::Txn(_)) {
-            self.held_txns.push(op);
-            let event = Box::new(Event::KeyValueResponse(tag, sent, StoreReply::NoAnswer));
+        if self.faults.hold_writes.contains(&node) && matches!(op, KvRequest::CompareAndSwap(_)) {
+            self.held_writes.push(op);
+            let event = Box::new(Event::KeyValueResponse(tag, sent, KvResponse::NoAnswer));
             let when = self.now + STORE_DEADLINE_MS;
-            self.at(when, Happening::Dispatch(node, life, event));
+            self.schedule_at(when, SimulationEvent::Dispatch(node, incarnation, event));
             return;
         }
-        if self.trouble.cut_from_state.contains(&node) || self.node_in_cut_zone(node) {
-            let event = Box::new(Event::KeyValueResponse(tag, sent, StoreReply::NoAnswer));
-            self.at(until, Happening::Dispatch(node, life, event));
+        if self.faults.cut_from_key_value_store.contains(&node) || self.node_in_cut_zone(node) {
+            let event = Box::new(Event::KeyValueResponse(tag, sent, KvResponse::NoAnswer));
+            self.schedule_at(until, SimulationEvent::Dispatch(node, incarnation, event));
             return;
         }
-        let refused = self.trouble.refused.contains(&node);
+        let refused = self.faults.refused_by_key_value_store.contains(&node);
         if refused {
-            self.effect("refused");
+            self.record_effect("refused");
         }
-        let late = self.trouble.late_writes.filter(|_| !refused);
-        if let (StoreOp::Txn(txn), Some(late), false) = (&op, late, self.trouble.state_down) {
+        let late = self.faults.late_writes.filter(|_| !refused);
+        if let (KvRequest::CompareAndSwap(write), Some(late), false) =
+            (&op, late, self.faults.key_value_store_down)
+        {
             if self.rng.f64() < late.share {
                 let after_ms = self.rng.u64(late.after_ms.0..=late.after_ms.1);
-                self.at(self.now + after_ms, Happening::LateTxn(txn.clone()));
-                let event = Box::new(Event::KeyValueResponse(tag, sent, StoreReply::NoAnswer));
-                self.at(until, Happening::Dispatch(node, life, event));
+                self.schedule_at(
+                    self.now + after_ms,
+                    SimulationEvent::LateWriteArrives(write.clone()),
+                );
+                let event = Box::new(Event::KeyValueResponse(tag, sent, KvResponse::NoAnswer));
+                self.schedule_at(until, SimulationEvent::Dispatch(node, incarnation, event));
                 return;
             }
         }
-        let reply = if self.trouble.state_down || refused || !self.state_admits(&op) {
-            StoreReply::Refused
-        } else {
-            if let StoreOp::Watch(prefix, since, wait_ms) = &op {
-                if *wait_ms > 0 {
-                    self.watches.push(Watch {
-                        node,
-                        life,
-                        tag,
-                        prefix: prefix.clone(),
-                        since: *since,
-                        sent,
-                        ends: self.now + wait_ms,
-                        until,
-                    });
-                    self.wake_watches();
-                    return;
+        let reply =
+            if self.faults.key_value_store_down || refused || !self.key_value_rate_allows(&op) {
+                KvResponse::Refused
+            } else {
+                if let KvRequest::Watch(prefix, since, wait_ms) = &op {
+                    if *wait_ms > 0 {
+                        self.watches.push(Watch {
+                            node,
+                            incarnation,
+                            tag,
+                            prefix: prefix.clone(),
+                            since: *since,
+                            sent,
+                            ends: self.now + wait_ms,
+                            until,
+                        });
+                        self.wake_watches();
+                        return;
+                    }
                 }
-            }
-            match (&op, self.trouble.state_limits) {
-                (StoreOp::Txn(txn), Some((bytes, changes))) if too_large(txn, bytes, changes) => {
-                    self.too_large += 1;
-                    StoreReply::TooLarge
+                match (&op, self.faults.key_value_limits) {
+                    (KvRequest::CompareAndSwap(write), Some((bytes, changes)))
+                        if too_large(write, bytes, changes) =>
+                    {
+                        self.too_large += 1;
+                        KvResponse::TooLarge
+                    }
+                    _ => self.key_value_store.apply(self.now, &op),
                 }
-                _ => self.store.apply(self.now, &op),
-            }
-        };
+            };
         // What is answered after its sender has given up on it is as good as not answered.
-        let when = self.arrival(Link::Other) + self.trouble.state_slow_ms;
+        let when = self.arrival_time(Link::Other) + self.faults.key_value_store_slow_ms;
         let reply = if when > until {
-            StoreReply::NoAnswer
+            KvResponse::NoAnswer
         } else {
             reply
         };
         let event = Box::new(Event::KeyValueResponse(tag, sent, reply));
-        self.at(when.min(until), Happening::Dispatch(node, life, event));
+        self.schedule_at(
+            when.min(until),
+            SimulationEvent::Dispatch(node, incarnation, event),
+        );
         self.wake_watches();
     }
 
     /// Whether the state service's rates admit a request; otherwise it answers 429.
-    fn state_admits(&mut self, op: &StoreOp) -> bool {
+    fn key_value_rate_allows(&mut self, op: &KvRequest) -> bool {
         let Some((requests, changes)) = &mut self.state_rates else {
             return true;
         };
         let now = Time(self.now);
         let changed = match op {
-            StoreOp::Txn(txn) => txn.changes.len(),
+            KvRequest::CompareAndSwap(write) => write.changes.len(),
             _ => 0,
         };
         let admitted = requests.available(now) >= 1 && changes.available(now) >= changed;
@@ -277,7 +299,7 @@
             requests.take(1);
             changes.take(changed);
         } else {
-            self.meter.refused += 1;
+            self.usage.refused += 1;
         }
         admitted
     }
@@ -286,18 +308,18 @@
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
             let node = watch.node;
-            let waits = self.trouble.state_down
-                || self.trouble.refused.contains(&node)
-                || self.trouble.cut_from_state.contains(&node)
-                || self.trouble.watchless.contains(&node)
+            let waits = self.faults.key_value_store_down
+                || self.faults.refused_by_key_value_store.contains(&node)
+                || self.faults.cut_from_key_value_store.contains(&node)
+                || self.faults.without_watch_responses.contains(&node)
                 || self.node_in_cut_zone(node);
-            let changes = self.store.changes(&watch.prefix, watch.since);
+            let changes = self.key_value_store.changes(&watch.prefix, watch.since);
             let answer = !waits && (!changes.events.is_empty() || self.now >= watch.ends);
             let reply = match answer {
-                true => StoreReply::Changes(changes),
+                true => KvResponse::WatchResponse(changes),
                 false if self.now >= watch.until => {
-                    self.effect("unanswered watch");
-                    StoreReply::NoAnswer
+                    self.record_effect("unanswered watch");
+                    KvResponse::NoAnswer
                 }
                 false => {
                     self.watches.push(watch);
@@ -305,8 +327,11 @@
                 }
             };
             let event = Box::new(Event::KeyValueResponse(watch.tag, watch.sent, reply));
-            let when = self.arrival(Link::Other) + self.trouble.state_slow_ms;
-            self.at(when, Happening::Dispatch(node, watch.life, event));
+            let when = self.arrival_time(Link::Other) + self.faults.key_value_store_slow_ms;
+            self.schedule_at(
+                when,
+                SimulationEvent::Dispatch(node, watch.incarnation, event),
+            );
         }
     }
 }
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -1,55 +1,55 @@
 //! An in-memory cluster on virtual time: state service, cloud, workers, network and controllers.
 //!
-//! It checks the rules by itself, all the time: see [`rules`]. Troubles are fields of [`Troubles`] that
+//! It checks the rules by itself, all the time: see [`invariants`]. Troubles are fields of [`Faults`] that
 //! scenarios set and clear, and that go together in any way. Everything in it is deterministic; what is drawn
 //! is drawn from the cluster's seed.
 
-mod census;
 mod cloud;
 mod controllers;
 mod digest;
 mod failure;
+mod faults;
 mod fixtures;
 mod inspection;
+pub mod invariants;
+mod job_audit;
+mod key_value_store;
 mod links;
-mod meter;
 mod network;
 pub mod random_day;
-pub mod rules;
-mod state_service;
-mod troubles;
+mod resource_usage;
 mod users;
 mod workers;
 
 use std::collections::{BTreeMap, BinaryHeap};
 
-use worksshunt_core::controller::{Action, Controller, Event, StoreOp, StoreReply, StoreTag};
+use worksshunt_core::controller::{Action, Controller, Event, KvPurpose, KvRequest, KvResponse};
 use worksshunt_core::fleet::CloudRequest;
-use worksshunt_core::machines::DirectOrders;
-use worksshunt_core::time::{Bucket, Time};
-use worksshunt_core::users::{Reply, RequestId};
-use worksshunt_wire::cloud::MachineNames;
+use worksshunt_core::job_api::{HttpResponse, RequestId};
+use worksshunt_core::machines::DirectCommands;
+use worksshunt_core::time::{Time, TokenBucket};
+use worksshunt_wire::cloud::MachineIds;
+use worksshunt_wire::key_value::CompareAndSwap;
 use worksshunt_wire::peer::PeerRequest;
 use worksshunt_wire::settings::Settings;
-use worksshunt_wire::state::Txn;
 use worksshunt_wire::user::{JobKind, JobSpec};
-use worksshunt_wire::worker::{Command, Report, TaskState};
+use worksshunt_wire::worker::{Command, Heartbeat, TaskState};
 use worksshunt_wire::{Attempt, JobId, MachineId, Revision, TaskId};
 
-use census::{Census, Seen};
 pub use digest::{DayDigest, TrafficDigest};
 pub use failure::Failure;
+pub use faults::{Faults, LateWrites};
 use fixtures::catalog;
 pub use fixtures::{job, large_settings, long_job, service, settings};
+use job_audit::{JobAudit, ObservedTask};
+pub use key_value_store::Store;
 use links::Link;
 pub use links::SlowLinks;
-pub use meter::Meter;
-pub use state_service::Store;
-pub use troubles::{LateWrites, Troubles};
+pub use resource_usage::ResourceUsage;
 use workers::Task;
 pub use workers::Worker;
 
-use rules::{Free, Question, Rules, SILENT_MOST_MS};
+use invariants::{FreeCapacity, Invariants, JobQuery, SILENT_MOST_MS};
 
 /// Workers' lease, ms; as in the settings below.
 const LEASE_MS: u64 = 16_000;
@@ -64,47 +64,47 @@
 /// 1 January 2026 in ms.
 const WALL_MS: u64 = 1_767_225_600_000;
 
-struct Node {
+struct SimulatedController {
     controller: Controller,
-    life: u64,
-    started: u64,
+    incarnation: u64,
+    started_at: u64,
 }
 
-enum Happening {
+enum SimulationEvent {
     Tick(usize, u64),
     Dispatch(usize, u64, Box<Event>),
-    Store(usize, u64, StoreTag, StoreOp, Time, u64),
-    Cloud(usize, u64, CloudRequest),
-    PeerAsk(usize, u64, usize, RequestId, PeerRequest),
-    PeerSilence(usize, u64, u64),
-    Orders(usize, u64, DirectOrders, u64),
-    LateOrders(usize, DirectOrders),
-    Worker(MachineId),
-    ReportArrives(usize, MachineId, Report, u64),
-    CopyArrives(usize, Report),
-    AnswerArrives(MachineId, u64, u64, u64, Reply),
-    NoAnswer(MachineId, u64, u64),
-    LateTxn(Txn),
-    Look,
-    Scene(Scene),
+    KeyValueRequestArrives(usize, u64, KvPurpose, KvRequest, Time, u64),
+    CloudRequestArrives(usize, u64, CloudRequest),
+    PeerRequestArrives(usize, u64, usize, RequestId, PeerRequest),
+    PeerDeadline(usize, u64, u64),
+    CommandsArrive(usize, u64, DirectCommands, u64),
+    LateCommandsArrive(usize, DirectCommands),
+    WorkerStep(MachineId),
+    HeartbeatArrives(usize, MachineId, Heartbeat, u64),
+    CopyArrives(usize, Heartbeat),
+    HeartbeatResponseArrives(MachineId, u64, u64, u64, HttpResponse),
+    HeartbeatDeadline(MachineId, u64, u64),
+    LateWriteArrives(CompareAndSwap),
+    Inspect,
+    RunAction(ScheduledAction),
 }
 
 /// A controller that stands still, with what it was doing and what has come meanwhile.
 #[derive(Default)]
-struct Frozen {
+struct PausedController {
     /// What it had decided when it stopped, which leaves when it goes on.
     decided: Option<(u64, Time, Vec<Action>)>,
     came: Vec<(u64, Event)>,
 }
 
 /// Something that a scenario lets happen later.
-type Scene = Box<dyn FnOnce(&mut Cluster)>;
+type ScheduledAction = Box<dyn FnOnce(&mut Cluster)>;
 
 /// A watch that waits for changes.
 struct Watch {
     node: usize,
-    life: u64,
-    tag: StoreTag,
+    incarnation: u64,
+    tag: KvPurpose,
     prefix: String,
     since: Revision,
     sent: Time,
@@ -114,27 +114,27 @@
     until: u64,
 }
 
-enum Waiting {
-    User(usize, Question),
-    Report(MachineId, u64, u64, u64),
+enum PendingRequest {
+    User(usize, JobQuery),
+    Heartbeat(MachineId, u64, u64, u64),
     Peer(usize, u64, u64),
 }
 
-struct Entry(u64, u64, Happening);
+struct ScheduledEvent(u64, u64, SimulationEvent);
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Entry {}
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<std::cmp::Ordering> {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Entry {
-    fn cmp(&self, other: &Entry) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (other.0, other.1).cmp(&(self.0, self.1))
     }
 }
@@ -145,26 +145,26 @@
     pub now: u64,
     /// Settings of its controllers.
     pub settings: Vec<Settings>,
-    nodes: Vec<Option<Node>>,
-    lives: u64,
-    queue: BinaryHeap<Entry>,
-    order: u64,
-    store: Store,
+    nodes: Vec<Option<SimulatedController>>,
+    incarnations_started: u64,
+    event_queue: BinaryHeap<ScheduledEvent>,
+    next_event_order: u64,
+    key_value_store: Store,
     /// The state service was down when last looked at.
-    was_down: bool,
+    key_value_store_was_down: bool,
     watches: Vec<Watch>,
     /// Machines rented, up or not.
     pub workers: BTreeMap<MachineId, Worker>,
     /// What judges it.
-    pub rules: Rules,
+    pub invariants: Invariants,
     /// What is on machines, as of the starts of this moment.
-    census: Option<Census>,
+    job_audit: Option<JobAudit>,
     /// What has passed between its members.
-    pub meter: Meter,
+    pub usage: ResourceUsage,
     /// What the state service takes a second, requests and changes; none: any number.
-    pub state_rates: Option<(Bucket, Bucket)>,
+    pub state_rates: Option<(TokenBucket, TokenBucket)>,
     /// What the cloud takes a second; none: any number.
-    pub cloud_rate: Option<Bucket>,
+    pub cloud_rate: Option<TokenBucket>,
     /// Workers act at multiples of so many ms, so that thousands of them act at few moments.
     pub worker_step_ms: u64,
     rng: fastrand::Rng,
@@ -173,47 +173,47 @@
     /// Machines that the cloud has.
     pub capacity: usize,
     /// How long a task runs.
-    pub run_ms: u64,
+    pub task_run_ms: u64,
     /// How much longer each task runs than the one before it, in groups of eight.
     pub run_spread_ms: u64,
     /// The boot time in the catalogue, seconds. Machines take five.
-    pub ready_s: f64,
+    pub nominal_boot_s: f64,
     /// One way over the network, ms.
-    pub hop_ms: u64,
+    pub link_delay_ms: u64,
     /// How much longer a message takes at the most, drawn for each, ms.
     pub jitter_ms: u64,
     /// How long machines take to boot, ms.
     pub boot_ms: u64,
     /// How long a machine is missing from the list.
     pub list_lag_ms: u64,
-    requests: u64,
-    waiting: BTreeMap<(usize, u64, RequestId), Waiting>,
-    user_replies: Vec<Option<Reply>>,
+    requests_sent: u64,
+    pending_requests: BTreeMap<(usize, u64, RequestId), PendingRequest>,
+    user_replies: Vec<Option<HttpResponse>>,
     /// How it departs from a quiet day.
-    pub trouble: Troubles,
-    held_txns: Vec<StoreOp>,
+    pub faults: Faults,
+    held_writes: Vec<KvRequest>,
     /// Transactions that could be slow.
-    txns: u64,
-    held_orders: Vec<DirectOrders>,
-    held_reports: Vec<Report>,
-    frozen: BTreeMap<usize, Frozen>,
+    write_count: u64,
+    held_commands: Vec<DirectCommands>,
+    held_heartbeats: Vec<Heartbeat>,
+    paused: BTreeMap<usize, PausedController>,
     /// Copies kept for the next leader, and the epoch in which they are kept.
-    kept_copies: Vec<Report>,
+    kept_copies: Vec<Heartbeat>,
     kept_in: u64,
     /// How often each trouble took effect, by its name.
-    pub took_effect: BTreeMap<&'static str, usize>,
+    pub fault_effects: BTreeMap<&'static str, usize>,
     /// Submissions as first sent, for repetitions.
     bodies: BTreeMap<JobId, Vec<u8>>,
     /// Transactions that the state service found too large.
     pub too_large: usize,
     /// Every start of a task: when, which, where.
-    pub starts: Vec<(u64, TaskId, MachineId)>,
+    pub task_starts: Vec<(u64, TaskId, MachineId)>,
     /// Machines returned to the cloud.
-    pub returned: Vec<MachineId>,
-    rentals: BTreeMap<String, MachineNames>,
+    pub released_machines: Vec<MachineId>,
+    provisioned: BTreeMap<String, MachineIds>,
     /// Every attempt launched, with its task and machine.
     launched: BTreeMap<Attempt, (TaskId, MachineId)>,
-    orders_sent: Vec<MachineId>,
+    commands_sent_to: Vec<MachineId>,
     machines_made: u64,
     /// A digest of all messages that controllers send and get, if it is wanted.
     pub digest: Option<TrafficDigest>,
@@ -237,55 +237,55 @@
             now: 0,
             settings: (0..3).map(settings).collect(),
             nodes: (0..3).map(|_| None).collect(),
-            lives: 0,
-            queue: BinaryHeap::new(),
-            order: 0,
-            store: Store::default(),
-            was_down: false,
+            incarnations_started: 0,
+            event_queue: BinaryHeap::new(),
+            next_event_order: 0,
+            key_value_store: Store::default(),
+            key_value_store_was_down: false,
             watches: Vec::new(),
             workers: BTreeMap::new(),
-            rules: Rules::default(),
-            census: None,
-            meter: Meter::default(),
+            invariants: Invariants::default(),
+            job_audit: None,
+            usage: ResourceUsage::default(),
             state_rates: None,
             cloud_rate: None,
             worker_step_ms: 1,
             rng: fastrand::Rng::with_seed(1),
             attempts_most: None,
             capacity: 10,
-            run_ms: 8_000,
+            task_run_ms: 8_000,
             run_spread_ms: 0,
-            ready_s: 5.0,
-            hop_ms: 3,
+            nominal_boot_s: 5.0,
+            link_delay_ms: 3,
             jitter_ms: 0,
             boot_ms: 5_000,
             list_lag_ms: 0,
-            requests: 0,
-            waiting: BTreeMap::new(),
+            requests_sent: 0,
+            pending_requests: BTreeMap::new(),
             user_replies: Vec::new(),
-            trouble: Troubles::default(),
-            held_txns: Vec::new(),
-            txns: 0,
-            held_orders: Vec::new(),
-            held_reports: Vec::new(),
-            frozen: BTreeMap::new(),
+            faults: Faults::default(),
+            held_writes: Vec::new(),
+            write_count: 0,
+            held_commands: Vec::new(),
+            held_heartbeats: Vec::new(),
+            paused: BTreeMap::new(),
             kept_copies: Vec::new(),
             kept_in: 0,
-            took_effect: BTreeMap::new(),
+            fault_effects: BTreeMap::new(),
             bodies: BTreeMap::new(),
             too_large: 0,
-            starts: Vec::new(),
-            returned: Vec::new(),
-            rentals: BTreeMap::new(),
+            task_starts: Vec::new(),
+            released_machines: Vec::new(),
+            provisioned: BTreeMap::new(),
             launched: BTreeMap::new(),
-            orders_sent: Vec::new(),
+            commands_sent_to: Vec::new(),
             machines_made: 0,
             digest: None,
         };
         for node in 0..3 {
             cluster.start(node);
         }
-        cluster.at(0, Happening::Look);
+        cluster.schedule_at(0, SimulationEvent::Inspect);
         cluster
     }
 
@@ -294,14 +294,14 @@
     pub fn large(machines: usize) -> Cluster {
         let mut cluster = Cluster::with_settings(|name| large_settings(name, machines));
         let facts = &cluster.settings[0].facts;
-        let bucket = |rate: f64| Bucket::new(rate, rate);
+        let bucket = |rate: f64| TokenBucket::new(rate, rate);
         cluster.state_rates = Some((bucket(facts.state.rps), bucket(facts.state.write_rps)));
-        cluster.cloud_rate = Some(Bucket::new(facts.cloud.rps, facts.cloud.rps * 2.0));
+        cluster.cloud_rate = Some(TokenBucket::new(facts.cloud.rps, facts.cloud.rps * 2.0));
         cluster.worker_step_ms = 250;
         cluster.capacity = machines;
-        cluster.ready_s = 25.0;
+        cluster.nominal_boot_s = 25.0;
         cluster.boot_ms = 20_000;
-        cluster.run_ms = 20_000;
+        cluster.task_run_ms = 20_000;
         cluster.list_lag_ms = 5_000;
         cluster
     }
@@ -312,34 +312,39 @@
     }
 
     /// Lets something happen later.
-    pub fn later(&mut self, ms: u64, scene: impl FnOnce(&mut Cluster) + 'static) {
-        self.at(self.now + ms, Happening::Scene(Box::new(scene)));
+    pub fn schedule(&mut self, ms: u64, scene: impl FnOnce(&mut Cluster) + 'static) {
+        self.schedule_at(self.now + ms, SimulationEvent::RunAction(Box::new(scene)));
     }
 
     /// Notes that a trouble took effect.
-    fn effect(&mut self, trouble: &'static str) {
-        *self.took_effect.entry(trouble).or_default() += 1;
+    fn record_effect(&mut self, faults: &'static str) {
+        *self.fault_effects.entry(faults).or_default() += 1;
     }
 
     /// How often a trouble took effect.
-    pub fn effects(&self, trouble: &str) -> usize {
-        self.took_effect.get(trouble).copied().unwrap_or_default()
+    pub fn effects(&self, faults: &str) -> usize {
+        self.fault_effects.get(faults).copied().unwrap_or_default()
     }
 
-    fn at(&mut self, when: u64, what: Happening) {
-        self.order += 1;
-        self.queue.push(Entry(when, self.order, what));
+    fn schedule_at(&mut self, when: u64, what: SimulationEvent) {
+        self.next_event_order += 1;
+        self.event_queue
+            .push(ScheduledEvent(when, self.next_event_order, what));
     }
 
     /// Lets time pass.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms;
-        while self.queue.peek().is_some_and(|entry| entry.0 <= until) {
-            let Some(Entry(when, _, what)) = self.queue.pop() else {
+        while self
+            .event_queue
+            .peek()
+            .is_some_and(|entry| entry.0 <= until)
+        {
+            let Some(ScheduledEvent(when, _, what)) = self.event_queue.pop() else {
                 break;
             };
             self.now = when;
-            self.happen(what);
+            self.apply_event(what);
         }
         self.now = until;
     }
@@ -372,23 +377,26 @@
     }
 
     /// Delivers a report to a controller once more.
-    pub fn deliver_copy(&mut self, node: usize, report: Report) {
-        self.at(self.now, Happening::CopyArrives(node, report));
+    pub fn deliver_copy(&mut self, node: usize, heartbeat: Heartbeat) {
+        self.schedule_at(self.now, SimulationEvent::CopyArrives(node, heartbeat));
         self.run(10);
     }
 
     /// A machine's report as it would be now.
-    pub fn report_of(&mut self, id: &MachineId) -> Report {
-        Self::report(id, self.workers.get_mut(id).expect("a worker"))
+    pub fn heartbeat_of(&mut self, id: &MachineId) -> Heartbeat {
+        Self::heartbeat(id, self.workers.get_mut(id).expect("a worker"))
     }
 
     /// The reports kept back reach these controllers now.
-    pub fn release_reports(&mut self, nodes: &[usize]) -> usize {
-        let held = std::mem::take(&mut self.held_reports);
-        for report in &held {
+    pub fn release_heartbeats(&mut self, nodes: &[usize]) -> usize {
+        let held = std::mem::take(&mut self.held_heartbeats);
+        for heartbeat in &held {
             for node in nodes {
-                self.effect("held report");
-                self.at(self.now, Happening::CopyArrives(*node, report.clone()));
+                self.record_effect("held report");
+                self.schedule_at(
+                    self.now,
+                    SimulationEvent::CopyArrives(*node, heartbeat.clone()),
+                );
             }
         }
         held.len()
@@ -403,80 +411,86 @@
         };
         set(self, id, true);
         let id = id.clone();
-        self.later(ms, move |cluster| set(cluster, &id, false));
+        self.schedule(ms, move |cluster| set(cluster, &id, false));
     }
 
     /// Puts a task on a machine behind the controllers' backs.
-    pub fn smuggle(&mut self, id: &MachineId, task: TaskId, attempt: u64) {
+    pub fn inject_task(&mut self, id: &MachineId, task: TaskId, attempt: u64) {
         let worker = self.workers.get_mut(id).expect("a worker");
         let attempt = Attempt(attempt);
         Self::execute(worker, &Command::Launch { task, attempt });
     }
 
     /// The transactions kept back are applied now, long after they were sent.
-    pub fn release_txns(&mut self) -> Vec<StoreReply> {
-        let held = std::mem::take(&mut self.held_txns);
+    pub fn release_writes(&mut self) -> Vec<KvResponse> {
+        let held = std::mem::take(&mut self.held_writes);
         let now = self.now;
-        let replies = held.iter().map(|op| self.store.apply(now, op)).collect();
+        let replies = held
+            .iter()
+            .map(|op| self.key_value_store.apply(now, op))
+            .collect();
         self.wake_watches();
         replies
     }
 
     /// The orders kept back are carried out now, long after they were sent.
-    pub fn release_orders(&mut self) -> usize {
-        let held = std::mem::take(&mut self.held_orders);
+    pub fn release_commands(&mut self) -> usize {
+        let held = std::mem::take(&mut self.held_commands);
         for orders in &held {
-            self.execute_orders(orders);
+            self.execute_commands(orders);
         }
         held.len()
     }
 
     fn request(&mut self) -> RequestId {
-        self.requests += 1;
-        RequestId(self.requests)
+        self.requests_sent += 1;
+        RequestId(self.requests_sent)
     }
 
     /// What the cluster does from time to time by itself: it judges what is there, wakes watches, and delivers
     /// what was kept for a new leader.
-    fn look(&mut self) {
-        self.at(self.now + LOOK_MS, Happening::Look);
-        self.after_outage();
+    fn inspect(&mut self) {
+        self.schedule_at(self.now + LOOK_MS, SimulationEvent::Inspect);
+        self.renew_leases_after_outage();
         self.wake_watches();
         let epoch = self.epoch();
         if epoch != self.kept_in {
             self.kept_in = epoch;
-            for report in std::mem::take(&mut self.kept_copies) {
+            for heartbeat in std::mem::take(&mut self.kept_copies) {
                 for node in 0..3 {
-                    self.effect("copy for the next leader");
-                    self.at(self.now, Happening::CopyArrives(node, report.clone()));
+                    self.record_effect("copy for the next leader");
+                    self.schedule_at(
+                        self.now,
+                        SimulationEvent::CopyArrives(node, heartbeat.clone()),
+                    );
                 }
             }
         }
-        let mut rules = std::mem::take(&mut self.rules);
-        if rules.any_cancelled() {
-            rules.look(self.now, &self.seen());
+        let mut invariants = std::mem::take(&mut self.invariants);
+        if invariants.any_cancelled() {
+            invariants.look(self.now, &self.observed_tasks());
         }
         if self.now.is_multiple_of(1_000) {
-            let hopeless = &self.trouble.failing;
-            let all_up = self.nodes.iter().all(Option::is_some) && self.frozen.is_empty();
-            let quiet = self.trouble.none() && all_up;
-            let census = Census::new(self.now, &self.seen());
-            rules.look_for_waiting(self.now, quiet, &census, &self.free(), hopeless);
+            let hopeless = &self.faults.failing_jobs;
+            let all_up = self.nodes.iter().all(Option::is_some) && self.paused.is_empty();
+            let quiet = self.faults.none() && all_up;
+            let audit = JobAudit::new(self.now, &self.observed_tasks());
+            invariants.look_for_waiting(self.now, quiet, &audit, &self.free(), hopeless);
         }
-        self.rules = rules;
+        self.invariants = invariants;
     }
 
     /// Room on machines that nothing is the matter with.
-    fn free(&self) -> Vec<Free<'_>> {
-        let trouble = &self.trouble;
+    fn free(&self) -> Vec<FreeCapacity<'_>> {
+        let faults = &self.faults;
         let is_service = |spec: &JobSpec| spec.kind == JobKind::Service;
-        let any_service = self.rules.jobs.values().any(is_service);
+        let any_service = self.invariants.jobs.values().any(is_service);
         let well = |(id, worker): &(&MachineId, &Worker)| {
             let odd = [
-                &trouble.deaf,
-                &trouble.mute,
-                &trouble.hold_reports,
-                &trouble.faulty,
+                &faults.unreachable_machines,
+                &faults.silent_machines,
+                &faults.hold_heartbeats,
+                &faults.faulty_machines,
             ];
             self.now >= worker.up_at
                 && !worker.hung
@@ -487,11 +501,16 @@
         let free = |(_, worker): (&MachineId, &Worker)| {
             let on = worker.tasks.values();
             let on = on.filter(|task| task.state != TaskState::Ended);
-            let cpus = |task: &Task| self.rules.jobs.get(&task.task.job).map_or(1.0, |j| j.cpus);
+            let cpus = |task: &Task| {
+                self.invariants
+                    .jobs
+                    .get(&task.task.job)
+                    .map_or(1.0, |j| j.cpus)
+            };
             (MACHINE_CPUS - on.map(cpus).sum::<f64>()).max(0.0)
         };
         let well = self.workers.iter().filter(well);
-        well.map(|(id, worker)| Free {
+        well.map(|(id, worker)| FreeCapacity {
             zone: &worker.zone,
             spot: worker.spot,
             cpus: free((id, worker)),
@@ -499,11 +518,11 @@
         .collect()
     }
 
-    fn after_outage(&mut self) {
-        if self.was_down && !self.trouble.state_down {
-            self.store.renew_all(self.now);
+    fn renew_leases_after_outage(&mut self) {
+        if self.key_value_store_was_down && !self.faults.key_value_store_down {
+            self.key_value_store.renew_all(self.now);
         }
-        self.was_down = self.trouble.state_down;
+        self.key_value_store_was_down = self.faults.key_value_store_down;
     }
 
     /// Ends the day, and fails the test if a rule was broken. Once troubles are over, questions about all
@@ -520,16 +539,16 @@
     ///
     /// A rule was broken.
     pub fn judge(&mut self) -> Result<(), Failure> {
-        if self.trouble.none() && self.nodes.iter().all(Option::is_some) && self.frozen.is_empty() {
-            self.ask_for_all();
+        if self.faults.none() && self.nodes.iter().all(Option::is_some) && self.paused.is_empty() {
+            self.query_all_accepted();
         }
         self.no_rule_broken()
     }
 
     fn no_rule_broken(&self) -> Result<(), Failure> {
-        match self.rules.broken.is_empty() {
+        match self.invariants.broken.is_empty() {
             true => Ok(()),
-            false => Err(Failure::RulesBroken(self.rules.broken.clone())),
+            false => Err(Failure::RulesBroken(self.invariants.broken.clone())),
         }
     }
 
@@ -539,14 +558,14 @@
     ///
     /// A rule was broken, or jobs were not done in time.
     pub fn settle(&mut self) -> Result<(), Failure> {
-        self.trouble = Troubles::default();
+        self.faults = Faults::default();
         for node in 0..3 {
             if !self.is_up(node) {
                 self.start(node);
             }
         }
         self.no_rule_broken()?;
-        self.run_ms = 5_000;
+        self.task_run_ms = 5_000;
         self.wait_until("an end of all jobs", 300_000, |w| w.keys("j/").is_empty())?;
         self.judge()
     }
--- a/crates/worksshunt-simulation/src/links.rs
+++ b/crates/worksshunt-simulation/src/links.rs
@@ -29,23 +29,23 @@
 
 impl Cluster {
     /// When a message that is sent now arrives.
-    pub(super) fn arrival(&mut self, link: Link) -> u64 {
-        let mut at = self.now + self.hop_ms;
+    pub(super) fn arrival_time(&mut self, link: Link) -> u64 {
+        let mut at = self.now + self.link_delay_ms;
         if self.jitter_ms > 0 {
             at += self.rng.u64(0..=self.jitter_ms);
         }
         let Link::Worker(node) = link else {
             return at;
         };
-        if let Some(slow) = self.trouble.slow_links {
+        if let Some(slow) = self.faults.slow_links {
             if self.rng.f64() < slow.share {
-                self.effect("slow message");
+                self.record_effect("slow message");
                 at += self.rng.u64(0..=slow.most_ms);
             }
         }
-        let held_until = self.trouble.held_until.get(&node).copied();
+        let held_until = self.faults.held_until.get(&node).copied();
         if let Some(until) = held_until.filter(|until| at < *until) {
-            self.effect("held message");
+            self.record_effect("held message");
             at = until + self.rng.u64(0..=RELEASE_SPREAD_MS);
         }
         at
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -1,80 +1,108 @@
 //! What passes between controllers, services and workers, and when.
 
 use worksshunt_core::constants::{FRAME_BYTES, ORDERS_DEADLINE_MS, SYNC_DEADLINE_MS, TICK_MS};
-use worksshunt_core::controller::{Action, Event, StoreOp};
-use worksshunt_core::machines::OrdersReply;
+use worksshunt_core::controller::{Action, Event, KvRequest};
+use worksshunt_core::job_api::RequestId;
+use worksshunt_core::machines::DirectCommandsOutcome;
 use worksshunt_core::time::Time;
-use worksshunt_core::users::RequestId;
-use worksshunt_wire::peer::{PeerAnswer, PeerRequest};
+use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 use worksshunt_wire::MachineId;
 
 use super::*;
 
 impl Cluster {
-    pub(super) fn perform(&mut self, node: usize, life: u64, steady: Time, action: Action) {
+    pub(super) fn perform(&mut self, node: usize, incarnation: u64, steady: Time, action: Action) {
         if let Some(digest) = &mut self.digest {
             digest.sent(self.now, node, &action);
         }
         match action {
             Action::CallKeyValueStore(tag, op, deadline_ms) => {
-                let what = Happening::Store(node, life, tag, op, steady, self.now + deadline_ms);
-                let arrives = self.arrival(Link::Other);
-                self.at(arrives, what);
+                let what = SimulationEvent::KeyValueRequestArrives(
+                    node,
+                    incarnation,
+                    tag,
+                    op,
+                    steady,
+                    self.now + deadline_ms,
+                );
+                let arrives = self.arrival_time(Link::Other);
+                self.schedule_at(arrives, what);
             }
             Action::CallCloud(request) => {
-                let arrives = self.arrival(Link::Other) + 100;
-                self.at(arrives, Happening::Cloud(node, life, request));
+                let arrives = self.arrival_time(Link::Other) + 100;
+                self.schedule_at(
+                    arrives,
+                    SimulationEvent::CloudRequestArrives(node, incarnation, request),
+                );
             }
             Action::SendCommands(orders) => {
-                self.meter.orders += 1;
+                self.usage.orders += 1;
                 let until = self.now + ORDERS_DEADLINE_MS;
-                let arrives = self.arrival(Link::Worker(node));
+                let arrives = self.arrival_time(Link::Worker(node));
                 if arrives > until {
-                    self.orders_given_up(node, life, orders.clone(), until);
-                    self.at(arrives, Happening::LateOrders(node, orders));
+                    self.commands_timed_out(node, incarnation, orders.clone(), until);
+                    self.schedule_at(arrives, SimulationEvent::LateCommandsArrive(node, orders));
                 } else {
-                    self.at(arrives, Happening::Orders(node, life, orders, until));
+                    self.schedule_at(
+                        arrives,
+                        SimulationEvent::CommandsArrive(node, incarnation, orders, until),
+                    );
                 }
             }
             Action::SendToPeer(to, request) => {
                 let to: usize = to.0[1..].parse().expect("a number");
                 let id = self.request();
                 if let PeerRequest::Sync(_) = request {
-                    let silence = Happening::PeerSilence(node, life, id.0);
-                    self.at(self.now + SYNC_DEADLINE_MS, silence);
-                    if self.meter.sync(&request) > FRAME_BYTES {
+                    let silence = SimulationEvent::PeerDeadline(node, incarnation, id.0);
+                    self.schedule_at(self.now + SYNC_DEADLINE_MS, silence);
+                    if self.usage.sync(&request) > FRAME_BYTES {
                         // Its reader refuses it, and it is not answered.
-                        self.meter.frames_dropped += 1;
+                        self.usage.frames_dropped += 1;
                         let event = Box::new(Event::PeerResponse(None));
                         let when = self.now + SYNC_DEADLINE_MS;
-                        self.at(when, Happening::Dispatch(node, life, event));
+                        self.schedule_at(when, SimulationEvent::Dispatch(node, incarnation, event));
                         return;
                     }
                 }
-                let arrives = self.arrival(Link::Other);
-                self.at(arrives, Happening::PeerAsk(node, life, to, id, request));
-            }
-            Action::RespondToPeer(request, answer) => self.answer_peer(node, life, request, answer),
-            Action::Respond(request, reply) => match self.waiting.remove(&(node, life, request)) {
-                Some(Waiting::User(slot, question)) => self.user_hears(slot, &question, reply),
-                Some(Waiting::Report(machine, session, seq, sent)) => {
-                    let arrives = self.arrival(Link::Worker(node));
-                    let what = Happening::AnswerArrives(machine, session, seq, sent, reply);
-                    self.at(arrives, what);
+                let arrives = self.arrival_time(Link::Other);
+                self.schedule_at(
+                    arrives,
+                    SimulationEvent::PeerRequestArrives(node, incarnation, to, id, request),
+                );
+            }
+            Action::RespondToPeer(request, answer) => {
+                self.answer_peer(node, incarnation, request, answer)
+            }
+            Action::Respond(request, reply) => {
+                match self.pending_requests.remove(&(node, incarnation, request)) {
+                    Some(PendingRequest::User(slot, question)) => {
+                        self.user_answered(slot, &question, reply)
+                    }
+                    Some(PendingRequest::Heartbeat(machine, incarnation, sequence, sent)) => {
+                        let arrives = self.arrival_time(Link::Worker(node));
+                        let what = SimulationEvent::HeartbeatResponseArrives(
+                            machine,
+                            incarnation,
+                            sequence,
+                            sent,
+                            reply,
+                        );
+                        self.schedule_at(arrives, what);
+                    }
+                    _ => {}
                 }
-                _ => {}
-            },
+            }
         }
     }
 
     pub(super) fn node_in_cut_zone(&self, node: usize) -> bool {
-        let cut = self.trouble.zone_cut.as_ref();
+        let cut = self.faults.partitioned_zone.as_ref();
         cut.is_some_and(|(_, inside)| inside.contains(&node))
     }
 
     /// Whether packets pass between a machine and a controller.
     pub(super) fn linked(&self, id: &MachineId, node: usize) -> bool {
-        let Some((zone, inside)) = &self.trouble.zone_cut else {
+        let Some((zone, inside)) = &self.faults.partitioned_zone else {
             return true;
         };
         let in_zone = self.workers.get(id).is_some_and(|w| w.zone == *zone);
@@ -82,167 +110,192 @@
     }
 
     /// A controller hears by its deadline that its orders were not answered.
-    fn orders_given_up(&mut self, node: usize, life: u64, orders: DirectOrders, until: u64) {
-        let event = Box::new(Event::CommandsAnswered(orders, OrdersReply::NoAnswer));
-        self.at(until, Happening::Dispatch(node, life, event));
+    fn commands_timed_out(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        orders: DirectCommands,
+        until: u64,
+    ) {
+        let event = Box::new(Event::CommandsAnswered(
+            orders,
+            DirectCommandsOutcome::NoAnswer,
+        ));
+        self.schedule_at(until, SimulationEvent::Dispatch(node, incarnation, event));
     }
 
     pub(super) fn answer_peer(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         request: RequestId,
-        answer: PeerAnswer,
+        answer: PeerResponse,
     ) {
-        if let Some(Waiting::Peer(asker, asker_life, _)) =
-            self.waiting.remove(&(node, life, request))
+        if let Some(PendingRequest::Peer(asker, asker_life, _)) =
+            self.pending_requests.remove(&(node, incarnation, request))
         {
             let event = Box::new(match answer {
-                PeerAnswer::KeyValueHealth(well) => Event::PeerKeyValueHealth(well),
-                PeerAnswer::KnownEpoch(known) => {
+                PeerResponse::KeyValueHealth(well) => Event::PeerKeyValueHealth(well),
+                PeerResponse::KnownEpoch(known) => {
                     Event::PeerKnownEpoch(format!("n{node}").as_str().into(), known)
                 }
                 answer => Event::PeerResponse(Some(answer)),
             });
-            let what = Happening::Dispatch(asker, asker_life, event);
-            let arrives = self.arrival(Link::Other);
-            self.at(arrives, what);
+            let what = SimulationEvent::Dispatch(asker, asker_life, event);
+            let arrives = self.arrival_time(Link::Other);
+            self.schedule_at(arrives, what);
         }
     }
 
-    pub(super) fn happen(&mut self, what: Happening) {
+    pub(super) fn apply_event(&mut self, what: SimulationEvent) {
         match what {
-            Happening::Tick(node, life) => {
-                let alive = self.nodes[node].as_ref().is_some_and(|n| n.life == life);
+            SimulationEvent::Tick(node, incarnation) => {
+                let alive = self.nodes[node]
+                    .as_ref()
+                    .is_some_and(|n| n.incarnation == incarnation);
                 if alive {
-                    self.dispatch(node, life, Event::Tick);
-                    self.at(self.now + TICK_MS, Happening::Tick(node, life));
+                    self.dispatch(node, incarnation, Event::Tick);
+                    self.schedule_at(self.now + TICK_MS, SimulationEvent::Tick(node, incarnation));
                 }
             }
-            Happening::Dispatch(node, life, event) => self.dispatch(node, life, *event),
-            Happening::Store(node, life, tag, op, sent, until) => {
-                self.store_request(node, life, tag, op, sent, until);
+            SimulationEvent::Dispatch(node, incarnation, event) => {
+                self.dispatch(node, incarnation, *event)
             }
-            Happening::Cloud(node, life, request) => {
-                let reply = self.cloud(&request);
+            SimulationEvent::KeyValueRequestArrives(node, incarnation, tag, op, sent, until) => {
+                self.key_value_request(node, incarnation, tag, op, sent, until);
+            }
+            SimulationEvent::CloudRequestArrives(node, incarnation, request) => {
+                let reply = self.cloud_request(&request);
                 let event = Box::new(Event::CloudResponse(request, reply));
-                let arrives = self.arrival(Link::Other);
-                self.at(arrives, Happening::Dispatch(node, life, event));
+                let arrives = self.arrival_time(Link::Other);
+                self.schedule_at(arrives, SimulationEvent::Dispatch(node, incarnation, event));
             }
-            Happening::PeerAsk(node, life, to, id, request) => {
-                let cut = &self.trouble.cut_from_peers;
+            SimulationEvent::PeerRequestArrives(node, incarnation, to, id, request) => {
+                let cut = &self.faults.cut_from_peers;
                 let reached = !cut.contains(&node)
                     && !cut.contains(&to)
                     && self.node_in_cut_zone(node) == self.node_in_cut_zone(to);
-                let to_life = self.nodes[to].as_ref().map(|n| n.life);
+                let to_life = self.nodes[to].as_ref().map(|n| n.incarnation);
                 let Some(to_life) = to_life.filter(|_| reached) else {
                     if let PeerRequest::Sync(_) = request {
                         let event = Box::new(Event::PeerResponse(None));
                         let when = self.now + SYNC_DEADLINE_MS;
-                        self.at(when, Happening::Dispatch(node, life, event));
+                        self.schedule_at(when, SimulationEvent::Dispatch(node, incarnation, event));
                     }
                     return;
                 };
-                self.waiting
-                    .insert((to, to_life, id), Waiting::Peer(node, life, id.0));
+                self.pending_requests.insert(
+                    (to, to_life, id),
+                    PendingRequest::Peer(node, incarnation, id.0),
+                );
                 self.dispatch(to, to_life, Event::PeerRequest(id, request));
             }
-            Happening::PeerSilence(node, life, id) => {
+            SimulationEvent::PeerDeadline(node, incarnation, id) => {
                 let lost = self
-                    .waiting
+                    .pending_requests
                     .iter()
-                    .find(|(_, w)| matches!(w, Waiting::Peer(n, l, i) if (*n, *l, *i) == (node, life, id)))
+                    .find(|(_, w)| matches!(w, PendingRequest::Peer(n, l, i) if (*n, *l, *i) == (node, incarnation, id)))
                     .map(|(key, _)| *key);
                 if let Some(key) = lost {
-                    self.waiting.remove(&key);
-                    self.dispatch(node, life, Event::PeerResponse(None));
+                    self.pending_requests.remove(&key);
+                    self.dispatch(node, incarnation, Event::PeerResponse(None));
                 }
             }
-            Happening::Orders(node, life, orders, until) => {
-                self.orders_sent.push(orders.machine.clone());
+            SimulationEvent::CommandsArrive(node, incarnation, orders, until) => {
+                self.commands_sent_to.push(orders.machine.clone());
                 let linked = self.linked(&orders.machine, node);
-                let reply = if self.trouble.cut_from_workers.contains(&node) || !linked {
-                    OrdersReply::NoAnswer
-                } else if self.trouble.hold_orders {
-                    self.held_orders.push(orders.clone());
-                    OrdersReply::NoAnswer
+                let reply = if self.faults.cut_from_workers.contains(&node) || !linked {
+                    DirectCommandsOutcome::NoAnswer
+                } else if self.faults.hold_commands {
+                    self.held_commands.push(orders.clone());
+                    DirectCommandsOutcome::NoAnswer
                 } else {
-                    match self.execute_orders(&orders) {
-                        Some(report) => OrdersReply::Answered(report),
-                        None => OrdersReply::NoAnswer,
+                    match self.execute_commands(&orders) {
+                        Some(heartbeat) => DirectCommandsOutcome::Answered(heartbeat),
+                        None => DirectCommandsOutcome::NoAnswer,
                     }
                 };
-                let arrives = self.arrival(Link::Worker(node));
+                let arrives = self.arrival_time(Link::Worker(node));
                 if arrives > until {
-                    self.orders_given_up(node, life, orders, until);
+                    self.commands_timed_out(node, incarnation, orders, until);
                 } else {
                     let event = Box::new(Event::CommandsAnswered(orders, reply));
-                    self.at(arrives, Happening::Dispatch(node, life, event));
+                    self.schedule_at(arrives, SimulationEvent::Dispatch(node, incarnation, event));
                 }
             }
-            Happening::LateOrders(node, orders) => {
-                let reached = !self.trouble.cut_from_workers.contains(&node);
+            SimulationEvent::LateCommandsArrive(node, orders) => {
+                let reached = !self.faults.cut_from_workers.contains(&node);
                 if reached && self.linked(&orders.machine, node) {
-                    self.effect("late orders");
-                    self.execute_orders(&orders);
+                    self.record_effect("late orders");
+                    self.execute_commands(&orders);
                 }
             }
-            Happening::Worker(id) => self.worker_turn(&id),
-            Happening::ReportArrives(node, id, report, sent) => {
-                if self.trouble.hold_reports.contains(&id) {
-                    self.held_reports.push(report);
+            SimulationEvent::WorkerStep(id) => self.step_worker(&id),
+            SimulationEvent::HeartbeatArrives(node, id, heartbeat, sent) => {
+                if self.faults.hold_heartbeats.contains(&id) {
+                    self.held_heartbeats.push(heartbeat);
                     return;
                 }
-                if self.trouble.mute.contains(&id) || !self.linked(&id, node) {
-                    self.effect("unheard report");
+                if self.faults.silent_machines.contains(&id) || !self.linked(&id, node) {
+                    self.record_effect("unheard report");
                     return;
                 }
-                let reached = !self.trouble.cut_from_workers.contains(&node);
-                let Some(life) = self.nodes[node]
+                let reached = !self.faults.cut_from_workers.contains(&node);
+                let Some(incarnation) = self.nodes[node]
                     .as_ref()
-                    .map(|n| n.life)
+                    .map(|n| n.incarnation)
                     .filter(|_| reached)
                 else {
-                    if self.waits_for_answer(&id, report.session.0, report.seq) {
+                    if self.awaits_response(&id, heartbeat.incarnation.0, heartbeat.sequence) {
                         self.next_node(&id);
                     }
                     return;
                 };
                 let request = self.request();
-                let waiting = Waiting::Report(id, report.session.0, report.seq, sent);
-                self.waiting.insert((node, life, request), waiting);
-                let body = serde_json::to_vec(&report).expect("JSON");
-                self.dispatch(node, life, Event::Heartbeat(request, body));
-            }
-            Happening::CopyArrives(node, report) => {
-                if let Some(life) = self.nodes[node].as_ref().map(|n| n.life) {
-                    self.effect("copy");
+                let waiting = PendingRequest::Heartbeat(
+                    id,
+                    heartbeat.incarnation.0,
+                    heartbeat.sequence,
+                    sent,
+                );
+                self.pending_requests
+                    .insert((node, incarnation, request), waiting);
+                let body = serde_json::to_vec(&heartbeat).expect("JSON");
+                self.dispatch(node, incarnation, Event::Heartbeat(request, body));
+            }
+            SimulationEvent::CopyArrives(node, heartbeat) => {
+                if let Some(incarnation) = self.nodes[node].as_ref().map(|n| n.incarnation) {
+                    self.record_effect("copy");
                     let request = self.request();
-                    let body = serde_json::to_vec(&report).expect("JSON");
-                    self.dispatch(node, life, Event::Heartbeat(request, body));
+                    let body = serde_json::to_vec(&heartbeat).expect("JSON");
+                    self.dispatch(node, incarnation, Event::Heartbeat(request, body));
                 }
             }
-            Happening::AnswerArrives(id, session, seq, sent, reply) => {
-                self.answered(&id, session, seq, sent, &reply);
+            SimulationEvent::HeartbeatResponseArrives(id, incarnation, sequence, sent, reply) => {
+                self.heartbeat_answered(&id, incarnation, sequence, sent, &reply);
             }
-            Happening::NoAnswer(id, session, seq) => {
+            SimulationEvent::HeartbeatDeadline(id, incarnation, sequence) => {
                 let hung = self.workers.get(&id).map(|worker| worker.hung);
-                match hung.filter(|_| self.waits_for_answer(&id, session, seq)) {
+                match hung.filter(|_| self.awaits_response(&id, incarnation, sequence)) {
                     // It notices when it goes on.
                     Some(true) => {
-                        self.at(self.now + LOOK_MS, Happening::NoAnswer(id, session, seq));
+                        self.schedule_at(
+                            self.now + LOOK_MS,
+                            SimulationEvent::HeartbeatDeadline(id, incarnation, sequence),
+                        );
                     }
                     Some(false) => self.next_node(&id),
                     None => {}
                 }
             }
-            Happening::LateTxn(txn) => {
-                self.effect("late write");
-                self.store.apply(self.now, &StoreOp::Txn(txn));
+            SimulationEvent::LateWriteArrives(write) => {
+                self.record_effect("late write");
+                self.key_value_store
+                    .apply(self.now, &KvRequest::CompareAndSwap(write));
                 self.wake_watches();
             }
-            Happening::Look => self.look(),
-            Happening::Scene(scene) => scene(self),
+            SimulationEvent::Inspect => self.inspect(),
+            SimulationEvent::RunAction(scene) => scene(self),
         }
     }
 }
--- a/crates/worksshunt-simulation/src/random_day.rs
+++ b/crates/worksshunt-simulation/src/random_day.rs
@@ -56,56 +56,56 @@
 }
 
 /// One trouble, or a few of its kind, with its end.
-fn trouble(cluster: &mut Cluster, dice: &mut Dice) {
+fn faults(cluster: &mut Cluster, dice: &mut Dice) {
     let node = dice.node();
     let for_ms = how_long(dice);
     let machine = dice.machine(cluster);
     match (dice.0.u32(0..27), machine) {
         (0, _) => {
             let leader = cluster.leader();
-            cluster.bounce(leader, dice.ms(30..7_000));
+            cluster.restart(leader, dice.ms(30..7_000));
         }
         (1, _) => {
-            cluster.bounce(node, dice.ms(30..7_000));
+            cluster.restart(node, dice.ms(30..7_000));
         }
         (2, _) => {
             for node in 0..3 {
-                cluster.bounce(node, dice.ms(30..20_000));
+                cluster.restart(node, dice.ms(30..20_000));
             }
         }
         (3 | 4, _) => {
             let node = cluster.leader();
-            cluster.trouble.refused.insert(node);
-            cluster.later(for_ms, move |w| {
-                w.trouble.refused.remove(&node);
+            cluster.faults.refused_by_key_value_store.insert(node);
+            cluster.schedule(for_ms, move |w| {
+                w.faults.refused_by_key_value_store.remove(&node);
             });
             if dice.0.bool() {
                 let wait_ms = dice.ms(0..2_500);
-                cluster.later(wait_ms, |w| w.trouble.state_down = true);
-                cluster.later(wait_ms + for_ms, |w| w.trouble.state_down = false);
+                cluster.schedule(wait_ms, |w| w.faults.key_value_store_down = true);
+                cluster.schedule(wait_ms + for_ms, |w| w.faults.key_value_store_down = false);
             }
         }
         (5, _) => {
-            cluster.trouble.state_down = true;
-            cluster.later(for_ms, |w| w.trouble.state_down = false);
+            cluster.faults.key_value_store_down = true;
+            cluster.schedule(for_ms, |w| w.faults.key_value_store_down = false);
         }
         (6, _) => {
             let node = cluster.leader();
-            cluster.trouble.cut_from_state.insert(node);
-            cluster.trouble.cut_from_peers.insert(node);
-            cluster.later(for_ms, move |w| {
-                w.trouble.cut_from_state.remove(&node);
-                w.trouble.cut_from_peers.remove(&node);
+            cluster.faults.cut_from_key_value_store.insert(node);
+            cluster.faults.cut_from_peers.insert(node);
+            cluster.schedule(for_ms, move |w| {
+                w.faults.cut_from_key_value_store.remove(&node);
+                w.faults.cut_from_peers.remove(&node);
             });
         }
         (7, _) => {
-            cluster.trouble.cut_from_workers.insert(node);
-            cluster.later(for_ms, move |w| {
-                w.trouble.cut_from_workers.remove(&node);
+            cluster.faults.cut_from_workers.insert(node);
+            cluster.schedule(for_ms, move |w| {
+                w.faults.cut_from_workers.remove(&node);
             });
         }
         (8, _) => {
-            cluster.trouble.late_writes = Some(LateWrites {
+            cluster.faults.late_writes = Some(LateWrites {
                 share: 0.3,
                 after_ms: if dice.0.bool() {
                     (0, 0)
@@ -113,41 +113,42 @@
                     (2_000, 12_000)
                 },
             });
-            cluster.later(for_ms, |w| w.trouble.late_writes = None);
+            cluster.schedule(for_ms, |w| w.faults.late_writes = None);
         }
         (9, _) => {
-            cluster.trouble.state_slow_ms = dice.ms(100..1_700);
-            cluster.later(for_ms, |w| w.trouble.state_slow_ms = 0);
+            cluster.faults.key_value_store_slow_ms = dice.ms(100..1_700);
+            cluster.schedule(for_ms, |w| w.faults.key_value_store_slow_ms = 0);
         }
         (10, _) => {
-            cluster.trouble.copies_after_ms = vec![dice.ms(100..3_000), dice.ms(3_000..30_000)];
-            cluster.later(for_ms, |w| w.trouble.copies_after_ms.clear());
+            cluster.faults.heartbeat_copies_after_ms =
+                vec![dice.ms(100..3_000), dice.ms(3_000..30_000)];
+            cluster.schedule(for_ms, |w| w.faults.heartbeat_copies_after_ms.clear());
         }
-        (11, _) => cluster.trouble.copies_for_next ^= true,
+        (11, _) => cluster.faults.heartbeat_copies_for_next_leader ^= true,
         (12, _) => {
-            cluster.trouble.hold_orders = true;
-            cluster.later(for_ms / 3, |w| {
-                w.release_orders();
-                w.trouble.hold_orders = false;
+            cluster.faults.hold_commands = true;
+            cluster.schedule(for_ms / 3, |w| {
+                w.release_commands();
+                w.faults.hold_commands = false;
             });
         }
         (13, _) => {
             let zone = ["a", "b"][dice.0.usize(0..2)].to_owned();
-            cluster.trouble.zone_cut = Some((zone, [node].into()));
-            cluster.later(for_ms, |w| w.trouble.zone_cut = None);
+            cluster.faults.partitioned_zone = Some((zone, [node].into()));
+            cluster.schedule(for_ms, |w| w.faults.partitioned_zone = None);
         }
         (14, _) => {
-            cluster.trouble.hold_txns.insert(node);
-            cluster.later(for_ms / 4, move |w| {
-                w.trouble.hold_txns.remove(&node);
-                w.release_txns();
+            cluster.faults.hold_writes.insert(node);
+            cluster.schedule(for_ms / 4, move |w| {
+                w.faults.hold_writes.remove(&node);
+                w.release_writes();
             });
         }
-        (20, _) => cluster.freeze(node, for_ms),
+        (20, _) => cluster.pause(node, for_ms),
         (22, _) => {
             let (share, most_ms) = (dice.0.f64(), dice.ms(20..3_900));
-            cluster.trouble.slow_links = Some(SlowLinks { share, most_ms });
-            cluster.later(for_ms, |w| w.trouble.slow_links = None);
+            cluster.faults.slow_links = Some(SlowLinks { share, most_ms });
+            cluster.schedule(for_ms, |w| w.faults.slow_links = None);
         }
         (23, _) => hold_workers(cluster, node, dice.ms(200..6_000)),
         (24, _) => flapping(cluster, dice, for_ms),
@@ -157,22 +158,22 @@
         }
         (15, Some(id)) => cluster.hang(&id, for_ms),
         (16, Some(id)) => {
-            cluster.trouble.deaf.insert(id.clone());
-            cluster.later(for_ms, move |w| {
-                w.trouble.deaf.remove(&id);
+            cluster.faults.unreachable_machines.insert(id.clone());
+            cluster.schedule(for_ms, move |w| {
+                w.faults.unreachable_machines.remove(&id);
             });
         }
         (17, Some(id)) => {
-            cluster.trouble.mute.insert(id.clone());
-            cluster.later(for_ms, move |w| {
-                w.trouble.mute.remove(&id);
+            cluster.faults.silent_machines.insert(id.clone());
+            cluster.schedule(for_ms, move |w| {
+                w.faults.silent_machines.remove(&id);
             });
         }
         (18, Some(id)) => {
-            cluster.trouble.hold_reports.insert(id.clone());
-            cluster.later(for_ms, move |w| {
-                w.trouble.hold_reports.remove(&id);
-                w.release_reports(&[0, 1, 2]);
+            cluster.faults.hold_heartbeats.insert(id.clone());
+            cluster.schedule(for_ms, move |w| {
+                w.faults.hold_heartbeats.remove(&id);
+                w.release_heartbeats(&[0, 1, 2]);
             });
         }
         (_, Some(id)) => {
@@ -180,7 +181,7 @@
             let jobs = cluster.jobs_on(&id);
             for job in jobs {
                 let node = dice.node();
-                cluster.send_withdraw(node, job);
+                cluster.send_cancel(node, job);
             }
             cluster.hang(&id, for_ms);
         }
@@ -191,10 +192,10 @@
 /// What passes between a controller and machines is held back for so long.
 fn hold_workers(cluster: &mut Cluster, node: usize, ms: u64) {
     let until = cluster.now + ms;
-    cluster.trouble.held_until.insert(node, until);
-    cluster.later(ms, move |w| {
-        if w.trouble.held_until.get(&node) == Some(&until) {
-            w.trouble.held_until.remove(&node);
+    cluster.faults.held_until.insert(node, until);
+    cluster.schedule(ms, move |w| {
+        if w.faults.held_until.get(&node) == Some(&until) {
+            w.faults.held_until.remove(&node);
         }
     });
 }
@@ -205,16 +206,16 @@
     let mut wait_ms = 0;
     for _ in 0..dice.0.usize(1..4) {
         let held_ms = dice.ms(200..5_000);
-        cluster.later(wait_ms, move |w| {
+        cluster.schedule(wait_ms, move |w| {
             (0..3).for_each(|node| hold_workers(w, node, held_ms));
         });
         wait_ms += held_ms + dice.ms(20..1_500);
     }
     let nodes = [0, 1, 2];
-    cluster.later(wait_ms, move |w| w.trouble.cut_from_workers.extend(nodes));
-    cluster.later(wait_ms + for_ms, move |w| {
+    cluster.schedule(wait_ms, move |w| w.faults.cut_from_workers.extend(nodes));
+    cluster.schedule(wait_ms + for_ms, move |w| {
         for node in nodes {
-            w.trouble.cut_from_workers.remove(&node);
+            w.faults.cut_from_workers.remove(&node);
         }
     });
 }
@@ -223,24 +224,24 @@
 /// controllers for longer than a lease.
 fn overtaken_then_cut_off(cluster: &mut Cluster, dice: &mut Dice, id: MachineId) {
     let slow = (id.clone(), dice.ms(300..3_900));
-    cluster.trouble.slow_reports_ms.extend([slow]);
+    cluster.faults.slow_heartbeats_ms.extend([slow]);
     for job in cluster.jobs_on(&id).into_iter().take(2) {
         let node = dice.node();
         let ms = dice.ms(0..5_000);
-        cluster.later(ms, move |w| {
-            w.send_withdraw(node, job);
+        cluster.schedule(ms, move |w| {
+            w.send_cancel(node, job);
         });
     }
     let (cut, heals) = (id.clone(), id.clone());
     let slow_for_ms = dice.ms(2_000..8_000);
-    cluster.later(slow_for_ms, move |w| {
-        w.trouble.slow_reports_ms.remove(&cut);
-        w.trouble.mute.insert(cut.clone());
-        w.trouble.deaf.insert(cut);
+    cluster.schedule(slow_for_ms, move |w| {
+        w.faults.slow_heartbeats_ms.remove(&cut);
+        w.faults.silent_machines.insert(cut.clone());
+        w.faults.unreachable_machines.insert(cut);
     });
-    cluster.later(slow_for_ms + dice.ms(15_000..22_000), move |w| {
-        w.trouble.mute.remove(&heals);
-        w.trouble.deaf.remove(&heals);
+    cluster.schedule(slow_for_ms + dice.ms(15_000..22_000), move |w| {
+        w.faults.silent_machines.remove(&heals);
+        w.faults.unreachable_machines.remove(&heals);
     });
 }
 
@@ -257,15 +258,15 @@
     let mut cluster = Cluster::new();
     cluster.digest = digest;
     cluster.seed(seed);
-    cluster.ready_s = [5.0, 50.0][dice.0.usize(0..2)];
+    cluster.nominal_boot_s = [5.0, 50.0][dice.0.usize(0..2)];
     cluster.boot_ms = dice.ms(1_000..6_000);
     cluster.list_lag_ms = dice.ms(0..6_000);
-    cluster.run_ms = dice.ms(2_000..25_000);
+    cluster.task_run_ms = dice.ms(2_000..25_000);
     cluster.jitter_ms = [0, 3, 60][dice.0.usize(0..3)];
     cluster.run_spread_ms = dice.ms(0..1_500);
     cluster.capacity = dice.0.usize(4..14);
-    cluster.trouble.close_looks = dice.0.bool();
-    cluster.trouble.cancel_at_end = 0.2;
+    cluster.faults.rapid_status_queries = dice.0.bool();
+    cluster.faults.cancel_at_completion = 0.2;
     cluster.run(3_000);
     let ends = cluster.now + dice.ms(40_000..120_000);
     let mut id = 0;
@@ -278,12 +279,12 @@
             let one = JobId(dice.0.u64(1..=id));
             let node = dice.node();
             match dice.0.u32(0..4) {
-                0 => cluster.send_withdraw(node, one),
+                0 => cluster.send_cancel(node, one),
                 _ => cluster.send_status(node, one),
             };
         }
         if dice.0.u32(0..3) == 0 {
-            trouble(&mut cluster, &mut dice);
+            faults(&mut cluster, &mut dice);
         }
         let ms = dice.ms(50..1_800);
         cluster.run(ms);
--- a/crates/worksshunt-simulation/src/meter.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use worksshunt_core::controller::Event;
+use worksshunt_wire::key_value::{Change, CompareAndSwap};
 use worksshunt_wire::peer::PeerRequest;
-use worksshunt_wire::state::{Change, Txn};
 use worksshunt_wire::worker::Command;
 
 /// Counts since the last reset, and what controllers took for each kind of event.
 #[derive(Debug, Default)]
-pub struct Meter {
+pub struct ResourceUsage {
     /// Whether bytes are counted too, which costs as much as sending them.
     pub bytes: bool,
     /// Requests to the state service.
@@ -41,13 +41,13 @@
     pub took: Option<BTreeMap<&'static str, Vec<Duration>>>,
 }
 
-impl Meter {
+impl ResourceUsage {
     /// Starts anew.
     pub fn reset(&mut self) {
-        *self = Meter {
+        *self = ResourceUsage {
             bytes: self.bytes,
             took: self.took.as_ref().map(|_| BTreeMap::new()),
-            ..Meter::default()
+            ..ResourceUsage::default()
         };
     }
 
@@ -65,12 +65,12 @@
         }
     }
 
-    pub(crate) fn txn(&mut self, txn: &Txn) {
-        self.changes += txn.changes.len() as u64;
+    pub(crate) fn write(&mut self, write: &CompareAndSwap) {
+        self.changes += write.changes.len() as u64;
         if !self.bytes {
             return;
         }
-        for change in &txn.changes {
+        for change in &write.changes {
             if let Change::Put { value, .. } = change {
                 self.value_bytes += value.to_string().len() as u64;
             }
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 use worksshunt_core::controller::Event;
-use worksshunt_core::users::{Reply, RequestId};
+use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_wire::JobId;
 
 use super::*;
@@ -24,23 +24,24 @@
                 self.bodies.entry(id).or_insert(body.clone());
             }
         }
-        let question = self.rules.asked(&event);
-        let Some(life) = self.nodes[node].as_ref().map(|n| n.life) else {
+        let question = self.invariants.asked(&event);
+        let Some(incarnation) = self.nodes[node].as_ref().map(|n| n.incarnation) else {
             return slot;
         };
-        let user = Waiting::User(slot, question);
-        self.waiting.insert((node, life, request), user);
-        self.dispatch(node, life, event);
+        let user = PendingRequest::User(slot, question);
+        self.pending_requests
+            .insert((node, incarnation, request), user);
+        self.dispatch(node, incarnation, event);
         slot
     }
 
     /// The answer in a slot, if there is one yet.
-    pub fn reply(&self, slot: usize) -> Option<&Reply> {
+    pub fn reply(&self, slot: usize) -> Option<&HttpResponse> {
         self.user_replies[slot].as_ref()
     }
 
     /// Sends a user's request and waits for its answer.
-    pub fn ask(&mut self, node: usize, event: impl FnOnce(RequestId) -> Event) -> Reply {
+    pub fn ask(&mut self, node: usize, event: impl FnOnce(RequestId) -> Event) -> HttpResponse {
         assert!(self.nodes[node].is_some(), "node {node} is down");
         let slot = self.send(node, event);
         self.until("an answer", 3_000, |w| w.user_replies[slot].is_some());
@@ -54,7 +55,7 @@
     }
 
     /// Cancels a job without waiting.
-    pub fn send_withdraw(&mut self, node: usize, id: JobId) -> usize {
+    pub fn send_cancel(&mut self, node: usize, id: JobId) -> usize {
         let text = id.to_string();
         self.send(node, |request| Event::Cancel(request, text))
     }
@@ -66,13 +67,13 @@
     }
 
     /// Submits a job.
-    pub fn submit(&mut self, node: usize, job: &Value) -> Reply {
+    pub fn submit(&mut self, node: usize, job: &Value) -> HttpResponse {
         let body = job.to_string().into_bytes();
         self.ask(node, |request| Event::Submit(request, body))
     }
 
     /// Submits all these jobs to each of these controllers at one moment.
-    pub fn submit_at_once(&mut self, nodes: &[usize], jobs: &[Value]) -> Vec<Reply> {
+    pub fn submit_at_once(&mut self, nodes: &[usize], jobs: &[Value]) -> Vec<HttpResponse> {
         let first = self.user_replies.len();
         for job in jobs {
             for node in nodes {
@@ -98,7 +99,8 @@
         }
         self.run(2_000);
         let replies = self.user_replies[first..].iter().zip(ids);
-        let answered = |reply: &Option<Reply>| reply.as_ref().is_some_and(|r| r.status == 200);
+        let answered =
+            |reply: &Option<HttpResponse>| reply.as_ref().is_some_and(|r| r.status == 200);
         replies
             .filter(|(reply, _)| answered(reply))
             .map(|(_, id)| *id)
@@ -120,25 +122,25 @@
     }
 
     /// Cancels a job.
-    pub fn withdraw(&mut self, node: usize, id: u64) -> Reply {
+    pub fn cancel(&mut self, node: usize, id: u64) -> HttpResponse {
         let text = JobId(id).to_string();
         self.ask(node, |request| Event::Cancel(request, text))
     }
 
-    pub(super) fn user_hears(&mut self, slot: usize, question: &Question, reply: Reply) {
-        let new = self.rules.answered(self.now, question, &reply);
+    pub(super) fn user_answered(&mut self, slot: usize, question: &JobQuery, reply: HttpResponse) {
+        let new = self.invariants.answered(self.now, question, &reply);
         self.user_replies[slot] = Some(reply);
-        if let (true, true, Some(id)) = (new, self.trouble.close_looks, question.id) {
+        if let (true, true, Some(id)) = (new, self.faults.rapid_status_queries, question.id) {
             for ms in [0, 1, 4, 9, 25, 70, 300] {
-                self.later(ms, move |cluster| cluster.look_closely(id));
+                self.schedule(ms, move |cluster| cluster.query_rapidly(id));
             }
         }
     }
 
     /// Users ask all controllers about a job, and repeat its submission.
-    pub(super) fn look_closely(&mut self, id: JobId) {
+    pub(super) fn query_rapidly(&mut self, id: JobId) {
         for node in 0..3 {
-            self.effect("close look");
+            self.record_effect("close look");
             self.send_status(node, id);
             if let Some(body) = self.bodies.get(&id).cloned() {
                 self.send(node, |request| Event::Submit(request, body));
@@ -146,15 +148,15 @@
         }
     }
 
-    pub(super) fn ask_for_all(&mut self) {
+    pub(super) fn query_all_accepted(&mut self) {
         let begun = self.now;
         let mut left: BTreeSet<(JobId, usize)> = BTreeSet::new();
-        for id in self.rules.accepted() {
+        for id in self.invariants.accepted() {
             left.extend((0..3).map(|node| (id, node)));
         }
         while !left.is_empty() {
             if self.now >= begun + SILENT_MOST_MS {
-                self.rules
+                self.invariants
                     .broke("forgotten", &format!("no answer: {left:?}"));
                 return;
             }
--- a/crates/worksshunt-wire/src/cloud.rs
+++ b/crates/worksshunt-wire/src/cloud.rs
@@ -30,7 +30,7 @@
     pub boot_s: f64,
     /// Image fetch rate, GB per second.
     #[serde(rename = "PullGbPerS", default)]
-    pub fetch_gb_per_s: f64,
+    pub image_pull_gb_per_s: f64,
     /// Zones that offer it.
     #[serde(rename = "Patios")]
     pub zones: Vec<String>,
@@ -46,7 +46,7 @@
 
 impl Catalog {
     /// The shortest nominal boot time of all types, seconds.
-    pub fn least_boot_s(&self) -> f64 {
+    pub fn shortest_boot_s(&self) -> f64 {
         let boots = self.types.iter().map(|t| t.boot_s);
         boots.min_by(f64::total_cmp).unwrap_or(0.0)
     }
@@ -59,10 +59,10 @@
 
 /// A rental request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ProvisionRequest {
     /// Name of the request, never reused for another.
     #[serde(rename = "Pedido")]
-    pub request: String,
+    pub request_name: String,
     /// Machine type.
     #[serde(rename = "Modelo")]
     pub machine_type: String,
@@ -79,7 +79,7 @@
 
 /// Names of machines: the answer to a rental, the body of a return.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     /// The names.
     #[serde(rename = "Estibas")]
     pub machines: Vec<MachineId>,
--- a/crates/worksshunt-wire/src/ids.rs
+++ b/crates/worksshunt-wire/src/ids.rs
@@ -67,7 +67,7 @@
 );
 number_type!(
     /// A worker's session; increases whenever its lease runs out.
-    Session
+    Incarnation
 );
 text_type!(
     /// Name of a rented machine.
@@ -75,7 +75,7 @@
 );
 text_type!(
     /// Name of a controller.
-    NodeName
+    ControllerName
 );
 text_type!(
     /// Name of a team.
--- a/crates/worksshunt-wire/src/state.rs
+++ b/crates/worksshunt-wire/src/key_value.rs
@@ -7,7 +7,7 @@
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "K")]
     pub key: String,
@@ -24,7 +24,7 @@
 pub struct Listing {
     /// The keys, in order.
     #[serde(rename = "Pairs")]
-    pub pairs: Vec<Pair>,
+    pub pairs: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(rename = "More", default)]
     pub more: bool,
@@ -35,7 +35,7 @@
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct ExpectedRevision {
     /// The key.
     #[serde(rename = "K")]
     pub key: String,
@@ -79,10 +79,10 @@
 
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct CompareAndSwap {
     /// Conditions.
     #[serde(rename = "If")]
-    pub conditions: Vec<Condition>,
+    pub expected: Vec<ExpectedRevision>,
     /// Changes.
     #[serde(rename = "Then")]
     pub changes: Vec<Change>,
@@ -90,7 +90,7 @@
 
 /// The store's revision after a transaction, or with a missing key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AtRevision {
+pub struct StoreRevision {
     /// The revision.
     #[serde(rename = "Corte")]
     pub revision: Revision,
@@ -148,7 +148,7 @@
 
 /// Answer of a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     /// The store's revision.
     #[serde(rename = "Corte")]
     pub revision: Revision,
--- a/crates/worksshunt-wire/src/lib.rs
+++ b/crates/worksshunt-wire/src/lib.rs
@@ -4,10 +4,12 @@
 
 pub mod cloud;
 pub mod ids;
+pub mod key_value;
 pub mod peer;
 pub mod settings;
-pub mod state;
 pub mod user;
 pub mod worker;
 
-pub use ids::{Attempt, Epoch, JobId, MachineId, NodeName, Revision, Session, TaskId, TeamName};
+pub use ids::{
+    Attempt, ControllerName, Epoch, Incarnation, JobId, MachineId, Revision, TaskId, TeamName,
+};
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -6,7 +6,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-use crate::ids::{Attempt, Epoch, JobId, MachineId, NodeName, TaskId};
+use crate::ids::{Attempt, ControllerName, Epoch, JobId, MachineId, TaskId};
 
 /// Where an attempt stands, as its owner knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -23,7 +23,7 @@
 
 /// One attempt held by a part.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct AttemptUp {
+pub struct AttemptStatus {
     /// The task.
     pub task: TaskId,
     /// The attempt.
@@ -33,12 +33,12 @@
     /// Where it stands.
     pub phase: Phase,
     /// How long it has run, milliseconds.
-    pub ran_ms: u64,
+    pub running_ms: u64,
 }
 
 /// One machine of a part.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct MachineUp {
+pub struct MachineStatus {
     /// Its name.
     pub id: MachineId,
     /// Its type.
@@ -48,7 +48,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Whether it may take tasks now.
-    pub usable: bool,
+    pub schedulable: bool,
     /// Since how many milliseconds nothing is, or may be, on it; none if something may be.
     pub idle_ms: Option<u64>,
     /// Free processors.
@@ -58,16 +58,16 @@
     /// Free memory, GB.
     pub memory_gb: f64,
     /// Whether the cloud gave notice to take it.
-    pub noticed: bool,
+    pub reclaim_notice: bool,
     /// Whether its worker is heard but has not been reached for long.
-    pub unreached: bool,
+    pub unreachable: bool,
     /// Whether the lease of its worker has certainly run out.
     pub lost: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum End {
+pub enum AttemptOutcome {
     /// It failed on its machine.
     Failed,
     /// It was stopped, or its machine refused it.
@@ -82,7 +82,7 @@
 
 /// An attempt that is certainly gone.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The task.
     pub task: TaskId,
     /// The attempt.
@@ -90,33 +90,33 @@
     /// The machine it was on, if any.
     pub machine: Option<MachineId>,
     /// How it ended.
-    pub how: End,
+    pub outcome: AttemptOutcome,
 }
 
 /// What has changed in a part since the leader last confirmed, from its owner to the leader.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct SyncUp {
+pub struct PartitionStatus {
     /// The epoch.
     pub epoch: Epoch,
     /// The owner.
-    pub from: NodeName,
+    pub from: ControllerName,
     /// Number of this message; the leader takes none that is overtaken by a later one.
-    pub number: u64,
+    pub sequence: u64,
     /// Number of the last answer that the owner has acted on.
-    pub seen: u64,
+    pub acknowledged: u64,
     /// Machines that changed.
-    pub machines: Vec<MachineUp>,
+    pub machines: Vec<MachineStatus>,
     /// Machines that are no longer part of it.
-    pub forgotten: Vec<MachineId>,
+    pub removed_machines: Vec<MachineId>,
     /// Attempts that changed.
-    pub attempts: Vec<AttemptUp>,
+    pub attempts: Vec<AttemptStatus>,
     /// Attempts that ended.
-    pub ended: Vec<Ended>,
+    pub ended_attempts: Vec<AttemptEnded>,
 }
 
 /// A task handed to a part.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Give {
+pub struct Assignment {
     /// The task.
     pub task: TaskId,
     /// The attempt to make.
@@ -129,32 +129,32 @@
 
 /// What the leader wants of a part's machines; always complete.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
-pub struct Wishes {
+pub struct MachineDirectives {
     /// Machines that take no new tasks: they are to be returned.
-    pub drains: Vec<MachineId>,
+    pub draining: Vec<MachineId>,
     /// Machines claimed for a task no part could hold: they take nothing else.
-    pub claims: Vec<MachineId>,
+    pub claimed: Vec<MachineId>,
     /// Machines the cloud has confirmed gone.
-    pub gone: Vec<MachineId>,
+    pub terminated: Vec<MachineId>,
 }
 
 /// The leader's answer.
 #[derive(Debug, Clone, PartialEq, Default, BorshSerialize, BorshDeserialize)]
-pub struct SyncDown {
+pub struct LeaderDirectives {
     /// The epoch.
     pub epoch: Epoch,
     /// Number of the message this answers.
-    pub number: u64,
+    pub in_reply_to: u64,
     /// Number of this answer.
-    pub seq: u64,
+    pub sequence: u64,
     /// New tasks.
-    pub gives: Vec<Give>,
+    pub assignments: Vec<Assignment>,
     /// Attempts to stop.
-    pub stops: Vec<Attempt>,
+    pub stop_attempts: Vec<Attempt>,
     /// Attempts whose completion is durable.
-    pub durable: Vec<Attempt>,
+    pub durable_attempts: Vec<Attempt>,
     /// What is wanted of the machines, if the owner does not know it yet.
-    pub wishes: Option<Wishes>,
+    pub machine_directives: Option<MachineDirectives>,
     /// Progress of open jobs, done and running tasks, for display; from time to time.
     pub progress: Option<Vec<(JobId, u32, u32)>>,
 }
@@ -163,7 +163,7 @@
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
     /// A part's changes.
-    Sync(SyncUp),
+    Sync(PartitionStatus),
     /// Whether the peer reaches the state service.
     KeyValueHealth,
     /// Which epoch the peer knows. Sent only while the state service answers nobody; a version that does
@@ -182,14 +182,14 @@
     /// The newest epoch it has learnt of in this life; 0 for none.
     pub epoch: Epoch,
     /// Whether the state service answered it lately.
-    pub state_service_answers: bool,
+    pub key_value_store_reachable: bool,
 }
 
 /// An answer on the peer link.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum PeerAnswer {
+pub enum PeerResponse {
     /// The leader's answer.
-    Sync(SyncDown),
+    Sync(LeaderDirectives),
     /// Not the leader of that epoch.
     NotLeader,
     /// Whether the state service answered the peer lately.
