--- a/crates/worksshunt-wire/src/settings.rs
+++ b/crates/worksshunt-wire/src/settings.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{NodeName, TeamName};
+use crate::ids::{ControllerName, TeamName};
 
 /// Settings of one controller. Unknown fields are ignored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// This controller's name.
-    pub host_name: NodeName,
+    pub host_name: ControllerName,
     /// Its zone.
     pub site: String,
     /// Where users, workers and health checks connect.
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
     /// Its name.
-    pub host_name: NodeName,
+    pub host_name: ControllerName,
     /// Its zone.
     pub site: String,
     /// Its internal address.
@@ -54,7 +54,7 @@
     /// Workers' rhythm.
     pub workers: Workers,
     /// Limits of the state service.
-    pub state: StateLimits,
+    pub state: KeyValueLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of the process.
@@ -113,7 +113,7 @@
 
 /// Limits of the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StateLimits {
+pub struct KeyValueLimits {
     /// Requests per second.
     pub rps: f64,
     /// Changes per second.
@@ -124,14 +124,14 @@
     pub txn_ops: usize,
     /// Limits that come into force at some later moment, without notice.
     #[serde(default)]
-    pub next: Option<NextStateLimits>,
+    pub next: Option<NextKeyValueLimits>,
 }
 
-impl StateLimits {
+impl KeyValueLimits {
     /// Limits that keep both those of today and those announced.
-    pub fn lowest(&self) -> StateLimits {
+    pub fn lowest(&self) -> KeyValueLimits {
         let next = self.next.clone().unwrap_or_default();
-        StateLimits {
+        KeyValueLimits {
             rps: next.rps.map_or(self.rps, |rps| rps.min(self.rps)),
             write_rps: next
                 .write_rps
@@ -147,7 +147,7 @@
 
 /// Limits of the state service announced for later; any of them may be missing.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct NextStateLimits {
+pub struct NextKeyValueLimits {
     /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
--- a/crates/worksshunt-wire/src/worker.rs
+++ b/crates/worksshunt-wire/src/worker.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Attempt, Epoch, MachineId, NodeName, Session, TaskId};
+use crate::ids::{Attempt, ControllerName, Epoch, Incarnation, MachineId, TaskId};
 
 /// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
 
 /// One task in a worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     /// The task.
     #[serde(rename = "Pieza")]
     pub task: TaskId,
@@ -63,7 +63,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "Estiba")]
     pub machine: MachineId,
@@ -81,19 +81,19 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "Jornada")]
-    pub session: Session,
+    pub incarnation: Incarnation,
     /// Sequence number within the session.
     #[serde(rename = "Folio")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest fencing token seen.
     #[serde(rename = "Vara")]
-    pub token: Epoch,
+    pub fencing_token: Epoch,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "AvisoS", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "Piezas")]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -149,10 +149,10 @@
 
 /// Answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Fencing token.
     #[serde(rename = "Vara")]
-    pub token: Epoch,
+    pub fencing_token: Epoch,
     /// Commands, executed in order.
     #[serde(rename = "Ordenes")]
     pub commands: Vec<Command>,
@@ -160,13 +160,13 @@
 
 /// Commands sent straight to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct CommandBatch {
     /// Fencing token.
     #[serde(rename = "Vara")]
-    pub token: Epoch,
+    pub fencing_token: Epoch,
     /// The session they are for.
     #[serde(rename = "Jornada")]
-    pub session: Session,
+    pub incarnation: Incarnation,
     /// Commands, executed in order.
     #[serde(rename = "Ordenes")]
     pub commands: Vec<Command>,
@@ -177,5 +177,5 @@
 pub struct Redirect {
     /// The node, if known.
     #[serde(rename = "Capataz", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<NodeName>,
+    pub report_to: Option<ControllerName>,
 }
--- a/crates/worksshunt-wire/tests/wire_format.rs
+++ b/crates/worksshunt-wire/tests/wire_format.rs
@@ -12,25 +12,28 @@
 use serde::Serialize;
 use serde_json::json;
 use worksshunt_wire::cloud::{
-    Catalog, ListedMachine, ListedState, MachineList, MachineNames, MachineType, RentRequest,
+    Catalog, ListedMachine, ListedState, MachineIds, MachineList, MachineType, ProvisionRequest,
+};
+use worksshunt_wire::key_value::{
+    Change, CompareAndSwap, Conflict, ExpectedRevision, KeyValue, Lease, LeaseRequest, Listing,
+    StoreRevision, WatchEvent, WatchResponse,
 };
 use worksshunt_wire::peer::{
-    AttemptUp, End, Ended, Give, KnownEpoch, MachineUp, PeerAnswer, PeerRequest, Phase, SyncDown,
-    SyncUp, Wishes,
+    Assignment, AttemptEnded, AttemptOutcome, AttemptStatus, KnownEpoch, LeaderDirectives,
+    MachineDirectives, MachineStatus, PartitionStatus, PeerRequest, PeerResponse, Phase,
 };
 use worksshunt_wire::settings::{
-    CloudLimits, Facts, NextStateLimits, Objective, Peer, ProcessLimits, Services, Settings,
-    StateLimits, Team, Workers,
-};
-use worksshunt_wire::state::{
-    AtRevision, Change, Changes, Condition, Conflict, Lease, LeaseRequest, Listing, Pair, Txn,
-    WatchEvent,
+    CloudLimits, Facts, KeyValueLimits, NextKeyValueLimits, Objective, Peer, ProcessLimits,
+    Services, Settings, Team, Workers,
 };
 use worksshunt_wire::user::{JobKind, JobSpec, JobState, JobStatus, Priority};
 use worksshunt_wire::worker::{
-    Command, ExitReason, Orders, Redirect, Report, ReportAnswer, ReportedTask, TaskState,
+    Command, CommandBatch, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState,
+    TaskStatus,
+};
+use worksshunt_wire::{
+    Attempt, ControllerName, Epoch, Incarnation, JobId, MachineId, Revision, TaskId,
 };
-use worksshunt_wire::{Attempt, Epoch, JobId, MachineId, NodeName, Revision, Session, TaskId};
 
 /// The messages of one file, and those of them that a test has compared.
 struct Fixtures {
@@ -147,15 +150,15 @@
             price: 3.5,
             spot_price,
             boot_s: 45.0,
-            fetch_gb_per_s,
+            image_pull_gb_per_s: fetch_gb_per_s,
             zones: vec!["a".into(), "b".into()],
         }],
     };
     fixtures.same("catalog", catalog(Some(1.25), 0.75));
     fixtures.same("catalog, no spot price", catalog(None, 0.75));
     fixtures.reads("catalog, fields absent", catalog(None, 0.0));
-    let rental = |spot| RentRequest {
-        request: "n0.7.12".into(),
+    let rental = |spot| ProvisionRequest {
+        request_name: "n0.7.12".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
         spot,
@@ -164,7 +167,7 @@
     fixtures.same("rental of spot machines", rental(true));
     fixtures.same("rental of ordinary machines", rental(false));
     let names = machines(&["i-000041", "i-000042"]);
-    fixtures.same("machine names", MachineNames { machines: names });
+    fixtures.same("machine names", MachineIds { machines: names });
     let listed = |id: &str, state, spot| ListedMachine {
         id: id.into(),
         machine_type: "m8".into(),
@@ -188,9 +191,9 @@
 
 #[test]
 fn state_service_messages_keep_their_bytes() {
-    let mut fixtures = Fixtures::json(include_str!("fixtures/state.json"));
+    let mut fixtures = Fixtures::json(include_str!("fixtures/key_value.json"));
     let listing = |more| Listing {
-        pairs: vec![Pair {
+        pairs: vec![KeyValue {
             key: "j/j-000412".into(),
             value: json!({ "at": 5 }),
             version: Revision(31),
@@ -206,8 +209,8 @@
         value: json!([1, "x"]),
         lease,
     };
-    let txn = Txn {
-        conditions: vec![Condition {
+    let write = CompareAndSwap {
+        expected: vec![ExpectedRevision {
             key: "c/epoch".into(),
             version: Revision(13),
         }],
@@ -219,14 +222,14 @@
             },
         ],
     };
-    fixtures.same("transaction", txn);
+    fixtures.same("transaction", write);
     let revision = Revision(78);
-    fixtures.same("at revision", AtRevision { revision });
+    fixtures.same("at revision", StoreRevision { revision });
     let failed = vec!["c/epoch".into(), "d/4".into()];
     fixtures.same("conflict", Conflict { failed });
     fixtures.same("lease request", LeaseRequest { ttl_ms: 6_000 });
     fixtures.same("lease", Lease { lease: 19 });
-    let changes = Changes {
+    let changes = WatchResponse {
         revision: Revision(80),
         events: vec![
             WatchEvent::Put {
@@ -241,7 +244,7 @@
         ],
     };
     fixtures.same("changes", changes);
-    let nothing = Changes {
+    let nothing = WatchResponse {
         revision,
         events: Vec::new(),
     };
@@ -312,22 +315,22 @@
 #[test]
 fn worker_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::json(include_str!("fixtures/worker.json"));
-    let reported = |index, state, reason, saved| ReportedTask {
+    let reported = |index, state, reason, saved| TaskStatus {
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
         state,
         reason,
         saved,
     };
-    let report = |spot, notice_s| Report {
+    let heartbeat = |spot, notice_s| Heartbeat {
         machine: "i-000041".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
         spot,
-        session: Session(3),
-        seq: 17,
-        token: Epoch(5),
+        incarnation: Incarnation(3),
+        sequence: 17,
+        fencing_token: Epoch(5),
         notice_s,
         tasks: vec![
             reported(0, TaskState::Fetching, None, None),
@@ -341,9 +344,9 @@
             reported(8, TaskState::Ended, Some(ExitReason::Unknown), None),
         ],
     };
-    fixtures.same("report with notice", report(true, Some(30.5)));
-    fixtures.same("report", report(false, None));
-    fixtures.reads("report, fields absent", report(false, None));
+    fixtures.same("report with notice", heartbeat(true, Some(30.5)));
+    fixtures.same("report", heartbeat(false, None));
+    fixtures.reads("report, fields absent", heartbeat(false, None));
     let commands = || {
         let launch = Command::Launch {
             task: task(412, 1),
@@ -360,14 +363,14 @@
         };
         vec![launch, halt, reap]
     };
-    let answer = ReportAnswer {
-        token: Epoch(5),
+    let answer = HeartbeatResponse {
+        fencing_token: Epoch(5),
         commands: commands(),
     };
     fixtures.same("answer to a report", answer);
-    let orders = Orders {
-        token: Epoch(5),
-        session: Session(3),
+    let orders = CommandBatch {
+        fencing_token: Epoch(5),
+        incarnation: Incarnation(3),
         commands: commands(),
     };
     fixtures.same("orders", orders);
@@ -387,7 +390,7 @@
     }
 }
 
-fn settings(objectives: Vec<Objective>, next: Option<NextStateLimits>) -> Settings {
+fn settings(objectives: Vec<Objective>, next: Option<NextKeyValueLimits>) -> Settings {
     let peer = |name: &str, site: &str, endpoint: &str| Peer {
         host_name: name.into(),
         site: site.into(),
@@ -414,7 +417,7 @@
                 lease_s: 16.25,
                 cancel_s: 30.75,
             },
-            state: StateLimits {
+            state: KeyValueLimits {
                 rps: 500.5,
                 write_rps: 60.5,
                 value_kb: 64.5,
@@ -448,7 +451,7 @@
             objective("wait", None, None, None),
         ]
     };
-    let next = NextStateLimits {
+    let next = NextKeyValueLimits {
         rps: Some(400.5),
         write_rps: Some(50.5),
         value_kb: Some(32.5),
@@ -457,7 +460,7 @@
     let mut full = settings(objectives(), Some(next));
     full.facts.limits.mem_mb = Some(512.5);
     fixtures.same("settings", full);
-    let empty = Some(NextStateLimits::default());
+    let empty = Some(NextKeyValueLimits::default());
     fixtures.same(
         "settings, fields null",
         settings(objectives(), empty.clone()),
@@ -469,43 +472,43 @@
     fixtures.all_compared();
 }
 
-fn machine_up(idle_ms: Option<u64>) -> MachineUp {
-    MachineUp {
+fn machine_up(idle_ms: Option<u64>) -> MachineStatus {
+    MachineStatus {
         id: "i-000041".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
         spot: false,
-        usable: false,
+        schedulable: false,
         idle_ms,
         cpus: 1.5,
         gpus: 2.5,
         memory_gb: 3.5,
-        noticed: false,
-        unreached: false,
+        reclaim_notice: false,
+        unreachable: false,
         lost: false,
     }
 }
 
-fn sync_up() -> SyncUp {
-    let attempt_up = |index, phase| AttemptUp {
+fn sync_up() -> PartitionStatus {
+    let attempt_up = |index, phase| AttemptStatus {
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
         machine: "i-000042".into(),
         phase,
-        ran_ms: 1_234,
+        running_ms: 1_234,
     };
-    let ended = |index, machine: Option<&str>, how| Ended {
+    let ended = |index, machine: Option<&str>, how| AttemptEnded {
         task: task(413, index),
         attempt: Attempt(400 + u64::from(index)),
         machine: machine.map(MachineId::from),
-        how,
+        outcome: how,
     };
     // Every flag is set on a machine of its own, so that none can take another's place.
-    let flags: [fn(&mut MachineUp); 5] = [
+    let flags: [fn(&mut MachineStatus); 5] = [
         |machine| machine.spot = true,
-        |machine| machine.usable = true,
-        |machine| machine.noticed = true,
-        |machine| machine.unreached = true,
+        |machine| machine.schedulable = true,
+        |machine| machine.reclaim_notice = true,
+        |machine| machine.unreachable = true,
         |machine| machine.lost = true,
     ];
     let flagged = flags.map(|set| {
@@ -513,50 +516,50 @@
         set(&mut machine);
         machine
     });
-    SyncUp {
+    PartitionStatus {
         epoch: Epoch(5),
         from: "n1".into(),
-        number: 9,
-        seen: 8,
+        sequence: 9,
+        acknowledged: 8,
         machines: [machine_up(Some(7_000))]
             .into_iter()
             .chain(flagged)
             .collect(),
-        forgotten: machines(&["i-000050", "i-000051"]),
+        removed_machines: machines(&["i-000050", "i-000051"]),
         attempts: vec![
             attempt_up(0, Phase::Queued),
             attempt_up(1, Phase::Placed),
             attempt_up(2, Phase::Running),
             attempt_up(3, Phase::Completed),
         ],
-        ended: vec![
-            ended(0, Some("i-000060"), End::Failed),
-            ended(1, Some("i-000061"), End::Stopped),
-            ended(2, Some("i-000062"), End::Lost),
-            ended(3, None, End::Unplaced),
-            ended(4, Some("i-000063"), End::Acknowledged),
+        ended_attempts: vec![
+            ended(0, Some("i-000060"), AttemptOutcome::Failed),
+            ended(1, Some("i-000061"), AttemptOutcome::Stopped),
+            ended(2, Some("i-000062"), AttemptOutcome::Lost),
+            ended(3, None, AttemptOutcome::Unplaced),
+            ended(4, Some("i-000063"), AttemptOutcome::Acknowledged),
         ],
     }
 }
 
-fn sync_down() -> SyncDown {
-    let give = |index, zone: Option<&str>, claimed: Option<&str>| Give {
+fn sync_down() -> LeaderDirectives {
+    let give = |index, zone: Option<&str>, claimed: Option<&str>| Assignment {
         task: task(412, index),
         attempt: Attempt(500 + u64::from(index)),
         zone: zone.map(str::to_owned),
         claimed: claimed.map(MachineId::from),
     };
-    SyncDown {
+    LeaderDirectives {
         epoch: Epoch(5),
-        number: 9,
-        seq: 11,
-        gives: vec![give(4, Some("b"), Some("i-000070")), give(5, None, None)],
-        stops: vec![Attempt(601), Attempt(602)],
-        durable: vec![Attempt(603)],
-        wishes: Some(Wishes {
-            drains: machines(&["i-000080", "i-000081"]),
-            claims: machines(&["i-000082"]),
-            gone: machines(&["i-000083"]),
+        in_reply_to: 9,
+        sequence: 11,
+        assignments: vec![give(4, Some("b"), Some("i-000070")), give(5, None, None)],
+        stop_attempts: vec![Attempt(601), Attempt(602)],
+        durable_attempts: vec![Attempt(603)],
+        machine_directives: Some(MachineDirectives {
+            draining: machines(&["i-000080", "i-000081"]),
+            claimed: machines(&["i-000082"]),
+            terminated: machines(&["i-000083"]),
         }),
         progress: Some(vec![(JobId(412), 2, 5), (JobId(413), 6, 7)]),
     }
@@ -568,21 +571,21 @@
     fixtures.same_frame("request-sync", PeerRequest::Sync(sync_up()));
     fixtures.same_frame("request-store-health", PeerRequest::KeyValueHealth);
     fixtures.same_frame("request-known-epoch", PeerRequest::KnownEpoch { poll: 21 });
-    fixtures.same_frame("answer-sync", PeerAnswer::Sync(sync_down()));
-    let quiet = SyncDown {
-        wishes: None,
+    fixtures.same_frame("answer-sync", PeerResponse::Sync(sync_down()));
+    let quiet = LeaderDirectives {
+        machine_directives: None,
         progress: None,
         ..sync_down()
     };
-    fixtures.same_frame("answer-sync-fields-absent", PeerAnswer::Sync(quiet));
-    fixtures.same_frame("answer-not-leader", PeerAnswer::NotLeader);
-    fixtures.same_frame("answer-store-up", PeerAnswer::KeyValueHealth(true));
-    fixtures.same_frame("answer-store-down", PeerAnswer::KeyValueHealth(false));
+    fixtures.same_frame("answer-sync-fields-absent", PeerResponse::Sync(quiet));
+    fixtures.same_frame("answer-not-leader", PeerResponse::NotLeader);
+    fixtures.same_frame("answer-store-up", PeerResponse::KeyValueHealth(true));
+    fixtures.same_frame("answer-store-down", PeerResponse::KeyValueHealth(false));
     let known = |state_service_answers| {
-        PeerAnswer::KnownEpoch(KnownEpoch {
+        PeerResponse::KnownEpoch(KnownEpoch {
             poll: 21,
             epoch: Epoch(5),
-            state_service_answers,
+            key_value_store_reachable: state_service_answers,
         })
     };
     fixtures.same_frame("answer-known-epoch-store-up", known(true));
@@ -592,11 +595,11 @@
     fixtures.same_frame("phase-placed", Phase::Placed);
     fixtures.same_frame("phase-running", Phase::Running);
     fixtures.same_frame("phase-completed", Phase::Completed);
-    fixtures.same_frame("end-error", End::Failed);
-    fixtures.same_frame("end-stopped", End::Stopped);
-    fixtures.same_frame("end-lost", End::Lost);
-    fixtures.same_frame("end-handed-back", End::Unplaced);
-    fixtures.same_frame("end-settled", End::Acknowledged);
-    fixtures.same_frame("node-name", NodeName::from("n1"));
+    fixtures.same_frame("end-error", AttemptOutcome::Failed);
+    fixtures.same_frame("end-stopped", AttemptOutcome::Stopped);
+    fixtures.same_frame("end-lost", AttemptOutcome::Lost);
+    fixtures.same_frame("end-handed-back", AttemptOutcome::Unplaced);
+    fixtures.same_frame("end-settled", AttemptOutcome::Acknowledged);
+    fixtures.same_frame("node-name", ControllerName::from("n1"));
     fixtures.all_compared();
 }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -16,17 +16,17 @@
     PEER_CONNECTIONS, STATE_CONNECTIONS, SYNC_DEADLINE_MS, TICK_MS,
 };
 use worksshunt_core::controller::{Action, Controller, Event};
+use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_core::placement::Parameters;
 use worksshunt_core::time::{Now, Time};
-use worksshunt_core::users::{Reply, RequestId};
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::peer::PeerClient;
 use worksshunt_net::server::Incoming;
 use worksshunt_net::worker::Workers;
-use worksshunt_net::{cloud, peer, server, state, Executor};
-use worksshunt_wire::peer::{PeerAnswer, PeerRequest};
+use worksshunt_net::{cloud, key_value, peer, server, Executor};
+use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 use worksshunt_wire::settings::Settings;
-use worksshunt_wire::NodeName;
+use worksshunt_wire::ControllerName;
 
 /// Why the service could not run.
 #[derive(Debug, thiserror::Error)]
@@ -120,12 +120,12 @@
     state: HttpClient,
     cloud: HttpClient,
     workers: Workers,
-    peers: BTreeMap<NodeName, PeerClient>,
+    peers: BTreeMap<ControllerName, PeerClient>,
     controller: RefCell<Controller>,
     started: Instant,
     requests: Cell<u64>,
-    waiting: RefCell<BTreeMap<RequestId, Sender<Reply>>>,
-    waiting_peers: RefCell<BTreeMap<RequestId, Sender<PeerAnswer>>>,
+    waiting: RefCell<BTreeMap<RequestId, Sender<HttpResponse>>>,
+    waiting_peers: RefCell<BTreeMap<RequestId, Sender<PeerResponse>>>,
 }
 
 impl Service {
@@ -174,7 +174,7 @@
                 self.executor
                     .spawn(async move {
                         let deadline = Duration::from_millis(deadline_ms);
-                        let reply = state::call(&this.state, op, deadline).await;
+                        let reply = key_value::call(&this.state, op, deadline).await;
                         this.dispatch(Event::KeyValueResponse(tag, sent, reply));
                     })
                     .detach();
@@ -221,13 +221,13 @@
                             }
                             (
                                 PeerRequest::KeyValueHealth,
-                                Some(PeerAnswer::KeyValueHealth(well)),
+                                Some(PeerResponse::KeyValueHealth(well)),
                             ) => {
                                 this.dispatch(Event::PeerKeyValueHealth(well));
                             }
                             (
                                 PeerRequest::KnownEpoch { .. },
-                                Some(PeerAnswer::KnownEpoch(known)),
+                                Some(PeerResponse::KnownEpoch(known)),
                             ) => this.dispatch(Event::PeerKnownEpoch(to, known)),
                             (PeerRequest::KeyValueHealth | PeerRequest::KnownEpoch { .. }, _) => {}
                         }
@@ -237,7 +237,7 @@
         }
     }
 
-    async fn answer(self: Rc<Self>, incoming: Incoming) -> Reply {
+    async fn answer(self: Rc<Self>, incoming: Incoming) -> HttpResponse {
         let request = self.request();
         let event = match route(request, incoming) {
             Ok(event) => event,
@@ -249,10 +249,10 @@
         receiver
             .recv()
             .await
-            .unwrap_or_else(|_| Reply::later("no answer"))
+            .unwrap_or_else(|_| HttpResponse::retry_later("no answer"))
     }
 
-    async fn answer_peer(self: Rc<Self>, request: PeerRequest) -> Option<PeerAnswer> {
+    async fn answer_peer(self: Rc<Self>, request: PeerRequest) -> Option<PeerResponse> {
         let id = self.request();
         let (sender, receiver) = async_channel::bounded(1);
         self.waiting_peers.borrow_mut().insert(id, sender);
@@ -262,13 +262,13 @@
 }
 
 /// Finds out what a request wants.
-fn route(request: RequestId, incoming: Incoming) -> Result<Event, Reply> {
+fn route(request: RequestId, incoming: Incoming) -> Result<Event, HttpResponse> {
     let Incoming {
         method, path, body, ..
     } = incoming;
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let Some(body) = body else {
-        return Err(Reply::error(400, "body over 64 KiB"));
+        return Err(HttpResponse::error(400, "body over 64 KiB"));
     };
     let (wanted, event) = match parts.as_slice() {
         ["healthz"] => (Method::Get, Event::Health(request)),
@@ -276,12 +276,12 @@
         ["v2", "runs"] => (Method::Post, Event::Submit(request, body)),
         ["v2", "runs", id] => (Method::Get, Event::Status(request, (*id).to_owned())),
         ["v2", "runs", id, "withdraw"] => (Method::Post, Event::Cancel(request, (*id).to_owned())),
-        _ => return Err(Reply::error(404, "no such path")),
+        _ => return Err(HttpResponse::error(404, "no such path")),
     };
     if method == wanted {
         Ok(event)
     } else {
-        Err(Reply::error(405, "wrong method"))
+        Err(HttpResponse::error(405, "wrong method"))
     }
 }
 
