--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -286,3 +286,25 @@
     assert_eq!(read, catalog);
     written("t/catalog", &json!(catalog));
 }
+
+// Guards against a first release's controllers that are no longer noticed.
+#[test]
+fn a_member_key_of_the_first_release_is_noticed() {
+    let key = |key: &str| Pair {
+        key: key.to_owned(),
+        ..pair("c/n/n2")
+    };
+    let found = |others: &[&str]| {
+        let mut reader = Membership::new("n2".into(), std::iter::empty(), 1_000);
+        reader.granted(73);
+        reader.joined(Revision(1));
+        let listing = Listing {
+            pairs: others.iter().map(|other| key(other)).collect(),
+            more: false,
+            revision: Revision(2),
+        };
+        reader.control_read(Time(1), &listing)
+    };
+    assert!(matches!(found(&["c/n/n2"]), Finding::Propose(_)));
+    assert_eq!(found(&["c/m/n1", "c/n/n2"]), Finding::Steady);
+}
