--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -3,10 +3,13 @@
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::settings::{Facts, Settings};
 
-use crate::constants::{
-    CLOUD_SHARE, EXCHANGE_BYTES, EXCHANGE_SHARE, LEAST_EXCHANGES, LEAST_RENTALS, OWN_SOCKETS,
-    RECORD_BYTES, RECORD_SHARE, WORKER_SHARE,
+use crate::constants::capacity::{
+    EXCHANGE_BYTES, EXCHANGE_MEMORY_SHARE, MIN_EXCHANGES, RESERVED_SOCKETS,
+    WORKER_CONNECTION_DIVISOR,
 };
+use crate::constants::fleet::{CLOUD_REQUEST_SHARE, MIN_PROVISION_REQUESTS};
+use crate::constants::key_value::RECORD_WRITE_SHARE;
+use crate::constants::pages::ATTEMPT_RECORD_BYTES;
 use crate::pages::page_bytes;
 
 /// Bytes of a megabyte of memory, as the platform counts.
@@ -31,23 +34,24 @@
     /// What these settings allow.
     pub fn new(settings: &Settings) -> Capacity {
         let facts = &settings.facts;
-        let free = facts.limits.sockets.saturating_sub(OWN_SOCKETS);
-        let worker_connections = free / WORKER_SHARE;
+        let free = facts.limits.sockets.saturating_sub(RESERVED_SOCKETS);
+        let worker_connections = free / WORKER_CONNECTION_DIVISOR;
         let exchanges = exchanges(facts);
         Capacity {
             connections: free - worker_connections,
             worker_connections,
             direct_commands: exchanges.min(worker_connections),
             user_requests: exchanges,
-            rentals: ((facts.cloud.rps * CLOUD_SHARE / 2.0) as usize).max(LEAST_RENTALS),
+            rentals: ((facts.cloud.rps * CLOUD_REQUEST_SHARE / 2.0) as usize)
+                .max(MIN_PROVISION_REQUESTS),
         }
     }
 }
 
 /// Exchanges under way of one kind that the memory holds.
 fn exchanges(facts: &Facts) -> usize {
-    let bytes = facts.limits.mem_mb.unwrap_or(0.0) * MEGABYTE * EXCHANGE_SHARE;
-    ((bytes / EXCHANGE_BYTES as f64) as usize).max(LEAST_EXCHANGES)
+    let bytes = facts.limits.mem_mb.unwrap_or(0.0) * MEGABYTE * EXCHANGE_MEMORY_SHARE;
+    ((bytes / EXCHANGE_BYTES as f64) as usize).max(MIN_EXCHANGES)
 }
 
 /// Something of which the settings name less than the fleet that the guarantees imply may need.
@@ -78,15 +82,16 @@
     let machines = (cpus / each).ceil() as usize;
     let mut found = Vec::new();
     if machines > Capacity::new(settings).connections {
-        // Users and workers have all but one in `WORKER_SHARE` of the sockets that are not its own.
-        let sockets_needed = OWN_SOCKETS + (machines * WORKER_SHARE).div_ceil(WORKER_SHARE - 1);
+        // Users and workers have all but one in `WORKER_CONNECTION_DIVISOR` of the sockets that are not its own.
+        let sockets_needed = RESERVED_SOCKETS
+            + (machines * WORKER_CONNECTION_DIVISOR).div_ceil(WORKER_CONNECTION_DIVISOR - 1);
         found.push(Shortfall::Connections {
             machines,
             sockets_needed,
         });
     }
-    let pages = cpus * RECORD_BYTES as f64 / page_bytes(&facts.state) as f64;
-    let write_rps_needed = (pages / (RECORD_SHARE * facts.workers.lease_s)).ceil() as usize;
+    let pages = cpus * ATTEMPT_RECORD_BYTES as f64 / page_bytes(&facts.state) as f64;
+    let write_rps_needed = (pages / (RECORD_WRITE_SHARE * facts.workers.lease_s)).ceil() as usize;
     if write_rps_needed as f64 > facts.state.write_rps {
         found.push(Shortfall::StateWrites {
             machines,
--- a/crates/worksshunt-core/src/capacity/tests.rs
+++ b/crates/worksshunt-core/src/capacity/tests.rs
@@ -32,7 +32,7 @@
     let small = Capacity::new(&settings(900, Some(56.0), 3.0));
     assert_eq!(
         (small.user_requests, small.rentals),
-        (LEAST_EXCHANGES, LEAST_RENTALS)
+        (MIN_EXCHANGES, MIN_PROVISION_REQUESTS)
     );
     assert_eq!(
         small.direct_commands, small.worker_connections,
@@ -42,7 +42,7 @@
     assert_eq!((large.direct_commands, large.user_requests), (2_000, 2_000));
     assert_eq!(large.rentals, 6);
     let unnamed = Capacity::new(&settings(12_000, None, 16.0));
-    assert_eq!(unnamed.direct_commands, LEAST_EXCHANGES);
+    assert_eq!(unnamed.direct_commands, MIN_EXCHANGES);
 }
 
 #[test]
--- /dev/null
+++ b/crates/worksshunt-core/src/constants/placement.rs
@@ -0,0 +1,16 @@
+//! Placement by measured speed: the parameters of the design.
+
+/// Speed window of the design, seconds (paper: lease after its preparation allowance).
+pub const SPEED_WINDOW_S: f64 = 120.0;
+
+/// Speed of a machine nothing is known of, seconds of estimated work per second held (design).
+pub const START_SPEED: f64 = 1.0;
+
+/// Weight of a new measurement in a machine's speed: four or five tasks outweigh the past.
+pub const SPEED_SMOOTHING_FACTOR: f64 = 0.2;
+
+/// Upper bounds of the size bands for over-capacity placements, seconds of estimated work.
+pub const SIZE_BANDS_S: [f64; 4] = [60.0, 120.0, 240.0, 480.0];
+
+/// Slack for sums of decimal fractions, such as processors.
+pub const ROUNDING_TOLERANCE: f64 = 1e-6;
--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -4,7 +4,7 @@
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::JobId;
 
-use crate::constants::*;
+use crate::constants::key_value::{KV_RETRY_MS, WATCH_PAUSE_MS};
 use crate::job_api::{final_state_response, resolve_without_final_state, HttpResponse, JobRequest};
 use crate::jobs::{read_final_state, JobCacheChange};
 use crate::time::{Now, Time};
@@ -73,11 +73,7 @@
     }
 
     fn lease_grant_answered(&mut self, now: Time, reply: KvResponse) {
-        let pause_ms = if reply.is_definite() {
-            0
-        } else {
-            STORE_RETRY_MS
-        };
+        let pause_ms = if reply.is_definite() { 0 } else { KV_RETRY_MS };
         self.lease_timer.schedule_retry(now, pause_ms);
         if let KvResponse::LeaseGranted(lease) = reply {
             self.membership.lease_granted(lease);
@@ -93,7 +89,7 @@
                 self.membership.member_key_written(version);
             }
             KvResponse::Conflict(_) => {
-                self.lease_timer.schedule_retry(now, STORE_RETRY_MS);
+                self.lease_timer.schedule_retry(now, KV_RETRY_MS);
                 self.control_keys_timer.next = now;
                 self.membership.member_key_conflict();
             }
@@ -101,7 +97,7 @@
                 self.lease_timer.schedule_retry(now, 0);
                 self.membership.lease_lost();
             }
-            _ => self.lease_timer.schedule_retry(now, STORE_RETRY_MS),
+            _ => self.lease_timer.schedule_retry(now, KV_RETRY_MS),
         }
     }
 
@@ -114,7 +110,7 @@
                 self.leave_epoch(now);
             }
             KvResponse::LeaseRenewed => {}
-            _ => self.lease_timer.next = now + STORE_RETRY_MS,
+            _ => self.lease_timer.next = now + KV_RETRY_MS,
         }
     }
 
@@ -127,12 +123,12 @@
         self.control_keys_timer.in_flight = false;
         match reply {
             KvResponse::Listing(listing) => self.process_control_keys(now, sent, &listing, actions),
-            _ => self.control_keys_timer.next = now + STORE_RETRY_MS,
+            _ => self.control_keys_timer.next = now + KV_RETRY_MS,
         }
     }
 
     fn open_jobs_answered(&mut self, (now, sent): (Time, Time), reply: KvResponse) {
-        self.open_jobs_timer.schedule_retry(now, STORE_RETRY_MS);
+        self.open_jobs_timer.schedule_retry(now, KV_RETRY_MS);
         if let KvResponse::Listing(listing) = reply {
             if !self.job_cache.is_loaded() {
                 self.membership.open_jobs_read(sent);
@@ -150,14 +146,14 @@
     ) {
         match reply {
             KvResponse::WatchResponse(changes) => {
-                self.watch_timer.schedule_retry(now, FOLLOW_PAUSE_MS);
+                self.watch_timer.schedule_retry(now, WATCH_PAUSE_MS);
                 self.open_jobs_changed(now, sent, &changes);
             }
             KvResponse::RevisionCompacted => {
                 self.watch_timer.schedule_retry(now, 0);
                 self.reload_job_cache(actions);
             }
-            _ => self.watch_timer.schedule_retry(now, STORE_RETRY_MS),
+            _ => self.watch_timer.schedule_retry(now, KV_RETRY_MS),
         }
     }
 
--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -5,7 +5,11 @@
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
 use worksshunt_wire::peer::{LeaderDirectives, PartitionStatus, PeerRequest};
 
-use crate::constants::*;
+use crate::constants::fleet::MACHINE_LIST_PAGE;
+use crate::constants::partition_sync::{SYNC_BUSY_INTERVAL_MS, SYNC_IDLE_INTERVAL_MS};
+use crate::constants::timers::{
+    FLEET_INTERVAL_MS, MACHINE_LIST_INTERVAL_MS, WAITING_TASKS_INTERVAL_MS,
+};
 use crate::fleet::CloudRequest;
 use crate::time::{Budget, Now, Time};
 
@@ -29,7 +33,7 @@
         };
         let pressing = self.waiting_tasks_timer.is_due(t) || leader.scheduler.replica_stuck();
         if pressing && leader.scheduler.all_partitions_reported() {
-            self.waiting_tasks_timer.next = t + PRESS_EVERY_MS;
+            self.waiting_tasks_timer.next = t + WAITING_TASKS_INTERVAL_MS;
             leader.scheduler.note_spot_machines(t);
             leader.scheduler.reassign_unsent(t);
             leader.scheduler.claim_machines(t);
@@ -50,13 +54,15 @@
             self.membership.mark_attempts_exhausted();
         }
         if self.machine_list_timer.is_due(t) && self.cloud_calls.available(t) > 0 {
-            self.cloud_calls.take(1 + leader.fleet.size() / CLOUD_PAGE);
-            self.machine_list_timer.mark_sent(t, LIST_EVERY_MS);
+            self.cloud_calls
+                .take(1 + leader.fleet.size() / MACHINE_LIST_PAGE);
+            self.machine_list_timer
+                .mark_sent(t, MACHINE_LIST_INTERVAL_MS);
             actions.push(Action::CallCloud(CloudRequest::ListMachines));
         }
         let may_call = self.cloud_calls.available(t) > 0;
         if self.fleet_timer.is_due(t) && may_call && leader.scheduler.all_partitions_reported() {
-            self.fleet_timer.next = t + FLEET_EVERY_MS;
+            self.fleet_timer.next = t + FLEET_INTERVAL_MS;
             if self.stored_catalog.is_none() {
                 let write = CompareAndSwap {
                     expected: self.membership.epoch_unchanged().into_iter().collect(),
@@ -112,9 +118,9 @@
     ) {
         let t = now.steady;
         let every_ms = if self.partition.has_pending_updates() {
-            SYNC_PRESSING_MS
+            SYNC_BUSY_INTERVAL_MS
         } else {
-            SYNC_EVERY_MS
+            SYNC_IDLE_INTERVAL_MS
         };
         if self.sync_timer.in_flight || t.since(self.last_sync_at) < every_ms {
             return;
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -7,7 +7,8 @@
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{Epoch, JobId};
 
-use crate::constants::*;
+use crate::constants::key_value::{FINAL_STATE_LOADS_IN_FLIGHT, KV_RETRY_MS};
+use crate::constants::timers::UNREADABLE_RECORDS_RETRY_MS;
 use crate::fleet::Fleet;
 use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
 use crate::membership::MemberState;
@@ -56,7 +57,7 @@
             (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch(OPEN.to_owned(), since, 0),
             (LoadStep::OpenJobs, None) => {
                 // The first reading is under way.
-                self.load_retry.schedule_retry(now, STORE_RETRY_MS);
+                self.load_retry.schedule_retry(now, KV_RETRY_MS);
                 return;
             }
             (LoadStep::FinalStates, _) => {
@@ -76,7 +77,7 @@
 
     /// Asks how jobs on record that are not open have ended, some at a time.
     fn request_final_states(&mut self, actions: &mut Vec<Action>) {
-        while self.epoch_load.asked.len() < LOAD_FINALS_AT_ONCE {
+        while self.epoch_load.asked.len() < FINAL_STATE_LOADS_IN_FLIGHT {
             let Some(id) = self.epoch_load.to_ask.pop_front() else {
                 break;
             };
@@ -128,7 +129,7 @@
             _ => {
                 self.epoch_load.to_ask.push_back(id);
                 if self.epoch_load.asked.is_empty() {
-                    self.load_retry.schedule_retry(now, STORE_RETRY_MS);
+                    self.load_retry.schedule_retry(now, KV_RETRY_MS);
                 }
                 return;
             }
@@ -167,7 +168,8 @@
                     Err(error) => {
                         // Acting without knowing what may run would run tasks twice.
                         tracing::error!(%error, "cannot serve");
-                        self.load_retry.schedule_retry(now, UNREADABLE_PAUSE_MS);
+                        self.load_retry
+                            .schedule_retry(now, UNREADABLE_RECORDS_RETRY_MS);
                         return;
                     }
                 }
@@ -200,7 +202,7 @@
                 LoadStep::OpenJobs
             }
             _ => {
-                self.load_retry.schedule_retry(now, STORE_RETRY_MS);
+                self.load_retry.schedule_retry(now, KV_RETRY_MS);
                 return;
             }
         };
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -19,7 +19,19 @@
 use worksshunt_wire::{ControllerName, Epoch, JobId};
 
 use crate::capacity::Capacity;
-use crate::constants::*;
+use crate::constants::fleet::CLOUD_REQUEST_SHARE;
+use crate::constants::key_value::{
+    KV_DEADLINE_MS, KV_RETRY_MS, USER_READ_SHARE, WATCH_MAX_WAIT_MS,
+};
+use crate::constants::leases::{
+    CONTROL_KEYS_INTERVAL_MS, EPOCH_LEASE_MS, MEMBER_LEASE_RENEWAL_INTERVAL_MS,
+    WORKER_LEASE_MARGIN_MS,
+};
+use crate::constants::partition_sync::PARTITION_SILENT_MS;
+use crate::constants::readiness::{
+    LEADER_RETRY_MS, LEADER_SILENT_MS, READINESS_RETRY_MAX_MS, READINESS_RETRY_MS,
+};
+use crate::constants::timers::{CATALOG_INTERVAL_MS, ROUND_BUDGET_MS};
 use crate::epoch_confirmation::EpochConfirmation;
 use crate::fleet::{CloudRequest, Fleet};
 use crate::job_api::{HttpResponse, JobApi, JobOperation, Progress};
@@ -133,8 +145,8 @@
         let capacity = Capacity::new(&settings);
         let facts = &settings.facts;
         let others = settings.known.iter().map(|peer| peer.host_name.clone());
-        let cloud_rate = facts.cloud.rps * CLOUD_SHARE;
-        let read_rate = facts.state.rps * READ_SHARE;
+        let cloud_rate = facts.cloud.rps * CLOUD_REQUEST_SHARE;
+        let read_rate = facts.state.rps * USER_READ_SHARE;
         let knows_ms = knows_ms(&facts.workers);
         if !cancels_in_time(&facts.workers) {
             tracing::warn!(
@@ -174,7 +186,7 @@
             direct_commands_in_flight: 0,
             readiness: Readiness::Ready,
             ready_not_before: Time::default(),
-            readiness_retry_ms: REACH_RETRY_MS,
+            readiness_retry_ms: READINESS_RETRY_MS,
             leader_answered_at: Time::default(),
             lease_timer: Periodic::default(),
             control_keys_timer: Periodic::default(),
@@ -343,7 +355,7 @@
                     KvRequest::Get(CATALOG_KEY.to_owned()),
                 );
             }
-            self.catalog_timer.mark_sent(t, CATALOG_EVERY_MS);
+            self.catalog_timer.mark_sent(t, CATALOG_INTERVAL_MS);
             actions.push(Action::CallCloud(CloudRequest::ReadCatalog));
         }
         match self.membership.state() {
@@ -370,13 +382,13 @@
         if self.lease_timer.is_due(now) {
             match (self.membership.state(), self.membership.lease()) {
                 (MemberState::NoLease, _) | (_, None) => {
-                    self.lease_timer.mark_sent(now, STORE_RETRY_MS);
+                    self.lease_timer.mark_sent(now, KV_RETRY_MS);
                     store(actions, KvPurpose::GrantLease, KvRequest::GrantLease);
                 }
                 (_, Some(_)) if self.membership.needs_key_write() => {
                     // Nothing to send before the key's version has been read.
                     if let Some(write) = self.membership.member_key_write() {
-                        self.lease_timer.mark_sent(now, STORE_RETRY_MS);
+                        self.lease_timer.mark_sent(now, KV_RETRY_MS);
                         store(
                             actions,
                             KvPurpose::WriteMemberKey,
@@ -385,7 +397,8 @@
                     }
                 }
                 (_, Some(lease)) => {
-                    self.lease_timer.mark_sent(now, RENEW_EVERY_MS);
+                    self.lease_timer
+                        .mark_sent(now, MEMBER_LEASE_RENEWAL_INTERVAL_MS);
                     store(
                         actions,
                         KvPurpose::RenewLease(lease),
@@ -395,7 +408,8 @@
             }
         }
         if self.control_keys_timer.is_due(now) {
-            self.control_keys_timer.mark_sent(now, CONTROL_EVERY_MS);
+            self.control_keys_timer
+                .mark_sent(now, CONTROL_KEYS_INTERVAL_MS);
             store(
                 actions,
                 KvPurpose::ReadControlKeys,
@@ -414,10 +428,10 @@
         };
         let next = match self.readiness {
             Readiness::Ready if self.partition.is_unreachable(now) => Readiness::NoHeartbeats,
-            Readiness::Ready if leader_silent_ms >= LEADER_LOST_MS => Readiness::NoLeaderResponse,
+            Readiness::Ready if leader_silent_ms >= LEADER_SILENT_MS => Readiness::NoLeaderResponse,
             Readiness::NoHeartbeats if now >= self.ready_not_before => Readiness::Ready,
             Readiness::NoLeaderResponse
-                if now >= self.ready_not_before && leader_silent_ms < PART_SILENT_MS =>
+                if now >= self.ready_not_before && leader_silent_ms < PARTITION_SILENT_MS =>
             {
                 Readiness::Ready
             }
@@ -436,7 +450,7 @@
             Readiness::Ready => {}
             Readiness::NoHeartbeats => {
                 self.ready_not_before = now + self.readiness_retry_ms;
-                self.readiness_retry_ms = (self.readiness_retry_ms * 2).min(REACH_RETRY_MAX_MS);
+                self.readiness_retry_ms = (self.readiness_retry_ms * 2).min(READINESS_RETRY_MAX_MS);
             }
             Readiness::NoLeaderResponse => self.ready_not_before = now + LEADER_RETRY_MS,
         }
@@ -447,7 +461,7 @@
     fn advance_job_cache(&mut self, now: Time, actions: &mut Vec<Action>) {
         match self.job_cache.revision() {
             None if self.open_jobs_timer.is_due(now) => {
-                self.open_jobs_timer.mark_sent(now, STORE_RETRY_MS);
+                self.open_jobs_timer.mark_sent(now, KV_RETRY_MS);
                 store(
                     actions,
                     KvPurpose::ListOpenJobs,
@@ -458,13 +472,13 @@
                 self.watch_timer.mark_sent(now, 0);
                 // What is known has become old, as after an outage: a watch would tell only in a while that
                 // nothing has changed.
-                let long_ms = self.watch_wait_ms + STORE_DEADLINE_MS;
+                let long_ms = self.watch_wait_ms + KV_DEADLINE_MS;
                 let wait_ms = match self.membership.cancellations_fresh_for_ms(now) > long_ms {
                     true => self.watch_wait_ms,
                     false => 0,
                 };
                 let op = KvRequest::Watch(OPEN.to_owned(), since, wait_ms);
-                let deadline_ms = wait_ms + STORE_DEADLINE_MS;
+                let deadline_ms = wait_ms + KV_DEADLINE_MS;
                 actions.push(Action::CallKeyValueStore(
                     KvPurpose::WatchOpenJobs,
                     op,
@@ -479,7 +493,7 @@
 /// What a cancellation has beyond the lease that was renewed last, ms; none if the lease takes all of it.
 fn cancellation_slack_ms(workers: &Workers) -> Option<u64> {
     let cancel_ms = (workers.cancel_s * 1_000.0) as u64;
-    cancel_ms.checked_sub(lease_bound_ms(workers) + LEASE_MARGIN_MS)
+    cancel_ms.checked_sub(lease_bound_ms(workers) + WORKER_LEASE_MARGIN_MS)
 }
 
 /// How long a controller may act on what it last read of the open jobs, ms. A task of a job whose cancellation
@@ -497,9 +511,9 @@
 
 /// How long a watch of the open jobs waits for a change.
 fn follow_wait_ms(knows_ms: u64) -> u64 {
-    (knows_ms.saturating_sub(2 * STORE_DEADLINE_MS) / 2).clamp(STORE_RETRY_MS, FOLLOW_WAIT_MS)
+    (knows_ms.saturating_sub(2 * KV_DEADLINE_MS) / 2).clamp(KV_RETRY_MS, WATCH_MAX_WAIT_MS)
 }
 
 fn store(actions: &mut Vec<Action>, tag: KvPurpose, op: KvRequest) {
-    actions.push(Action::CallKeyValueStore(tag, op, STORE_DEADLINE_MS));
+    actions.push(Action::CallKeyValueStore(tag, op, KV_DEADLINE_MS));
 }
--- a/crates/worksshunt-core/src/controller/requests.rs
+++ b/crates/worksshunt-core/src/controller/requests.rs
@@ -5,7 +5,12 @@
 use worksshunt_wire::JobId;
 
 use crate::capacity::{shortfalls, Shortfall};
-use crate::constants::*;
+use crate::constants::fleet::MAX_MACHINES_PER_RELEASE_REQUEST;
+use crate::constants::job_api::{
+    FINAL_STATES_CACHED, MAX_MACHINE_NAME_BYTES, STORED_JOB_OVERHEAD_BYTES,
+};
+use crate::constants::key_value::{KV_RETRY_MS, KV_SILENT_AFTER_MS};
+use crate::constants::timers::CATALOG_RETRY_MS;
 use crate::fleet::CloudRequest;
 use crate::job_api::{
     accepted_response, final_state_response, resolve, HttpResponse, JobOperation, JobRequest,
@@ -86,7 +91,7 @@
 
     /// Whether the state service has been silent so long that asking it would only cost time.
     pub(super) fn key_value_store_silent(&self, now: Time) -> bool {
-        now.since(self.key_value_answered_at) > STORE_SILENT_MS
+        now.since(self.key_value_answered_at) > KV_SILENT_AFTER_MS
     }
 
     pub(super) fn job_request(
@@ -163,7 +168,7 @@
         let checked = parse(body).and_then(|spec| {
             let id = Some(spec.id);
             let kept = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
-            if kept.saturating_add(JOB_FRAME_BYTES) > most {
+            if kept.saturating_add(STORED_JOB_OVERHEAD_BYTES) > most {
                 let text = "longer than the state service keeps".to_owned();
                 return Err((id, Refusal::Malformed(text)));
             }
@@ -243,7 +248,7 @@
             JobRequestStep::LookUpFinal(job_request)
                 if !self.final_state_lookups.is_empty() || self.user_reads.available(now) == 0 =>
             {
-                if self.final_state_lookups.len() < FINALS_KEPT
+                if self.final_state_lookups.len() < FINAL_STATES_CACHED
                     && self.final_states_in_lookup.insert(job_request.id)
                 {
                     self.final_state_lookups.push_back(job_request.id);
@@ -340,13 +345,13 @@
                 }
             }
             KvResponse::TooLarge if jobs.len() > 1 => {
-                self.accept_timer.schedule_retry(now, STORE_RETRY_MS);
+                self.accept_timer.schedule_retry(now, KV_RETRY_MS);
                 self.lower_limits();
                 self.job_api.requeue_submissions(jobs);
             }
             // Certainly not executed, most likely for the limit: there is time for another try.
             KvResponse::Refused if !self.key_value_store_silent(now) => {
-                self.accept_timer.schedule_retry(now, STORE_RETRY_MS);
+                self.accept_timer.schedule_retry(now, KV_RETRY_MS);
                 self.job_api.requeue_submissions(jobs);
             }
             _ => {
@@ -456,7 +461,9 @@
                 let gone = matches!(reply, CloudResponse::Machines(_)).then_some(names);
                 leader.fleet.release_answered(now, gone);
                 leader.scheduler.set_draining(leader.fleet.draining());
-                if gone.is_some_and(|names| names.machines.len() >= RETURN_MOST) {
+                if gone
+                    .is_some_and(|names| names.machines.len() >= MAX_MACHINES_PER_RELEASE_REQUEST)
+                {
                     // More may be waiting to go back than one request takes.
                     self.fleet_timer.next = now;
                 }
@@ -507,5 +514,5 @@
 fn is_name(heartbeat: &Heartbeat) -> bool {
     let name = &heartbeat.machine.0;
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '/';
-    (1..=NAME_BYTES).contains(&name.len()) && name.chars().all(plain)
+    (1..=MAX_MACHINE_NAME_BYTES).contains(&name.len()) && name.chars().all(plain)
 }
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -5,7 +5,9 @@
 use worksshunt_wire::peer::{KnownEpoch, PeerRequest};
 use worksshunt_wire::ControllerName;
 
-use crate::constants::*;
+use crate::constants::key_value::{
+    KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS, PEER_HEALTH_INTERVAL_MS, PEER_HEALTH_VALID_MS,
+};
 use crate::job_api::HttpResponse;
 use crate::membership::MemberState;
 use crate::time::Time;
@@ -16,7 +18,7 @@
 impl Controller {
     /// Whether the state service answered this controller lately.
     pub(super) fn key_value_store_answers(&self, now: Time) -> bool {
-        now.since(self.key_value_answered_at) < STORE_DOUBT_MS
+        now.since(self.key_value_answered_at) < KV_SUSPECT_AFTER_MS
     }
 
     /// A controller that alone has lost the state service should get no users; when all have lost
@@ -24,10 +26,11 @@
     /// its peers as well cannot know, and is unhealthy.
     pub(super) fn health(&self, now: Time) -> HttpResponse {
         let silent_ms = now.since(self.key_value_answered_at);
-        let lately = |word: Option<Time>| word.is_some_and(|at| now.since(at) < STORE_WORD_MS);
+        let lately =
+            |word: Option<Time>| word.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS);
         let store = self.key_value_store_answers(now)
             || (!lately(self.peer_store_healthy_at)
-                && (silent_ms < HEALTH_STORE_MS || lately(self.peer_store_unhealthy_at)));
+                && (silent_ms < KV_UNHEALTHY_AFTER_MS || lately(self.peer_store_unhealthy_at)));
         if self.job_cache.is_loaded() && self.catalog.is_some() && store {
             HttpResponse::json(200, &serde_json::json!({ "healthy": true }))
         } else {
@@ -38,7 +41,7 @@
     /// Asks the peers when the state service is silent here.
     pub(super) fn query_peer_health(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.key_value_store_answers(now) && self.peer_health_timer.is_due(now) {
-            self.peer_health_timer.next = now + STORE_ASK_MS;
+            self.peer_health_timer.next = now + PEER_HEALTH_INTERVAL_MS;
             for peer in &self.settings.known {
                 let to = peer.host_name.clone();
                 actions.push(Action::SendToPeer(to, PeerRequest::KeyValueHealth));
--- a/crates/worksshunt-core/src/controller/write_queues.rs
+++ b/crates/worksshunt-core/src/controller/write_queues.rs
@@ -6,7 +6,12 @@
 use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::{JobId, MachineId, Revision};
 
-use crate::constants::*;
+use crate::constants::key_value::{
+    FINAL_WRITE_BACKLOG_S, FINAL_WRITE_SHARE, KV_HEDGE_AFTER_MS, LEADER_PAGE_WRITE_SHARE,
+    RECORD_WRITE_SHARE, SUBMISSION_BATCH_WRITE_SHARE, THROTTLED_PAGE_WRITE_INTERVAL_MS,
+    USER_WRITE_SHARE, WRITE_REFUSAL_MEMORY_MS,
+};
+use crate::constants::pages::PAGES_PER_WRITE;
 use crate::time::{Periodic, Time, TokenBucket};
 
 use super::WriteQueueId;
@@ -48,7 +53,7 @@
 
     /// The number of the write of which a second copy is to be sent now, if any.
     pub fn hedge_due(&mut self, now: Time) -> Option<u64> {
-        if self.unanswered != 1 || self.hedged || now.since(self.sent_at) < STORE_SLOW_MS {
+        if self.unanswered != 1 || self.hedged || now.since(self.sent_at) < KV_HEDGE_AFTER_MS {
             return None;
         }
         self.hedged = true;
@@ -132,10 +137,10 @@
         let share =
             |share: f64, burst: usize| TokenBucket::new(state.write_rps * share, burst as f64);
         WriteQueues {
-            attempt_records: WriteQueue::new(share(RECORD_SHARE, PAGES_AT_ONCE)),
-            leader_pages: WriteQueue::new(share(PAGE_SHARE, PAGES_AT_ONCE)),
-            final_writes: WriteQueue::new(share(END_SHARE, state.txn_ops)),
-            submission_batches: WriteQueue::new(share(INTAKE_SHARE, state.txn_ops)),
+            attempt_records: WriteQueue::new(share(RECORD_WRITE_SHARE, PAGES_PER_WRITE)),
+            leader_pages: WriteQueue::new(share(LEADER_PAGE_WRITE_SHARE, PAGES_PER_WRITE)),
+            final_writes: WriteQueue::new(share(FINAL_WRITE_SHARE, state.txn_ops)),
+            submission_batches: WriteQueue::new(share(SUBMISSION_BATCH_WRITE_SHARE, state.txn_ops)),
             handled_batch: None,
             settled_jobs: BTreeSet::new(),
             page_version_timer: Periodic::default(),
@@ -150,8 +155,8 @@
 
     /// Starts anew in an epoch with so many owners.
     pub fn begin_epoch(&mut self, owners: usize) {
-        let rate = self.write_rps * RECORD_SHARE / owners.max(1) as f64;
-        self.attempt_records = WriteQueue::new(TokenBucket::new(rate, PAGES_AT_ONCE as f64));
+        let rate = self.write_rps * RECORD_WRITE_SHARE / owners.max(1) as f64;
+        self.attempt_records = WriteQueue::new(TokenBucket::new(rate, PAGES_PER_WRITE as f64));
         self.leader_pages.begin_epoch();
         self.final_writes.begin_epoch();
         self.submission_batches.begin_epoch();
@@ -163,7 +168,7 @@
 
     /// Pages that a write of the lane may have now.
     pub fn page_allowance(&mut self, lane: WriteQueueId, now: Time) -> usize {
-        let most = PAGES_AT_ONCE.min(self.txn_ops);
+        let most = PAGES_PER_WRITE.min(self.txn_ops);
         self.queue(lane).change_tokens.available(now).min(most)
     }
 
@@ -175,12 +180,12 @@
     /// How long a lane waits between two writes. Pages take any number of entries, so where the limit of changes is
     /// used up they are written less often and fuller: what that saves is for the ends of jobs.
     pub fn write_interval_ms(&self, lane: WriteQueueId, now: Time) -> u64 {
-        let lately = |at: Time| now.since(at) < REFUSED_LATELY_MS;
+        let lately = |at: Time| now.since(at) < WRITE_REFUSAL_MEMORY_MS;
         match lane {
             WriteQueueId::AttemptRecords | WriteQueueId::LeaderPages
                 if self.refused_at.is_some_and(lately) =>
             {
-                PAGES_PACE_MS
+                THROTTLED_PAGE_WRITE_INTERVAL_MS
             }
             _ => 0,
         }
@@ -189,7 +194,7 @@
     /// Tells when more ends of jobs wait than their share writes in a while, and when that is over.
     pub fn warn_of_final_write_backlog(&mut self, waiting: usize) {
         // Each takes two changes.
-        let most = self.write_rps * END_SHARE / 2.0 * ENDS_BEHIND_S;
+        let most = self.write_rps * FINAL_WRITE_SHARE / 2.0 * FINAL_WRITE_BACKLOG_S;
         let behind = waiting as f64 > most;
         if behind == std::mem::replace(&mut self.final_writes_behind, behind) {
             return;
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -7,7 +7,9 @@
 use worksshunt_wire::key_value::{Change, CompareAndSwap, ExpectedRevision};
 use worksshunt_wire::{JobId, Revision};
 
-use crate::constants::*;
+use crate::constants::key_value::{
+    KV_DEADLINE_MS, KV_HEDGE_AFTER_MS, KV_RETRY_MS, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB,
+};
 use crate::job_api::JobRequest;
 use crate::jobs::{
     final_state_key, final_state_value, is_submission_batch, job_of_key, open_job_key,
@@ -243,18 +245,18 @@
             self.write_queues
                 .queue(lane)
                 .timer
-                .schedule_retry(now, STORE_RETRY_MS);
+                .schedule_retry(now, KV_RETRY_MS);
         }
     }
 
     /// Reckons with half of the state service's limits; false if they are the least already.
     pub(super) fn lower_limits(&mut self) -> bool {
         let state = &mut self.settings.facts.state;
-        if state.value_kb <= LEAST_VALUE_KB && state.txn_ops <= LEAST_TXN_OPS {
+        if state.value_kb <= MIN_VALUE_KIB && state.txn_ops <= MIN_TRANSACTION_CHANGES {
             return false;
         }
-        state.value_kb = (state.value_kb / 2.0).max(LEAST_VALUE_KB);
-        state.txn_ops = (state.txn_ops / 2).max(LEAST_TXN_OPS);
+        state.value_kb = (state.value_kb / 2.0).max(MIN_VALUE_KIB);
+        state.txn_ops = (state.txn_ops / 2).max(MIN_TRANSACTION_CHANGES);
         tracing::warn!(
             value_kb = state.value_kb,
             txn_ops = state.txn_ops,
@@ -304,7 +306,7 @@
         }
         let mut given = Vec::new();
         let wait_ms = match outcome {
-            Outcome::Unclear => STORE_RETRY_MS,
+            Outcome::Unclear => KV_RETRY_MS,
             _ => {
                 given = line
                     .in_flight
@@ -404,7 +406,7 @@
                 return self
                     .write_queues
                     .page_version_timer
-                    .schedule_retry(now, STORE_RETRY_MS)
+                    .schedule_retry(now, KV_RETRY_MS)
             }
         };
         self.write_queues.page_version_timer.schedule_retry(now, 0);
@@ -434,7 +436,7 @@
 
 /// A second copy of a write, which is given up when the first one is.
 pub(super) fn hedge_request(tag: KvPurpose, write: &CompareAndSwap) -> Action {
-    let deadline_ms = STORE_DEADLINE_MS - STORE_SLOW_MS;
+    let deadline_ms = KV_DEADLINE_MS - KV_HEDGE_AFTER_MS;
     Action::CallKeyValueStore(tag, KvRequest::CompareAndSwap(write.clone()), deadline_ms)
 }
 
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -6,7 +6,8 @@
 use worksshunt_wire::cloud::{Catalog, MachineType, ProvisionRequest};
 use worksshunt_wire::{MachineId, TeamName};
 
-use crate::constants::{RESERVE_BOOTS, ROUNDING};
+use crate::constants::placement::ROUNDING_TOLERANCE;
+use crate::constants::services::RESERVED_CAPACITY_BOOT_TIMES;
 use crate::jobs::Job;
 use crate::resources::Resources;
 use crate::scheduler::{Demand, ExpectedDemand};
@@ -54,7 +55,7 @@
         return Vec::new();
     };
     let jobs = f64::from(expected.jobs);
-    let coming = jobs * 1_000.0 / expected.over_ms as f64 * boot_s * RESERVE_BOOTS;
+    let coming = jobs * 1_000.0 / expected.over_ms as f64 * boot_s * RESERVED_CAPACITY_BOOT_TIMES;
     // They come by chance: now and then there are more of them, by the root of their number or so.
     let each = f64::from(expected.lately) / jobs.max(1.0);
     let tasks = expected.largest + (each * (coming + coming.sqrt())).ceil() as u32;
@@ -123,7 +124,7 @@
                     tasks -= 1;
                     *empty = None;
                 }
-                room.cpus > ROUNDING
+                room.cpus > ROUNDING_TOLERANCE
             },
         );
         if tasks > 0 {
@@ -172,7 +173,7 @@
 pub(super) fn tasks_per_machine(room: &Resources, need: &Resources) -> f64 {
     let ratio = |all: f64, one: f64| {
         if one > 0.0 {
-            (all / one + ROUNDING).floor()
+            (all / one + ROUNDING_TOLERANCE).floor()
         } else {
             f64::INFINITY
         }
--- a/crates/worksshunt-core/src/fleet/listing.rs
+++ b/crates/worksshunt-core/src/fleet/listing.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::cloud::MachineList;
 use worksshunt_wire::MachineId;
 
-use crate::constants::LIST_MARGIN_S;
+use crate::constants::fleet::LIST_AGE_MARGIN_S;
 
 /// A machine's place in the cloud's own time. Times compare within a frame only: machines share one if
 /// their pages could be put in order.
@@ -77,7 +77,7 @@
             }
             let later = moments
                 .get(&listed.frame)
-                .is_some_and(|moment| *moment > listed.last_s + LIST_MARGIN_S);
+                .is_some_and(|moment| *moment > listed.last_s + LIST_AGE_MARGIN_S);
             if later {
                 gone.push(id.clone());
             }
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -11,10 +11,11 @@
 use worksshunt_wire::settings::{CloudLimits, Workers};
 use worksshunt_wire::{Epoch, MachineId};
 
-use crate::constants::{
-    BOOT_EXTRA_S, BOOT_FACTOR, IDLE_BOOTS, IDLE_LEAST_MS, RETURN_MOST, SILENT_RETURN_LEASES,
-    UNHEARD_REPORTS,
+use crate::constants::fleet::{
+    BOOT_TIMEOUT_EXTRA_S, BOOT_TIMEOUT_FACTOR, IDLE_RELEASE_BOOT_TIMES,
+    MAX_MACHINES_PER_RELEASE_REQUEST, MIN_IDLE_RELEASE_MS, UNHEARD_HEARTBEAT_INTERVALS,
 };
+use crate::constants::services::SILENT_RELEASE_INTERVAL_LEASES;
 use crate::resources::Resources;
 use crate::scheduler::{Demand, Forecast, MachineView};
 use crate::time::Time;
@@ -136,8 +137,8 @@
             rent_from: now + wait,
             lag_ms,
             give_up_from: Time::default(),
-            give_up_ms: (workers.lease_s * 1_000.0 * SILENT_RETURN_LEASES) as u64,
-            unheard_ms: (workers.report_s * 1_000.0 * UNHEARD_REPORTS) as u64,
+            give_up_ms: (workers.lease_s * 1_000.0 * SILENT_RELEASE_INTERVAL_LEASES) as u64,
+            unheard_ms: (workers.report_s * 1_000.0 * UNHEARD_HEARTBEAT_INTERVALS) as u64,
         }
     }
 
@@ -384,11 +385,12 @@
             let boot_s = catalog
                 .get(&tracked.offer.machine_type)
                 .map_or(0.0, |t| t.boot_s);
-            let idle_ms = ((boot_s * IDLE_BOOTS * 1_000.0) as u64).max(IDLE_LEAST_MS);
+            let idle_ms =
+                ((boot_s * IDLE_RELEASE_BOOT_TIMES * 1_000.0) as u64).max(MIN_IDLE_RELEASE_MS);
             let idle = tracked
                 .idle_since
                 .is_some_and(|since| now.since(since) >= idle_ms);
-            let patience = ((boot_s * BOOT_FACTOR + BOOT_EXTRA_S) * 1_000.0) as u64;
+            let patience = ((boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S) * 1_000.0) as u64;
             let silent = now.since(tracked.heard.unwrap_or(tracked.since)) > patience;
             match tracked.stage {
                 MachineStage::Up if idle && !kept.contains(id) => {
@@ -407,7 +409,7 @@
                 _ => {}
             }
         }
-        names.truncate(RETURN_MOST);
+        names.truncate(MAX_MACHINES_PER_RELEASE_REQUEST);
         if names.is_empty() || self.return_in_flight {
             return None;
         }
--- a/crates/worksshunt-core/src/fleet/scale_out.rs
+++ b/crates/worksshunt-core/src/fleet/scale_out.rs
@@ -4,7 +4,8 @@
 
 use worksshunt_wire::cloud::{Catalog, MachineIds, ProvisionRequest};
 
-use crate::constants::{RENT_MOST, RENT_REFUSED_MS, ROUNDING};
+use crate::constants::fleet::{MAX_MACHINES_PER_PROVISION_REQUEST, REFUSED_OFFER_PAUSE_MS};
+use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::resources::Resources;
 use crate::scheduler::Demand;
 use crate::time::Time;
@@ -64,7 +65,7 @@
             };
             *wanted.entry(offer).or_default() += count;
         }
-        wanted.retain(|_, count| *count > ROUNDING);
+        wanted.retain(|_, count| *count > ROUNDING_TOLERANCE);
         let (offer, count) = wanted.into_iter().max_by(|(_, a), (_, b)| a.total_cmp(b))?;
         self.requests += 1;
         let request = ProvisionRequest {
@@ -72,7 +73,7 @@
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
-            count: (count.ceil() as u32).clamp(1, RENT_MOST),
+            count: (count.ceil() as u32).clamp(1, MAX_MACHINES_PER_PROVISION_REQUEST),
         };
         tracing::info!(
             request = request.request_name,
@@ -166,7 +167,8 @@
             spot = offer.spot,
             "the cloud has no more of these for now"
         );
-        self.refused_until.insert(offer, now + RENT_REFUSED_MS);
+        self.refused_until
+            .insert(offer, now + REFUSED_OFFER_PAUSE_MS);
     }
 
     /// A rental request has no answer; it is repeated under its name.
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -5,7 +5,7 @@
 use worksshunt_wire::cloud::ListedMachine;
 
 use super::*;
-use crate::constants::LEAST_RENTALS;
+use crate::constants::fleet::MIN_PROVISION_REQUESTS;
 use crate::jobs::Job;
 
 fn catalog() -> Catalog {
@@ -20,7 +20,13 @@
     let workers = serde_json::json!({"report_s": 2.5, "lease_s": 16.0, "cancel_s": 30.0});
     let cloud = serde_json::from_value(cloud).expect("limits");
     let workers = serde_json::from_value(workers).expect("workers");
-    Fleet::new(Epoch(epoch), Time(0), &cloud, &workers, LEAST_RENTALS)
+    Fleet::new(
+        Epoch(epoch),
+        Time(0),
+        &cloud,
+        &workers,
+        MIN_PROVISION_REQUESTS,
+    )
 }
 
 fn listed(state: ListedState, age_s: f64) -> [MachineList; 1] {
--- a/crates/worksshunt-core/src/job_api.rs
+++ b/crates/worksshunt-core/src/job_api.rs
@@ -12,7 +12,8 @@
 use worksshunt_wire::user::{JobState, JobStatus};
 use worksshunt_wire::{JobId, Revision};
 
-use crate::constants::{INTAKE_FROM, PAGES_AT_ONCE, RETRY_AFTER_S, SUBMIT_PATIENCE_MS};
+use crate::constants::job_api::{RETRY_AFTER_S, SUBMISSION_BATCH_THRESHOLD, SUBMISSION_TIMEOUT_MS};
+use crate::constants::pages::PAGES_PER_WRITE;
 use crate::jobs::{
     cancelled_state_value, final_state_key, open_job_key, submission_batch_value, Job, JobCache,
     OpenJob,
@@ -321,7 +322,7 @@
     pub fn take_overdue(&mut self, now: Time) -> Vec<RequestId> {
         let mut overdue = Vec::new();
         self.awaiting_write.retain(|(since, request, _)| {
-            let late = now.since(*since) >= SUBMIT_PATIENCE_MS;
+            let late = now.since(*since) >= SUBMISSION_TIMEOUT_MS;
             if late {
                 overdue.push(*request);
             }
@@ -346,8 +347,8 @@
     ) -> Option<CompareAndSwap> {
         let mut write = CompareAndSwap::default();
         match intake {
-            Some(mut name) if self.awaiting_write.len() > INTAKE_FROM => {
-                while write.changes.len() < most.min(PAGES_AT_ONCE) {
+            Some(mut name) if self.awaiting_write.len() > SUBMISSION_BATCH_THRESHOLD => {
+                while write.changes.len() < most.min(PAGES_PER_WRITE) {
                     if !self.add_submission_batch(&mut write, limits, &mut name) {
                         break;
                     }
@@ -379,7 +380,7 @@
         name: &mut impl FnMut() -> String,
     ) -> bool {
         // Two conditions a job and one a page, of four a change (protocol).
-        let most = (limits.txn_ops * 2).saturating_sub(PAGES_AT_ONCE).max(1);
+        let most = (limits.txn_ops * 2).saturating_sub(PAGES_PER_WRITE).max(1);
         let first = self.in_write.len();
         let mut room = usize::MAX;
         while self.in_write.len() < most {
--- a/crates/worksshunt-core/src/job_api/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -1,11 +1,11 @@
 //! Tests of `users`.
 
-use crate::constants::LEAST_EXCHANGES;
+use crate::constants::capacity::MIN_EXCHANGES;
 
 use super::*;
 
 fn users(jobs: u64) -> JobApi {
-    let mut users = JobApi::new(LEAST_EXCHANGES);
+    let mut users = JobApi::new(MIN_EXCHANGES);
     for id in 1..=jobs {
         users.queue_submission(Time(0), RequestId(id), small_job(id));
     }
@@ -44,7 +44,7 @@
         }),
     );
     let write = write.expect("a transaction");
-    assert!(write.changes.len() <= PAGES_AT_ONCE && write.expected.len() <= 80);
+    assert!(write.changes.len() <= PAGES_PER_WRITE && write.expected.len() <= 80);
     assert!(serde_json::json!(write).to_string().len() < 64 * 1024);
     let taken = users.write_answered().len();
     assert!((30..200).contains(&taken), "{taken} at once");
@@ -59,12 +59,12 @@
     let write = users.next_write(20, &limits(), None::<fn() -> String>);
     assert_eq!(write.map(|write| write.changes.len()), Some(20));
     assert_eq!(users.write_answered().len(), 20);
-    assert_eq!(users.take_overdue(Time(SUBMIT_PATIENCE_MS)).len(), 10);
+    assert_eq!(users.take_overdue(Time(SUBMISSION_TIMEOUT_MS)).len(), 10);
 }
 
 #[test]
 fn another_request_is_one_too_many_only_when_as_many_wait_as_may() {
-    let mut users = users(LEAST_EXCHANGES as u64 - 1);
+    let mut users = users(MIN_EXCHANGES as u64 - 1);
     assert!(!users.is_full());
     users.requeue_submissions(vec![(Time(0), RequestId(0), small_job(999_999))]);
     assert!(users.is_full());
--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -6,7 +6,8 @@
 use serde_json::Value;
 use worksshunt_wire::{JobId, TaskId};
 
-use crate::constants::{DONE_CHUNK, MAX_TASKS};
+use crate::constants::job_api::MAX_TASKS_PER_JOB;
+use crate::constants::pages::TASKS_PER_COMPLETIONS_ENTRY;
 use crate::pages::PageEntry;
 
 /// The completed tasks of a job, and the zones they ran in where those matter.
@@ -62,7 +63,7 @@
     }
 }
 
-/// What a job's completions are recorded under: the job, and which `DONE_CHUNK` of its tasks.
+/// What a job's completions are recorded under: the job, and which `TASKS_PER_COMPLETIONS_ENTRY` of its tasks.
 pub type CompletionsKey = (JobId, u32);
 
 /// Completed tasks of one job as they are recorded, so many of its tasks to an entry.
@@ -76,7 +77,7 @@
 
 /// The entry that a task's completion belongs to.
 pub fn completions_key(task: TaskId) -> CompletionsKey {
-    (task.job, task.index / DONE_CHUNK)
+    (task.job, task.index / TASKS_PER_COMPLETIONS_ENTRY)
 }
 
 /// Version of the completions' form.
@@ -135,7 +136,7 @@
     let mut entries: BTreeMap<CompletionsKey, Completions> = BTreeMap::new();
     for (job, runs, zones) in stored.done {
         let last = runs.last().map_or(0, |(_, last)| *last);
-        if stored.v != FORM || last >= MAX_TASKS {
+        if stored.v != FORM || last >= MAX_TASKS_PER_JOB {
             return None;
         }
         let tasks: BTreeSet<u32> = runs.iter().flat_map(|(a, b)| *a..=*b).collect();
--- a/crates/worksshunt-core/src/jobs/job_cache.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -8,7 +8,7 @@
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{JobId, Revision};
 
-use crate::constants::{CLOSED_KEPT, FINALS_KEPT};
+use crate::constants::job_api::{CLOSED_JOBS_CACHED, FINAL_STATES_CACHED};
 
 use super::{id_of, is_submission_batch, read_submission_batch, Job, OPEN};
 
@@ -112,7 +112,7 @@
     pub fn remember_final(&mut self, id: JobId, state: JobState) {
         if self.finals.insert(id, state).is_none() {
             self.finals_order.push_back(id);
-            if self.finals_order.len() > FINALS_KEPT {
+            if self.finals_order.len() > FINAL_STATES_CACHED {
                 if let Some(oldest) = self.finals_order.pop_front() {
                     self.finals.remove(&oldest);
                 }
@@ -127,7 +127,7 @@
 
     fn remember_closed(&mut self, open: OpenJob) {
         self.closed.push_back(open.job);
-        if self.closed.len() > CLOSED_KEPT {
+        if self.closed.len() > CLOSED_JOBS_CACHED {
             self.closed.pop_front();
         }
     }
--- a/crates/worksshunt-core/src/jobs/tests.rs
+++ b/crates/worksshunt-core/src/jobs/tests.rs
@@ -6,13 +6,22 @@
 use worksshunt_wire::TaskId;
 
 use super::*;
-use crate::constants::{DONE_CHUNK, MAX_TASKS};
+use crate::constants::job_api::MAX_TASKS_PER_JOB;
+use crate::constants::pages::TASKS_PER_COMPLETIONS_ENTRY;
 use crate::pages::PageEntry;
 
 #[test]
 fn completed_tasks_survive_the_store() {
     let job = JobId(7);
-    let indexes = [0, 1, 2, 7, DONE_CHUNK - 1, DONE_CHUNK, MAX_TASKS - 1];
+    let indexes = [
+        0,
+        1,
+        2,
+        7,
+        TASKS_PER_COMPLETIONS_ENTRY - 1,
+        TASKS_PER_COMPLETIONS_ENTRY,
+        MAX_TASKS_PER_JOB - 1,
+    ];
     let mut entries: BTreeMap<CompletionsKey, Completions> = BTreeMap::new();
     for index in indexes {
         let task = TaskId { job, index };
@@ -30,10 +39,10 @@
         "no larger than reckoned"
     );
     let every_other = Completions {
-        tasks: (0..DONE_CHUNK).step_by(2).collect(),
+        tasks: (0..TASKS_PER_COMPLETIONS_ENTRY).step_by(2).collect(),
         zones: BTreeMap::new(),
     };
-    let smallest = (crate::constants::LEAST_VALUE_KB * 1_024.0) as usize;
+    let smallest = (crate::constants::key_value::MIN_VALUE_KIB * 1_024.0) as usize;
     assert!(
         every_other.size(&(job, 0)) * 2 <= smallest,
         "the worst entry fits a page of the smallest value"
--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -4,7 +4,7 @@
 use worksshunt_wire::worker::{Command, CommandBatch, Heartbeat};
 use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId};
 
-use crate::constants::{ORDERS_PAUSE_MS, PROBE_PAUSE_MS};
+use crate::constants::workers::{DIRECT_COMMAND_BACKOFF_MS, PROBE_INTERVAL_MS};
 use crate::time::Time;
 
 use super::machine::{AttemptState, Reachability, TrackedAttempt};
@@ -90,7 +90,7 @@
             }
             machine.commands_in_flight = true;
             if probe {
-                machine.commands_not_before = now + PROBE_PAUSE_MS;
+                machine.commands_not_before = now + PROBE_INTERVAL_MS;
             }
             all.push(DirectCommands {
                 machine: id.clone(),
@@ -131,12 +131,12 @@
                 AttemptState::Launched
             }
             DirectCommandsOutcome::NotSent => {
-                machine.commands_not_before = now + ORDERS_PAUSE_MS;
+                machine.commands_not_before = now + DIRECT_COMMAND_BACKOFF_MS;
                 AttemptState::Recorded
             }
             DirectCommandsOutcome::NoAnswer => {
                 machine.set_reachability(Reachability::Suspect { since: now });
-                machine.commands_not_before = now + PROBE_PAUSE_MS;
+                machine.commands_not_before = now + PROBE_INTERVAL_MS;
                 self.end_unlaunched(id, now);
                 self.refresh_summary(id, now);
                 return;
--- a/crates/worksshunt-core/src/machines/heartbeats.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats.rs
@@ -7,7 +7,7 @@
 use worksshunt_wire::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId};
 
-use crate::constants::{SIGHTINGS_KEPT, SIGHTINGS_KEPT_MS};
+use crate::constants::workers::{HEARTBEAT_HISTORY_ENTRIES, HEARTBEAT_HISTORY_MS};
 use crate::placement::{Outcome, Speed};
 use crate::resources::Resources;
 use crate::time::Time;
@@ -39,8 +39,8 @@
 
     /// Forgets what was noted first, if there are many and no copy of its reports can come any more.
     fn forget_oldest(&mut self, now: Time) {
-        let old = |(noted, _): &(Time, MachineId)| now.since(*noted) >= SIGHTINGS_KEPT_MS;
-        while self.order.len() > SIGHTINGS_KEPT && self.order.front().is_some_and(old) {
+        let old = |(noted, _): &(Time, MachineId)| now.since(*noted) >= HEARTBEAT_HISTORY_MS;
+        while self.order.len() > HEARTBEAT_HISTORY_ENTRIES && self.order.front().is_some_and(old) {
             if let Some((_, oldest)) = self.order.pop_front() {
                 self.newest_by_machine.remove(&oldest);
             }
--- a/crates/worksshunt-core/src/machines/heartbeats/tests.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats/tests.rs
@@ -16,19 +16,19 @@
 
 #[test]
 fn machines_that_left_lately_are_remembered_however_many_they_are() {
-    let mut sightings = noted(SIGHTINGS_KEPT * 2, Time(0));
+    let mut sightings = noted(HEARTBEAT_HISTORY_ENTRIES * 2, Time(0));
     sightings.record(
         &name(999_999),
         (Incarnation(1), 7),
-        Time(SIGHTINGS_KEPT_MS - 1),
+        Time(HEARTBEAT_HISTORY_MS - 1),
     );
     assert_eq!(sightings.newest_message(&name(0)), (Incarnation(1), 7));
 }
 
 #[test]
 fn of_those_that_left_long_ago_as_many_are_remembered_as_are_kept_in_any_case() {
-    let mut sightings = noted(SIGHTINGS_KEPT, Time(0));
-    let late = Time(SIGHTINGS_KEPT_MS);
+    let mut sightings = noted(HEARTBEAT_HISTORY_ENTRIES, Time(0));
+    let late = Time(HEARTBEAT_HISTORY_MS);
     sightings.record(&name(999_998), (Incarnation(1), 7), late);
     assert_eq!(
         sightings.newest_message(&name(0)),
@@ -36,8 +36,8 @@
         "the first is forgotten"
     );
     assert_eq!(sightings.newest_message(&name(1)), (Incarnation(1), 7));
-    assert_eq!(sightings.order.len(), SIGHTINGS_KEPT);
-    assert_eq!(sightings.newest_by_machine.len(), SIGHTINGS_KEPT);
+    assert_eq!(sightings.order.len(), HEARTBEAT_HISTORY_ENTRIES);
+    assert_eq!(sightings.newest_by_machine.len(), HEARTBEAT_HISTORY_ENTRIES);
 }
 
 /// A report of machine 0 in its first session.
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/loading.rs
@@ -6,7 +6,7 @@
 use worksshunt_wire::peer::{AttemptEnded, AttemptOutcome};
 use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
 
-use crate::constants::EPOCH_LEASE_MS;
+use crate::constants::leases::EPOCH_LEASE_MS;
 use crate::jobs::JobCache;
 use crate::pages::Pages;
 use crate::records::{page_prefix, AttemptRecord};
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -6,7 +6,7 @@
 use worksshunt_wire::peer::Phase;
 use worksshunt_wire::{Attempt, Incarnation, JobId, TaskId};
 
-use crate::constants::{FAULTY_JOBS, UNHEEDED_ANSWERS};
+use crate::constants::workers::{FAULTY_MACHINE_JOBS, UNHEEDED_RESPONSES_BEFORE_SUSPECT};
 use crate::jobs::Job;
 use crate::resources::Resources;
 use crate::time::Time;
@@ -234,7 +234,7 @@
             if matches!(self.reachability, Reachability::Unconfirmed { .. }) {
                 self.set_reachability(Reachability::Confirmed);
             }
-        } else if self.unheeded_responses >= UNHEEDED_ANSWERS
+        } else if self.unheeded_responses >= UNHEEDED_RESPONSES_BEFORE_SUSPECT
             && self.reachability == Reachability::Confirmed
         {
             self.set_reachability(Reachability::Suspect { since: now });
@@ -275,7 +275,7 @@
             && !self.draining
             && !self.has_unknown_tasks
             && self.reachability == Reachability::Confirmed
-            && self.failing_jobs.len() < FAULTY_JOBS
+            && self.failing_jobs.len() < FAULTY_MACHINE_JOBS
             && self.reclaim_at.is_none()
             && now.since(self.lease.last_message_at) <= patience.missed_heartbeats_ms
     }
--- a/crates/worksshunt-core/src/machines/mod.rs
+++ b/crates/worksshunt-core/src/machines/mod.rs
@@ -24,9 +24,12 @@
 use worksshunt_wire::settings::{KeyValueLimits, Workers};
 use worksshunt_wire::{Attempt, Incarnation, JobId, MachineId, Revision};
 
-use crate::constants::{
-    CLOCK_DRIFT, LEASE_MARGIN_MS, QUEUED_MS, SILENT_REPORTS, STEADY_REPLICA_MS, SWEEP_MACHINES,
-    UNREACHED_MACHINES, UNREACHED_REPORTS, UNREACHED_RETURN_LEASES,
+use crate::constants::leases::{CLOCK_DRIFT_SHARE, WORKER_LEASE_MARGIN_MS};
+use crate::constants::partition_sync::ASSIGNMENT_QUEUE_TIMEOUT_MS;
+use crate::constants::readiness::{UNREACHABLE_HEARTBEAT_INTERVALS, UNREACHABLE_MIN_MACHINES};
+use crate::constants::services::STABLE_REPLICA_MS;
+use crate::constants::workers::{
+    MISSED_HEARTBEAT_INTERVALS, SWEEP_MACHINES_PER_TICK, UNREACHABLE_RELEASE_LEASES,
 };
 use crate::jobs::Job;
 use crate::pages::{page_bytes, PageWrite, Pages};
@@ -49,7 +52,7 @@
 
 /// How long a lease lasts by any clock, ms.
 pub fn lease_bound_ms(workers: &Workers) -> u64 {
-    (workers.lease_s * 1_000.0 * (1.0 + CLOCK_DRIFT)) as u64 + LEASE_MARGIN_MS
+    (workers.lease_s * 1_000.0 * (1.0 + CLOCK_DRIFT_SHARE)) as u64 + WORKER_LEASE_MARGIN_MS
 }
 
 /// The machines of one part, as their owner sees them.
@@ -93,10 +96,11 @@
             parameters,
             lease_ms: lease_bound_ms(workers),
             timeouts: MachineTimeouts {
-                missed_heartbeats_ms: (workers.report_s * 1_000.0 * SILENT_REPORTS) as u64,
-                unreachable_ms: (workers.lease_s * 1_000.0 * UNREACHED_RETURN_LEASES) as u64,
+                missed_heartbeats_ms: (workers.report_s * 1_000.0 * MISSED_HEARTBEAT_INTERVALS)
+                    as u64,
+                unreachable_ms: (workers.lease_s * 1_000.0 * UNREACHABLE_RELEASE_LEASES) as u64,
             },
-            unreachable_ms: (workers.report_s * 1_000.0 * UNREACHED_REPORTS) as u64,
+            unreachable_ms: (workers.report_s * 1_000.0 * UNREACHABLE_HEARTBEAT_INTERVALS) as u64,
             page_bytes,
             machines: BTreeMap::new(),
             sweep_cursor: None,
@@ -170,7 +174,7 @@
         };
         // That a replica ends after running well does not speak against its machine.
         let ran_well = tracked.job.as_ref().is_some_and(|job| job.is_service())
-            && matches!(tracked.state, AttemptState::Running(since) if now.since(since) >= STEADY_REPLICA_MS);
+            && matches!(tracked.state, AttemptState::Running(since) if now.since(since) >= STABLE_REPLICA_MS);
         if how == AttemptOutcome::Failed
             && !ran_well
             && machine.failing_jobs.insert(tracked.task.job)
@@ -329,7 +333,7 @@
             }
             known += 1;
         }
-        known >= UNREACHED_MACHINES
+        known >= UNREACHABLE_MIN_MACHINES
     }
 
     /// What time alone brings about: leases that have run out, machines that have fallen silent,
@@ -368,7 +372,7 @@
         }
         let mut back = Vec::new();
         self.queue.retain(|queued| {
-            let keep = now.since(queued.queued_at) < QUEUED_MS;
+            let keep = now.since(queued.queued_at) < ASSIGNMENT_QUEUE_TIMEOUT_MS;
             if !keep {
                 back.push(queued.assignment.clone());
             }
@@ -387,7 +391,7 @@
             .machines
             .range::<MachineId, _>((from.clone(), Unbounded));
         // The last one of this tick, if others are left after it.
-        let mut ids = ids.map(|(id, _)| id).skip(SWEEP_MACHINES - 1);
+        let mut ids = ids.map(|(id, _)| id).skip(SWEEP_MACHINES_PER_TICK - 1);
         let last = ids.next().filter(|_| ids.next().is_some()).cloned();
         self.sweep_cursor.clone_from(&last);
         let to = last.map_or(Unbounded, Included);
--- a/crates/worksshunt-core/src/machines/partition_sync.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync.rs
@@ -7,7 +7,7 @@
 };
 use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
 
-use crate::constants::{SYNC_CHANGES, SYNC_MACHINES};
+use crate::constants::partition_sync::{SYNC_MAX_CHANGES, SYNC_MAX_MACHINES};
 use crate::time::Time;
 
 use super::machine::{AttemptState, Machine};
@@ -52,11 +52,11 @@
 impl PendingUpdates {
     /// Takes out what the next message tells. What is too much for one message is left for the next.
     fn take_batch(&mut self) -> UpdateBatch {
-        let ended = self.ended_attempts.len().min(SYNC_CHANGES);
+        let ended = self.ended_attempts.len().min(SYNC_MAX_CHANGES);
         UpdateBatch {
-            machines: take_first(&mut self.machines, SYNC_MACHINES),
-            removed_machines: take_first(&mut self.removed_machines, SYNC_MACHINES),
-            attempts: take_first(&mut self.attempts, SYNC_CHANGES),
+            machines: take_first(&mut self.machines, SYNC_MAX_MACHINES),
+            removed_machines: take_first(&mut self.removed_machines, SYNC_MAX_MACHINES),
+            attempts: take_first(&mut self.attempts, SYNC_MAX_CHANGES),
             ended_attempts: self.ended_attempts.drain(..ended).collect(),
         }
     }
--- a/crates/worksshunt-core/src/machines/partition_sync/tests.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync/tests.rs
@@ -33,22 +33,22 @@
 
 #[test]
 fn as_much_as_a_message_takes_is_told_at_once() {
-    let (left, told) = told(SYNC_MACHINES, SYNC_CHANGES);
+    let (left, told) = told(SYNC_MAX_MACHINES, SYNC_MAX_CHANGES);
     assert!(left.machines.is_empty() && left.attempts.is_empty() && left.ended_attempts.is_empty());
-    assert_eq!(told.machines.len(), SYNC_MACHINES);
+    assert_eq!(told.machines.len(), SYNC_MAX_MACHINES);
     assert_eq!(
         (told.attempts.len(), told.ended_attempts.len()),
-        (SYNC_CHANGES, SYNC_CHANGES)
+        (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
     );
 }
 
 #[test]
 fn what_is_too_much_is_left_for_the_next_message_in_its_order() {
-    let (mut left, first) = told(SYNC_MACHINES + 1, SYNC_CHANGES + 2);
-    assert_eq!(first.machines.len(), SYNC_MACHINES);
+    let (mut left, first) = told(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
+    assert_eq!(first.machines.len(), SYNC_MAX_MACHINES);
     assert_eq!(
         (first.attempts.len(), first.ended_attempts.len()),
-        (SYNC_CHANGES, SYNC_CHANGES)
+        (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
     );
     assert_eq!(
         (
@@ -61,16 +61,16 @@
     let second = left.take_batch();
     assert_eq!(
         second.ended_attempts,
-        vec![ended(SYNC_CHANGES), ended(SYNC_CHANGES + 1)]
+        vec![ended(SYNC_MAX_CHANGES), ended(SYNC_MAX_CHANGES + 1)]
     );
 }
 
 #[test]
 fn what_was_not_answered_is_told_again_before_what_came_later() {
-    let (mut left, first) = told(SYNC_MACHINES + 1, SYNC_CHANGES + 2);
+    let (mut left, first) = told(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
     left.in_flight = Some(first);
     left.requeue_unacknowledged();
-    assert_eq!(left.machines.len(), SYNC_MACHINES + 1);
-    let all: Vec<AttemptEnded> = (0..SYNC_CHANGES + 2).map(ended).collect();
+    assert_eq!(left.machines.len(), SYNC_MAX_MACHINES + 1);
+    let all: Vec<AttemptEnded> = (0..SYNC_MAX_CHANGES + 2).map(ended).collect();
     assert_eq!(left.ended_attempts, all);
 }
--- a/crates/worksshunt-core/src/machines/tests.rs
+++ b/crates/worksshunt-core/src/machines/tests.rs
@@ -29,22 +29,27 @@
 #[test]
 fn a_tick_looks_at_all_of_a_small_part_and_at_a_large_one_in_turns() {
     assert_eq!(swept(0), [0; 4]);
-    assert_eq!(swept(SWEEP_MACHINES), [SWEEP_MACHINES; 4]);
+    assert_eq!(swept(SWEEP_MACHINES_PER_TICK), [SWEEP_MACHINES_PER_TICK; 4]);
     assert_eq!(
-        swept(SWEEP_MACHINES + 1),
-        [SWEEP_MACHINES, 1, SWEEP_MACHINES, 1]
+        swept(SWEEP_MACHINES_PER_TICK + 1),
+        [SWEEP_MACHINES_PER_TICK, 1, SWEEP_MACHINES_PER_TICK, 1]
     );
-    let three = SWEEP_MACHINES * 2 + 5;
+    let three = SWEEP_MACHINES_PER_TICK * 2 + 5;
     assert_eq!(
         swept(three),
-        [SWEEP_MACHINES, SWEEP_MACHINES, 5, SWEEP_MACHINES]
+        [
+            SWEEP_MACHINES_PER_TICK,
+            SWEEP_MACHINES_PER_TICK,
+            5,
+            SWEEP_MACHINES_PER_TICK
+        ]
     );
 }
 
 // Guards against machines past the first thousand that are held for ever.
 #[test]
 fn a_lease_that_ran_out_is_noticed_on_every_machine_of_a_large_part() {
-    let mut partition = partition(SWEEP_MACHINES * 2 + 5);
+    let mut partition = partition(SWEEP_MACHINES_PER_TICK * 2 + 5);
     let late = Time(
         lease_bound_ms(&Workers {
             report_s: 5.0,
@@ -55,7 +60,7 @@
     partition.tick(late);
     assert_eq!(
         partition.machines.values().filter(|m| m.lost).count(),
-        SWEEP_MACHINES
+        SWEEP_MACHINES_PER_TICK
     );
     partition.tick(late);
     partition.tick(late);
--- a/crates/worksshunt-core/src/machines/worker_lease.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease.rs
@@ -6,7 +6,7 @@
 
 use worksshunt_wire::Incarnation;
 
-use crate::constants::REPORT_DEADLINE_MS;
+use crate::constants::workers::HEARTBEAT_DEADLINE_MS;
 use crate::time::Time;
 
 /// Session and number of a worker's message, report or answer to orders. The newer of two is the larger.
@@ -57,7 +57,7 @@
         if heartbeat > self.newest_message {
             Arrival::Newest
         } else if heartbeat > self.newest_heartbeat
-            && now.since(self.last_message_at) < REPORT_DEADLINE_MS
+            && now.since(self.last_message_at) < HEARTBEAT_DEADLINE_MS
         {
             // It left before the newest message did, and so has been under way for longer than that is known.
             Arrival::Overtaken
--- a/crates/worksshunt-core/src/machines/worker_lease/tests.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease/tests.rs
@@ -53,9 +53,9 @@
 
 #[test]
 fn a_report_that_its_worker_has_given_up_is_stale_although_never_seen() {
-    let last = Time(2_000 + REPORT_DEADLINE_MS - 1);
+    let last = Time(2_000 + HEARTBEAT_DEADLINE_MS - 1);
     assert_eq!(account().classify((FIRST, 6), last), Arrival::Overtaken);
-    let given_up = Time(2_000 + REPORT_DEADLINE_MS);
+    let given_up = Time(2_000 + HEARTBEAT_DEADLINE_MS);
     assert_eq!(account().classify((FIRST, 6), given_up), Arrival::Stale);
 }
 
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -12,7 +12,7 @@
 use worksshunt_wire::key_value::{Change, CompareAndSwap, ExpectedRevision, Listing};
 use worksshunt_wire::{ControllerName, Epoch, Revision};
 
-use crate::constants::{ADMIT_AFTER_READS, EPOCH_LEASE_MS};
+use crate::constants::leases::{ADMIT_AFTER_READS, EPOCH_LEASE_MS};
 use crate::time::Time;
 
 /// Prefix of the control keys.
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -4,9 +4,8 @@
 
 use worksshunt_wire::settings::Objective;
 
-use crate::constants::{
-    GUARANTEE_LEAD_S, PRESSING_S, SLACK_DEFAULT_S, SLACK_LEAST_S, SLACK_MOST_S,
-};
+use crate::constants::fleet::{DEFAULT_SLACK_S, MAX_SLACK_S, MIN_SLACK_S};
+use crate::constants::scheduling::{GUARANTEE_LEAD_S, OBJECTIVE_AT_RISK_S};
 use crate::jobs::Job;
 
 #[derive(Debug, Clone, Default)]
@@ -81,7 +80,7 @@
         starts.is_empty()
             || starts
                 .iter()
-                .any(|start| (0.0..=PRESSING_S).contains(&(start - age_s)))
+                .any(|start| (0.0..=OBJECTIVE_AT_RISK_S).contains(&(start - age_s)))
     }
 
     /// The moment that decides among jobs of one priority: its deadline; where its tasks are expected to
@@ -127,7 +126,7 @@
         self.latest_starts_s(job)
             .into_iter()
             .min_by(f64::total_cmp)
-            .unwrap_or(SLACK_DEFAULT_S)
-            .clamp(SLACK_LEAST_S, SLACK_MOST_S)
+            .unwrap_or(DEFAULT_SLACK_S)
+            .clamp(MIN_SLACK_S, MAX_SLACK_S)
     }
 }
--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -16,16 +16,18 @@
 use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::Revision;
 
-use crate::constants::{
-    LAZY_PAGE_MS, PAGES_AT_ONCE, PAGE_MARGIN, PAGE_ROOM, TXN_BYTES, URGENT_ENTRIES,
+use crate::constants::key_value::MAX_TRANSACTION_BYTES;
+use crate::constants::pages::{
+    PAGES_PER_WRITE, PAGE_FREE_DIVISOR, PAGE_MARGIN_DIVISOR, PAGE_REWRITE_DELAY_MS,
+    URGENT_ENTRY_WEIGHT,
 };
 use crate::time::Time;
 
 /// Bytes a page may take, so that it keeps the value limit and a write of several the transaction's.
 pub fn page_bytes(state: &KeyValueLimits) -> usize {
     let value = (state.value_kb * 1_024.0) as usize;
-    let most = value.min(TXN_BYTES / PAGES_AT_ONCE);
-    most - most / PAGE_MARGIN
+    let most = value.min(MAX_TRANSACTION_BYTES / PAGES_PER_WRITE);
+    most - most / PAGE_MARGIN_DIVISOR
 }
 
 /// What pages lease.
@@ -125,7 +127,7 @@
     pub fn mark_for_rewrite(&mut self, key: &str, now: Time) {
         for page in self.pages.iter_mut().filter(|page| page.key == key) {
             page.rewrite_at = Some(now);
-            page.stale_weight += URGENT_ENTRIES;
+            page.stale_weight += URGENT_ENTRY_WEIGHT;
         }
     }
 
@@ -143,12 +145,16 @@
     /// after a while; at once if it would mislead (`urgent`).
     pub fn remove(&mut self, key: &E::Key, now: Time, urgent: bool) {
         self.pending.remove(key);
-        let at = if urgent { now } else { now + LAZY_PAGE_MS };
+        let at = if urgent {
+            now
+        } else {
+            now + PAGE_REWRITE_DELAY_MS
+        };
         for page in &mut self.pages {
             if let Some(entry) = page.entries.remove(key) {
                 page.size = page.size.saturating_sub(entry.size(key));
                 page.rewrite_at = Some(page.rewrite_at.map_or(at, |before| before.min(at)));
-                page.stale_weight += if urgent { URGENT_ENTRIES } else { 1 };
+                page.stale_weight += if urgent { URGENT_ENTRY_WEIGHT } else { 1 };
             }
         }
     }
@@ -188,7 +194,7 @@
     /// The page that the next entries go to: of those with room, the one that most will be dropped
     /// from on the occasion.
     fn choose_page(&mut self) -> usize {
-        let room = |page: &Page<E>| page.size + self.bytes / PAGE_ROOM <= self.bytes;
+        let room = |page: &Page<E>| page.size + self.bytes / PAGE_FREE_DIVISOR <= self.bytes;
         let best = self
             .pages
             .iter()
--- a/crates/worksshunt-core/src/placement.rs
+++ b/crates/worksshunt-core/src/placement.rs
@@ -7,7 +7,7 @@
 
 use worksshunt_wire::{ControllerName, MachineId};
 
-use crate::constants::{SIZE_BANDS_S, SPEED_WEIGHT};
+use crate::constants::placement::{SIZE_BANDS_S, SPEED_SMOOTHING_FACTOR};
 
 /// The design's open parameters.
 #[derive(Debug, Clone, PartialEq)]
@@ -25,10 +25,10 @@
 impl Default for Parameters {
     fn default() -> Parameters {
         Parameters {
-            window_s: crate::constants::SPEED_WINDOW_S,
-            start_speed: crate::constants::START_SPEED,
+            window_s: crate::constants::placement::SPEED_WINDOW_S,
+            start_speed: crate::constants::placement::START_SPEED,
             size_bands_s: SIZE_BANDS_S.to_vec(),
-            summary_every_ms: crate::constants::SUMMARY_EVERY_MS,
+            summary_every_ms: crate::constants::timers::OVER_CAPACITY_SUMMARY_INTERVAL_MS,
         }
     }
 }
@@ -65,7 +65,7 @@
     pub fn record_measurement(&mut self, estimate_s: f64, held_s: f64, start: f64) {
         if held_s > 0.0 && estimate_s > 0.0 {
             let before = self.value(start);
-            self.0 = Some(before + SPEED_WEIGHT * (estimate_s / held_s - before));
+            self.0 = Some(before + SPEED_SMOOTHING_FACTOR * (estimate_s / held_s - before));
         }
     }
 }
--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -6,7 +6,7 @@
 use worksshunt_wire::settings::Team;
 use worksshunt_wire::TeamName;
 
-use crate::constants::ROUNDING;
+use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::jobs::Job;
 
 /// Processors and accelerators in use.
@@ -139,9 +139,9 @@
         used.cpus += kept.cpus;
         used.gpus += kept.gpus;
         let times = |free: f64, each: f64| match each {
-            each if each > 0.0 => ((free + ROUNDING) / each).max(0.0) as u32,
+            each if each > 0.0 => ((free + ROUNDING_TOLERANCE) / each).max(0.0) as u32,
             // What it does not take cannot run out, but may have.
-            _ if free + ROUNDING >= 0.0 => u32::MAX,
+            _ if free + ROUNDING_TOLERANCE >= 0.0 => u32::MAX,
             _ => 0,
         };
         times(cpus - used.cpus, job.spec.cpus).min(times(gpus - used.gpus, job.spec.gpus))
@@ -173,8 +173,9 @@
         for job in without {
             used.remove(job);
         }
-        let over =
-            |team: &Team| used.cpus > team.cpus + ROUNDING || used.gpus > team.gpus + ROUNDING;
+        let over = |team: &Team| {
+            used.cpus > team.cpus + ROUNDING_TOLERANCE || used.gpus > team.gpus + ROUNDING_TOLERANCE
+        };
         self.teams.get(name).is_some_and(over)
     }
 
--- a/crates/worksshunt-core/src/resources.rs
+++ b/crates/worksshunt-core/src/resources.rs
@@ -3,7 +3,7 @@
 use worksshunt_wire::cloud::MachineType;
 use worksshunt_wire::user::JobSpec;
 
-use crate::constants::ROUNDING;
+use crate::constants::placement::ROUNDING_TOLERANCE;
 
 /// Resources of a machine or a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -37,9 +37,9 @@
 
     /// Whether `need` fits in here.
     pub fn fits(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + ROUNDING
-            && need.gpus <= self.gpus + ROUNDING
-            && need.memory_gb <= self.memory_gb + ROUNDING
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
     /// Takes `need` out.
--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -8,7 +8,7 @@
 use worksshunt_wire::peer::{MachineStatus, Phase};
 use worksshunt_wire::{JobId, MachineId};
 
-use crate::constants::{CLAIMS_AT_ONCE, CLAIMS_SHARE, CLAIM_AFTER_MS};
+use crate::constants::scheduling::{CLAIM_AFTER_MS, CLAIM_MACHINE_DIVISOR, MIN_CLAIMS};
 use crate::jobs::Job;
 use crate::time::Time;
 
@@ -50,7 +50,7 @@
     /// takes them out of their parts until the task fits.
     pub fn claim_machines(&mut self, now: Time) {
         self.release_idle_claims();
-        let most = CLAIMS_AT_ONCE.max(self.machines().count() / CLAIMS_SHARE);
+        let most = MIN_CLAIMS.max(self.machines().count() / CLAIM_MACHINE_DIVISOR);
         let mut free_claims = most.saturating_sub(self.claims.len());
         let stuck: Vec<Rc<Job>> = self
             .jobs
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -6,8 +6,9 @@
 use worksshunt_wire::peer::Phase;
 use worksshunt_wire::{JobId, MachineId};
 
-use crate::constants::{
-    LATELY_LEAST_MS, LATELY_MS, LEFT_AT_LEAST, SPOT_PATIENCE_MS, STANDBY_SHARE,
+use crate::constants::scheduling::MIN_REMAINING_SHARE;
+use crate::constants::services::{
+    ARRIVAL_WINDOW_MS, MIN_ARRIVAL_WINDOW_MS, SPARE_CAPACITY_SHARE, SPOT_ABSENCE_MS,
 };
 use crate::jobs::Job;
 use crate::time::{Now, Time};
@@ -58,7 +59,7 @@
     pub job: Rc<Job>,
     /// Replicas of the largest.
     pub largest: u32,
-    /// Those that came within [`LATELY_MS`].
+    /// Those that came within [`ARRIVAL_WINDOW_MS`].
     pub jobs: u32,
     /// Their replicas.
     pub lately: u32,
@@ -85,7 +86,7 @@
             let Some(job) = &out.job else { continue };
             let estimate_s = job.spec.estimate_s;
             let ran_s = out.running_ms(now.steady) as f64 / 1_000.0;
-            let left = (estimate_s - ran_s).max(estimate_s * LEFT_AT_LEAST);
+            let left = (estimate_s - ran_s).max(estimate_s * MIN_REMAINING_SHARE);
             let sum = ran.entry(out.task.job).or_default();
             sum.0 += 1;
             sum.1 += left;
@@ -132,7 +133,7 @@
 
     /// Whether there are spot machines, or may be soon.
     fn has_spot_machines(&self, now: Time) -> bool {
-        now.since(self.spot_last_seen) < SPOT_PATIENCE_MS
+        now.since(self.spot_last_seen) < SPOT_ABSENCE_MS
     }
 
     /// Whether ordinary machines are left to services by work that has others.
@@ -150,7 +151,7 @@
     pub fn forecast(&self, now: Now, boot_s: f64) -> Forecast {
         let mut soon = self.objectives.classes_starting_within(boot_s);
         let unseen = soon.any(|class| !self.classes_seen.contains(class));
-        let share = if unseen { STANDBY_SHARE } else { 0.0 };
+        let share = if unseen { SPARE_CAPACITY_SHARE } else { 0.0 };
         Forecast {
             classes: self.expected(now),
             standby_cpus: self.quota.guaranteed_cpus() * share,
@@ -167,12 +168,12 @@
                 largest: 0,
                 lately: 0,
                 jobs: 0,
-                over_ms: LATELY_LEAST_MS,
+                over_ms: MIN_ARRIVAL_WINDOW_MS,
             });
             class.largest = class.largest.max(job.spec.tasks);
             let age_ms = now.wall_ms.saturating_sub(job.accepted_ms);
-            class.over_ms = class.over_ms.max(age_ms.min(LATELY_MS));
-            if age_ms < LATELY_MS {
+            class.over_ms = class.over_ms.max(age_ms.min(ARRIVAL_WINDOW_MS));
+            if age_ms < ARRIVAL_WINDOW_MS {
                 class.lately += job.spec.tasks;
                 class.jobs += 1;
             }
--- a/crates/worksshunt-core/src/scheduler/dispatch.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -6,9 +6,11 @@
 
 use worksshunt_wire::{Attempt, ControllerName, JobId, MachineId, TaskId};
 
-use crate::constants::{
-    ATTEMPTS_PER_EPOCH, OLD_JOB_MS, ROUND_EVERY_MS, STARVED_MS, STARVED_OLD_MS, STARVED_SHARE,
+use crate::constants::leases::ATTEMPTS_PER_EPOCH;
+use crate::constants::scheduling::{
+    OLD_JOB_MS, OLD_JOB_STARVATION_MS, STARVATION_MS, STARVED_TASK_DIVISOR,
 };
+use crate::constants::timers::ROUND_INTERVAL_MS;
 use crate::jobs::Job;
 use crate::resources::Resources;
 use crate::time::{Budget, Now, Time};
@@ -143,7 +145,7 @@
     /// stopped.
     pub fn run_round(&mut self, now: Now, budget: &Budget) {
         if self.round.position >= self.round.order.len() {
-            let fresh = |began: Time| now.steady.since(began) < ROUND_EVERY_MS;
+            let fresh = |began: Time| now.steady.since(began) < ROUND_INTERVAL_MS;
             if !self.round.requested || self.round.began.is_some_and(fresh) {
                 return;
             }
@@ -168,7 +170,7 @@
             Pass::Starved => self
                 .quota
                 .tasks_within_limit_ignoring_reservations(&job)
-                .min((waiting / STARVED_SHARE).max(1)),
+                .min((waiting / STARVED_TASK_DIVISOR).max(1)),
             Pass::GuaranteeAtRisk | Pass::WithinGuarantee => {
                 self.quota.tasks_within_guarantee(&job)
             }
@@ -442,9 +444,9 @@
         .last_dispatch
         .map_or(age_ms, |served| now.steady.since(served));
     let patience_ms = if age_ms >= OLD_JOB_MS {
-        STARVED_OLD_MS
+        OLD_JOB_STARVATION_MS
     } else {
-        STARVED_MS
+        STARVATION_MS
     };
     waited_ms >= patience_ms
 }
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -20,9 +20,13 @@
 use worksshunt_wire::settings::Facts;
 use worksshunt_wire::{Attempt, ControllerName, Epoch, JobId, MachineId, TaskId};
 
-use crate::constants::{
-    ATTEMPTS_PER_EPOCH, ERRORS_BEFORE_BACKOFF, ERROR_BACKOFF_MAX_MS, ERROR_BACKOFF_MS,
-    REPLICA_BACKOFF_MAX_MS, SILENT_RETURN_LEAST_MS, SILENT_RETURN_REPORTS, STEADY_REPLICA_MS,
+use crate::constants::leases::ATTEMPTS_PER_EPOCH;
+use crate::constants::scheduling::{
+    FAILURES_BEFORE_BACKOFF, FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS,
+};
+use crate::constants::services::{
+    MIN_SILENT_RELEASE_MS, REPLICA_BACKOFF_MAX_MS, SILENT_RELEASE_HEARTBEAT_INTERVALS,
+    STABLE_REPLICA_MS,
 };
 use crate::jobs::{completions_key, read_completions, Completions, Job, JobCache, DONE};
 use crate::objectives::ServiceLevelObjectives;
@@ -160,8 +164,10 @@
             completion_pages: Pages::new(DONE.to_owned(), page_bytes(&facts.state)),
             former_record_pages: Pages::new(RECORDS.to_owned(), page_bytes(&facts.state)),
             former_records_first: false,
-            silent_release_ms: ((facts.workers.report_s * 1_000.0 * SILENT_RETURN_REPORTS) as u64)
-                .max(SILENT_RETURN_LEAST_MS),
+            silent_release_ms: ((facts.workers.report_s
+                * 1_000.0
+                * SILENT_RELEASE_HEARTBEAT_INTERVALS) as u64)
+                .max(MIN_SILENT_RELEASE_MS),
             draining: BTreeSet::new(),
             spot_last_seen: now,
             unreadable_jobs: BTreeSet::new(),
@@ -446,18 +452,18 @@
         };
         let is_service = work.job.is_service();
         // A replica that ran well is no sign that the next will not.
-        if is_service && ran_ms >= STEADY_REPLICA_MS {
+        if is_service && ran_ms >= STABLE_REPLICA_MS {
             work.errors = 0;
         }
         work.errors += 1;
         tracing::info!(task = %ended.task, machine = ?ended.machine, errors = work.errors, "task failed");
         // A job that fails everywhere must not keep machines busy with it.
-        if let Some(doublings) = work.errors.checked_sub(ERRORS_BEFORE_BACKOFF) {
+        if let Some(doublings) = work.errors.checked_sub(FAILURES_BEFORE_BACKOFF) {
             let most = match is_service {
                 true => REPLICA_BACKOFF_MAX_MS,
-                false => ERROR_BACKOFF_MAX_MS,
+                false => FAILURE_BACKOFF_MAX_MS,
             };
-            let wait = ERROR_BACKOFF_MS
+            let wait = FAILURE_BACKOFF_MS
                 .saturating_mul(1 << doublings.min(16))
                 .min(most);
             work.not_before = now + wait;
--- a/crates/worksshunt-core/src/scheduler/partitions.rs
+++ b/crates/worksshunt-core/src/scheduler/partitions.rs
@@ -9,7 +9,11 @@
 };
 use worksshunt_wire::{Attempt, ControllerName, MachineId};
 
-use crate::constants::{PART_SILENT_MS, PROGRESS_EVERY_MS, ROUNDING, SILENT_SHARE, SYNC_CHANGES};
+use crate::constants::partition_sync::{
+    PARTITION_SILENT_MS, PROGRESS_INTERVAL_MS, SYNC_MAX_CHANGES,
+};
+use crate::constants::placement::ROUNDING_TOLERANCE;
+use crate::constants::services::SILENT_RELEASE_MACHINE_DIVISOR;
 use crate::jobs::Job;
 use crate::resources::Resources;
 use crate::time::Time;
@@ -34,7 +38,7 @@
 impl MachineView {
     /// Whether tasks are on their way to it.
     pub fn has_reservations(&self) -> bool {
-        self.reserved.cpus > ROUNDING
+        self.reserved.cpus > ROUNDING_TOLERANCE
     }
 
     fn recompute_free(&mut self) {
@@ -101,7 +105,7 @@
 
     /// Whether its owner speaks with the leader.
     pub fn is_responsive(&self, now: Time) -> bool {
-        now.since(self.last_heard_at) < PART_SILENT_MS
+        now.since(self.last_heard_at) < PARTITION_SILENT_MS
     }
 
     /// Takes a task's room out of a machine.
@@ -118,7 +122,10 @@
 
     /// Machines with at least so many free processors, those with fewest first.
     pub fn with_free_cpus(&self, cpus: f64) -> impl Iterator<Item = &MachineView> {
-        let from = (FreeCpus::of(cpus - ROUNDING), MachineId(String::new()));
+        let from = (
+            FreeCpus::of(cpus - ROUNDING_TOLERANCE),
+            MachineId(String::new()),
+        );
         let ids = self.machines_by_free_cpus.range(from..).map(|(_, id)| id);
         ids.filter_map(|id| self.machines.get(id))
     }
@@ -131,7 +138,7 @@
         change(view);
         view.recompute_free();
         let after = FreeCpus::of(view.free.cpus);
-        let has_room = view.free.cpus > ROUNDING;
+        let has_room = view.free.cpus > ROUNDING_TOLERANCE;
         if before != after {
             self.machines_by_free_cpus.remove(&(before, id.clone()));
         }
@@ -325,7 +332,7 @@
                 Directive::Stop(_) => directives.stop_attempts.len(),
                 Directive::MarkDurable(_) => directives.durable_attempts.len(),
             };
-            if of_kind >= SYNC_CHANGES {
+            if of_kind >= SYNC_MAX_CHANGES {
                 continue;
             }
             *sent = partition.directives_sent;
@@ -375,7 +382,7 @@
         };
         let due = partition
             .progress_at
-            .is_none_or(|at| now.since(at) >= PROGRESS_EVERY_MS);
+            .is_none_or(|at| now.since(at) >= PROGRESS_INTERVAL_MS);
         if due {
             partition.progress_at = Some(now);
         }
@@ -418,7 +425,7 @@
         }
         let alone = |zone: &String| {
             let counts = zones.get(zone).copied();
-            counts.is_some_and(|(all, unusable)| unusable * SILENT_SHARE <= all)
+            counts.is_some_and(|(all, unusable)| unusable * SILENT_RELEASE_MACHINE_DIVISOR <= all)
         };
         let few = silent.into_iter().filter(|(zone, _)| alone(zone));
         few.map(|(_, id)| id.clone()).collect()
--- a/crates/worksshunt-core/src/scheduler/partitions/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partitions/tests.rs
@@ -45,7 +45,7 @@
     let owner = ControllerName::from("n0");
     let mut scheduler = scheduler(&owner);
     let partition = scheduler.partitions.get_mut(&owner).expect("a part");
-    for n in 0..(SYNC_CHANGES + 3) as u64 {
+    for n in 0..(SYNC_MAX_CHANGES + 3) as u64 {
         partition.enqueue(Directive::Stop(Attempt(n)));
         partition.enqueue(Directive::MarkDurable(Attempt(n)));
     }
@@ -54,7 +54,7 @@
     let first = scheduler.directives_for(Time(1), &owner, none());
     assert_eq!(
         (first.stop_attempts.len(), first.durable_attempts.len()),
-        (SYNC_CHANGES, SYNC_CHANGES)
+        (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
     );
     // Its owner has acted on the first answer.
     scheduler.apply_status(Time(2), sync_up(&owner, 2, first.sequence));
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -7,7 +7,8 @@
 use worksshunt_wire::user::Priority;
 use worksshunt_wire::{Attempt, MachineId, TeamName};
 
-use crate::constants::{PREEMPT_AFTER_MS, REPLICA_LOSS_MS};
+use crate::constants::scheduling::PREEMPT_AFTER_MS;
+use crate::constants::services::REPLICA_PREEMPTION_COST_MS;
 use crate::jobs::Job;
 use crate::quota::Quota;
 use crate::resources::Resources;
@@ -196,7 +197,7 @@
             let ran_ms = out.running_ms(now.steady);
             let loses_ms = match job.spec.checkpoint_s {
                 // What a replica is there for ends with every stop, so it is stopped last.
-                _ if job.is_service() => REPLICA_LOSS_MS,
+                _ if job.is_service() => REPLICA_PREEMPTION_COST_MS,
                 every if every > 0.0 => ran_ms.min((every * 1_000.0) as u64),
                 _ => ran_ms,
             };
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -5,7 +5,8 @@
 use worksshunt_wire::user::{JobKind, JobSpec};
 use worksshunt_wire::JobId;
 
-use crate::constants::{MAX_TASKS, ROUNDING};
+use crate::constants::job_api::MAX_TASKS_PER_JOB;
+use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::quota::Quota;
 use crate::resources::Resources;
 
@@ -49,8 +50,10 @@
             return Err(malformed(format!("{name} is not an amount")));
         }
     }
-    if spec.tasks == 0 || spec.tasks > MAX_TASKS {
-        return Err(malformed(format!("Piezas is not from 1 to {MAX_TASKS}")));
+    if spec.tasks == 0 || spec.tasks > MAX_TASKS_PER_JOB {
+        return Err(malformed(format!(
+            "Piezas is not from 1 to {MAX_TASKS_PER_JOB}"
+        )));
     }
     Ok(spec)
 }
@@ -70,7 +73,7 @@
             "its replicas together need more than the team's limit",
         ),
     };
-    let over = |each: f64, limit: f64| each * at_once > limit + ROUNDING;
+    let over = |each: f64, limit: f64| each * at_once > limit + ROUNDING_TOLERANCE;
     if over(spec.cpus, cpus_max) || over(spec.gpus, gpus_max) {
         return impossible(text);
     }
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_core::constants::FRAME_BYTES;
+use worksshunt_core::constants::partition_sync::MAX_FRAME_BYTES;
 use worksshunt_simulation::Cluster;
 use worksshunt_wire::{JobId, TaskId};
 
@@ -30,7 +30,7 @@
     assert_eq!(again.count(), 0, "nothing that ran was started again");
     let (most, dropped) = (cluster.usage.sync_most, cluster.usage.frames_dropped);
     assert!(
-        dropped == 0 && most < FRAME_BYTES / 8,
+        dropped == 0 && most < MAX_FRAME_BYTES / 8,
         "an exchange of {most} bytes"
     );
     assert!(users.served > users.refused, "questions are answered");
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::{json, Value};
-use worksshunt_core::constants::DONE_CHUNK;
+use worksshunt_core::constants::pages::TASKS_PER_COMPLETIONS_ENTRY;
 use worksshunt_core::jobs::{
     cancelled_state_value, final_state_key, final_state_value, is_submission_batch, job_of_key,
     open_job_key, read_cancelled, read_completions, read_final_state, submission_batch_key,
@@ -257,12 +257,12 @@
     assert_eq!(read_completions(&stored("d/0")), Some(entries.clone()));
     written("d/0", &Completions::value(&entries));
     let later = Completions {
-        tasks: BTreeSet::from([DONE_CHUNK + 1]),
+        tasks: BTreeSet::from([TASKS_PER_COMPLETIONS_ENTRY + 1]),
         zones: BTreeMap::new(),
     };
     entries.insert((JobId(1), 1), later);
     let value = Completions::value(&entries);
-    let one = DONE_CHUNK + 1;
+    let one = TASKS_PER_COMPLETIONS_ENTRY + 1;
     let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
     let text = format!(r#"{{"done":[{first},["j-000001",[[{one},{one}]],{{}}]],"v":2}}"#);
     assert_eq!(value.to_string(), text);
@@ -293,21 +293,21 @@
 // Guards against a first release's controllers that are no longer noticed.
 #[test]
 fn a_member_key_of_the_first_release_is_noticed() {
-    let key = |key: &str| Pair {
+    let key = |key: &str| KeyValue {
         key: key.to_owned(),
         ..pair("c/n/n2")
     };
     let found = |others: &[&str]| {
         let mut reader = Membership::new("n2".into(), std::iter::empty(), 1_000);
-        reader.granted(73);
-        reader.joined(Revision(1));
+        reader.lease_granted(73);
+        reader.member_key_written(Revision(1));
         let listing = Listing {
             pairs: others.iter().map(|other| key(other)).collect(),
             more: false,
             revision: Revision(2),
         };
-        reader.control_read(Time(1), &listing)
+        reader.process_control_keys(Time(1), &listing)
     };
-    assert!(matches!(found(&["c/n/n2"]), Finding::Propose(_)));
-    assert_eq!(found(&["c/m/n1", "c/n/n2"]), Finding::Steady);
+    assert!(matches!(found(&["c/n/n2"]), MembershipAction::Propose(_)));
+    assert_eq!(found(&["c/m/n1", "c/n/n2"]), MembershipAction::Unchanged);
 }
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -4,7 +4,7 @@
 
 use http_types::Method;
 use serde::de::DeserializeOwned;
-use worksshunt_core::constants::CLOUD_PAGE;
+use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE;
 use worksshunt_core::controller::CloudResponse;
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_wire::cloud::MachineList;
@@ -95,15 +95,15 @@
         let last = pages.last().and_then(|page| page.machines.last());
         let since = last.map(|machine| format!("&Since={}", machine.id));
         let since = since.unwrap_or_default();
-        let path = format!("/machines?Most={CLOUD_PAGE}{since}");
+        let path = format!("/machines?Most={MACHINE_LIST_PAGE}{since}");
         let Some(page) = get::<MachineList>(client, &path, deadline).await? else {
             return Ok(CloudResponse::NoAnswer);
         };
-        if page.machines.len() > CLOUD_PAGE {
+        if page.machines.len() > MACHINE_LIST_PAGE {
             let machines = page.machines.len();
             tracing::warn!(
                 machines,
-                most = CLOUD_PAGE,
+                most = MACHINE_LIST_PAGE,
                 "page of the machine list too long: refused"
             );
             return Ok(CloudResponse::NoAnswer);
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -32,9 +32,9 @@
 
 #[test]
 fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let CloudResponse::List(pages) = listed(CLOUD_PAGE) else {
+    let CloudResponse::List(pages) = listed(MACHINE_LIST_PAGE) else {
         panic!("the longest page was refused");
     };
-    assert_eq!(pages[0].machines.len(), CLOUD_PAGE);
-    assert_eq!(listed(CLOUD_PAGE + 1), CloudResponse::NoAnswer);
+    assert_eq!(pages[0].machines.len(), MACHINE_LIST_PAGE);
+    assert_eq!(listed(MACHINE_LIST_PAGE + 1), CloudResponse::NoAnswer);
 }
--- a/crates/worksshunt-net/src/connections.rs
+++ b/crates/worksshunt-net/src/connections.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, Sender};
-use worksshunt_core::constants::{CONNECTIONS_TOLD_MS, SPARE_CONNECTIONS};
+use worksshunt_core::constants::capacity::{CONNECTION_LOG_INTERVAL_MS, SPARE_CONNECTION_DIVISOR};
 
 /// How open connections compare with their limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,7 +58,7 @@
             return None;
         }
         self.open.set(self.open.get() + 1);
-        let spare = self.most / SPARE_CONNECTIONS;
+        let spare = self.most / SPARE_CONNECTION_DIVISOR;
         if self.open.get() > self.most - spare && self.supply.get() == Supply::Ample {
             self.set_supply(Supply::Short);
         }
@@ -82,7 +82,7 @@
     fn end(&self) {
         self.open.set(self.open.get().saturating_sub(1));
         // Twice what has to be spare, so that it does not change to and fro.
-        let ample = self.most - self.most / SPARE_CONNECTIONS * 2;
+        let ample = self.most - self.most / SPARE_CONNECTION_DIVISOR * 2;
         if self.open.get() <= ample {
             self.set_supply(Supply::Ample);
         }
@@ -93,7 +93,7 @@
     /// Whether the log should be told of another change: with fewer connections than clients there is one
     /// every second.
     fn may_tell(&self) -> bool {
-        let pause = Duration::from_millis(CONNECTIONS_TOLD_MS);
+        let pause = Duration::from_millis(CONNECTION_LOG_INTERVAL_MS);
         let may = self.told.get().is_none_or(|told| told.elapsed() >= pause);
         if may {
             self.told.set(Some(Instant::now()));
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -4,7 +4,8 @@
 
 use http_types::Method;
 use serde::de::DeserializeOwned;
-use worksshunt_core::constants::{LEASE_TTL_MS, STATE_PAGE};
+use worksshunt_core::constants::key_value::KV_LIST_PAGE_KEYS;
+use worksshunt_core::constants::leases::MEMBER_LEASE_TTL_MS;
 use worksshunt_core::controller::{KvRequest, KvResponse};
 use worksshunt_wire::key_value::{
     CompareAndSwap, Conflict, KeyValue, Lease, LeaseRequest, Listing, StoreRevision, WatchResponse,
@@ -57,7 +58,7 @@
 
 async fn new_lease(client: &HttpClient, deadline: Duration) -> Result<KvResponse, CallError> {
     let body = serde_json::json!(LeaseRequest {
-        ttl_ms: LEASE_TTL_MS
+        ttl_ms: MEMBER_LEASE_TTL_MS
     });
     let (status, body) = client
         .call(Method::Post, "/holds", Some(body.to_string()), deadline)
@@ -104,7 +105,7 @@
             .last()
             .map(|pair| format!("&Since={}", pair.key))
             .unwrap_or_default();
-        let path = format!("/kv?Starts={prefix}{since}&Most={STATE_PAGE}");
+        let path = format!("/kv?Starts={prefix}{since}&Most={KV_LIST_PAGE_KEYS}");
         let (status, body) = client.call(Method::Get, &path, None, deadline).await?;
         if status != 200 {
             return Ok(other(status));
@@ -112,9 +113,13 @@
         let Ok(page) = serde_json::from_slice::<Listing>(&body) else {
             return Ok(KvResponse::NoAnswer);
         };
-        if page.pairs.len() > STATE_PAGE {
+        if page.pairs.len() > KV_LIST_PAGE_KEYS {
             let keys = page.pairs.len();
-            tracing::warn!(keys, most = STATE_PAGE, "page of keys too long: refused");
+            tracing::warn!(
+                keys,
+                most = KV_LIST_PAGE_KEYS,
+                "page of keys too long: refused"
+            );
             return Ok(KvResponse::NoAnswer);
         }
         let revision = *first.get_or_insert(page.revision);
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -25,12 +25,12 @@
 
 #[test]
 fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let KvResponse::Listing(listing) = listed(STATE_PAGE) else {
+    let KvResponse::Listing(listing) = listed(KV_LIST_PAGE_KEYS) else {
         panic!("the longest page was refused");
     };
     assert_eq!(
         (listing.pairs.len(), listing.revision),
-        (STATE_PAGE, Revision(7))
+        (KV_LIST_PAGE_KEYS, Revision(7))
     );
-    assert_eq!(listed(STATE_PAGE + 1), KvResponse::NoAnswer);
+    assert_eq!(listed(KV_LIST_PAGE_KEYS + 1), KvResponse::NoAnswer);
 }
--- a/crates/worksshunt-net/src/peer.rs
+++ b/crates/worksshunt-net/src/peer.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 use borsh::{BorshDeserialize, BorshSerialize};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use worksshunt_core::constants::FRAME_BYTES;
+use worksshunt_core::constants::partition_sync::MAX_FRAME_BYTES;
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 
 use crate::client::CallError;
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 enum FrameError {
     /// It is longer than a peer takes.
-    #[error("a frame of {0} bytes is over the limit of {FRAME_BYTES}")]
+    #[error("a frame of {0} bytes is over the limit of {MAX_FRAME_BYTES}")]
     TooLong(usize),
     /// The connection failed, or what came is no message of this version.
     #[error(transparent)]
@@ -34,7 +34,7 @@
     fn log(&self, peer: SocketAddr) {
         match self {
             FrameError::TooLong(bytes) => {
-                tracing::warn!(%peer, bytes, most = FRAME_BYTES, "frame too long: refused");
+                tracing::warn!(%peer, bytes, most = MAX_FRAME_BYTES, "frame too long: refused");
             }
             FrameError::Io(error) => tracing::debug!(%peer, %error, "peer connection ended"),
         }
@@ -46,7 +46,7 @@
     message: &T,
 ) -> Result<(), FrameError> {
     let body = borsh::to_vec(message)?;
-    if body.len() > FRAME_BYTES {
+    if body.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
     let length = body.len() as u32;
@@ -63,7 +63,7 @@
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
     let length = u32::from_le_bytes(length) as usize;
-    if length > FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
     let mut body = vec![0; length];
--- a/crates/worksshunt-net/src/peer/tests.rs
+++ b/crates/worksshunt-net/src/peer/tests.rs
@@ -44,9 +44,11 @@
 
 #[test]
 fn a_frame_over_the_limit_or_cut_short_is_an_error() {
-    let length = u32::try_from(FRAME_BYTES + 1).expect("fits").to_le_bytes();
+    let length = u32::try_from(MAX_FRAME_BYTES + 1)
+        .expect("fits")
+        .to_le_bytes();
     let refused = read::<PeerRequest>(length.to_vec());
-    assert!(matches!(refused, Err(FrameError::TooLong(bytes)) if bytes == FRAME_BYTES + 1));
+    assert!(matches!(refused, Err(FrameError::TooLong(bytes)) if bytes == MAX_FRAME_BYTES + 1));
     let mut short = framed(&PeerRequest::KnownEpoch { poll: 3 });
     short.pop();
     assert!(read::<PeerRequest>(short).is_err());
@@ -55,11 +57,11 @@
 #[test]
 fn a_message_is_sent_up_to_the_limit_and_refused_beyond_it() {
     let overhead = borsh::to_vec(&Vec::<u8>::new()).expect("bytes").len();
-    let longest = vec![7_u8; FRAME_BYTES - overhead];
+    let longest = vec![7_u8; MAX_FRAME_BYTES - overhead];
     assert_eq!(read::<Vec<u8>>(framed(&longest)).expect("read"), longest);
-    let longer = vec![7_u8; FRAME_BYTES - overhead + 1];
+    let longer = vec![7_u8; MAX_FRAME_BYTES - overhead + 1];
     let mut bytes = Cursor::new(Vec::new());
     let refused = block_on(write_frame(&mut bytes, &longer));
-    assert!(matches!(refused, Err(FrameError::TooLong(size)) if size == FRAME_BYTES + 1));
+    assert!(matches!(refused, Err(FrameError::TooLong(size)) if size == MAX_FRAME_BYTES + 1));
     assert!(bytes.into_inner().is_empty(), "nothing of it was sent");
 }
--- a/crates/worksshunt-net/src/server.rs
+++ b/crates/worksshunt-net/src/server.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use http_types::{Method, Request, Response, StatusCode};
-use worksshunt_core::constants::BODY_BYTES;
+use worksshunt_core::constants::job_api::MAX_BODY_BYTES;
 use worksshunt_core::job_api::HttpResponse;
 
 use crate::connections::Connections;
@@ -73,12 +73,12 @@
         async move {
             let mut body = Vec::new();
             let declared = request.len().unwrap_or(0);
-            let mut limited = request.take_body().take(BODY_BYTES as u64 + 1);
+            let mut limited = request.take_body().take(MAX_BODY_BYTES as u64 + 1);
             limited.read_to_end(&mut body).await?;
-            let fits = declared <= BODY_BYTES && body.len() <= BODY_BYTES;
+            let fits = declared <= MAX_BODY_BYTES && body.len() <= MAX_BODY_BYTES;
             if !fits {
                 let read = body.len();
-                tracing::info!(%from, declared, read, most = BODY_BYTES, "request body too long: refused");
+                tracing::info!(%from, declared, read, most = MAX_BODY_BYTES, "request body too long: refused");
             }
             let reply = handler(Incoming {
                 method: request.method(),
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use worksshunt_core::constants::CLOUD_PAGE;
+use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE;
 use worksshunt_core::controller::CloudResponse;
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineIds, MachineList};
@@ -52,7 +52,7 @@
     /// Whether the cloud's rate admits a request. A list is as many calls as it has pages.
     fn cloud_rate_allows(&mut self, request: &CloudRequest) -> bool {
         let calls = match request {
-            CloudRequest::ListMachines => self.workers.len() / CLOUD_PAGE + 1,
+            CloudRequest::ListMachines => self.workers.len() / MACHINE_LIST_PAGE + 1,
             _ => 1,
         };
         self.usage.cloud_calls += calls as u64;
@@ -87,7 +87,7 @@
             })
             .collect();
         let mut pages: Vec<MachineList> = machines
-            .chunks(CLOUD_PAGE)
+            .chunks(MACHINE_LIST_PAGE)
             .map(|page| MachineList {
                 machines: page.to_vec(),
                 more: true,
--- a/crates/worksshunt-simulation/src/key_value_store.rs
+++ b/crates/worksshunt-simulation/src/key_value_store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::Value;
-use worksshunt_core::constants::STORE_DEADLINE_MS;
+use worksshunt_core::constants::key_value::KV_DEADLINE_MS;
 use worksshunt_core::controller::{Event, KvPurpose, KvRequest, KvResponse};
 use worksshunt_core::time::Time;
 use worksshunt_wire::key_value::{
@@ -49,7 +49,7 @@
     /// After an outage every lease has its full time again.
     pub(super) fn renew_all(&mut self, now: u64) {
         for until in self.leases.values_mut() {
-            *until = now + worksshunt_core::constants::LEASE_TTL_MS;
+            *until = now + worksshunt_core::constants::leases::MEMBER_LEASE_TTL_MS;
         }
     }
 
@@ -126,13 +126,13 @@
         match op {
             KvRequest::GrantLease => {
                 self.last_lease += 1;
-                let ttl = worksshunt_core::constants::LEASE_TTL_MS;
+                let ttl = worksshunt_core::constants::leases::MEMBER_LEASE_TTL_MS;
                 self.leases.insert(self.last_lease, now + ttl);
                 KvResponse::LeaseGranted(self.last_lease)
             }
             KvRequest::RenewLease(lease) => match self.leases.get_mut(lease) {
                 Some(until) => {
-                    *until = now + worksshunt_core::constants::LEASE_TTL_MS;
+                    *until = now + worksshunt_core::constants::leases::MEMBER_LEASE_TTL_MS;
                     KvResponse::LeaseRenewed
                 }
                 None => KvResponse::NoSuchLease,
@@ -211,7 +211,7 @@
         if self.faults.hold_writes.contains(&node) && matches!(op, KvRequest::CompareAndSwap(_)) {
             self.held_writes.push(op);
             let event = Box::new(Event::KeyValueResponse(tag, sent, KvResponse::NoAnswer));
-            let when = self.now + STORE_DEADLINE_MS;
+            let when = self.now + KV_DEADLINE_MS;
             self.schedule_at(when, SimulationEvent::Dispatch(node, incarnation, event));
             return;
         }
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -54,9 +54,9 @@
 /// Workers' lease, ms; as in the settings below.
 const LEASE_MS: u64 = 16_000;
 /// Interval of reports, ms.
-const REPORT_MS: u64 = 2_500;
+const HEARTBEAT_INTERVAL_MS: u64 = 2_500;
 /// How long a worker waits for the answer to a report, ms.
-const REPORT_DEADLINE_MS: u64 = 4_000;
+const HEARTBEAT_DEADLINE_MS: u64 = 4_000;
 /// Processors of a machine.
 const MACHINE_CPUS: f64 = 4.0;
 /// How often the cluster looks at itself, ms.
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -1,6 +1,8 @@
 //! What passes between controllers, services and workers, and when.
 
-use worksshunt_core::constants::{FRAME_BYTES, ORDERS_DEADLINE_MS, SYNC_DEADLINE_MS, TICK_MS};
+use worksshunt_core::constants::partition_sync::{MAX_FRAME_BYTES, SYNC_DEADLINE_MS};
+use worksshunt_core::constants::timers::TICK_MS;
+use worksshunt_core::constants::workers::DIRECT_COMMAND_DEADLINE_MS;
 use worksshunt_core::controller::{Action, Event, KvRequest};
 use worksshunt_core::job_api::RequestId;
 use worksshunt_core::machines::DirectCommandsOutcome;
@@ -37,7 +39,7 @@
             }
             Action::SendCommands(orders) => {
                 self.usage.orders += 1;
-                let until = self.now + ORDERS_DEADLINE_MS;
+                let until = self.now + DIRECT_COMMAND_DEADLINE_MS;
                 let arrives = self.arrival_time(Link::Worker(node));
                 if arrives > until {
                     self.commands_timed_out(node, incarnation, orders.clone(), until);
@@ -55,7 +57,7 @@
                 if let PeerRequest::Sync(_) = request {
                     let silence = SimulationEvent::PeerDeadline(node, incarnation, id.0);
                     self.schedule_at(self.now + SYNC_DEADLINE_MS, silence);
-                    if self.usage.sync(&request) > FRAME_BYTES {
+                    if self.usage.sync(&request) > MAX_FRAME_BYTES {
                         // Its reader refuses it, and it is not answered.
                         self.usage.frames_dropped += 1;
                         let event = Box::new(Event::PeerResponse(None));
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -93,13 +93,13 @@
             worker.next_heartbeat_at = worker.next_heartbeat_at.min(now);
         }
         if worker.heartbeat_in_flight.is_none() && now >= worker.next_heartbeat_at {
-            worker.next_heartbeat_at = now + REPORT_MS;
+            worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
             let node = worker.controller;
             let heartbeat = Self::heartbeat(id, worker);
             worker.heartbeat_in_flight = Some(heartbeat.sequence);
             let (incarnation, sequence) = (worker.incarnation, heartbeat.sequence);
             let gives_up = SimulationEvent::HeartbeatDeadline(id.clone(), incarnation, sequence);
-            self.schedule_at(now + REPORT_DEADLINE_MS, gives_up);
+            self.schedule_at(now + HEARTBEAT_DEADLINE_MS, gives_up);
             if self.faults.heartbeat_copies_for_next_leader {
                 self.kept_copies.push(heartbeat.clone());
             }
--- a/crates/worksshunt/src/client.rs
+++ b/crates/worksshunt/src/client.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use http_types::Method;
-use worksshunt_core::constants::CLIENT_DEADLINE_MS;
+use worksshunt_core::constants::job_api::CLIENT_DEADLINE_MS;
 use worksshunt_net::client::HttpClient;
 
 fn call(server: SocketAddr, method: Method, path: &str, body: Option<String>) -> ExitCode {
--- a/crates/worksshunt/src/options.rs
+++ b/crates/worksshunt/src/options.rs
@@ -5,7 +5,10 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use worksshunt_core::constants::{LEAST_SOCKETS, LEAST_STATE_RPS, LEAST_TXN_OPS, LEAST_VALUE_KB};
+use worksshunt_core::constants::capacity::MIN_SOCKETS;
+use worksshunt_core::constants::key_value::{
+    MIN_KV_REQUESTS_PER_S, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB,
+};
 use worksshunt_core::placement::Parameters;
 use worksshunt_wire::settings::{Settings, Team};
 
@@ -169,7 +172,7 @@
         rate.map_or(Ok(()), |rate| positive(field, rate))?;
     }
     let controllers = settings.known.len() + 1;
-    let least = LEAST_STATE_RPS * controllers as f64;
+    let least = MIN_KV_REQUESTS_PER_S * controllers as f64;
     for (field, rps) in [
         ("facts.state.rps", Some(today.rps)),
         ("facts.state.next.rps", next.rps),
@@ -184,26 +187,26 @@
         ("facts.state.value_kb", Some(today.value_kb)),
         ("facts.state.next.value_kb", next.value_kb),
     ] {
-        if kb.is_some_and(|kb| !kb.is_finite() || kb < LEAST_VALUE_KB) {
-            return Err(format!("{field}: not a number from {LEAST_VALUE_KB} up"));
+        if kb.is_some_and(|kb| !kb.is_finite() || kb < MIN_VALUE_KIB) {
+            return Err(format!("{field}: not a number from {MIN_VALUE_KIB} up"));
         }
     }
     for (field, ops) in [
         ("facts.state.txn_ops", Some(today.txn_ops)),
         ("facts.state.next.txn_ops", next.txn_ops),
     ] {
-        if let Some(ops) = ops.filter(|ops| *ops < LEAST_TXN_OPS) {
-            return Err(format!("{field}: {ops} is below {LEAST_TXN_OPS}"));
+        if let Some(ops) = ops.filter(|ops| *ops < MIN_TRANSACTION_CHANGES) {
+            return Err(format!("{field}: {ops} is below {MIN_TRANSACTION_CHANGES}"));
         }
     }
     positive("facts.cloud.rps", facts.cloud.rps)?;
     if !(facts.cloud.list_lag_s.is_finite() && facts.cloud.list_lag_s >= 0.0) {
         return Err("facts.cloud.list_lag_s: not a duration".to_owned());
     }
-    if facts.limits.sockets < LEAST_SOCKETS {
+    if facts.limits.sockets < MIN_SOCKETS {
         return Err(format!(
             "facts.limits.sockets: {} is below {}",
-            facts.limits.sockets, LEAST_SOCKETS
+            facts.limits.sockets, MIN_SOCKETS
         ));
     }
     Ok(())
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -11,10 +11,14 @@
 use async_io::{Async, Timer};
 use http_types::Method;
 use worksshunt_core::capacity::Capacity;
-use worksshunt_core::constants::{
-    CLOUD_CONNECTIONS, CLOUD_DEADLINE_MS, IDLE_CONNECTION_MS, IDLE_REPORTS, ORDERS_DEADLINE_MS,
-    PEER_CONNECTIONS, STATE_CONNECTIONS, SYNC_DEADLINE_MS, TICK_MS,
+use worksshunt_core::constants::capacity::{
+    CLOUD_CONNECTIONS, IDLE_HEARTBEAT_INTERVALS, KV_CONNECTIONS, MIN_IDLE_CONNECTION_MS,
+    PEER_CONNECTIONS,
 };
+use worksshunt_core::constants::fleet::CLOUD_DEADLINE_MS;
+use worksshunt_core::constants::partition_sync::SYNC_DEADLINE_MS;
+use worksshunt_core::constants::timers::TICK_MS;
+use worksshunt_core::constants::workers::DIRECT_COMMAND_DEADLINE_MS;
 use worksshunt_core::controller::{Action, Controller, Event};
 use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_core::placement::Parameters;
@@ -53,8 +57,8 @@
     let users = listen(&settings.client_listen)?;
     let internal = listen(&settings.internal_addr)?;
     let capacity = Capacity::new(&settings);
-    let quiet = Duration::from_secs_f64(settings.facts.workers.report_s * IDLE_REPORTS);
-    let idle = quiet.max(Duration::from_millis(IDLE_CONNECTION_MS));
+    let quiet = Duration::from_secs_f64(settings.facts.workers.report_s * IDLE_HEARTBEAT_INTERVALS);
+    let idle = quiet.max(Duration::from_millis(MIN_IDLE_CONNECTION_MS));
     let peers = settings
         .known
         .iter()
@@ -70,7 +74,7 @@
     let executor = Rc::new(Executor::new());
     let service = Rc::new(Service {
         executor: Rc::clone(&executor),
-        state: HttpClient::new(address(&settings.services.state)?, STATE_CONNECTIONS),
+        state: HttpClient::new(address(&settings.services.state)?, KV_CONNECTIONS),
         cloud: HttpClient::new(address(&settings.services.cloud)?, CLOUD_CONNECTIONS),
         workers: Workers::new(capacity.worker_connections),
         peers,
@@ -193,7 +197,7 @@
                 let this = Rc::clone(self);
                 self.executor
                     .spawn(async move {
-                        let deadline = Duration::from_millis(ORDERS_DEADLINE_MS);
+                        let deadline = Duration::from_millis(DIRECT_COMMAND_DEADLINE_MS);
                         let reply = this.workers.call(&orders, deadline).await;
                         this.dispatch(Event::CommandsAnswered(orders, reply));
                     })
