--- /dev/null
+++ b/crates/worksshunt-measure/src/loopback/controllers.rs
@@ -0,0 +1,121 @@
+//! The real controllers: their settings, and their processes, each with a program of its own.
+
+use std::fs::File;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+
+use serde_json::json;
+use worksshunt_simulation::large_settings;
+
+use super::process::Usage;
+use super::{address, CANCEL_S, CLOUD_PORT, CONTROLLERS_PORT, LEASE, REPORT, STATE_PORT};
+use crate::MeasureError;
+
+/// How many controllers there are.
+pub const CONTROLLERS: usize = 3;
+
+struct Controller {
+    program: PathBuf,
+    child: Option<Child>,
+}
+
+/// The controllers; those that still run end with it.
+pub struct Controllers {
+    folder: PathBuf,
+    all: Vec<Controller>,
+}
+
+impl Controllers {
+    /// Controllers that all run this program, none of them started; writes their settings.
+    pub fn new(
+        folder: PathBuf,
+        program: &Path,
+        machines: usize,
+        sockets: usize,
+    ) -> Result<Controllers, MeasureError> {
+        std::fs::create_dir_all(&folder).map_err(|e| MeasureError::File(folder.clone(), e))?;
+        write_settings(&folder, machines, sockets)?;
+        let stopped = |_| Controller {
+            program: program.to_owned(),
+            child: None,
+        };
+        Ok(Controllers {
+            folder,
+            all: (0..CONTROLLERS).map(stopped).collect(),
+        })
+    }
+
+    /// Which program a controller runs from its next start on.
+    pub fn set_program(&mut self, node: usize, program: &Path) {
+        self.all[node].program = program.to_owned();
+    }
+
+    /// Starts a controller; its log is appended to.
+    pub fn start(&mut self, node: usize) -> Result<(), MeasureError> {
+        let log = self.folder.join(format!("n{node}.log"));
+        let file = File::options().create(true).append(true).open(&log);
+        let file = file.map_err(|error| MeasureError::File(log, error))?;
+        let controller = &mut self.all[node];
+        let child = Command::new(&controller.program)
+            .arg("--config")
+            .arg(self.folder.join(format!("n{node}.json")))
+            .env("LOG_LEVEL", "info")
+            .stderr(file)
+            .stdout(Stdio::null())
+            .spawn()
+            .map_err(|error| MeasureError::File(controller.program.clone(), error))?;
+        controller.child = Some(child);
+        Ok(())
+    }
+
+    /// Ends a controller at once, without a word to it.
+    pub fn kill(&mut self, node: usize) {
+        if let Some(mut child) = self.all[node].child.take() {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+
+    /// Whether a controller was started and not killed.
+    pub fn is_started(&self, node: usize) -> bool {
+        self.all[node].child.is_some()
+    }
+
+    /// What each uses; nothing for those that do not run.
+    pub fn usage(&self) -> Vec<Usage> {
+        let of = |child: &Child| Usage::of(child.id());
+        let children = self.all.iter().map(|controller| controller.child.as_ref());
+        children
+            .map(|child| child.map_or(Usage::default(), of))
+            .collect()
+    }
+}
+
+impl Drop for Controllers {
+    fn drop(&mut self) {
+        (0..self.all.len()).for_each(|node| self.kill(node));
+    }
+}
+
+fn write_settings(folder: &Path, machines: usize, sockets: usize) -> Result<(), MeasureError> {
+    let port = |node: usize| CONTROLLERS_PORT + node as u16;
+    for node in 0..CONTROLLERS {
+        let mut settings = large_settings(node, machines);
+        settings.client_listen = address(port(node)).to_string();
+        settings.internal_addr = address(port(node) + 10).to_string();
+        for peer in &mut settings.known {
+            let other: usize = peer.host_name.0[1..].parse().unwrap_or(0);
+            peer.endpoint = address(port(other) + 10).to_string();
+        }
+        settings.services.state = address(STATE_PORT).to_string();
+        settings.services.cloud = address(CLOUD_PORT).to_string();
+        settings.facts.workers.report_s = REPORT.as_secs_f64();
+        settings.facts.workers.lease_s = LEASE.as_secs_f64();
+        settings.facts.workers.cancel_s = CANCEL_S;
+        settings.facts.limits.sockets = sockets;
+        let path = folder.join(format!("n{node}.json"));
+        let text = json!(settings).to_string();
+        std::fs::write(&path, text).map_err(|error| MeasureError::File(path, error))?;
+    }
+    Ok(())
+}
--- a/crates/worksshunt-measure/src/loopback/mod.rs
+++ b/crates/worksshunt-measure/src/loopback/mod.rs
@@ -1,32 +1,34 @@
 //! Three real controllers on the loopback interface, with stand-ins of everything around them.
 
-use std::fs::File;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::pin::Pin;
-use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use async_io::{Async, Timer};
 use http_types::Method;
-use serde_json::json;
+use serde_json::{json, Value};
 use worksshunt_core::users::Reply;
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::server::{self, Handler, Incoming};
 use worksshunt_net::Executor;
-use worksshunt_simulation::{job, large_settings};
+use worksshunt_simulation::job;
 
 use crate::MeasureError;
 
 mod cloud;
+mod controllers;
 mod observer;
 mod process;
 mod state;
+pub mod upgrade;
+mod verdict;
 mod worker;
 
 use cloud::Cloud;
+use controllers::{Controllers, CONTROLLERS};
 use observer::Observer;
 use process::Usage;
 use state::StateService;
@@ -44,10 +46,23 @@
 const CLOUD_PORT: u16 = 18_101;
 /// Connections that a stand-in takes.
 const CONNECTIONS: usize = 256;
+/// How long a task runs.
+const RUN: Duration = Duration::from_secs(40);
+/// How long a machine boots.
+const BOOT: Duration = Duration::from_secs(5);
+/// Interval of a worker's reports, and how long its tasks outlive the last one that was answered.
+const REPORT: Duration = Duration::from_secs(5);
+const LEASE: Duration = Duration::from_millis(26_500);
+/// How long after a cancellation tasks may be left, seconds.
+const CANCEL_S: f64 = 46.5;
 /// How long a phase may take.
 const PATIENCE: Duration = Duration::from_secs(180);
 /// How long a state is watched.
 const WATCH: Duration = Duration::from_secs(15);
+/// How long a user waits for an answer (protocol).
+const SUBMIT_ANSWER: Duration = Duration::from_secs(5);
+/// Run time of a task that the owner of a job of the measurement names, seconds.
+const ESTIMATE_S: f64 = 60.0;
 /// How often is looked whether something has come about.
 const LOOK: Duration = Duration::from_millis(250);
 
@@ -77,81 +92,10 @@
     found.map(|(_, value)| value.as_str())
 }
 
-struct Controllers {
-    binary: PathBuf,
-    folder: PathBuf,
-    children: Vec<Option<Child>>,
-}
-
-impl Controllers {
-    fn start(&mut self, node: usize) -> Result<(), MeasureError> {
-        let log = self.folder.join(format!("n{node}.log"));
-        let file = File::options().create(true).append(true).open(&log);
-        let file = file.map_err(|error| MeasureError::File(log, error))?;
-        let child = Command::new(&self.binary)
-            .arg("--config")
-            .arg(self.folder.join(format!("n{node}.json")))
-            .env("LOG_LEVEL", "info")
-            .stderr(file)
-            .stdout(Stdio::null())
-            .spawn()
-            .map_err(|error| MeasureError::File(self.binary.clone(), error))?;
-        self.children[node] = Some(child);
-        Ok(())
-    }
-
-    fn kill(&mut self, node: usize) {
-        if let Some(mut child) = self.children[node].take() {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
-    }
-
-    fn usage(&self) -> Vec<Usage> {
-        let children = self.children.iter();
-        children
-            .map(|child| {
-                child
-                    .as_ref()
-                    .map_or(Usage::default(), |c| Usage::of(c.id()))
-            })
-            .collect()
-    }
-}
-
-impl Drop for Controllers {
-    fn drop(&mut self) {
-        (0..self.children.len()).for_each(|node| self.kill(node));
-    }
-}
-
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-fn write_settings(folder: &Path, machines: usize, sockets: usize) -> Result<(), MeasureError> {
-    let port = |node: usize| CONTROLLERS_PORT + node as u16;
-    for node in 0..3 {
-        let mut settings = large_settings(node, machines);
-        settings.client_listen = address(port(node)).to_string();
-        settings.internal_addr = address(port(node) + 10).to_string();
-        for peer in &mut settings.known {
-            let other: usize = peer.host_name.0[1..].parse().unwrap_or(0);
-            peer.endpoint = address(port(other) + 10).to_string();
-        }
-        settings.services.state = address(STATE_PORT).to_string();
-        settings.services.cloud = address(CLOUD_PORT).to_string();
-        settings.facts.workers.report_s = 5.0;
-        settings.facts.workers.lease_s = 26.5;
-        settings.facts.workers.cancel_s = 46.5;
-        settings.facts.limits.sockets = sockets;
-        let path = folder.join(format!("n{node}.json"));
-        let text = json!(settings).to_string();
-        std::fs::write(&path, text).map_err(|error| MeasureError::File(path, error))?;
-    }
-    Ok(())
-}
-
 fn serve(executor: &Rc<Executor>, port: u16, handler: Handler) -> Result<(), MeasureError> {
     let listener = Async::<std::net::TcpListener>::bind(address(port))
         .map_err(|error| MeasureError::File(address(port).to_string().into(), error))?;
@@ -163,8 +107,13 @@
 
 /// Waits until something holds; how long that took, none if it did not come about.
 async fn until(holds: impl Fn() -> bool) -> Option<Duration> {
+    until_within(PATIENCE, holds).await
+}
+
+/// The same with a bound of its own.
+async fn until_within(patience: Duration, holds: impl Fn() -> bool) -> Option<Duration> {
     let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < patience {
         if holds() {
             return Some(begun.elapsed());
         }
@@ -179,19 +128,27 @@
     })
 }
 
+/// A job of the team that has no limit.
+fn unlimited_job(id: u64, tasks: u32, estimate_s: f64) -> Value {
+    let mut new = job(id, tasks);
+    new["Cuadrilla"] = json!("white");
+    new["CalculoS"] = json!(estimate_s);
+    new
+}
+
+/// Submits a job to a controller once; whether it was accepted.
+async fn submit(node: SocketAddr, new: &Value) -> bool {
+    let client = HttpClient::new(node, 1);
+    let body = Some(new.to_string());
+    let call = client.call(Method::Post, "/v2/runs", body, SUBMIT_ANSWER);
+    matches!(call.await, Ok((200 | 201, _)))
+}
+
 async fn submit_all(plan: &Plan, jobs: u64) {
     for id in 1..=jobs {
-        let mut new = job(id, JOB_TASKS);
-        new["Cuadrilla"] = json!("white");
-        new["CalculoS"] = json!(60.0);
-        let node = plan.nodes[(id % 3) as usize].1;
-        loop {
-            let client = HttpClient::new(node, 1);
-            let body = Some(new.to_string());
-            let call = client.call(Method::Post, "/v2/runs", body, Duration::from_secs(5));
-            if matches!(call.await, Ok((200 | 201, _))) {
-                break;
-            }
+        let new = unlimited_job(id, JOB_TASKS, ESTIMATE_S);
+        let node = plan.nodes[id as usize % CONTROLLERS].1;
+        while !submit(node, &new).await {
             Timer::after(LOOK).await;
         }
     }
@@ -217,7 +174,7 @@
     observer: Rc<Observer>,
     mut controllers: Controllers,
 ) -> Result<(), MeasureError> {
-    (0..3).try_for_each(|node| controllers.start(node))?;
+    (0..CONTROLLERS).try_for_each(|node| controllers.start(node))?;
     let tasks = plan.machines * TASKS_EACH;
     let jobs = (tasks * 2).div_ceil(JOB_TASKS as usize) as u64;
     submit_all(&plan, jobs).await;
@@ -272,43 +229,60 @@
     Ok(())
 }
 
+/// Everything around the controllers.
+struct Surroundings {
+    plan: Rc<Plan>,
+    executor: Rc<Executor>,
+    observer: Rc<Observer>,
+    cloud: Rc<Cloud>,
+    state: Rc<StateService>,
+}
+
+impl Surroundings {
+    /// Stand-ins that listen, with so many workers whose tasks run that long.
+    fn new(machines: usize, run: Duration) -> Result<Surroundings, MeasureError> {
+        let node = |n: u16| (format!("n{n}"), address(CONTROLLERS_PORT + n));
+        let plan = Rc::new(Plan {
+            machines,
+            nodes: (0..CONTROLLERS as u16).map(node).collect(),
+            boot: BOOT,
+            run,
+            report: REPORT,
+            lease: LEASE,
+        });
+        let executor = Rc::new(Executor::new());
+        let observer = Rc::new(Observer::default());
+        let cloud = Cloud::new(Rc::clone(&plan), Rc::clone(&executor), Rc::clone(&observer));
+        let around = Surroundings {
+            plan,
+            executor,
+            observer,
+            cloud,
+            state: StateService::new(),
+        };
+        around.listen()?;
+        Ok(around)
+    }
+
+    fn listen(&self) -> Result<(), MeasureError> {
+        let (state, cloud) = (Rc::clone(&self.state), Rc::clone(&self.cloud));
+        let for_state: Handler = Rc::new(move |incoming| Rc::clone(&state).handle(incoming));
+        let for_cloud: Handler = Rc::new(move |incoming| Rc::clone(&cloud).handle(incoming));
+        serve(&self.executor, STATE_PORT, for_state)?;
+        serve(&self.executor, CLOUD_PORT, for_cloud)
+    }
+}
+
 /// Plays a day of real controllers with so many workers, each controller with so many sockets.
 pub fn run(
-    binary: PathBuf,
+    binary: &Path,
     folder: PathBuf,
     machines: usize,
     sockets: usize,
 ) -> Result<(), MeasureError> {
-    std::fs::create_dir_all(&folder).map_err(|e| MeasureError::File(folder.clone(), e))?;
-    write_settings(&folder, machines, sockets)?;
-    let node = |n: u16| (format!("n{n}"), address(CONTROLLERS_PORT + n));
-    let plan = Rc::new(Plan {
-        machines,
-        nodes: (0..3).map(node).collect(),
-        boot: Duration::from_secs(5),
-        run: Duration::from_secs(40),
-        report: Duration::from_secs(5),
-        lease: Duration::from_millis(26_500),
-    });
-    let executor = Rc::new(Executor::new());
-    let observer = Rc::new(Observer::default());
-    let cloud = Cloud::new(Rc::clone(&plan), Rc::clone(&executor), Rc::clone(&observer));
-    let state = StateService::new();
-    serve(
-        &executor,
-        STATE_PORT,
-        Rc::new(move |incoming| Rc::clone(&state).handle(incoming)),
-    )?;
-    let for_cloud = Rc::clone(&cloud);
-    serve(
-        &executor,
-        CLOUD_PORT,
-        Rc::new(move |incoming| Rc::clone(&for_cloud).handle(incoming)),
-    )?;
-    let controllers = Controllers {
-        binary,
-        folder,
-        children: (0..3).map(|_| None).collect(),
-    };
-    async_io::block_on(executor.run(play(plan, cloud, observer, controllers)))
+    let controllers = Controllers::new(folder, binary, machines, sockets)?;
+    let around = Surroundings::new(machines, RUN)?;
+    let (plan, cloud, observer) = (around.plan, around.cloud, around.observer);
+    let playing = play(plan, cloud, observer, controllers);
+    async_io::block_on(around.executor.run(playing))
 }
--- a/crates/worksshunt-measure/src/loopback/observer.rs
+++ b/crates/worksshunt-measure/src/loopback/observer.rs
@@ -2,9 +2,21 @@
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Instant;
 
 use worksshunt_wire::TaskId;
 
+/// What has happened to one task.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TaskHistory {
+    /// When it started first.
+    pub first_start: Instant,
+    /// How often it started.
+    pub starts: usize,
+    /// How often it completed.
+    pub completions: usize,
+}
+
 /// Counts of what has happened to tasks.
 #[derive(Debug, Default, Clone)]
 pub struct Seen {
@@ -12,6 +24,8 @@
     pub running: BTreeMap<TaskId, usize>,
     /// Tasks that completed.
     pub completed: BTreeSet<TaskId>,
+    /// All tasks that ever started.
+    pub histories: BTreeMap<TaskId, TaskHistory>,
     /// Starts of tasks.
     pub starts: usize,
     /// Starts of a task that was on another worker.
@@ -32,6 +46,12 @@
     pub fn started(&self, task: TaskId) {
         let mut seen = self.0.borrow_mut();
         seen.starts += 1;
+        let history = seen.histories.entry(task).or_insert_with(|| TaskHistory {
+            first_start: Instant::now(),
+            starts: 0,
+            completions: 0,
+        });
+        history.starts += 1;
         let on = seen.running.entry(task).or_default();
         *on += 1;
         if *on > 1 {
@@ -50,6 +70,12 @@
         }
         if completed {
             seen.completed.insert(task);
+            if let Some(history) = seen.histories.get_mut(&task) {
+                history.completions += 1;
+            }
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/worksshunt-measure/src/loopback/state.rs
+++ b/crates/worksshunt-measure/src/loopback/state.rs
@@ -6,7 +6,9 @@
 
 use async_io::Timer;
 use http_types::Method;
+use serde_json::Value;
 use worksshunt_core::controller::{StoreOp, StoreReply};
+use worksshunt_core::membership::EPOCH;
 use worksshunt_core::users::Reply;
 use worksshunt_net::server::Incoming;
 use worksshunt_simulation::Store;
@@ -18,6 +20,12 @@
 /// How often a watch looks for changes.
 const LOOK: Duration = Duration::from_millis(5);
 
+/// Name of the leader in a record of an epoch.
+fn leader_of(epoch: &Value) -> Option<String> {
+    let name = epoch.pointer("/leader/name")?;
+    name.as_str().map(str::to_owned)
+}
+
 /// What the state service keeps.
 pub struct StateService {
     store: RefCell<Store>,
@@ -38,6 +46,15 @@
         self.store.borrow_mut().apply(now, op)
     }
 
+    /// Name of the leader in the stored epoch, if there is an epoch. Only that field is read, so that records
+    /// of any version will do.
+    pub fn leader(&self) -> Option<String> {
+        match self.apply(&StoreOp::Get(EPOCH.to_owned())) {
+            StoreReply::Found(pair) => leader_of(&pair.value),
+            _ => None,
+        }
+    }
+
     fn answer(&self, op: &StoreOp) -> Reply {
         let revision = |this: &StateService| Revision(this.store.borrow().revision());
         match self.apply(op) {
@@ -132,3 +149,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/worksshunt-measure/src/loopback/verdict.rs
@@ -0,0 +1,195 @@
+//! Judges a stage of an upgrade by what its users and an observer of the workers saw.
+
+use std::collections::BTreeMap;
+use std::fmt;
+use std::time::{Duration, Instant};
+
+use worksshunt_wire::{JobId, TaskId};
+
+use super::observer::TaskHistory;
+
+/// How long after the first attempt to submit a job its last task may start.
+pub const START_BOUND: Duration = Duration::from_secs(40);
+/// How long after the last task of a stage every controller must call all its jobs done.
+pub const DONE_BOUND: Duration = Duration::from_secs(30);
+
+/// A job that was submitted.
+#[derive(Debug, Clone, Copy)]
+pub struct Submission {
+    /// Its id.
+    pub job: JobId,
+    /// Number of its tasks.
+    pub tasks: u32,
+    /// When its user first tried to submit it.
+    pub begun: Instant,
+    /// Whether a controller accepted it.
+    pub accepted: bool,
+}
+
+/// All tasks that ever started.
+pub type Histories = BTreeMap<TaskId, TaskHistory>;
+
+impl Submission {
+    fn histories<'a>(
+        &self,
+        all: &'a Histories,
+    ) -> impl Iterator<Item = Option<&'a TaskHistory>> + 'a {
+        let job = self.job;
+        (0..self.tasks).map(move |index| all.get(&TaskId { job, index }))
+    }
+
+    /// How long after the first attempt to submit it its last task started; none if one did not.
+    pub fn started_after(&self, all: &Histories) -> Option<Duration> {
+        let starts = self
+            .histories(all)
+            .map(|task| Some(task?.first_start.saturating_duration_since(self.begun)));
+        starts.collect::<Option<Vec<_>>>()?.into_iter().max()
+    }
+
+    /// Whether all its tasks completed.
+    pub fn is_completed(&self, all: &Histories) -> bool {
+        self.histories(all)
+            .all(|task| task.is_some_and(|task| task.completions > 0))
+    }
+
+    /// Tasks of it that started or completed more than once.
+    pub fn repeated_tasks(&self, all: &Histories) -> usize {
+        let repeated = |task: &&TaskHistory| task.starts > 1 || task.completions > 1;
+        self.histories(all).flatten().filter(repeated).count()
+    }
+}
+
+/// What a stage fell short of.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum Shortfall {
+    /// The epoch names no leader that runs.
+    #[error("no running controller leads")]
+    NoLeader,
+    /// No other controller took over from a leader that was killed.
+    #[error("nobody took over from n{0} in {n} s", n = START_BOUND.as_secs())]
+    NoTakeover(usize),
+    /// No controller of the build that the stage asks for came to lead.
+    #[error("no controller of the {0} build came to lead")]
+    LeaderOfOtherBuild(&'static str),
+    /// The stage needs a controller that there is not.
+    #[error("no controller of the {0} build to replace")]
+    NothingToReplace(&'static str),
+    /// A controller that was started did not become ready for requests.
+    #[error("n{0} was not ready for requests in {n} s", n = START_BOUND.as_secs())]
+    NotReady(usize),
+    /// Jobs were not accepted.
+    #[error("{0} jobs not accepted")]
+    NotAccepted(usize),
+    /// Accepted jobs did not start with all their tasks.
+    #[error("{0} accepted jobs not started")]
+    NotStarted(usize),
+    /// Jobs started late.
+    #[error("{0} jobs started later than {n} s", n = START_BOUND.as_secs())]
+    StartedLate(usize),
+    /// Accepted jobs did not complete.
+    #[error("{0} accepted jobs not completed")]
+    NotCompleted(usize),
+    /// Tasks started or completed more than once.
+    #[error("{0} tasks ran more than once")]
+    Repeated(usize),
+    /// Controllers did not call completed jobs done.
+    #[error("{0} answers not done {n} s after the last task", n = DONE_BOUND.as_secs())]
+    NotAnsweredDone(usize),
+}
+
+/// What came of asking every running controller about every completed job.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct DoneAnswers {
+    /// How long after the last task the last answer was that the job is done.
+    pub longest: Duration,
+    /// Pairs of controller and job without that answer in time.
+    pub missing: usize,
+}
+
+/// What was measured of the jobs of a stage.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Measured {
+    /// Jobs that users tried to submit, and those that were accepted.
+    pub tried: usize,
+    pub accepted: usize,
+    /// Accepted jobs all tasks of which started, those that did so in time, and those that completed.
+    pub started: usize,
+    pub started_in_time: usize,
+    pub completed: usize,
+    /// The longest time from a submission to the job's last start.
+    pub longest_start: Duration,
+    /// Tasks of this stage and of those before it that started or completed more than once.
+    pub repeated: usize,
+    /// What the controllers say of completed jobs of this stage and of those before it.
+    pub done: DoneAnswers,
+}
+
+impl Measured {
+    /// Of the jobs from that index on; repetitions and answers count for the earlier ones too.
+    pub fn of(
+        jobs: &[Submission],
+        first: usize,
+        histories: &Histories,
+        done: DoneAnswers,
+    ) -> Measured {
+        let stage = &jobs[first..];
+        let accepted: Vec<&Submission> = stage.iter().filter(|job| job.accepted).collect();
+        let starts = accepted
+            .iter()
+            .filter_map(|job| job.started_after(histories));
+        let starts: Vec<Duration> = starts.collect();
+        let completed = accepted.iter().filter(|job| job.is_completed(histories));
+        Measured {
+            tried: stage.len(),
+            accepted: accepted.len(),
+            started: starts.len(),
+            started_in_time: starts.iter().filter(|after| **after <= START_BOUND).count(),
+            completed: completed.count(),
+            longest_start: starts.iter().copied().max().unwrap_or_default(),
+            repeated: jobs.iter().map(|job| job.repeated_tasks(histories)).sum(),
+            done,
+        }
+    }
+
+    /// What the stage fell short of; nothing if it passed.
+    pub fn shortfalls(&self) -> Vec<Shortfall> {
+        let some = |count: usize| (count > 0).then_some(count);
+        let all = [
+            some(self.tried - self.accepted).map(Shortfall::NotAccepted),
+            some(self.accepted - self.started).map(Shortfall::NotStarted),
+            some(self.started - self.started_in_time).map(Shortfall::StartedLate),
+            some(self.accepted - self.completed).map(Shortfall::NotCompleted),
+            some(self.repeated).map(Shortfall::Repeated),
+            some(self.done.missing).map(Shortfall::NotAnsweredDone),
+        ];
+        all.into_iter().flatten().collect()
+    }
+}
+
+impl fmt::Display for Measured {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "jobs {} submitted, {} accepted, {} started, {} completed; longest start {:.1} s, \
+             all answered done after {:.1} s",
+            self.tried,
+            self.accepted,
+            self.started,
+            self.completed,
+            self.longest_start.as_secs_f64(),
+            self.done.longest.as_secs_f64(),
+        )
+    }
+}
+
+/// The verdict in words.
+pub fn told(shortfalls: &[Shortfall]) -> String {
+    if shortfalls.is_empty() {
+        return "pass".to_owned();
+    }
+    let told: Vec<String> = shortfalls.iter().map(Shortfall::to_string).collect();
+    format!("FAIL: {}", told.join(", "))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/worksshunt-measure/src/main.rs
+++ b/crates/worksshunt-measure/src/main.rs
@@ -13,13 +13,18 @@
 mod report;
 mod series;
 
+use loopback::upgrade::{self, Programs, UsageError};
 use series::Series;
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<std::alloc::System> = &INSTRUMENTED_SYSTEM;
 
-/// Exit code: a file could not be read or written.
+/// Exit code: a file could not be read or written, or a stage of an upgrade failed.
 const FAILED: u8 = 1;
+/// Exit code: the arguments are wrong, as the command line's parser has it too.
+const WRONG_ARGUMENTS: u8 = 2;
+/// Workers of an upgrade if it is not said.
+const DEFAULT_UPGRADE_MACHINES: usize = 60;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -60,6 +65,21 @@
         #[arg(long)]
         folder: PathBuf,
     },
+    /// Plays an upgrade of three real controllers, one after the other, with failovers, and the rollback.
+    Upgrade {
+        /// The program that is put in.
+        #[arg(long, default_value = "target/release/worksshunt")]
+        program: PathBuf,
+        /// The program that runs before, and again after the rollback.
+        #[arg(long)]
+        second_program: PathBuf,
+        /// Workers.
+        #[arg(long, default_value_t = DEFAULT_UPGRADE_MACHINES)]
+        machines: usize,
+        /// Where settings and logs go.
+        #[arg(long)]
+        folder: PathBuf,
+    },
     /// Makes a report (HTML) of files of results.
     Report {
         /// Files of results, the version before first.
@@ -83,6 +103,21 @@
     /// A plot could not be drawn.
     #[error("cannot plot: {0}")]
     Plot(String),
+    /// The arguments are wrong.
+    #[error(transparent)]
+    Usage(#[from] UsageError),
+    /// A stage of an upgrade failed.
+    #[error("stage {0} failed")]
+    Stage(usize),
+}
+
+impl MeasureError {
+    fn exit_code(&self) -> u8 {
+        match self {
+            MeasureError::Usage(_) => WRONG_ARGUMENTS,
+            _ => FAILED,
+        }
+    }
 }
 
 fn measure(machines: &[usize], runs: usize, label: String) -> Series {
@@ -126,7 +161,19 @@
             sockets,
             binary,
             folder,
-        } => loopback::run(binary, folder, machines, sockets.unwrap_or(machines * 3)),
+        } => loopback::run(&binary, folder, machines, sockets.unwrap_or(machines * 3)),
+        Command::Upgrade {
+            program,
+            second_program,
+            machines,
+            folder,
+        } => {
+            let programs = Programs {
+                new: program,
+                old: second_program,
+            };
+            upgrade::run(&programs, folder, machines)
+        }
         Command::Report { results, out } => {
             let all = results.iter().map(read).collect::<Result<Vec<_>, _>>()?;
             write(&out, &report::html(&all)?)
@@ -134,12 +181,35 @@
     }
 }
 
+/// What the command line's parser has to say of wrong arguments, on one line: all before the first empty line.
+fn one_line(error: &clap::Error) -> String {
+    let text = error.to_string();
+    let said = text.lines().map(str::trim);
+    let said: Vec<&str> = said.take_while(|line| !line.is_empty()).collect();
+    said.join(" ")
+}
+
+fn refuse(error: &clap::Error) -> ExitCode {
+    if !error.use_stderr() {
+        error.exit();
+    }
+    eprintln!("{}", one_line(error));
+    ExitCode::from(WRONG_ARGUMENTS)
+}
+
 fn main() -> ExitCode {
-    match run(Arguments::parse().command) {
+    let arguments = match Arguments::try_parse() {
+        Ok(arguments) => arguments,
+        Err(error) => return refuse(&error),
+    };
+    match run(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("measure: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(error.exit_code())
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
