--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -8,11 +8,11 @@
 use http_types::Method;
 use serde_json::Value;
 use worksshunt_core::controller::{KvRequest, KvResponse};
-use worksshunt_core::membership::EPOCH;
 use worksshunt_core::job_api::HttpResponse;
+use worksshunt_core::membership::EPOCH;
 use worksshunt_net::server::Incoming;
 use worksshunt_simulation::Store;
-use worksshunt_wire::key_value::{StoreRevision, Conflict, Lease, Listing, CompareAndSwap};
+use worksshunt_wire::key_value::{CompareAndSwap, Conflict, Lease, Listing, StoreRevision};
 use worksshunt_wire::Revision;
 
 use super::{malformed, query, Handled};
--- a/crates/worksshunt-measure/src/loopback/mod.rs
+++ b/crates/worksshunt-measure/src/loopback/mod.rs
@@ -20,18 +20,18 @@
 
 mod cloud;
 mod controllers;
+mod key_value_store;
 mod observer;
 mod process;
-mod key_value_store;
 pub mod upgrade;
 mod verdict;
 mod worker;
 
 use cloud::Cloud;
 use controllers::{Controllers, CONTROLLERS};
+use key_value_store::StateService;
 use observer::Observer;
 use process::Usage;
-use key_value_store::StateService;
 
 /// The future of an answer.
 pub type Handled = Pin<Box<dyn Future<Output = HttpResponse>>>;
