--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -97,7 +97,7 @@
                 address: info.command_address.clone(),
                 batch: CommandBatch {
                     fencing_token: token,
-                    incarnation: incarnation,
+                    incarnation,
                     commands,
                 },
             });
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -71,7 +71,7 @@
             task,
             job,
             state,
-            incarnation: incarnation,
+            incarnation,
             placed_at: now,
             over_capacity_band: None,
             inherited: state == AttemptState::Inherited,
--- a/crates/worksshunt-core/src/machines/placement.rs
+++ b/crates/worksshunt-core/src/machines/placement.rs
@@ -100,7 +100,7 @@
             machine: choice.machine.clone(),
             task: assignment.task,
             attempt: assignment.attempt,
-            incarnation: incarnation,
+            incarnation,
         };
         self.record_pages.add(assignment.attempt, record);
         self.refresh_summary(&choice.machine, now);
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -83,7 +83,7 @@
                 machine: name.into(),
                 task,
                 attempt,
-                incarnation: incarnation,
+                incarnation,
             });
         return Ok(on.collect());
     }
@@ -94,7 +94,7 @@
                 machine,
                 task,
                 attempt,
-                incarnation: incarnation,
+                incarnation,
             })
             .collect()),
         _ => Err(unknown()),
