--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -1,4 +1,7 @@
-//! Which tasks of a job are done, and how that is stored.
+//! Which tasks of a job are done, in memory and as stored.
+//!
+//! The leader's scheduler keeps a [`CompletedTasks`] for each open job and writes [`Completions`] to pages of
+//! records, of which a new leader restores it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,13 +16,15 @@
 /// The completed tasks of a job, and the zones they ran in where those matter.
 #[derive(Debug, Clone, Default)]
 pub struct CompletedTasks {
+    /// One bit for each task, the lowest bit of a byte first.
     bits: Vec<u8>,
+    /// Bits that are set.
     count: u32,
     zones: BTreeMap<String, u32>,
 }
 
 impl CompletedTasks {
-    /// No task done yet.
+    /// For a job of so many tasks, none of them done.
     pub fn new(tasks: u32) -> CompletedTasks {
         CompletedTasks {
             bits: vec![0; tasks.div_ceil(8) as usize],
@@ -35,7 +40,7 @@
             .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
     }
 
-    /// Marks a task done; false if it was already, or does not exist.
+    /// Marks a task done. Returns false if it already was, or if the job has no such task.
     pub fn insert(&mut self, index: u32) -> bool {
         match self.bits.get_mut((index / 8) as usize) {
             Some(byte) if *byte >> (index % 8) & 1 == 0 => {
@@ -47,12 +52,12 @@
         }
     }
 
-    /// Counts tasks done in a zone.
+    /// Counts tasks done in a zone. The scheduler does so for jobs with a zone constraint only.
     pub fn count_zone(&mut self, zone: &str, tasks: u32) {
         *self.zones.entry(zone.to_owned()).or_default() += tasks;
     }
 
-    /// Tasks done per zone, where counted.
+    /// Tasks done by zone, where counted.
     pub fn zones(&self) -> &BTreeMap<String, u32> {
         &self.zones
     }
@@ -63,38 +68,63 @@
     }
 }
 
-/// What a job's completions are recorded under: the job, and which `TASKS_PER_COMPLETIONS_ENTRY` of its tasks.
-pub type CompletionsKey = (JobId, u32);
+/// Identifies an entry of [`Completions`]. Ordered by job, then by chunk.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CompletionsKey {
+    /// The job.
+    pub job: JobId,
+    /// Index of the chunk of [`TASKS_PER_COMPLETIONS_ENTRY`] tasks that the entry covers.
+    pub chunk: u32,
+}
 
-/// Completed tasks of one job as they are recorded, so many of its tasks to an entry.
+/// Completed tasks of one chunk of a job's tasks, as recorded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Completions {
-    /// The tasks.
+    /// Indexes of the tasks.
     pub tasks: BTreeSet<u32>,
-    /// How many of them ran in which zone, where that matters.
+    /// How many of them ran in each zone, for jobs with a zone constraint.
     pub zones: BTreeMap<String, u32>,
 }
 
 /// The entry that a task's completion belongs to.
 pub fn completions_key(task: TaskId) -> CompletionsKey {
-    (task.job, task.index / TASKS_PER_COMPLETIONS_ENTRY)
+    CompletionsKey {
+        job: task.job,
+        chunk: task.index / TASKS_PER_COMPLETIONS_ENTRY,
+    }
 }
 
-/// Version of the completions' form.
-const FORM: u32 = 2;
+/// Format version of pages of completions.
+const COMPLETIONS_FORMAT_VERSION: u32 = 2;
+
+/// Bytes that an entry takes on a page without its runs and zones, at most.
+const ENTRY_BASE_BYTES: usize = 40;
+
+/// Bytes that a run takes, at most: two indexes of at most five digits each in brackets, and commas.
+const RUN_BYTES: usize = 14;
 
-/// Job, first and last task of every run of completed ones, zones.
-type StoredEntry = (JobId, Vec<(u32, u32)>, BTreeMap<String, u32>);
+/// Bytes that a zone takes beside its name, at most: quotes, a count and punctuation.
+const ZONE_COUNT_BYTES: usize = 12;
 
+/// The first and the last index of consecutive completed tasks. Stored as an array of the two.
+type StoredRun = (u32, u32);
+
+/// An entry as stored: an array of the job, the runs of its completed tasks, and the number of tasks
+/// completed in each zone.
+type StoredEntry = (JobId, Vec<StoredRun>, BTreeMap<String, u32>);
+
+/// A page of completions as stored.
 #[derive(Serialize, Deserialize)]
 struct StoredCompletions {
-    v: u32,
-    done: Vec<StoredEntry>,
+    #[serde(rename = "v")]
+    format_version: u32,
+    #[serde(rename = "done")]
+    entries: Vec<StoredEntry>,
 }
 
 impl Completions {
-    fn runs(&self) -> Vec<(u32, u32)> {
-        let mut runs: Vec<(u32, u32)> = Vec::new();
+    fn runs(&self) -> Vec<StoredRun> {
+        let mut runs: Vec<StoredRun> = Vec::new();
         for task in &self.tasks {
             match runs.last_mut() {
                 Some((_, last)) if *last + 1 == *task => *last = *task,
@@ -109,9 +139,12 @@
     type Key = CompletionsKey;
 
     fn size(&self, _: &CompletionsKey) -> usize {
-        let zones: usize = self.zones.keys().map(|zone| zone.len() + 12).sum();
-        // A run is two numbers of at most five digits in brackets.
-        40 + 14 * self.runs().len() + zones
+        let zones: usize = self
+            .zones
+            .keys()
+            .map(|zone| zone.len() + ZONE_COUNT_BYTES)
+            .sum();
+        ENTRY_BASE_BYTES + RUN_BYTES * self.runs().len() + zones
     }
 
     fn join(&mut self, later: Completions) {
@@ -122,30 +155,35 @@
     }
 
     fn value(entries: &BTreeMap<CompletionsKey, Completions>) -> Value {
-        let done = entries
+        let entries = entries
             .iter()
-            .map(|((id, _), entry)| (*id, entry.runs(), entry.zones.clone()))
+            .map(|(key, entry)| (key.job, entry.runs(), entry.zones.clone()))
             .collect();
-        serde_json::json!(StoredCompletions { v: FORM, done })
+        serde_json::json!(StoredCompletions {
+            format_version: COMPLETIONS_FORMAT_VERSION,
+            entries,
+        })
     }
 }
 
-/// Reads a page of completions; none if another version of the program wrote it.
+/// Reads a page of completions; `None` if its form is not that of this version of the program. Entries
+/// may span several chunks; each goes to the chunk of its first task.
 pub fn read_completions(value: &Value) -> Option<BTreeMap<CompletionsKey, Completions>> {
     let stored = StoredCompletions::deserialize(value).ok()?;
     let mut entries: BTreeMap<CompletionsKey, Completions> = BTreeMap::new();
-    for (job, runs, zones) in stored.done {
+    for (job, runs, zones) in stored.entries {
         let last = runs.last().map_or(0, |(_, last)| *last);
-        if stored.v != FORM || last >= MAX_TASKS_PER_JOB {
+        if stored.format_version != COMPLETIONS_FORMAT_VERSION || last >= MAX_TASKS_PER_JOB {
             return None;
         }
-        let tasks: BTreeSet<u32> = runs.iter().flat_map(|(a, b)| *a..=*b).collect();
+        let tasks: BTreeSet<u32> = runs
+            .iter()
+            .flat_map(|(first, last)| *first..=*last)
+            .collect();
         let index = tasks.first().copied().unwrap_or(0);
         let key = completions_key(TaskId { job, index });
-        entries
-            .entry(key)
-            .or_default()
-            .join(Completions { tasks, zones });
+        let entry = entries.entry(key).or_default();
+        entry.join(Completions { tasks, zones });
     }
     Some(entries)
 }
--- a/crates/worksshunt-core/src/jobs/job_cache.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -1,4 +1,8 @@
-//! What every controller knows of the open jobs and of those that are over, kept up by a watch.
+//! A controller's cache of the open jobs, kept up to date by a watch of the key-value store.
+//!
+//! It also holds the submission batches that the leader has not yet split, and a bounded number of
+//! final states and recently closed jobs. The controller feeds it and answers users from it; the leader's
+//! scheduler follows the changes it returns.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -10,7 +14,8 @@
 
 use crate::constants::job_api::{CLOSED_JOBS_CACHED, FINAL_STATES_CACHED};
 
-use super::{id_of, is_submission_batch, read_submission_batch, Job, OPEN};
+use super::stored::{parse_job_key, read_submission_batch};
+use super::{is_submission_batch, Job, OPEN};
 
 /// An open job as the store has it.
 #[derive(Debug, Clone)]
@@ -21,7 +26,7 @@
     pub version: Revision,
 }
 
-/// A page of jobs taken in together.
+/// Jobs accepted together under one key. The leader then writes each a key of its own.
 #[derive(Debug, Clone)]
 pub struct SubmissionBatch {
     /// The jobs.
@@ -30,44 +35,46 @@
     pub version: Revision,
 }
 
-/// What changed in the mirror.
+/// A change of the open jobs in the cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobCacheChange {
-    /// A job was accepted.
+    /// The job was accepted.
     Opened(JobId),
-    /// A job is over.
+    /// The job is done or cancelled.
     Closed(JobId),
 }
 
-/// A controller's copy of the open jobs, never newer than the store, and the final states it
-/// happened to learn.
+/// A controller's copy of the open jobs, never newer than the store, and the final states that it has
+/// read so far.
 #[derive(Debug, Default)]
 pub struct JobCache {
     open: BTreeMap<JobId, OpenJob>,
-    /// Jobs accepted many at a time, each of which the leader gives a key of its own.
+    /// Submission batches by key.
     submission_batches: BTreeMap<String, SubmissionBatch>,
-    /// Open jobs in a form that this version does not understand. They are left as they are.
+    /// Open jobs in a form that this version of the program does not understand. They are left as they are.
     unreadable: BTreeSet<JobId>,
+    /// Store revision that the cache is current at; `None` until it is loaded.
     revision: Option<Revision>,
-    finals: HashMap<JobId, JobState>,
-    finals_order: VecDeque<JobId>,
-    /// Jobs that were open here and are over, the latest last.
-    closed: VecDeque<Rc<Job>>,
+    final_states: HashMap<JobId, JobState>,
+    /// The jobs of `final_states`, the oldest entry first.
+    final_states_order: VecDeque<JobId>,
+    /// Jobs that were open here and are closed, the latest last.
+    recently_closed: VecDeque<Rc<Job>>,
 }
 
 impl JobCache {
-    /// Whether it has been read at all.
+    /// Whether it has been loaded and not been outdated since.
     pub fn is_loaded(&self) -> bool {
         self.revision.is_some()
     }
 
-    /// Store revision it is known to be current at.
+    /// Store revision that it is known to be current at.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// The store no longer has the changes since then: the jobs must be listed again. What was
-    /// known stays, so that the listing shows what has changed.
+    /// Marks the cache as outdated: the store no longer has the changes since its revision, so the jobs
+    /// have to be listed again. The content stays, so that the listing shows what has changed.
     pub fn mark_outdated(&mut self) {
         self.revision = None;
     }
@@ -77,19 +84,22 @@
         self.open.get(&id)
     }
 
-    /// Whether there is such a job that this version cannot read.
+    /// Whether the job is open in a form that this version of the program cannot read.
     pub fn is_unreadable(&self, id: JobId) -> bool {
         self.unreadable.contains(&id)
     }
 
-    /// Pages of jobs taken in together.
+    /// Submission batches and their keys.
     pub fn submission_batches(&self) -> impl Iterator<Item = (&String, &SubmissionBatch)> {
         self.submission_batches.iter()
     }
 
-    /// Whether the job is on such a page. It may have become an open job, and be over, since.
+    /// Whether the job is in a submission batch. It may have been opened, and even closed, since.
     pub fn is_in_batch(&self, id: JobId) -> bool {
-        let mut jobs = self.submission_batches.values().flat_map(|page| &page.jobs);
+        let mut jobs = self
+            .submission_batches
+            .values()
+            .flat_map(|batch| &batch.jobs);
         jobs.any(|job| job.spec.id == id)
     }
 
@@ -103,132 +113,145 @@
         self.open.values().any(|open| open.job.is_service())
     }
 
-    /// A final state, if it is still in memory.
+    /// The final state of a job, if it is in the cache.
     pub fn final_state(&self, id: JobId) -> Option<JobState> {
-        self.finals.get(&id).copied()
+        self.final_states.get(&id).copied()
     }
 
-    /// Remembers a final state. It never changes, so it may be kept and dropped at will.
+    /// Adds a final state to the cache. It never changes, so it may be evicted at any time.
     pub fn remember_final(&mut self, id: JobId, state: JobState) {
-        if self.finals.insert(id, state).is_none() {
-            self.finals_order.push_back(id);
-            if self.finals_order.len() > FINAL_STATES_CACHED {
-                if let Some(oldest) = self.finals_order.pop_front() {
-                    self.finals.remove(&oldest);
-                }
+        if self.final_states.insert(id, state).is_some() {
+            return;
+        }
+        self.final_states_order.push_back(id);
+        if self.final_states_order.len() > FINAL_STATES_CACHED {
+            if let Some(oldest) = self.final_states_order.pop_front() {
+                self.final_states.remove(&oldest);
             }
         }
     }
 
-    /// A job that was open here, if it was not long ago.
+    /// A job that was open here until recently.
     pub fn recently_closed(&self, id: JobId) -> Option<&Rc<Job>> {
-        self.closed.iter().rev().find(|job| job.spec.id == id)
+        let mut latest_first = self.recently_closed.iter().rev();
+        latest_first.find(|job| job.spec.id == id)
     }
 
     fn remember_closed(&mut self, open: OpenJob) {
-        self.closed.push_back(open.job);
-        if self.closed.len() > CLOSED_JOBS_CACHED {
-            self.closed.pop_front();
+        self.recently_closed.push_back(open.job);
+        if self.recently_closed.len() > CLOSED_JOBS_CACHED {
+            self.recently_closed.pop_front();
         }
     }
 
-    /// Takes over a full listing of the open jobs.
+    /// Replaces the content by a full listing of the open jobs. Returns what has changed.
     pub fn load(&mut self, listing: &Listing) -> Vec<JobCacheChange> {
-        let mut changes = Vec::new();
-        let listed: BTreeMap<JobId, OpenJob> = listing
-            .pairs
-            .iter()
-            .filter_map(|pair| {
-                let id = id_of(&pair.key, OPEN)?;
-                Some((id, read_open(id, &pair.value, pair.version)?))
-            })
+        let listed = read_open_jobs(listing);
+        self.unreadable = job_ids(listing)
+            .filter(|id| !listed.contains_key(id))
             .collect();
-        let ids = listing.pairs.iter().filter_map(|p| id_of(&p.key, OPEN));
-        self.unreadable = ids.filter(|id| !listed.contains_key(id)).collect();
-        let known = std::mem::take(&mut self.open);
-        for id in listed.keys().filter(|id| !known.contains_key(id)) {
-            changes.push(JobCacheChange::Opened(*id));
-        }
-        for (id, open) in known {
-            if !listed.contains_key(&id) {
+        let changes = self.replace_open(listed);
+        self.submission_batches = read_submission_batches(listing);
+        self.revision = Some(listing.revision);
+        changes
+    }
+
+    fn replace_open(&mut self, listed: BTreeMap<JobId, OpenJob>) -> Vec<JobCacheChange> {
+        let previous = std::mem::replace(&mut self.open, listed);
+        let opened = self.open.keys().filter(|id| !previous.contains_key(id));
+        let mut changes: Vec<JobCacheChange> =
+            opened.map(|id| JobCacheChange::Opened(*id)).collect();
+        for (id, open) in previous {
+            if !self.open.contains_key(&id) {
                 changes.push(JobCacheChange::Closed(id));
                 self.remember_closed(open);
             }
         }
-        let intake = listing
-            .pairs
-            .iter()
-            .filter(|pair| is_submission_batch(&pair.key));
-        self.submission_batches = intake
-            .filter_map(|pair| {
-                let page = read_submission_batch(&pair.key, &pair.value, pair.version)?;
-                Some((pair.key.clone(), page))
-            })
-            .collect();
-        self.open = listed;
-        self.revision = Some(listing.revision);
         changes
     }
 
-    /// Applies a watch's answer. Answers may overlap and overtake each other: the version of each
-    /// key decides.
-    pub fn apply_changes(&mut self, changes: &WatchResponse) -> Vec<JobCacheChange> {
-        let mut out = Vec::new();
+    /// Applies a watch response; no effect until the cache is loaded. Responses may overlap and overtake
+    /// each other, so an event counts only if its key's version is later than the cache's revision: a
+    /// response from before the last one must not bring back a closed job.
+    pub fn apply_changes(&mut self, response: &WatchResponse) -> Vec<JobCacheChange> {
         let Some(revision) = self.revision else {
-            return out;
+            return Vec::new();
         };
-        for event in &changes.events {
-            match event {
+        let changes = response
+            .events
+            .iter()
+            .filter_map(|event| match event {
                 WatchEvent::Put {
                     key,
                     value,
                     version,
-                } => {
-                    // An answer from before the last one must not bring back a closed job.
-                    if *version <= revision {
-                        continue;
-                    }
-                    if is_submission_batch(key) {
-                        if let Some(page) = read_submission_batch(key, value, *version) {
-                            self.submission_batches.insert(key.clone(), page);
-                        }
-                    } else if let Some(id) = id_of(key, OPEN) {
-                        match read_open(id, value, *version) {
-                            Some(open) => {
-                                self.unreadable.remove(&id);
-                                if self.open.insert(id, open).is_none() {
-                                    out.push(JobCacheChange::Opened(id));
-                                }
-                            }
-                            None => {
-                                self.unreadable.insert(id);
-                            }
-                        }
-                    }
+                } if *version > revision => self.apply_put(key, value, *version),
+                WatchEvent::Delete { key, version } if *version > revision => {
+                    self.apply_delete(key)
                 }
-                WatchEvent::Delete { key, version } => {
-                    if *version <= revision {
-                        continue;
-                    }
-                    if self.submission_batches.remove(key).is_some() {
-                        continue;
-                    }
-                    if let Some(id) = id_of(key, OPEN) {
-                        self.unreadable.remove(&id);
-                        if let Some(open) = self.open.remove(&id) {
-                            self.remember_closed(open);
-                            out.push(JobCacheChange::Closed(id));
-                        }
-                    }
-                }
-            }
+                WatchEvent::Put { .. } | WatchEvent::Delete { .. } => None,
+            })
+            .collect();
+        self.revision = Some(revision.max(response.revision));
+        changes
+    }
+
+    fn apply_put(&mut self, key: &str, value: &Value, version: Revision) -> Option<JobCacheChange> {
+        if is_submission_batch(key) {
+            let batch = read_submission_batch(key, value, version)?;
+            self.submission_batches.insert(key.to_owned(), batch);
+            return None;
         }
-        self.revision = Some(revision.max(changes.revision));
-        out
+        let id = parse_job_key(key, OPEN)?;
+        let Some(open) = read_open_job(id, value, version) else {
+            self.unreadable.insert(id);
+            return None;
+        };
+        self.unreadable.remove(&id);
+        let is_new = self.open.insert(id, open).is_none();
+        is_new.then_some(JobCacheChange::Opened(id))
     }
+
+    fn apply_delete(&mut self, key: &str) -> Option<JobCacheChange> {
+        if self.submission_batches.remove(key).is_some() {
+            return None;
+        }
+        let id = parse_job_key(key, OPEN)?;
+        self.unreadable.remove(&id);
+        let closed = self.open.remove(&id)?;
+        self.remember_closed(closed);
+        Some(JobCacheChange::Closed(id))
+    }
+}
+
+/// Ids of the open jobs in a listing, readable or not.
+fn job_ids(listing: &Listing) -> impl Iterator<Item = JobId> + '_ {
+    let pairs = listing.pairs.iter();
+    pairs.filter_map(|pair| parse_job_key(&pair.key, OPEN))
+}
+
+fn read_open_jobs(listing: &Listing) -> BTreeMap<JobId, OpenJob> {
+    let pairs = listing.pairs.iter();
+    pairs
+        .filter_map(|pair| {
+            let id = parse_job_key(&pair.key, OPEN)?;
+            Some((id, read_open_job(id, &pair.value, pair.version)?))
+        })
+        .collect()
+}
+
+fn read_submission_batches(listing: &Listing) -> BTreeMap<String, SubmissionBatch> {
+    let pairs = listing.pairs.iter();
+    pairs
+        .filter(|pair| is_submission_batch(&pair.key))
+        .filter_map(|pair| {
+            let batch = read_submission_batch(&pair.key, &pair.value, pair.version)?;
+            Some((pair.key.clone(), batch))
+        })
+        .collect()
 }
 
-fn read_open(id: JobId, value: &Value, version: Revision) -> Option<OpenJob> {
+fn read_open_job(id: JobId, value: &Value, version: Revision) -> Option<OpenJob> {
     match serde_json::from_value::<Job>(value.clone()) {
         Ok(job) => Some(OpenJob {
             job: Rc::new(job),
--- /dev/null
+++ b/crates/worksshunt-core/src/jobs/stored.rs
@@ -0,0 +1,116 @@
+//! Keys and values of jobs in the key-value store. All functions are pure; the controller sends what
+//! they return.
+
+use std::rc::Rc;
+
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use worksshunt_wire::user::JobState;
+use worksshunt_wire::{ControllerName, JobId, Revision};
+
+use super::{Job, SubmissionBatch};
+
+/// Prefix of the keys of open jobs, and of submission batches.
+pub const OPEN: &str = "j/";
+/// Prefix of the keys of final states.
+pub const FINAL: &str = "f/";
+/// Prefix of the pages of completed tasks.
+pub const DONE: &str = "d/";
+
+/// Prefix of submission batches. It extends [`OPEN`], so that a watch of open jobs covers them too.
+const SUBMISSION_BATCH_PREFIX: &str = "j/+";
+
+/// Format version of submission batches.
+const SUBMISSION_BATCH_FORMAT_VERSION: u32 = 1;
+
+/// Key of an open job.
+pub fn open_job_key(id: JobId) -> String {
+    format!("{OPEN}{id}")
+}
+
+/// Key of a final state.
+pub fn final_state_key(id: JobId) -> String {
+    format!("{FINAL}{id}")
+}
+
+/// Key of a submission batch. The controller's lease identifies its incarnation, within which `number`
+/// is unique.
+pub fn submission_batch_key(controller: &ControllerName, lease: u64, number: u64) -> String {
+    format!("{SUBMISSION_BATCH_PREFIX}{controller}.{lease}.{number}")
+}
+
+/// Whether a key is that of a submission batch.
+pub fn is_submission_batch(key: &str) -> bool {
+    key.starts_with(SUBMISSION_BATCH_PREFIX)
+}
+
+/// The job that the key of an open job or of a final state belongs to.
+pub fn job_of_key(key: &str) -> Option<JobId> {
+    parse_job_key(key, OPEN).or_else(|| parse_job_key(key, FINAL))
+}
+
+/// The job id in a key that consists of `prefix` and an id.
+pub(super) fn parse_job_key(key: &str, prefix: &str) -> Option<JobId> {
+    key.strip_prefix(prefix)?.parse().ok()
+}
+
+/// A submission batch as stored.
+#[derive(Serialize, Deserialize)]
+struct StoredSubmissionBatch<J> {
+    #[serde(rename = "v")]
+    format_version: u32,
+    jobs: Vec<J>,
+}
+
+/// A submission batch as stored.
+pub fn submission_batch_value(jobs: &[&Job]) -> Value {
+    serde_json::json!(StoredSubmissionBatch {
+        format_version: SUBMISSION_BATCH_FORMAT_VERSION,
+        jobs: jobs.to_vec(),
+    })
+}
+
+/// Reads a submission batch; `None` if its format version is unknown, in which case it is left as it is.
+pub(super) fn read_submission_batch(
+    key: &str,
+    value: &Value,
+    version: Revision,
+) -> Option<SubmissionBatch> {
+    match StoredSubmissionBatch::<Job>::deserialize(value) {
+        Ok(stored) if stored.format_version == SUBMISSION_BATCH_FORMAT_VERSION => {
+            Some(SubmissionBatch {
+                jobs: stored.jobs.into_iter().map(Rc::new).collect(),
+                version,
+            })
+        }
+        _ => {
+            tracing::error!(key, "submission batch in the store cannot be read");
+            None
+        }
+    }
+}
+
+/// A final state as stored.
+pub fn final_state_value(state: JobState) -> Value {
+    serde_json::json!({ "state": state })
+}
+
+/// The final state of a cancelled job as stored. Its tasks use their resources until they have stopped,
+/// which also a leader that never knew the job as open has to account for: so the job is stored with it.
+pub fn cancelled_state_value(job: Option<&Job>) -> Value {
+    let mut value = final_state_value(JobState::Cancelled);
+    if let Some(job) = job {
+        value["job"] = serde_json::json!(job);
+    }
+    value
+}
+
+/// Reads the job stored with the final state of a cancelled one; `None` if there is none.
+pub fn read_cancelled(value: &Value) -> Option<Job> {
+    serde_json::from_value(value.get("job")?.clone()).ok()
+}
+
+/// Reads a final state.
+pub fn read_final_state(value: &Value) -> Option<JobState> {
+    serde_json::from_value(value.get("state")?.clone()).ok()
+}
--- a/crates/worksshunt-core/src/jobs/tests.rs
+++ b/crates/worksshunt-core/src/jobs/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use worksshunt_wire::key_value::{Listing, WatchEvent, WatchResponse};
-use worksshunt_wire::TaskId;
+use worksshunt_wire::{JobId, Revision, TaskId};
 
 use super::*;
 use crate::constants::job_api::MAX_TASKS_PER_JOB;
@@ -36,7 +36,7 @@
     let size: usize = entries.iter().map(|(key, entry)| entry.size(key)).sum();
     assert!(
         value.to_string().len() <= size + 32,
-        "no larger than reckoned"
+        "no larger than estimated"
     );
     let every_other = Completions {
         tasks: (0..TASKS_PER_COMPLETIONS_ENTRY).step_by(2).collect(),
@@ -44,7 +44,7 @@
     };
     let smallest = (crate::constants::key_value::MIN_VALUE_KIB * 1_024.0) as usize;
     assert!(
-        every_other.size(&(job, 0)) * 2 <= smallest,
+        every_other.size(&CompletionsKey { job, chunk: 0 }) * 2 <= smallest,
         "the worst entry fits a page of the smallest value"
     );
     assert_eq!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_mirror_takes_overlapping_answers_in_any_order() {
+fn the_cache_applies_overlapping_responses_in_any_order() {
     let spec = serde_json::json!({
         "Ref": "j-000001", "Carril": "c", "Cuadrilla": "t", "Oficio": "array",
         "Turno": "normal", "Piezas": 1, "Cores": 1.0, "Gpus": 0.0, "RamGb": 1.0,
@@ -71,7 +71,7 @@
         key: "j/j-000001".into(),
         version: Revision(6),
     };
-    let answer = |revision, events: &[&WatchEvent]| WatchResponse {
+    let response = |revision, events: &[&WatchEvent]| WatchResponse {
         revision: Revision(revision),
         events: events.iter().map(|e| (*e).clone()).collect(),
     };
@@ -81,7 +81,7 @@
         more: false,
         revision: Revision(4),
     });
-    let changes = job_cache.apply_changes(&answer(6, &[&put, &delete]));
+    let changes = job_cache.apply_changes(&response(6, &[&put, &delete]));
     assert_eq!(
         changes,
         [
@@ -89,7 +89,7 @@
             JobCacheChange::Closed(JobId(1))
         ]
     );
-    assert_eq!(job_cache.apply_changes(&answer(5, &[&put])), []);
+    assert_eq!(job_cache.apply_changes(&response(5, &[&put])), []);
     assert!(job_cache.get(JobId(1)).is_none());
     assert_eq!(job_cache.revision(), Some(Revision(6)));
 }
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -28,7 +28,9 @@
     MIN_SILENT_RELEASE_MS, REPLICA_BACKOFF_MAX_MS, SILENT_RELEASE_HEARTBEAT_INTERVALS,
     STABLE_REPLICA_MS,
 };
-use crate::jobs::{completions_key, read_completions, Completions, Job, JobCache, DONE};
+use crate::jobs::{
+    completions_key, read_completions, Completions, CompletionsKey, Job, JobCache, DONE,
+};
 use crate::objectives::ServiceLevelObjectives;
 use crate::pages::{page_bytes, Pages};
 use crate::placement::owner;
@@ -216,7 +218,7 @@
         };
         let mut over = Vec::new();
         for (key, entry) in &entries {
-            let Some(work) = self.jobs.get_mut(&key.0) else {
+            let Some(work) = self.jobs.get_mut(&key.job) else {
                 over.push(*key);
                 continue;
             };
@@ -312,8 +314,9 @@
             job: id,
             index: work.job.spec.tasks - 1,
         });
-        for chunk in 0..=last.1 {
-            self.completion_pages.remove(&(id, chunk), now, false);
+        for chunk in 0..=last.chunk {
+            let key = CompletionsKey { job: id, chunk };
+            self.completion_pages.remove(&key, now, false);
         }
         for attempt in work.active.into_values().flatten() {
             self.send_directive(attempt, |phase| match phase {
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -3,7 +3,7 @@
 use worksshunt_wire::peer::Phase;
 use worksshunt_wire::{JobId, MachineId, Revision, TaskId};
 
-use crate::jobs::completions_key;
+use crate::jobs::{completions_key, CompletionsKey};
 use crate::pages::PageWrite;
 use crate::time::Time;
 
@@ -60,23 +60,31 @@
     /// The pages under way are durable.
     pub fn page_writes_applied(&mut self, revision: Option<Revision>) {
         self.former_record_pages.write_applied(revision);
-        for (job, chunk) in self.completion_pages.write_applied(revision) {
-            self.chunk_durable(job, chunk);
+        for key in self.completion_pages.write_applied(revision) {
+            self.chunk_durable(key);
         }
     }
 
-    fn chunk_durable(&mut self, job: JobId, chunk: u32) {
+    fn chunk_durable(&mut self, key: CompletionsKey) {
         // What completed since the write began is pending again and stays undurable.
         let pending = self
             .completion_pages
-            .pending_entry(&(job, chunk))
+            .pending_entry(&key)
             .cloned()
             .unwrap_or_default();
         // All of a complete job becomes durable with its end.
-        let Some(work) = self.jobs.get_mut(&job).filter(|work| !work.is_complete()) else {
+        let Some(work) = self
+            .jobs
+            .get_mut(&key.job)
+            .filter(|work| !work.is_complete())
+        else {
             return;
         };
-        let in_chunk = |index: &u32| completions_key(TaskId { job, index: *index }).1 == chunk;
+        let task = |index: &u32| TaskId {
+            job: key.job,
+            index: *index,
+        };
+        let in_chunk = |index: &u32| completions_key(task(index)) == key;
         let written: Vec<u32> = work
             .not_durable
             .iter()
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -7,7 +7,7 @@
 use worksshunt_core::jobs::{
     cancelled_state_value, final_state_key, final_state_value, is_submission_batch, job_of_key,
     open_job_key, read_cancelled, read_completions, read_final_state, submission_batch_key,
-    submission_batch_value, Completions, Job,
+    submission_batch_value, Completions, CompletionsKey, Job,
 };
 use worksshunt_core::membership::{
     member_key, EpochRecord, Member, Membership, MembershipAction, EPOCH,
@@ -253,14 +253,18 @@
         tasks: BTreeSet::from([0, 4, 5, 6]),
         zones: BTreeMap::from([("a".to_owned(), 3), ("b".to_owned(), 1)]),
     };
-    let mut entries = BTreeMap::from([((JobId(1), 0), entry)]);
+    let key = |chunk| CompletionsKey {
+        job: JobId(1),
+        chunk,
+    };
+    let mut entries = BTreeMap::from([(key(0), entry)]);
     assert_eq!(read_completions(&stored("d/0")), Some(entries.clone()));
     written("d/0", &Completions::value(&entries));
     let later = Completions {
         tasks: BTreeSet::from([TASKS_PER_COMPLETIONS_ENTRY + 1]),
         zones: BTreeMap::new(),
     };
-    entries.insert((JobId(1), 1), later);
+    entries.insert(key(1), later);
     let value = Completions::value(&entries);
     let one = TASKS_PER_COMPLETIONS_ENTRY + 1;
     let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
