--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -11,6 +11,7 @@
     FLEET_INTERVAL_MS, MACHINE_LIST_INTERVAL_MS, WAITING_TASKS_INTERVAL_MS,
 };
 use crate::fleet::CloudRequest;
+use crate::job_api::JobProgress;
 use crate::time::{Budget, Now, Time};
 
 use super::events::{Action, KvPurpose, KvRequest};
@@ -149,7 +150,7 @@
         if let Some(progress) = directives.progress {
             self.progress = progress
                 .into_iter()
-                .map(|(id, done, running)| (id, (done, running)))
+                .map(|(id, done, running)| (id, JobProgress { done, running }))
                 .collect::<BTreeMap<_, _>>();
         }
     }
--- a/crates/worksshunt-core/src/controller/requests.rs
+++ b/crates/worksshunt-core/src/controller/requests.rs
@@ -21,7 +21,7 @@
 };
 use crate::machines::HeartbeatOutcome;
 use crate::placement::owner;
-use crate::submissions::{check_possible, parse, Refusal};
+use crate::submissions::{check_possible, parse, Malformed, RefusedSubmission};
 use crate::time::{Now, Time};
 
 use super::writes::hedge_request;
@@ -169,14 +169,14 @@
             let id = Some(spec.id);
             let kept = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
             if kept.saturating_add(STORED_JOB_OVERHEAD_BYTES) > most {
-                let text = "longer than the state service keeps".to_owned();
-                return Err((id, Refusal::Malformed(text)));
+                let refusal = Malformed::TooLong.into();
+                return Err(RefusedSubmission { id, refusal });
             }
             match &self.catalog {
                 None => Ok(None),
                 Some(catalog) => check_possible(&spec, catalog, &self.quota)
                     .map(|()| Some(spec))
-                    .map_err(|refusal| (id, refusal)),
+                    .map_err(|refusal| RefusedSubmission { id, refusal }),
             }
         });
         let reply = match checked {
@@ -216,8 +216,11 @@
                     return;
                 }
             }
-            Err((None, refusal)) => HttpResponse::refused(&refusal),
-            Err((Some(id), refusal)) => {
+            Err(RefusedSubmission { id: None, refusal }) => HttpResponse::refused(&refusal),
+            Err(RefusedSubmission {
+                id: Some(id),
+                refusal,
+            }) => {
                 let job_request = JobRequest {
                     request_id: request,
                     id,
@@ -330,7 +333,12 @@
             }
             KvResponse::Committed(_) => accept_all(jobs, actions),
             KvResponse::Conflict(failed) => {
-                for (_, request, job) in jobs {
+                for PendingSubmission {
+                    request_id: request,
+                    job,
+                    ..
+                } in jobs
+                {
                     let id = job.spec.id;
                     if failed.contains(&open_job_key(id)) || failed.contains(&final_state_key(id)) {
                         self.job_api.queue_request(JobRequest {
@@ -355,9 +363,9 @@
                 self.job_api.requeue_submissions(jobs);
             }
             _ => {
-                for (_, request, _) in jobs {
+                for submission in jobs {
                     actions.push(Action::Respond(
-                        request,
+                        submission.request_id,
                         HttpResponse::retry_later("not accepted yet"),
                     ));
                 }
@@ -505,8 +513,12 @@
 }
 
 fn accept_all(jobs: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
-    for (_, request, job) in jobs {
-        actions.push(Action::Respond(request, accepted_response(job.spec.id)));
+    for PendingSubmission {
+        request_id, job, ..
+    } in jobs
+    {
+        let response = accepted_response(job.spec.id);
+        actions.push(Action::Respond(request_id, response));
     }
 }
 
--- a/crates/worksshunt-core/src/job_api/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -1,15 +1,22 @@
-//! Tests of `users`.
+//! Tests of `job_api`.
+
+use worksshunt_wire::settings::KeyValueLimits;
+use worksshunt_wire::JobId;
 
 use crate::constants::capacity::MIN_EXCHANGES;
+use crate::constants::job_api::SUBMISSION_TIMEOUT_MS;
+use crate::constants::pages::PAGES_PER_WRITE;
+use crate::jobs::Job;
+use crate::time::Time;
 
 use super::*;
 
-fn users(jobs: u64) -> JobApi {
-    let mut users = JobApi::new(MIN_EXCHANGES);
+fn job_api_with(jobs: u64) -> JobApi {
+    let mut job_api = JobApi::new(MIN_EXCHANGES);
     for id in 1..=jobs {
-        users.queue_submission(Time(0), RequestId(id), small_job(id));
+        job_api.queue_submission(Time(0), RequestId(id), small_job(id));
     }
-    users
+    job_api
 }
 
 fn small_job(id: u64) -> Box<Job> {
@@ -33,39 +40,43 @@
 
 #[test]
 fn many_submissions_share_keys_within_the_limits_of_a_transaction() {
-    let mut users = users(200);
-    let mut pages = 0;
-    let write = users.next_write(
+    let mut job_api = job_api_with(200);
+    let mut batches = 0;
+    let write = job_api.next_write(
         20,
         &limits(),
         Some(|| {
-            pages += 1;
-            format!("j/+n.1.{pages}")
+            batches += 1;
+            format!("j/+n.1.{batches}")
         }),
     );
     let write = write.expect("a transaction");
     assert!(write.changes.len() <= PAGES_PER_WRITE && write.expected.len() <= 80);
     assert!(serde_json::json!(write).to_string().len() < 64 * 1024);
-    let taken = users.write_answered().len();
-    assert!((30..200).contains(&taken), "{taken} at once");
-    assert!(users.write_due(), "the others go on waiting");
+    let written = job_api.write_answered().len();
+    assert!((30..200).contains(&written), "{written} at once");
+    assert!(job_api.write_due(), "the others still wait");
 }
 
-// Guards against submissions that hang for ever at a controller that has just lost its lease, after
-// which its pages would be named.
+// Guards against submissions that hang for ever at a controller that has just lost its lease, which is
+// part of its batches' keys.
 #[test]
-fn without_a_name_for_pages_each_job_has_its_own_key() {
-    let mut users = users(30);
-    let write = users.next_write(20, &limits(), None::<fn() -> String>);
+fn without_a_batch_key_each_job_has_its_own_key() {
+    let mut job_api = job_api_with(30);
+    let write = job_api.next_write(20, &limits(), None::<fn() -> String>);
     assert_eq!(write.map(|write| write.changes.len()), Some(20));
-    assert_eq!(users.write_answered().len(), 20);
-    assert_eq!(users.take_overdue(Time(SUBMISSION_TIMEOUT_MS)).len(), 10);
+    assert_eq!(job_api.write_answered().len(), 20);
+    assert_eq!(job_api.take_overdue(Time(SUBMISSION_TIMEOUT_MS)).len(), 10);
 }
 
 #[test]
-fn another_request_is_one_too_many_only_when_as_many_wait_as_may() {
-    let mut users = users(MIN_EXCHANGES as u64 - 1);
-    assert!(!users.is_full());
-    users.requeue_submissions(vec![(Time(0), RequestId(0), small_job(999_999))]);
-    assert!(users.is_full());
+fn requests_are_refused_only_at_capacity() {
+    let mut job_api = job_api_with(MIN_EXCHANGES as u64 - 1);
+    assert!(!job_api.is_full());
+    job_api.requeue_submissions(vec![PendingSubmission {
+        received_at: Time(0),
+        request_id: RequestId(0),
+        job: small_job(999_999),
+    }]);
+    assert!(job_api.is_full());
 }
