--- a/crates/worksshunt-core/src/constants.rs
+++ b/crates/worksshunt-core/src/constants.rs
@@ -1,7 +1,8 @@
 //! Every constant of the service, grouped by what it governs, with its unit and the reason for its value.
 //!
-//! Names end in their unit: `_MS` milliseconds, `_S` seconds, `_BYTES` bytes, `_KIB` kibibytes; `_SHARE` is a fraction of
-//! a limit, `_DIVISOR` the inverse of one. Limits of a deployment are not here: they come from the settings file and the catalogue.
+//! Names end in their unit: `_MS` milliseconds, `_S` seconds, `_BYTES` bytes, `_KIB` kibibytes; `_SHARE` is a fraction
+//! of a limit, `_DIVISOR` the inverse of one. Limits of a deployment are not here: they come from the settings file and
+//! the catalogue.
 
 pub mod capacity;
 pub mod fleet;
--- a/crates/worksshunt-core/src/constants/leases.rs
+++ b/crates/worksshunt-core/src/constants/leases.rs
@@ -1,32 +1,32 @@
-//! Leases of controllers and of workers, and the margins that they are reckoned with.
+//! Leases of controllers and of workers, and their safety margins.
 
-/// Milliseconds a member key outlives its controller's last renewal. Longer than the slowest
-/// answers of the state service (a few hundred ms) several times over; as short as that allows,
-/// because nobody takes over a dead controller's part before.
+/// Milliseconds that a member key outlives its controller's last renewal. Several times the slowest
+/// responses of the key-value store (a few hundred ms), and as short as that allows, because no controller takes
+/// over the partition of a failed one before.
 pub const MEMBER_LEASE_TTL_MS: u64 = 4_000;
 
-/// Milliseconds between renewals of the lease: three can be lost.
+/// Milliseconds between lease renewals: three can be lost.
 pub const MEMBER_LEASE_RENEWAL_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds between reads of the control keys, which find dead members and confirm the epoch.
+/// Milliseconds between reads of the control keys, which detect failed members and confirm the epoch.
 pub const CONTROL_KEYS_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds after sending a request that confirmed the epoch during which a controller may
-/// act. Three control reads can fail meanwhile. An outage of the state service may last this long
-/// plus a worker's lease (16 s at the shortest seen) without costing one; a new owner waits this
-/// long on top of the lease before it gives up a silent machine.
+/// Milliseconds, from the sending of a request that confirmed the epoch, for which a controller may act. Three
+/// reads of the control keys can fail meanwhile. An outage of the key-value store may last this long plus a
+/// worker's lease (16 s at the shortest seen) without the loss of a worker; a new owner waits this long on top
+/// of the lease before it treats the lease of a silent machine as expired.
 pub const EPOCH_LEASE_MS: u64 = 4_000;
 
-/// Milliseconds added to every lease computed here, for late timers.
+/// Milliseconds added to every worker lease computed here, for late timers.
 pub const WORKER_LEASE_MARGIN_MS: u64 = 500;
 
-/// Share by which steady clocks may drift against each other (0.05%), doubled.
+/// Share by which monotonic clocks may drift against each other (0.05%), doubled.
 pub const CLOCK_DRIFT_SHARE: f64 = 0.001;
 
-/// Control reads in a row that must show a new member before an epoch admits it, so that a
-/// controller that keeps crashing does not cost an epoch each time.
+/// Consecutive reads of the control keys that must show a new member before an epoch admits it, so that a
+/// controller that keeps crashing does not cause a new epoch each time.
 pub const ADMIT_AFTER_READS: u32 = 2;
 
-/// Attempts numbered per epoch: an attempt's number is the epoch's times this plus a count. At a thousand a
-/// second they last for four hours and a half, after which the leader begins a new epoch.
+/// Attempt numbers per epoch: an attempt's number is the epoch's number times this plus a count. At a thousand
+/// attempts a second they last for four and a half hours, after which the leader begins a new epoch.
 pub const ATTEMPTS_PER_EPOCH: u64 = 1 << 24;
--- a/crates/worksshunt-core/src/constants/partition_sync.rs
+++ b/crates/worksshunt-core/src/constants/partition_sync.rs
@@ -1,35 +1,36 @@
-//! The exchange between the owner of a partition and the leader.
+//! Synchronisation between the owner of a partition and the leader.
 
-/// Milliseconds between exchanges of an owner with the leader when nothing presses.
+/// Milliseconds between synchronisations of an owner with the leader while no updates are pending.
 pub const SYNC_IDLE_INTERVAL_MS: u64 = 500;
 
-/// Milliseconds between exchanges when something has changed: often enough not to be felt beside
-/// workers' reports, which come every half second at most.
+/// Milliseconds between synchronisations while updates are pending: short compared with the interval of workers'
+/// heartbeats, which is half a second or more.
 pub const SYNC_BUSY_INTERVAL_MS: u64 = 100;
 
-/// Milliseconds without a message from a part's owner after which it is handed nothing: two exchanges
-/// and a deadline.
+/// Milliseconds without a message from a partition's owner after which no task is assigned to it: two
+/// synchronisations and a deadline.
 pub const PARTITION_SILENT_MS: u64 = 2_000;
 
-/// Milliseconds between two tellings of jobs' progress to a part's owner. Users see it in answers to
-/// polls 5 s apart.
+/// Milliseconds between two transmissions of the jobs' progress to a partition's owner. Users see it in responses
+/// to polls 5 s apart.
 pub const PROGRESS_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds after which an exchange is given up and repeated.
+/// Milliseconds after which a synchronisation is given up and retried.
 pub const SYNC_DEADLINE_MS: u64 = 1_000;
 
-/// Longest frame taken from a peer, bytes: several times the largest one sent ([`SYNC_MAX_MACHINES`],
+/// Maximum bytes of a frame accepted from a peer: several times the largest one sent ([`SYNC_MAX_MACHINES`],
 /// [`SYNC_MAX_CHANGES`]).
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Machines described in one exchange between an owner and the leader, the others in the next: twice the largest
-/// fleet asked for (4,000), at some 100 bytes each and 300 at the most.
+/// Maximum number of machines described in one synchronisation, the others in the next: twice the largest fleet
+/// required (4,000), at some 100 bytes each and 300 at most.
 pub const SYNC_MAX_MACHINES: usize = 8_192;
 
-/// Attempts, ends, or tasks of any other kind in one exchange, the others in the next one, 100 ms later. Each is
-/// some 50 bytes and 200 at the most. More at a time would be told again and again by a controller that
-/// cannot take them in within the deadline of an exchange.
+/// Maximum number of changes of each kind (attempts, outcomes, tasks) in one synchronisation, the others in the next
+/// one, 100 ms later. Each is some 50 bytes and 200 at most. More at a time would be retransmitted again and
+/// again to a controller that cannot process them within the deadline.
 pub const SYNC_MAX_CHANGES: usize = 4_096;
 
-/// Milliseconds a part may hold a task it finds no machine for before handing it back.
+/// Milliseconds for which a partition keeps an assigned task that it finds no machine for, before it returns the
+/// task to the leader.
 pub const ASSIGNMENT_QUEUE_TIMEOUT_MS: u64 = 4_000;
--- a/crates/worksshunt-core/src/constants/placement.rs
+++ b/crates/worksshunt-core/src/constants/placement.rs
@@ -1,16 +1,16 @@
-//! Placement by measured speed: the parameters of the design.
+//! Placement by measured speed: the parameters of the published design.
 
-/// Speed window of the design, seconds (paper: lease after its preparation allowance).
+/// Window of the speed measurement, seconds (paper: lease after its preparation allowance).
 pub const SPEED_WINDOW_S: f64 = 120.0;
 
-/// Speed of a machine nothing is known of, seconds of estimated work per second held (design).
+/// Speed of a machine without measurements, seconds of estimated work per second of allocation (design).
 pub const START_SPEED: f64 = 1.0;
 
-/// Weight of a new measurement in a machine's speed: four or five tasks outweigh the past.
+/// Weight of a new measurement in a machine's moving average: four or five tasks outweigh the earlier ones.
 pub const SPEED_SMOOTHING_FACTOR: f64 = 0.2;
 
 /// Upper bounds of the size bands for over-capacity placements, seconds of estimated work.
 pub const SIZE_BANDS_S: [f64; 4] = [60.0, 120.0, 240.0, 480.0];
 
-/// Slack for sums of decimal fractions, such as processors.
+/// Tolerance for rounding errors in sums of decimal fractions, such as processors.
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
--- a/crates/worksshunt-core/src/constants/readiness.rs
+++ b/crates/worksshunt-core/src/constants/readiness.rs
@@ -1,23 +1,22 @@
-//! When a controller steps back from owning machines, and when it offers itself again.
+//! When a controller stops being ready to own machines, and when it becomes ready again.
 
-/// Report intervals without any report, from all of several machines, after which a controller
-/// concludes that workers do not reach it. Reports come at most a quarter later than the interval.
+/// Heartbeat intervals without any heartbeat, from all of several machines, after which a controller concludes
+/// that workers do not reach it. Heartbeats come at most a quarter of the interval late.
 pub const UNREACHABLE_HEARTBEAT_INTERVALS: f64 = 1.7;
 
-/// Machines that must all be silent for that conclusion: fewer may well have died together.
+/// Minimum number of machines that must all be silent for that conclusion: fewer may well have failed together.
 pub const UNREACHABLE_MIN_MACHINES: usize = 3;
 
-/// Milliseconds after which a controller that workers did not reach offers itself again ...
+/// Milliseconds after which a controller that workers did not reach becomes ready again ...
 pub const READINESS_RETRY_MS: u64 = 45_000;
 
-/// ... doubled each time it was in vain, up to this.
+/// ... doubled each time that workers still did not reach it, up to this.
 pub const READINESS_RETRY_MAX_MS: u64 = 600_000;
 
-/// Milliseconds without an answer of the leader after which a controller steps back from owning
-/// machines. Longer than a leader is busy with records after a crash; a dead one is found out before
-/// by its lease.
+/// Milliseconds without a response of the leader after which a controller is no longer ready. Longer than a new
+/// leader is busy with records after a crash; a failed leader is detected earlier by its lease.
 pub const LEADER_SILENT_MS: u64 = 6_000;
 
-/// Milliseconds for which it stays back at the least, so that a link that fails now and then does not
-/// cost an epoch each time.
+/// Minimum milliseconds before it becomes ready again, so that an intermittent link does not cause a new epoch
+/// each time.
 pub const LEADER_RETRY_MS: u64 = 10_000;
--- a/crates/worksshunt-core/src/constants/timers.rs
+++ b/crates/worksshunt-core/src/constants/timers.rs
@@ -1,33 +1,32 @@
-//! Intervals of what a controller does by the clock, and the time that a round of decisions may take.
+//! Intervals of a controller's periodic work, and the time budget of a scheduling round.
 
-/// Milliseconds between two looks at the time. What happens is acted on at once; this is for what
-/// falls due.
+/// Milliseconds between two ticks. Events are handled at once; ticks are for timers that are due.
 pub const TICK_MS: u64 = 100;
 
-/// Milliseconds a decision round may take before it is put off to the next one. A quarter of a
-/// tick leaves the rest for answering requests.
+/// Milliseconds that a scheduling round may take before its rest is deferred to the next one: a quarter of
+/// [`ROUND_INTERVAL_MS`], which leaves the rest of the time for responses to requests.
 pub const ROUND_BUDGET_MS: u64 = 12;
 
-/// Milliseconds between the beginnings of two rounds of handing out.
+/// Milliseconds between the beginnings of two scheduling rounds.
 pub const ROUND_INTERVAL_MS: u64 = 50;
 
-/// Milliseconds between two looks at tasks that have found no room for long.
+/// Milliseconds between two checks of tasks that have been waiting for capacity.
 pub const WAITING_TASKS_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds before records that could not be understood are read again.
+/// Milliseconds before unreadable records are read again.
 pub const UNREADABLE_RECORDS_RETRY_MS: u64 = 5_000;
 
-/// Milliseconds between two looks at the fleet.
+/// Milliseconds between two plans of scaling out and in.
 pub const FLEET_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds between two readings of the machine list.
+/// Milliseconds between two reads of the machine list.
 pub const MACHINE_LIST_INTERVAL_MS: u64 = 3_000;
 
-/// Milliseconds between two readings of the catalogue once it is known.
+/// Milliseconds between two reads of the catalogue once it is known.
 pub const CATALOG_INTERVAL_MS: u64 = 120_000;
 
-/// Milliseconds before an unanswered or refused catalogue request is repeated.
+/// Milliseconds before an unanswered or refused catalogue request is retried.
 pub const CATALOG_RETRY_MS: u64 = 1_000;
 
-/// Milliseconds between two over-capacity summaries (design).
+/// Milliseconds between two log summaries of over-capacity placements (design).
 pub const OVER_CAPACITY_SUMMARY_INTERVAL_MS: u64 = 30_000;
