--- a/crates/worksshunt-core/src/constants/fleet.rs
+++ b/crates/worksshunt-core/src/constants/fleet.rs
@@ -4,6 +4,9 @@
 /// the rounding of ages.
 pub const LIST_AGE_MARGIN_S: f64 = 1.0;
 
+/// Lags of the cloud's list for which a machine that is neither listed nor reported is remembered.
+pub const FORGET_AFTER_LIST_LAGS: u64 = 3;
+
 /// Milliseconds after which a request to the cloud counts as unanswered.
 pub const CLOUD_DEADLINE_MS: u64 = 4_000;
 
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -1,4 +1,5 @@
-//! Room that there is or will be, set against what waits and what is expected.
+//! The capacity that there is or will be, compared with the demand: what is served, what is not, and what is
+//! reserved for expected demand. Pure functions, used when the fleet plans its requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,20 +11,23 @@
 use crate::constants::services::RESERVED_CAPACITY_BOOT_TIMES;
 use crate::jobs::Job;
 use crate::resources::Resources;
-use crate::scheduler::{Demand, ExpectedDemand};
+use crate::scheduler::{Demand, ExpectedDemand, Forecast};
 
 use super::InstanceOffer;
 
-/// A machine that takes tasks or is going to, with the room on it.
+/// Upper bound of the tasks on a machine, for tasks that need nothing.
+const MAX_TASKS_PER_MACHINE: f64 = 1e6;
+
+/// Free capacity of a machine that takes tasks or is going to.
 #[derive(Debug, Clone)]
 pub(super) struct MachineSupply {
     pub(super) offer: InstanceOffer,
     pub(super) free: Resources,
-    /// Its name, if nothing is on it.
-    pub(super) empty: Option<MachineId>,
+    /// The machine, if it is up and no task is on it or planned for it.
+    pub(super) idle_machine: Option<MachineId>,
 }
 
-/// What a rental brings if it is granted in full.
+/// The supply that a provision request brings if it is granted in full.
 pub(super) fn supply_from_request(
     request: &ProvisionRequest,
     catalog: &Catalog,
@@ -34,61 +38,106 @@
     let machine = MachineSupply {
         offer: InstanceOffer::from(request),
         free: Resources::of_machine_type(machine_type),
-        empty: None,
+        idle_machine: None,
     };
     vec![machine; request.count as usize]
 }
 
-/// Room kept for replicas that are likely to be asked for before a machine rented for them would be up, the
-/// largest job at any time.
-pub(super) fn reserved_capacity(expected: &ExpectedDemand, catalog: &Catalog) -> Vec<Demand> {
+/// Capacity reserved for demand that is expected.
+pub(super) struct Reservation {
+    /// Idle machines that are kept for it.
+    pub(super) idle_machines: BTreeSet<MachineId>,
+    /// What has to be provisioned for it.
+    pub(super) unserved: Vec<Demand>,
+}
+
+/// Reserves capacity for expected demand and takes it out of the supply. The supply with the least free
+/// capacity serves first, so that as few idle machines as possible are kept.
+pub(super) fn reserve_capacity(
+    supply: &mut Vec<MachineSupply>,
+    forecast: &Forecast,
+    catalog: &Catalog,
+) -> Reservation {
+    let classes = forecast.classes.iter();
+    let mut expected: Vec<Demand> = classes
+        .flat_map(|class| reserved_capacity(class, catalog))
+        .collect();
+    expected.extend(spare_capacity(forecast.standby_cpus, catalog));
+    supply.sort_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus));
+    let mut idle_machines = idle_machines(supply);
+    let unserved = unserved_demand(supply, &expected);
+    for spare in self::idle_machines(supply) {
+        idle_machines.remove(&spare);
+    }
+    Reservation {
+        idle_machines,
+        unserved,
+    }
+}
+
+fn idle_machines(supply: &[MachineSupply]) -> BTreeSet<MachineId> {
+    let machines = supply.iter();
+    machines
+        .filter_map(|machine| machine.idle_machine.clone())
+        .collect()
+}
+
+/// Capacity for replicas that are likely to be submitted before a machine provisioned for them would be
+/// up, and for the largest job at any time.
+fn reserved_capacity(expected: &ExpectedDemand, catalog: &Catalog) -> Vec<Demand> {
     let job = &expected.job;
-    let offers = catalog.types.iter().flat_map(|t| {
-        let allowed = t
-            .zones
-            .iter()
-            .filter(|zone| job.allows_machine(&t.name, zone, false));
-        allowed.map(|zone| (zone, t.boot_s))
+    let offers = catalog.types.iter().flat_map(|machine_type| {
+        let zones = machine_type.zones.iter();
+        zones
+            .filter(|zone| job.allows_machine(&machine_type.name, zone, false))
+            .map(|zone| (zone, machine_type.boot_s))
     });
-    let (zones, boots): (BTreeSet<&String>, Vec<f64>) = offers.unzip();
-    let Some(boot_s) = boots.into_iter().min_by(f64::total_cmp) else {
+    let (zones, boot_times): (BTreeSet<&String>, Vec<f64>) = offers.unzip();
+    let Some(boot_s) = boot_times.into_iter().min_by(f64::total_cmp) else {
         return Vec::new();
     };
-    let jobs = f64::from(expected.jobs);
-    let coming = jobs * 1_000.0 / expected.over_ms as f64 * boot_s * RESERVED_CAPACITY_BOOT_TIMES;
-    // They come by chance: now and then there are more of them, by the root of their number or so.
-    let each = f64::from(expected.lately) / jobs.max(1.0);
-    let tasks = expected.largest + (each * (coming + coming.sqrt())).ceil() as u32;
+    let tasks = expected_tasks(expected, boot_s);
     if job.spec.spread && zones.len() > 1 {
-        let each = tasks.div_ceil(zones.len() as u32);
+        let tasks_per_zone = tasks.div_ceil(zones.len() as u32);
         let zones = zones.into_iter().cloned();
         zones
-            .map(|zone| reserved_demand(job, Some(zone), each))
+            .map(|zone| reserved_demand(job, Some(zone), tasks_per_zone))
             .collect()
     } else {
         vec![reserved_demand(job, None, tasks)]
     }
 }
 
-/// So many processors of ordinary machines, in all zones, for what nothing is known of yet. They are
-/// asked for as replicas that take a whole machine of the cheapest type.
-pub(super) fn spare_capacity(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
-    let per_cpu = |t: &MachineType| t.price / t.cpus;
-    let cheapest = catalog.types.iter().filter(|t| t.cpus > 0.0);
-    let cheapest = cheapest.min_by(|a, b| per_cpu(a).total_cmp(&per_cpu(b)));
-    let Some(machine) = cheapest.filter(|_| cpus > 0.0) else {
+/// How many tasks of a class to reserve capacity for, where a machine takes `boot_s` seconds to boot.
+fn expected_tasks(expected: &ExpectedDemand, boot_s: f64) -> u32 {
+    let jobs = f64::from(expected.jobs);
+    let arrivals = jobs * 1_000.0 / expected.over_ms as f64 * boot_s * RESERVED_CAPACITY_BOOT_TIMES;
+    // Jobs arrive at random: occasionally there are more of them, by about the square root of their number.
+    let max_arrivals = arrivals + arrivals.sqrt();
+    let tasks_per_job = f64::from(expected.lately) / jobs.max(1.0);
+    expected.largest + (tasks_per_job * max_arrivals).ceil() as u32
+}
+
+/// Spare capacity of so many processors on on-demand machines, in all zones, for demand of which nothing is
+/// known yet. It is expressed as replicas that take a whole machine of the cheapest type.
+fn spare_capacity(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
+    let price_per_cpu = |machine_type: &MachineType| machine_type.price / machine_type.cpus;
+    let types = catalog.types.iter().filter(|t| t.cpus > 0.0);
+    let cheapest = types.min_by(|a, b| price_per_cpu(a).total_cmp(&price_per_cpu(b)));
+    let Some(machine_type) = cheapest.filter(|_| cpus > 0.0) else {
         return Vec::new();
     };
-    let each = (cpus / machine.cpus / machine.zones.len() as f64).ceil() as u32;
-    let job = Rc::new(Job::whole_machine(machine));
-    let zones = machine.zones.iter().cloned();
+    let zones = machine_type.zones.len() as f64;
+    let machines_per_zone = (cpus / machine_type.cpus / zones).ceil() as u32;
+    let job = Rc::new(Job::whole_machine(machine_type));
+    let zones = machine_type.zones.iter().cloned();
     zones
-        .map(|zone| reserved_demand(&job, Some(zone), each))
+        .map(|zone| reserved_demand(&job, Some(zone), machines_per_zone))
         .collect()
 }
 
-/// Room kept for so many tasks that nobody has asked for yet.
-pub(super) fn reserved_demand(job: &Rc<Job>, zone: Option<String>, tasks: u32) -> Demand {
+/// Demand for so many tasks that no user has submitted yet.
+fn reserved_demand(job: &Rc<Job>, zone: Option<String>, tasks: u32) -> Demand {
     Demand {
         job: Rc::clone(job),
         tasks,
@@ -103,64 +152,65 @@
     }
 }
 
-/// Demand that the supply will not serve at once. Takes what it does serve out of the supply.
+/// The demand that the supply does not serve at once. What it does serve is taken out of the supply.
 pub(super) fn unserved_demand(supply: &mut Vec<MachineSupply>, demand: &[Demand]) -> Vec<Demand> {
-    let mut left = Vec::new();
-    for wanted in demand {
-        let need = wanted.job.resources();
-        let mut tasks = wanted.tasks;
-        if tasks == 0 {
-            continue;
-        }
-        supply.retain_mut(
-            |MachineSupply {
-                 offer,
-                 free: room,
-                 empty,
-             }| {
-                let allowed = allows(wanted, offer);
-                while tasks > 0 && allowed && room.fits(&need) {
-                    room.allocate(&need);
-                    tasks -= 1;
-                    *empty = None;
-                }
-                room.cpus > ROUNDING_TOLERANCE
-            },
-        );
+    let mut unserved = Vec::new();
+    for demand in demand.iter().filter(|demand| demand.tasks > 0) {
+        let need = demand.job.resources();
+        let mut tasks = demand.tasks;
+        supply.retain_mut(|machine| {
+            let allowed = allows(demand, &machine.offer);
+            while tasks > 0 && allowed && machine.free.fits(&need) {
+                machine.free.allocate(&need);
+                tasks -= 1;
+                machine.idle_machine = None;
+            }
+            machine.free.cpus > ROUNDING_TOLERANCE
+        });
         if tasks > 0 {
-            left.push(Demand {
+            unserved.push(Demand {
                 tasks,
-                ..wanted.clone()
+                ..demand.clone()
             });
         }
     }
-    left
+    unserved
+}
+
+/// Processors of a team's demand.
+#[derive(Default)]
+struct TeamDemand {
+    /// Processors that run all its tasks at once.
+    cpus_at_once: f64,
+    /// Processors that complete them in time, one after the other.
+    cpus_in_time: f64,
 }
 
-/// Processors that would get all tasks done in time, if each job were done once its turn came. It is
-/// reckoned by team: where a job's last tasks end, the next job of its team takes their place. Replicas
-/// give theirs up to nobody.
+/// Processors with which all tasks would be completed in time if each job were served in its turn. They are
+/// computed by team: where a job's last tasks end, the next job of its team takes their place. Replicas give
+/// their processors up to no other job.
 pub(super) fn cpus_needed(demand: &[Demand]) -> f64 {
-    let mut teams: BTreeMap<&TeamName, (f64, f64)> = BTreeMap::new();
-    let mut services = 0.0;
-    for wanted in demand {
-        let cpus = wanted.job.spec.cpus;
-        if wanted.job.is_service() {
-            services += cpus * f64::from(wanted.tasks + wanted.running);
+    let mut teams: BTreeMap<&TeamName, TeamDemand> = BTreeMap::new();
+    let mut service_cpus = 0.0;
+    for demand in demand {
+        let cpus = demand.job.spec.cpus;
+        if demand.job.is_service() {
+            service_cpus += cpus * f64::from(demand.tasks + demand.running);
             continue;
         }
-        let waiting_s = f64::from(wanted.waiting) * wanted.job.spec.estimate_s;
-        let (at_once, in_time) = teams.entry(&wanted.job.spec.team).or_default();
-        *at_once += cpus * f64::from(wanted.tasks + wanted.running);
-        *in_time += cpus * (waiting_s + wanted.running_s) / wanted.slack_s;
+        let waiting_s = f64::from(demand.waiting) * demand.job.spec.estimate_s;
+        let team = teams.entry(&demand.job.spec.team).or_default();
+        team.cpus_at_once += cpus * f64::from(demand.tasks + demand.running);
+        team.cpus_in_time += cpus * (waiting_s + demand.running_s) / demand.slack_s;
     }
     teams
         .values()
-        .map(|(at_once, in_time)| at_once.min(*in_time))
+        .map(|team| team.cpus_at_once.min(team.cpus_in_time))
         .sum::<f64>()
-        + services
+        + service_cpus
 }
 
+/// Whether tasks of the demand may run on machines of the offer.
 pub(super) fn allows(demand: &Demand, offer: &InstanceOffer) -> bool {
     let job = &demand.job;
     job.allows_machine(&offer.machine_type, &offer.zone, offer.spot)
@@ -169,17 +219,17 @@
         && (offer.spot || !demand.spot_only)
 }
 
-/// How many tasks of that need a machine holds.
-pub(super) fn tasks_per_machine(room: &Resources, need: &Resources) -> f64 {
-    let ratio = |all: f64, one: f64| {
-        if one > 0.0 {
-            (all / one + ROUNDING_TOLERANCE).floor()
+/// How many tasks with that need fit an empty machine with so much capacity.
+pub(super) fn tasks_per_machine(capacity: &Resources, need: &Resources) -> f64 {
+    let ratio = |capacity: f64, need: f64| {
+        if need > 0.0 {
+            (capacity / need + ROUNDING_TOLERANCE).floor()
         } else {
             f64::INFINITY
         }
     };
-    ratio(room.cpus, need.cpus)
-        .min(ratio(room.gpus, need.gpus))
-        .min(ratio(room.memory_gb, need.memory_gb))
-        .min(1e6)
+    ratio(capacity.cpus, need.cpus)
+        .min(ratio(capacity.gpus, need.gpus))
+        .min(ratio(capacity.memory_gb, need.memory_gb))
+        .min(MAX_TASKS_PER_MACHINE)
 }
--- a/crates/worksshunt-core/src/fleet/instance_offer.rs
+++ b/crates/worksshunt-core/src/fleet/instance_offer.rs
@@ -1,25 +1,25 @@
-//! Kinds of machines that can be rented.
+//! The kinds of machines that the cloud offers.
 
 use worksshunt_wire::cloud::{ListedMachine, ProvisionRequest};
 use worksshunt_wire::peer::MachineStatus;
 
-/// One kind of machine that can be rented.
+/// A kind of machine that can be provisioned. The cloud prices and refuses each by itself.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceOffer {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine; otherwise on-demand.
     pub spot: bool,
 }
 
 impl From<&MachineStatus> for InstanceOffer {
-    fn from(up: &MachineStatus) -> InstanceOffer {
+    fn from(status: &MachineStatus) -> InstanceOffer {
         InstanceOffer {
-            machine_type: up.machine_type.clone(),
-            zone: up.zone.clone(),
-            spot: up.spot,
+            machine_type: status.machine_type.clone(),
+            zone: status.zone.clone(),
+            spot: status.spot,
         }
     }
 }
--- a/crates/worksshunt-core/src/fleet/listing.rs
+++ b/crates/worksshunt-core/src/fleet/listing.rs
@@ -1,8 +1,8 @@
-//! What the cloud's list shows to be gone.
+//! Which machines the cloud's list shows to be gone.
 //!
 //! A listed machine stays listed until it is gone, but a page of the list may describe an earlier
-//! moment than one read before it. Which of two pages is the later one is told by the ages of the
-//! machines that are on both.
+//! moment than a page read before it. The ages of the machines that are on both pages show which is
+//! later. [`Listings`] belongs to the fleet, which applies each page it reads.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -12,79 +12,110 @@
 
 use crate::constants::fleet::LIST_AGE_MARGIN_S;
 
-/// A machine's place in the cloud's own time. Times compare within a frame only: machines share one if
-/// their pages could be put in order.
+/// Identifies a time frame: a set of pages that could be ordered by the machines they share. Times compare
+/// only within a frame.
+type FrameId = u64;
+
+/// The moment that a page describes in each time frame that it shares a machine with, seconds.
+type Moments = BTreeMap<FrameId, f64>;
+
+/// A machine that was listed, with its times in the cloud's clock.
 #[derive(Debug, Clone, Copy)]
-struct Listed {
-    frame: u64,
-    /// When it was rented, seconds.
-    born_s: f64,
-    /// The latest moment at which it is known to have been listed.
-    last_s: f64,
+struct ListedTimes {
+    frame: FrameId,
+    /// When its age was zero, seconds in its frame.
+    started_s: f64,
+    /// The latest moment at which it is known to have been listed, seconds in its frame.
+    last_listed_s: f64,
 }
 
 /// The machines listed so far.
 #[derive(Debug, Default)]
 pub(super) struct Listings {
-    machines: BTreeMap<MachineId, Listed>,
-    frames: u64,
+    machines: BTreeMap<MachineId, ListedTimes>,
+    last_frame: FrameId,
 }
 
 impl Listings {
-    /// Takes in the page that follows the machine `after`. Returns the machines that it shows to be gone.
-    pub fn page(&mut self, after: Option<&MachineId>, page: &MachineList) -> Vec<MachineId> {
-        let names = after.into_iter().chain(page.machines.iter().map(|m| &m.id));
-        if !names.is_sorted_by(|a, b| a < b) {
-            // Not the order the protocol gives, so nothing can be said of what is missing.
+    /// Applies the page that follows the machine `after`. Returns the machines that it shows to be gone; none
+    /// if the page is not in the order of the protocol, so that nothing can be concluded from what is missing.
+    pub fn apply_page(&mut self, after: Option<&MachineId>, page: &MachineList) -> Vec<MachineId> {
+        let ids = page.machines.iter().map(|machine| &machine.id);
+        if !after.into_iter().chain(ids).is_sorted_by(|a, b| a < b) {
             return Vec::new();
         }
-        // The moment the page describes, in each frame that it knows a machine of.
-        let mut moments: BTreeMap<u64, f64> = BTreeMap::new();
+        let moments = self.moments(page);
+        self.record(page, &moments);
+        let gone = self.gone(after, page, &moments);
+        for id in &gone {
+            self.machines.remove(id);
+        }
+        gone
+    }
+
+    fn moments(&self, page: &MachineList) -> Moments {
+        let mut moments = Moments::new();
         for machine in &page.machines {
             if let Some(listed) = self.machines.get(&machine.id) {
-                let moment = listed.born_s + machine.age_s;
+                let moment = listed.started_s + machine.age_s;
                 let earliest = moments.entry(listed.frame).or_insert(moment);
                 *earliest = earliest.min(moment);
             }
         }
+        moments
+    }
+
+    /// Records the machines of a page. New ones join the first frame of the page, or a new frame if it shares
+    /// no machine with earlier pages.
+    fn record(&mut self, page: &MachineList, moments: &Moments) {
         let (frame, moment) = match moments.first_key_value() {
             Some((frame, moment)) => (*frame, *moment),
             None => {
-                self.frames += 1;
-                (self.frames, 0.0)
+                self.last_frame += 1;
+                (self.last_frame, 0.0)
             }
         };
         for machine in &page.machines {
-            let listed = self.machines.entry(machine.id.clone()).or_insert(Listed {
-                frame,
-                born_s: moment - machine.age_s,
-                last_s: moment,
-            });
+            let listed = self
+                .machines
+                .entry(machine.id.clone())
+                .or_insert(ListedTimes {
+                    frame,
+                    started_s: moment - machine.age_s,
+                    last_listed_s: moment,
+                });
             let moment = moments.get(&listed.frame).copied().unwrap_or(moment);
-            listed.last_s = listed.last_s.max(moment);
+            listed.last_listed_s = listed.last_listed_s.max(moment);
         }
-        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let to = match page.machines.last() {
+    }
+
+    /// The machines in the page's range that are missing from it though it is later than the last page that
+    /// had them.
+    fn gone(
+        &self,
+        after: Option<&MachineId>,
+        page: &MachineList,
+        moments: &Moments,
+    ) -> Vec<MachineId> {
+        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let end = match page.machines.last() {
             Some(last) if page.more => Bound::Included(&last.id),
             _ => Bound::Unbounded,
         };
         let mut on_page = page.machines.iter().map(|machine| &machine.id).peekable();
         let mut gone = Vec::new();
-        for (id, listed) in self.machines.range::<MachineId, _>((from, to)) {
+        for (id, listed) in self.machines.range::<MachineId, _>((start, end)) {
             while on_page.next_if(|other| *other < id).is_some() {}
             if on_page.next_if_eq(&id).is_some() {
                 continue;
             }
-            let later = moments
+            let is_later = moments
                 .get(&listed.frame)
-                .is_some_and(|moment| *moment > listed.last_s + LIST_AGE_MARGIN_S);
-            if later {
+                .is_some_and(|moment| *moment > listed.last_listed_s + LIST_AGE_MARGIN_S);
+            if is_later {
                 gone.push(id.clone());
             }
         }
-        for id in &gone {
-            self.machines.remove(id);
-        }
         gone
     }
 }
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use worksshunt_wire::cloud::ListedMachine;
+use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineList};
 
 use super::*;
 use crate::constants::fleet::MIN_PROVISION_REQUESTS;
@@ -78,49 +78,50 @@
     )
 }
 
-// Guards against machines rented over and over where the tasks that wait may not run, while the zone that
-// they need is refused (found by days of mixed troubles).
+// Guards against machines provisioned over and over where the tasks that wait may not run, while the zone that
+// they need is refused (found by simulated days of mixed faults).
 #[test]
-fn no_machine_is_rented_in_a_zone_that_may_have_no_more_of_the_tasks() {
+fn no_machine_is_provisioned_in_a_zone_that_may_have_no_more_of_the_tasks() {
     let zones = |full: &[&str]| -> BTreeSet<String> {
         let mut fleet = fleet(1);
         let mut demand = demand(40, None);
         demand[0].full_zones = full.iter().map(|zone| (*zone).to_owned()).collect();
-        let mut asked = BTreeSet::new();
+        let mut requested = BTreeSet::new();
         for now in (0..20_000).step_by(1_000) {
             for request in plan(&mut fleet, now, &demand) {
                 if let CloudRequest::Provision(request) = request {
                     fleet.provision_refused(Time(now), &request.request_name);
-                    asked.insert(request.zone);
+                    requested.insert(request.zone);
                 }
             }
         }
-        asked
+        requested
     };
     assert_eq!(zones(&[]), BTreeSet::from(["a".to_owned()]));
     assert_eq!(zones(&["a"]), BTreeSet::new());
 }
 
-// Guards against minutes until a large fleet is there again, and against asking for it twice.
+// Guards against minutes until a large fleet is up again, and against requesting it twice.
 #[test]
-fn a_large_fleet_is_asked_for_in_several_requests_at_once() {
+fn a_large_fleet_is_provisioned_by_several_requests_at_once() {
     let mut fleet = fleet(1);
-    let mut asked = 0;
+    let mut requested = 0;
     for now in (0..5_000).step_by(1_000) {
         for request in plan(&mut fleet, now, &demand(2_400, None)) {
             let CloudRequest::Provision(request) = request else {
                 panic!("{request:?}");
             };
-            asked += request.count;
-            let names = (asked - request.count..asked).map(|n| MachineId(format!("i-{n:06}")));
+            requested += request.count;
+            let names =
+                (requested - request.count..requested).map(|n| MachineId(format!("i-{n:06}")));
             let machines = names.collect();
             fleet.provisioned(Time(now), &request.request_name, &MachineIds { machines });
         }
     }
-    assert_eq!(asked, 600, "four tasks on each");
+    assert_eq!(requested, 600, "four tasks on each");
 }
 
-// Guards against a new leader that returns machines for being old and not heard of yet.
+// Guards against a new leader that releases machines because they are old and not reported yet.
 #[test]
 fn a_machine_that_is_up_counts_as_silent_only_from_its_first_sighting() {
     let mut fleet = fleet(2);
@@ -132,12 +133,12 @@
     let requests = plan(&mut fleet, 561_000, &[]);
     assert!(
         matches!(&requests[..], [CloudRequest::Release(names)] if names.machines.len() == 1),
-        "a machine nobody ever heard of goes back in the end: {requests:?}"
+        "a machine that is never reported is released in the end: {requests:?}"
     );
 }
 
 #[test]
-fn a_machine_that_never_boots_goes_back() {
+fn a_machine_that_never_boots_is_released() {
     let mut fleet = fleet(2);
     fleet.machine_list_read(Time(100_000), &listed(ListedState::Starting, 90.0));
     plan(&mut fleet, 100_000, &[]);
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn spot_machines_come_first_and_ordinary_ones_when_they_are_refused() {
+fn spot_machines_come_first_and_on_demand_ones_when_they_are_refused() {
     let mut fleet = fleet(1);
     let first = plan(&mut fleet, 0, &demand(8, Some(900.0)));
     let [CloudRequest::Provision(first)] = &first[..] else {
@@ -156,7 +157,7 @@
     assert_eq!(
         plan(&mut fleet, 1_000, &demand(8, Some(900.0))),
         vec![],
-        "what was asked for counts"
+        "what was requested counts"
     );
     fleet.provision_unanswered(&first.request_name);
     let again = plan(&mut fleet, 2_000, &demand(8, Some(900.0)));
--- /dev/null
+++ b/crates/worksshunt-core/src/fleet/tracking.rs
@@ -0,0 +1,96 @@
+//! Keeps the fleet's machines up to date by the cloud's machine list and by what the partitions report.
+
+use std::collections::BTreeSet;
+
+use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineList};
+use worksshunt_wire::MachineId;
+
+use crate::constants::fleet::FORGET_AFTER_LIST_LAGS;
+use crate::scheduler::MachineView;
+use crate::time::Time;
+
+use super::{Fleet, MachineStage, TrackedMachine};
+
+impl Fleet {
+    /// Applies the pages of the machine list. A machine that was listed and is missing from a later list is
+    /// terminated. One that was never listed is forgotten only if no partition reports it either.
+    pub fn machine_list_read(&mut self, now: Time, pages: &[MachineList]) {
+        self.remove_terminated(now, pages);
+        let listed = || pages.iter().flat_map(|page| &page.machines);
+        for machine in listed() {
+            if !self.terminated.contains_key(&machine.id) {
+                self.track_listed(now, machine);
+            }
+        }
+        self.forget_unlisted(now, &listed().map(|machine| &machine.id).collect());
+    }
+
+    fn remove_terminated(&mut self, now: Time, pages: &[MachineList]) {
+        let mut after = None;
+        for page in pages {
+            for id in self.listings.apply_page(after, page) {
+                if self.machines.remove(&id).is_some() {
+                    tracing::info!(machine = %id, "machine no longer listed, terminated");
+                }
+                self.terminated.insert(id, now);
+            }
+            after = page.machines.last().map(|machine| &machine.id).or(after);
+        }
+    }
+
+    fn track_listed(&mut self, now: Time, machine: &ListedMachine) {
+        // A machine that is up counts as silent only from now on: this leader cannot know when its worker's
+        // last heartbeat was, and its partition may not have reported yet.
+        let first_seen_at = match machine.state {
+            ListedState::Starting => now - (machine.age_s * 1_000.0) as u64,
+            ListedState::Running | ListedState::Failed => now,
+        };
+        let tracked = self.machines.entry(machine.id.clone()).or_insert_with(|| {
+            TrackedMachine::new(machine.into(), MachineStage::Booting, first_seen_at)
+        });
+        match machine.state {
+            ListedState::Starting => {}
+            ListedState::Running => tracked.mark_running(now),
+            ListedState::Failed if tracked.stage() == MachineStage::Releasing => {}
+            ListedState::Failed => {
+                tracing::info!(machine = %machine.id, "machine failed");
+                tracked.abandon(&machine.id);
+            }
+        }
+    }
+
+    /// Forgets machines that are neither listed nor reported for longer than the list may lag.
+    fn forget_unlisted(&mut self, now: Time, listed: &BTreeSet<&MachineId>) {
+        let timeout_ms = self.list_lag_ms * FORGET_AFTER_LIST_LAGS;
+        self.machines
+            .retain(|id, tracked| listed.contains(id) || tracked.unreported_ms(now) < timeout_ms);
+        self.terminated
+            .retain(|id, since| listed.contains(id) || now.since(*since) < timeout_ms);
+    }
+
+    /// Applies what the partitions report of their machines.
+    pub fn update_from_partitions<'a>(
+        &mut self,
+        now: Time,
+        machines: impl Iterator<Item = &'a MachineView>,
+    ) {
+        for view in machines {
+            let status = &view.status;
+            if status.lost || self.terminated.contains_key(&status.id) {
+                continue;
+            }
+            let tracked = self
+                .machines
+                .entry(status.id.clone())
+                .or_insert_with(|| TrackedMachine::new(status.into(), MachineStage::Up, now));
+            tracked.mark_reported(&status.id, now);
+            if status.unreachable && tracked.stage() == MachineStage::Up {
+                tracing::info!(machine = %status.id, "machine unreachable, scaled in");
+                tracked.set_stage(&status.id, MachineStage::Draining);
+            }
+            // What is on its way to it may be a replica, which would keep it from being released for good.
+            let idle_since = view.idle_since.filter(|_| !view.has_reservations());
+            tracked.set_idle_since(idle_since);
+        }
+    }
+}
