--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -1,11 +1,14 @@
-//! Claims: what no part can hold goes to the leader, which takes machines out of their parts by a
-//! conditional write.
+//! Claims: machines that the leader takes out of their partitions, by a conditional write, for tasks that
+//! find free resources in no partition.
+//!
+//! The leading controller calls [`Scheduler::claim_machines`] on a timer and reports the writes' results;
+//! `placement_targets` sends the claiming job's tasks to the claimed machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use serde_json::Value;
-use worksshunt_wire::peer::{MachineStatus, Phase};
+use worksshunt_wire::peer::MachineStatus;
 use worksshunt_wire::{JobId, MachineId};
 
 use crate::constants::scheduling::{CLAIM_AFTER_MS, CLAIM_MACHINE_DIVISOR, MIN_CLAIMS};
@@ -28,7 +31,7 @@
     BeingWritten,
     /// The machine is kept free for the job.
     Held,
-    /// A task was handed out on it, or the job no longer needs it.
+    /// A task was dispatched to it, or the job no longer needs it.
     Releasing,
 }
 
@@ -41,96 +44,98 @@
 /// A machine that may be claimed.
 struct Candidate<'a> {
     machine: &'a MachineStatus,
-    /// Processors free on it, or once the narrowest of its tasks ends.
-    will_leave: f64,
+    /// Processors free on it, or freed when the smallest of its tasks ends, whichever is more.
+    cpus_without_claim: f64,
 }
 
 impl Scheduler {
-    /// Claims machines for jobs whose next task has found room in no part for a while: the leader
-    /// takes them out of their parts until the task fits.
+    /// Claims machines for jobs whose next task has found free resources in no partition for a while: the
+    /// leader takes them out of their partitions until the task fits.
     pub fn claim_machines(&mut self, now: Time) {
         self.release_idle_claims();
-        let most = MIN_CLAIMS.max(self.machines().count() / CLAIM_MACHINE_DIVISOR);
-        let mut free_claims = most.saturating_sub(self.claims.len());
-        let stuck: Vec<Rc<Job>> = self
-            .jobs
-            .values()
-            .filter(|work| {
-                work.stuck_since
-                    .is_some_and(|since| now.since(since) >= CLAIM_AFTER_MS)
-            })
-            .map(|work| Rc::clone(&work.job))
-            .collect();
+        let max_claims = MIN_CLAIMS.max(self.machines().count() / CLAIM_MACHINE_DIVISOR);
+        let free_claims = max_claims.saturating_sub(self.claims.len());
+        let stuck = self.jobs_to_claim_for(now);
         if free_claims == 0 || stuck.is_empty() {
             return;
         }
-        let widest = stuck.iter().map(|job| job.spec.cpus).fold(0.0, f64::max);
-        let candidates = self.claimable_machines(widest);
+        for (machine, job) in self.choose_claims(&stuck, free_claims) {
+            tracing::debug!(%job, %machine, "machine claim requested");
+            let state = ClaimState::BeingWritten;
+            self.claims.insert(machine.clone(), Claim { job, state });
+            self.pending_writes
+                .insert(PendingWrite::UpdateClaim(machine));
+        }
+    }
+
+    fn jobs_to_claim_for(&self, now: Time) -> Vec<Rc<Job>> {
+        let is_due = |since| now.since(since) >= CLAIM_AFTER_MS;
+        self.jobs
+            .values()
+            .filter(|tasks| tasks.stuck_since.is_some_and(is_due))
+            .map(|tasks| Rc::clone(&tasks.job))
+            .collect()
+    }
+
+    /// Machines to claim for these jobs, at most `free_claims`.
+    fn choose_claims(
+        &self,
+        stuck: &[Rc<Job>],
+        mut free_claims: usize,
+    ) -> BTreeMap<MachineId, JobId> {
+        let max_task_cpus = stuck.iter().map(|job| job.spec.cpus).fold(0.0, f64::max);
+        let candidates = self.claimable_machines(max_task_cpus);
         let mut chosen: BTreeMap<MachineId, JobId> = BTreeMap::new();
         for job in stuck {
             if free_claims == 0 {
                 break;
             }
             let id = job.spec.id;
-            let waiting = self.jobs.get(&id).map_or(0, |work| work.waiting());
-            let wanted =
-                waiting.min(self.quota.tasks_within_limit_ignoring_reservations(&job)) as usize;
-            let held = self.claims.values().filter(|c| c.job == id).count();
-            let more = wanted.saturating_sub(held).min(free_claims);
-            let zones = self.allowed_zones(&job);
-            let helps = |candidate: &&Candidate| {
-                let m = candidate.machine;
-                candidate.will_leave < job.spec.cpus
-                    && !chosen.contains_key(&m.id)
-                    && job.allows_machine(&m.machine_type, &m.zone, m.spot)
-                    && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
+            let needed = self.claims_needed(job).min(free_claims);
+            let zones = self.allowed_zones(job);
+            let is_useful = |candidate: &&Candidate| {
+                let machine = candidate.machine;
+                candidate.cpus_without_claim < job.spec.cpus
+                    && !chosen.contains_key(&machine.id)
+                    && job.allows_machine(&machine.machine_type, &machine.zone, machine.spot)
+                    && zones
+                        .as_ref()
+                        .is_none_or(|zones| zones.contains(&machine.zone))
             };
-            let machines = candidates.iter().filter(helps).take(more);
-            let machines: Vec<MachineId> = machines.map(|c| c.machine.id.clone()).collect();
+            let useful = candidates.iter().filter(is_useful).take(needed);
+            let machines: Vec<MachineId> = useful.map(|c| c.machine.id.clone()).collect();
             free_claims = free_claims.saturating_sub(machines.len());
             chosen.extend(machines.into_iter().map(|machine| (machine, id)));
         }
-        for (machine, job) in chosen {
-            tracing::debug!(%job, %machine, "claiming a machine");
-            let state = ClaimState::BeingWritten;
-            self.claims.insert(machine.clone(), Claim { job, state });
-            self.pending_writes
-                .insert(PendingWrite::UpdateClaim(machine));
-        }
+        chosen
     }
 
-    /// Machines that may be claimed for a task of at most so many processors, those with most free first. Only a
-    /// task that needs more than the next task to end will leave has to be helped; the rest find room by
-    /// themselves. Even where room is left beside that, narrower tasks would take it first.
-    fn claimable_machines(&self, widest: f64) -> Vec<Candidate<'_>> {
-        let mut narrowest: BTreeMap<&MachineId, f64> = BTreeMap::new();
-        for out in self
-            .active_attempts
-            .values()
-            .filter(|o| o.phase != Phase::Completed)
-        {
-            if let (Some(machine), Some(job)) = (&out.machine, &out.job) {
-                let least = narrowest.entry(machine).or_insert(f64::MAX);
-                *least = least.min(job.spec.cpus);
-            }
-        }
+    /// How many more machines the job could use at once, beside those claimed for it already.
+    fn claims_needed(&self, job: &Job) -> usize {
+        let id = job.spec.id;
+        let waiting = self.jobs.get(&id).map_or(0, |tasks| tasks.waiting());
+        let admitted = self.quota.tasks_within_limit_ignoring_reservations(job);
+        let claimed = self.claims.values().filter(|claim| claim.job == id).count();
+        (waiting.min(admitted) as usize).saturating_sub(claimed)
+    }
+
+    /// Machines that may be claimed for a task of at most `max_task_cpus` processors, the largest first. Only a
+    /// task that needs more than the next task to end will free has to be helped; the rest find resources by
+    /// themselves. Even where some are free beside that, smaller tasks would take them first.
+    fn claimable_machines(&self, max_task_cpus: f64) -> Vec<Candidate<'_>> {
+        let smallest_task_cpus = self.smallest_task_cpus();
         let mut candidates: Vec<Candidate> = self
             .machines()
             .map(|view| &view.status)
-            .filter_map(|machine| {
-                let next = narrowest.get(&machine.id).copied().unwrap_or(0.0);
-                let will_leave = machine.cpus.max(next);
-                let may_be_claimed = will_leave < widest
-                    && machine.schedulable
-                    && !machine.reclaim_notice
-                    && !self.claims.contains_key(&machine.id)
-                    // A former leader's claim has to go first.
-                    && !self.pending_writes.contains(&PendingWrite::RemoveKey(claim_key(&machine.id)));
-                may_be_claimed.then_some(Candidate {
+            .filter(|machine| self.is_claimable(machine))
+            .map(|machine| {
+                let smallest_task = smallest_task_cpus.get(&machine.id).copied();
+                Candidate {
                     machine,
-                    will_leave,
-                })
+                    cpus_without_claim: machine.cpus.max(smallest_task.unwrap_or(0.0)),
+                }
             })
+            .filter(|candidate| candidate.cpus_without_claim < max_task_cpus)
             .collect();
         candidates.sort_by(|a, b| {
             let (a, b) = (a.machine, b.machine);
@@ -139,20 +144,34 @@
         candidates
     }
 
-    /// Lets go of machines that are no longer there, or whose job has no waiting task.
+    fn is_claimable(&self, machine: &MachineStatus) -> bool {
+        // A former leader's claim has to go first.
+        let former_claim = PendingWrite::RemoveKey(claim_key(&machine.id));
+        machine.schedulable
+            && !machine.reclaim_notice
+            && !self.claims.contains_key(&machine.id)
+            && !self.pending_writes.contains(&former_claim)
+    }
+
+    /// Processors of the smallest task on each machine that has any.
+    fn smallest_task_cpus(&self) -> BTreeMap<&MachineId, f64> {
+        let mut smallest: BTreeMap<&MachineId, f64> = BTreeMap::new();
+        let attempts = self.active_attempts.values();
+        for active in attempts.filter(|attempt| !attempt.is_completed()) {
+            if let (Some(machine), Some(job)) = (&active.machine, &active.job) {
+                let cpus = smallest.entry(machine).or_insert(f64::MAX);
+                *cpus = cpus.min(job.spec.cpus);
+            }
+        }
+        smallest
+    }
+
+    /// Releases machines that are gone or unusable, or whose job has no waiting task.
     fn release_idle_claims(&mut self) {
         let idle: Vec<MachineId> = self
             .claims
             .iter()
-            .filter(|(machine, claim)| {
-                let present = self
-                    .partitions
-                    .values()
-                    .filter_map(|partition| partition.machines.get(*machine))
-                    .any(|view| view.status.schedulable);
-                let waiting = self.jobs.get(&claim.job).is_some_and(|w| w.waiting() > 0);
-                !present || (!waiting && !self.is_claim_used(machine))
-            })
+            .filter(|(machine, claim)| self.is_claim_idle(machine, claim))
             .map(|(machine, _)| machine.clone())
             .collect();
         for machine in idle {
@@ -160,14 +179,26 @@
         }
     }
 
+    fn is_claim_idle(&self, machine: &MachineId, claim: &Claim) -> bool {
+        let is_usable = self
+            .partitions
+            .values()
+            .filter_map(|partition| partition.machines.get(machine))
+            .any(|view| view.status.schedulable);
+        let job_tasks = self.jobs.get(&claim.job);
+        let has_waiting = job_tasks.is_some_and(|tasks| tasks.waiting() > 0);
+        !is_usable || (!has_waiting && !self.is_claim_used(machine))
+    }
+
+    /// Whether a task was dispatched to the claimed machine and is not placed yet.
     fn is_claim_used(&self, machine: &MachineId) -> bool {
         let attempts = self.active_attempts.values();
         attempts
-            .filter_map(|out| out.claimed_machine.as_ref())
+            .filter_map(|attempt| attempt.claimed_machine.as_ref())
             .any(|claimed| claimed == machine)
     }
 
-    /// Machines kept free for a job on which nothing was handed out yet.
+    /// Machines kept free for a job to which nothing was dispatched yet.
     pub(super) fn claims_for(&self, job: JobId) -> impl Iterator<Item = &MachineId> {
         self.claims
             .iter()
@@ -176,12 +207,16 @@
             .filter(|machine| !self.is_claim_used(machine))
     }
 
+    /// Machines whose claims are durable.
     pub(super) fn held_claims(&self) -> BTreeSet<MachineId> {
-        let held = |(_, claim): &(&MachineId, &Claim)| claim.state == ClaimState::Held;
-        let held = self.claims.iter().filter(held);
-        held.map(|(machine, _)| machine.clone()).collect()
+        self.claims
+            .iter()
+            .filter(|(_, claim)| claim.state == ClaimState::Held)
+            .map(|(machine, _)| machine.clone())
+            .collect()
     }
 
+    /// Has a claim removed, if there is one.
     pub(super) fn release_claim(&mut self, machine: &MachineId) {
         if let Some(claim) = self.claims.get_mut(machine) {
             claim.state = ClaimState::Releasing;
@@ -190,10 +225,11 @@
         }
     }
 
+    /// Has all claims of a job removed.
     pub(super) fn release_claims_of(&mut self, job: JobId) {
         let of_job = self.claims.iter().filter(|(_, claim)| claim.job == job);
-        let released: Vec<MachineId> = of_job.map(|(machine, _)| machine.clone()).collect();
-        for machine in released {
+        let machines: Vec<MachineId> = of_job.map(|(machine, _)| machine.clone()).collect();
+        for machine in machines {
             self.release_claim(&machine);
         }
     }
@@ -205,16 +241,16 @@
             .then(|| serde_json::json!({ "job": claim.job, "epoch": self.epoch }))
     }
 
-    /// A claim, or its end, is durable.
-    pub fn claim_written(&mut self, machine: &MachineId, held: bool) {
+    /// A claim (`is_held`), or its removal, is durable.
+    pub fn claim_written(&mut self, machine: &MachineId, is_held: bool) {
         match self.claims.get_mut(machine) {
-            Some(claim) if held && claim.state == ClaimState::BeingWritten => {
+            Some(claim) if is_held && claim.state == ClaimState::BeingWritten => {
                 claim.state = ClaimState::Held;
                 self.pending_writes
                     .remove(&PendingWrite::UpdateClaim(machine.clone()));
             }
-            // Released while it was being written: it is still due.
-            Some(_) if held => {}
+            // Released while it was being written: its removal is still due.
+            Some(_) if is_held => {}
             _ => {
                 self.claims.remove(machine);
                 self.pending_writes
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -1,19 +1,17 @@
-//! What the fleet asks of the scheduler: the work that waits, and what is likely to come.
+//! The demand for machines: the tasks that wait and run, as the fleet needs to know them to scale out
+//! and in. The leading controller asks for it on the fleet's timer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::peer::Phase;
-use worksshunt_wire::{JobId, MachineId};
+use worksshunt_wire::JobId;
 
 use crate::constants::scheduling::MIN_REMAINING_SHARE;
-use crate::constants::services::{
-    ARRIVAL_WINDOW_MS, MIN_ARRIVAL_WINDOW_MS, SPARE_CAPACITY_SHARE, SPOT_ABSENCE_MS,
-};
+use crate::constants::services::SPOT_ABSENCE_MS;
 use crate::jobs::Job;
 use crate::time::{Now, Time};
 
-use super::job_tasks::JobTasks;
+use super::zone_constraints::ZoneConstraints;
 use super::Scheduler;
 
 /// A group of waiting tasks, for the fleet.
@@ -25,9 +23,9 @@
     pub tasks: u32,
     /// All tasks that wait.
     pub waiting: u32,
-    /// Tasks handed out.
+    /// Tasks dispatched and not completed.
     pub running: u32,
-    /// Estimated seconds the tasks handed out still take, summed up.
+    /// Estimated seconds those still take, summed up.
     pub running_s: f64,
     /// Seconds its tasks may wait.
     pub slack_s: f64,
@@ -35,85 +33,83 @@
     pub zone: Option<String>,
     /// Zones that they must not be in.
     pub full_zones: BTreeSet<String>,
-    /// Whether they leave ordinary machines to others.
+    /// Whether they leave on-demand machines to others.
     pub spot_only: bool,
     /// Whether there are no spot machines to wait for.
     pub spotless: bool,
 }
 
-/// What is likely to be asked for next and has to start within seconds.
-#[derive(Debug, Clone, Default)]
-pub struct Forecast {
-    /// By class of services.
-    pub classes: Vec<ExpectedDemand>,
-    /// Processors to stand by for what nothing is known of yet.
-    pub standby_cpus: f64,
-    /// Silent machines with replicas on them, for which nobody should wait until their leases end.
-    pub silent: Vec<MachineId>,
+/// What the leader has seen in its epoch and judges future demand by.
+#[derive(Debug)]
+pub(super) struct DemandHistory {
+    /// Classes of which there has been a job.
+    classes_seen: BTreeSet<String>,
+    /// When a spot machine last took tasks; the beginning of the epoch before that.
+    spot_last_seen_at: Time,
 }
 
-/// What is likely to be asked for next of a class of services.
-#[derive(Debug, Clone)]
-pub struct ExpectedDemand {
-    /// One of the jobs.
-    pub job: Rc<Job>,
-    /// Replicas of the largest.
-    pub largest: u32,
-    /// Those that came within [`ARRIVAL_WINDOW_MS`].
-    pub jobs: u32,
-    /// Their replicas.
-    pub lately: u32,
-    /// Since when they have been coming, milliseconds; that at the most.
-    pub over_ms: u64,
+impl DemandHistory {
+    /// Nothing seen in an epoch that begins now.
+    pub fn new(now: Time) -> DemandHistory {
+        DemandHistory {
+            classes_seen: BTreeSet::new(),
+            spot_last_seen_at: now,
+        }
+    }
+
+    /// A job of the class was accepted.
+    pub fn note_class(&mut self, class: &str) {
+        if !self.classes_seen.contains(class) {
+            self.classes_seen.insert(class.to_owned());
+        }
+    }
+
+    /// Whether there has been a job of the class.
+    pub fn has_seen_class(&self, class: &str) -> bool {
+        self.classes_seen.contains(class)
+    }
+}
+
+/// The tasks of a job that were dispatched and are not completed.
+#[derive(Debug, Clone, Copy, Default)]
+struct RunningTasks {
+    tasks: u32,
+    /// Estimated seconds they still take, summed up.
+    remaining_s: f64,
 }
 
 impl Scheduler {
     /// Open jobs in order of service, with as many waiting tasks as the teams' limits let run.
     pub fn demand(&self, now: Now) -> Vec<Demand> {
         let mut quota = self.quota.clone();
-        let mut works: Vec<&JobTasks> = self
-            .jobs
-            .values()
-            .filter(|work| work.not_before <= now.steady)
-            .collect();
-        works.sort_by_cached_key(|work| work.rank(now.wall_ms));
-        let mut ran: BTreeMap<JobId, (u32, f64)> = BTreeMap::new();
-        for out in self
-            .active_attempts
-            .values()
-            .filter(|o| o.phase != Phase::Completed)
-        {
-            let Some(job) = &out.job else { continue };
-            let estimate_s = job.spec.estimate_s;
-            let ran_s = out.running_ms(now.steady) as f64 / 1_000.0;
-            let left = (estimate_s - ran_s).max(estimate_s * MIN_REMAINING_SHARE);
-            let sum = ran.entry(out.task.job).or_default();
-            sum.0 += 1;
-            sum.1 += left;
-        }
+        let running_by_job = self.running_tasks(now.steady);
         let has_spot = self.has_spot_machines(now.steady);
-        let kept = self.reserves_on_demand_machines(now.steady);
+        let reserves_on_demand = self.reserves_on_demand_machines(now.steady);
         let mut demand = Vec::new();
-        for work in works {
-            let (running, running_s) = ran.get(&work.job.spec.id).copied().unwrap_or_default();
-            let waiting = work.waiting();
-            let tasks = waiting.min(quota.tasks_within_limit(&work.job));
-            quota.charge_many(&work.job, tasks);
-            if waiting + running > 0 {
+        for job_tasks in self.dispatchable_jobs(now, |_| true) {
+            let job = &job_tasks.job;
+            let running = running_by_job
+                .get(&job.spec.id)
+                .copied()
+                .unwrap_or_default();
+            let waiting = job_tasks.waiting();
+            let tasks = waiting.min(quota.tasks_within_limit(job));
+            quota.charge_many(job, tasks);
+            if waiting + running.tasks > 0 {
                 // Not only where there are machines: a zone may have lost its last one.
-                let bounds = self.zone_bounds(&work.job);
-                let only = bounds.as_ref().and_then(|bounds| bounds.only.as_ref());
-                let zone = only.and_then(|zones| zones.first().cloned());
+                let constraints = self.zone_constraints(job);
+                let constraints = constraints.as_ref();
+                let allowed = constraints.and_then(|constraints| constraints.allowed.as_ref());
                 demand.push(Demand {
-                    job: Rc::clone(&work.job),
+                    job: Rc::clone(job),
                     tasks,
                     waiting,
-                    running,
-                    running_s,
-                    slack_s: self.objectives.slack_s(&work.job),
-                    zone,
-                    full_zones: bounds.map_or(BTreeSet::new(), |bounds| bounds.full()),
-                    spot_only: work.job.leaves_machine_to_others(false, kept),
+                    running: running.tasks,
+                    running_s: running.remaining_s,
+                    slack_s: self.objectives.slack_s(job),
+                    zone: allowed.and_then(|zones| zones.first().cloned()),
+                    full_zones: constraints.map_or(BTreeSet::new(), ZoneConstraints::full_zones),
+                    spot_only: job.leaves_machine_to_others(false, reserves_on_demand),
                     spotless: !has_spot,
                 });
             }
@@ -121,63 +117,43 @@
         demand
     }
 
+    fn running_tasks(&self, now: Time) -> BTreeMap<JobId, RunningTasks> {
+        let mut by_job: BTreeMap<JobId, RunningTasks> = BTreeMap::new();
+        let attempts = self.active_attempts.values();
+        for active in attempts.filter(|attempt| !attempt.is_completed()) {
+            let Some(job) = &active.job else { continue };
+            let estimate_s = job.spec.estimate_s;
+            let ran_s = active.running_ms(now) as f64 / 1_000.0;
+            let remaining_s = (estimate_s - ran_s).max(estimate_s * MIN_REMAINING_SHARE);
+            let running = by_job.entry(active.task.job).or_default();
+            running.tasks += 1;
+            running.remaining_s += remaining_s;
+        }
+        by_job
+    }
+
     /// Notes whether any spot machine takes tasks.
     pub fn note_spot_machines(&mut self, now: Time) {
         if self
             .machines()
             .any(|view| view.status.spot && view.status.schedulable)
         {
-            self.spot_last_seen = now;
+            self.demand_history.spot_last_seen_at = now;
         }
     }
 
     /// Whether there are spot machines, or may be soon.
     fn has_spot_machines(&self, now: Time) -> bool {
-        now.since(self.spot_last_seen) < SPOT_ABSENCE_MS
+        now.since(self.demand_history.spot_last_seen_at) < SPOT_ABSENCE_MS
     }
 
-    /// Whether ordinary machines are left to services by work that has others.
+    /// Whether jobs that may use spot machines leave on-demand machines to services.
     pub(super) fn reserves_on_demand_machines(&self, now: Time) -> bool {
-        !self.services.is_empty() && self.has_spot_machines(now)
+        !self.services.open.is_empty() && self.has_spot_machines(now)
     }
 
-    /// Whether a replica has newly found no room.
+    /// Whether a replica has found no free resources since the last preemption.
     pub fn replica_stuck(&self) -> bool {
-        self.replica_stuck
-    }
-
-    /// What is likely to be asked for next, judged by the services that are open. Before anything of
-    /// a class was seen whose tasks should start sooner than a machine boots, it may be a service.
-    pub fn forecast(&self, now: Now, boot_s: f64) -> Forecast {
-        let mut soon = self.objectives.classes_starting_within(boot_s);
-        let unseen = soon.any(|class| !self.classes_seen.contains(class));
-        let share = if unseen { SPARE_CAPACITY_SHARE } else { 0.0 };
-        Forecast {
-            classes: self.expected(now),
-            standby_cpus: self.quota.guaranteed_cpus() * share,
-            silent: self.silent_with_replicas(now.steady),
-        }
-    }
-
-    fn expected(&self, now: Now) -> Vec<ExpectedDemand> {
-        let mut classes: BTreeMap<&str, ExpectedDemand> = BTreeMap::new();
-        let works = self.services.iter().filter_map(|id| self.jobs.get(id));
-        for JobTasks { job, .. } in works {
-            let class = classes.entry(&job.spec.class).or_insert(ExpectedDemand {
-                job: Rc::clone(job),
-                largest: 0,
-                lately: 0,
-                jobs: 0,
-                over_ms: MIN_ARRIVAL_WINDOW_MS,
-            });
-            class.largest = class.largest.max(job.spec.tasks);
-            let age_ms = now.wall_ms.saturating_sub(job.accepted_ms);
-            class.over_ms = class.over_ms.max(age_ms.min(ARRIVAL_WINDOW_MS));
-            if age_ms < ARRIVAL_WINDOW_MS {
-                class.lately += job.spec.tasks;
-                class.jobs += 1;
-            }
-        }
-        classes.into_values().collect()
+        self.services.has_stuck_replica
     }
 }
--- /dev/null
+++ b/crates/worksshunt-core/src/scheduler/forecast.rs
@@ -0,0 +1,81 @@
+//! The forecast of demand: what is likely to be asked for next and has to start sooner than a machine
+//! boots. The leading controller asks for it together with the demand.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use worksshunt_wire::MachineId;
+
+use crate::constants::services::{ARRIVAL_WINDOW_MS, MIN_ARRIVAL_WINDOW_MS, SPARE_CAPACITY_SHARE};
+use crate::jobs::Job;
+use crate::time::Now;
+
+use super::job_tasks::JobTasks;
+use super::Scheduler;
+
+/// What is likely to be asked for next and has to start within seconds.
+#[derive(Debug, Clone, Default)]
+pub struct Forecast {
+    /// By class of services.
+    pub classes: Vec<ExpectedDemand>,
+    /// Processors of spare capacity for classes of which there has been no job yet.
+    pub standby_cpus: f64,
+    /// Silent machines with replicas on them, which are to be replaced before their leases end.
+    pub silent: Vec<MachineId>,
+}
+
+/// What is likely to be asked for next of a class of services.
+#[derive(Debug, Clone)]
+pub struct ExpectedDemand {
+    /// One of the jobs.
+    pub job: Rc<Job>,
+    /// Replicas of the largest.
+    pub largest: u32,
+    /// Those that were accepted within [`ARRIVAL_WINDOW_MS`].
+    pub jobs: u32,
+    /// Their replicas.
+    pub lately: u32,
+    /// Milliseconds over which those were accepted, [`MIN_ARRIVAL_WINDOW_MS`] to [`ARRIVAL_WINDOW_MS`].
+    pub over_ms: u64,
+}
+
+impl Scheduler {
+    /// What is likely to be asked for next, judged by the services that are open. Before there has been a job
+    /// of a class whose tasks should start sooner than a machine boots, it may be a service.
+    pub fn forecast(&self, now: Now, boot_s: f64) -> Forecast {
+        let mut urgent_classes = self.objectives.classes_starting_within(boot_s);
+        let has_unseen = urgent_classes.any(|class| !self.demand_history.has_seen_class(class));
+        let share = if has_unseen {
+            SPARE_CAPACITY_SHARE
+        } else {
+            0.0
+        };
+        Forecast {
+            classes: self.expected_demand(now),
+            standby_cpus: self.quota.guaranteed_cpus() * share,
+            silent: self.silent_with_replicas(now.steady),
+        }
+    }
+
+    fn expected_demand(&self, now: Now) -> Vec<ExpectedDemand> {
+        let mut classes: BTreeMap<&str, ExpectedDemand> = BTreeMap::new();
+        let services = self.services.open.iter();
+        for JobTasks { job, .. } in services.filter_map(|id| self.jobs.get(id)) {
+            let class = classes.entry(&job.spec.class).or_insert(ExpectedDemand {
+                job: Rc::clone(job),
+                largest: 0,
+                lately: 0,
+                jobs: 0,
+                over_ms: MIN_ARRIVAL_WINDOW_MS,
+            });
+            class.largest = class.largest.max(job.spec.tasks);
+            let age_ms = now.wall_ms.saturating_sub(job.accepted_ms);
+            class.over_ms = class.over_ms.max(age_ms.min(ARRIVAL_WINDOW_MS));
+            if age_ms < ARRIVAL_WINDOW_MS {
+                class.lately += job.spec.tasks;
+                class.jobs += 1;
+            }
+        }
+        classes.into_values().collect()
+    }
+}
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -1,4 +1,5 @@
-//! An open job with the state of its tasks.
+//! An open job with the state of its tasks. [`Scheduler`](super::Scheduler) owns one [`JobTasks`] per
+//! open job.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,22 +16,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     priority: Reverse<Priority>,
-    /// Whether waiting tasks can meet nothing any more that is expected of the job. Served before others of
+    /// Whether waiting tasks can meet none of the job's objectives any more. Served before others of
     /// its priority it would only make them miss theirs too.
-    missed: bool,
+    has_missed_objectives: bool,
     /// Deadline or latest start.
     ordering_time_ms: u64,
     accepted_ms: u64,
     id: JobId,
 }
 
+/// Tasks of a job, counted for the owners' answers to users.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct JobTaskCounts {
+    job: JobId,
+    done: u32,
+    running: u32,
+}
+
+impl JobTaskCounts {
+    /// Whether any task is done or running.
+    pub(super) fn has_any(&self) -> bool {
+        self.done + self.running > 0
+    }
+
+    /// As in [`LeaderDirectives`](worksshunt_wire::peer::LeaderDirectives): job, done and running tasks.
+    pub(super) fn to_wire(self) -> (JobId, u32, u32) {
+        (self.job, self.done, self.running)
+    }
+}
+
 /// An open job's tasks.
 #[derive(Debug)]
 pub(super) struct JobTasks {
     pub(super) job: Rc<Job>,
-    /// When its tasks have to start or be done; never if nobody says.
+    /// When its tasks have to start or be done, milliseconds since 1970; `u64::MAX` if nothing says that.
     ordering_time_ms: u64,
-    /// After this its waiting tasks can meet nothing that is expected of it; never if nothing is.
+    /// After this its waiting tasks can meet none of its objectives, milliseconds since 1970; `u64::MAX` if
+    /// it has none.
     last_start_ms: u64,
     /// Tasks known to be done, durable or not.
     pub(super) done: CompletedTasks,
@@ -40,20 +62,22 @@
     pub(super) active: BTreeMap<u32, Vec<Attempt>>,
     /// How many of those tasks are not done.
     active_undone: u32,
-    /// Tasks seen running.
+    /// Attempts reported as running.
     pub(super) running: u32,
     /// Every task below is done or active, so a search for waiting ones starts here.
     first_waiting: u32,
+    /// Failures since a task last completed.
     pub(super) errors: u32,
+    /// No task is dispatched before this.
     pub(super) not_before: Time,
-    /// When a task of it was last handed out.
-    pub(super) last_dispatch: Option<Time>,
-    /// Since when it has had waiting tasks that no part had room for.
+    /// When a task of it was last dispatched.
+    pub(super) last_dispatch_at: Option<Time>,
+    /// Since when it has had waiting tasks that found no free resources in any partition.
     pub(super) stuck_since: Option<Time>,
 }
 
 impl JobTasks {
-    /// A job that was accepted, with no task handed out.
+    /// A job that was accepted, with no task dispatched.
     pub(super) fn new(job: Rc<Job>, objectives: &ServiceLevelObjectives) -> JobTasks {
         JobTasks {
             last_start_ms: objectives.last_start_ms(&job).unwrap_or(u64::MAX),
@@ -67,7 +91,7 @@
             first_waiting: 0,
             errors: 0,
             not_before: Time::default(),
-            last_dispatch: None,
+            last_dispatch_at: None,
             stuck_since: None,
         }
     }
@@ -76,19 +100,33 @@
     pub(super) fn rank(&self, wall_ms: u64) -> Rank {
         Rank {
             priority: Reverse(self.job.spec.priority),
-            missed: wall_ms > self.last_start_ms,
+            has_missed_objectives: wall_ms > self.last_start_ms,
             ordering_time_ms: self.ordering_time_ms,
             accepted_ms: self.job.accepted_ms,
             id: self.job.spec.id,
         }
     }
 
-    /// How many tasks are neither done nor handed out.
+    /// How many tasks are done, and attempts running. `id` is the job's.
+    pub(super) fn counts(&self, id: JobId) -> JobTaskCounts {
+        JobTaskCounts {
+            job: id,
+            done: self.done.count(),
+            running: self.running,
+        }
+    }
+
+    /// How many tasks are neither done nor dispatched.
     pub(super) fn waiting(&self) -> u32 {
         (self.job.spec.tasks - self.done.count()).saturating_sub(self.active_undone)
     }
 
-    /// The first task that is neither done nor handed out.
+    /// Whether waiting tasks have found no free resources.
+    pub(super) fn is_stuck(&self) -> bool {
+        self.stuck_since.is_some()
+    }
+
+    /// The first task that is neither done nor dispatched.
     pub(super) fn next_waiting(&mut self) -> Option<u32> {
         while self.first_waiting < self.job.spec.tasks {
             let index = self.first_waiting;
@@ -100,7 +138,7 @@
         None
     }
 
-    /// An attempt at a task was handed out.
+    /// An attempt at a task was dispatched.
     pub(super) fn activate(&mut self, index: u32, attempt: Attempt) {
         let attempts = self.active.entry(index).or_default();
         if attempts.is_empty() && !self.done.contains(index) {
@@ -114,7 +152,7 @@
         let Some(attempts) = self.active.get_mut(&index) else {
             return;
         };
-        attempts.retain(|a| *a != attempt);
+        attempts.retain(|other| *other != attempt);
         if attempts.is_empty() {
             self.active.remove(&index);
             if !self.done.contains(index) {
@@ -126,11 +164,11 @@
 
     /// Marks a task done; false if it was already.
     pub(super) fn mark_done(&mut self, index: u32) -> bool {
-        let new = self.done.insert(index);
-        if new && self.active.contains_key(&index) {
+        let is_new = self.done.insert(index);
+        if is_new && self.active.contains_key(&index) {
             self.active_undone = self.active_undone.saturating_sub(1);
         }
-        new
+        is_new
     }
 
     /// Whether all tasks are done.
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -1,7 +1,7 @@
-//! What the leader wants written, and what follows once it is durable.
+//! The leader's pending writes, and what follows once they are durable. The controller asks for the next
+//! writes and reports the results.
 
-use worksshunt_wire::peer::Phase;
-use worksshunt_wire::{JobId, MachineId, Revision, TaskId};
+use worksshunt_wire::{Attempt, JobId, MachineId, Revision, TaskId};
 
 use crate::jobs::completions_key;
 use crate::pages::PageWrite;
@@ -10,7 +10,7 @@
 use super::partitions::Directive;
 use super::Scheduler;
 
-/// What the leader wants written apart from completions, the most useful first.
+/// A pending write apart from pages; the most useful kind comes first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
     /// All tasks of the job are done.
@@ -22,7 +22,7 @@
 }
 
 impl Scheduler {
-    /// What waits to be written apart from completions, the most useful first.
+    /// The pending writes apart from pages, the most useful first.
     pub fn pending_writes(&self) -> impl Iterator<Item = &PendingWrite> {
         self.pending_writes.iter()
     }
@@ -33,84 +33,65 @@
             .remove(&PendingWrite::RemoveKey(key.to_owned()));
     }
 
-    /// A job could not be called done: its user was faster, or it is done already.
+    /// The store refused a job's final state: its user cancelled it first, or it is done already.
     pub fn finish_refused(&mut self, id: JobId) {
         self.pending_writes.remove(&PendingWrite::FinishJob(id));
     }
 
-    /// The next write of completions, and of records of former epochs, of at most so many pages. They
-    /// take turns at being first: on a busy day there are always completions to be written, and records
-    /// that nothing is dropped from mislead the next epoch by all that has ended since.
-    pub fn next_page_writes(&mut self, now: Time, most: usize) -> Vec<PageWrite> {
-        self.former_records_first = !self.former_records_first;
-        let mut writes = Vec::new();
-        if self.former_records_first {
-            writes = self.former_record_pages.next_writes(now, most);
-        }
-        writes.extend(self.completion_pages.next_writes(now, most - writes.len()));
-        if !self.former_records_first {
-            writes.extend(
-                self.former_record_pages
-                    .next_writes(now, most - writes.len()),
-            );
-        }
-        writes
+    /// The next write of completions, and of records of former epochs, of at most `max_pages` pages.
+    pub fn next_page_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
+        self.pages.next_writes(now, max_pages)
     }
 
-    /// The pages under way are durable.
+    /// The pages under way are durable, at `revision` if it is known.
     pub fn page_writes_applied(&mut self, revision: Option<Revision>) {
-        self.former_record_pages.write_applied(revision);
-        for (job, chunk) in self.completion_pages.write_applied(revision) {
+        self.pages.former_records.write_applied(revision);
+        for (job, chunk) in self.pages.completions.write_applied(revision) {
             self.chunk_durable(job, chunk);
         }
     }
 
+    /// Completions of one chunk of a job's tasks are durable: their machines may forget them.
     fn chunk_durable(&mut self, job: JobId, chunk: u32) {
-        // What completed since the write began is pending again and stays undurable.
-        let pending = self
-            .completion_pages
-            .pending_entry(&(job, chunk))
-            .cloned()
-            .unwrap_or_default();
+        for attempt in self.take_durable_attempts(job, chunk) {
+            let active = self.active_attempts.get(&attempt);
+            if active.is_some_and(|active| active.is_completed()) {
+                self.send_directive(Directive::MarkDurable(attempt));
+            }
+        }
+    }
+
+    /// Marks the written tasks of a chunk durable; the attempts at them.
+    fn take_durable_attempts(&mut self, job: JobId, chunk: u32) -> Vec<Attempt> {
+        // What completed since the write began is pending again and is not durable yet.
+        let pending = self.pages.completions.pending_entry(&(job, chunk));
+        let is_pending = |index: &u32| pending.is_some_and(|entry| entry.tasks.contains(index));
         // All of a complete job becomes durable with its end.
-        let Some(work) = self.jobs.get_mut(&job).filter(|work| !work.is_complete()) else {
-            return;
+        let Some(job_tasks) = self.jobs.get_mut(&job).filter(|tasks| !tasks.is_complete()) else {
+            return Vec::new();
         };
         let in_chunk = |index: &u32| completions_key(TaskId { job, index: *index }).1 == chunk;
-        let written: Vec<u32> = work
+        let written: Vec<u32> = job_tasks
             .not_durable
             .iter()
             .copied()
-            .filter(|index| in_chunk(index) && !pending.tasks.contains(index))
+            .filter(|index| in_chunk(index) && !is_pending(index))
             .collect();
         let mut attempts = Vec::new();
         for index in written {
-            work.not_durable.remove(&index);
-            attempts.extend(work.active.get(&index).into_iter().flatten().copied());
-        }
-        for attempt in attempts {
-            if self
-                .active_attempts
-                .get(&attempt)
-                .is_some_and(|o| o.phase == Phase::Completed)
-            {
-                self.send_directive(attempt, |_| Directive::MarkDurable(attempt));
-            }
+            job_tasks.not_durable.remove(&index);
+            attempts.extend(job_tasks.active.get(&index).into_iter().flatten().copied());
         }
+        attempts
     }
 
-    /// Pages whose versions have to be read.
+    /// Keys of the pages whose versions have to be read.
     pub fn uncertain_pages(&self) -> Vec<String> {
-        let uncertain = self
-            .completion_pages
-            .uncertain_keys()
-            .chain(self.former_record_pages.uncertain_keys());
-        uncertain.cloned().collect()
+        self.pages.uncertain_keys().cloned().collect()
     }
 
     /// A page's version was read.
     pub fn page_version_read(&mut self, key: &str, version: Revision) {
-        self.completion_pages.version_read(key, version);
-        self.former_record_pages.version_read(key, version);
+        self.pages.version_read(key, version);
     }
 }
