--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -1,4 +1,7 @@
-//! Teams' guarantees and limits.
+//! Teams' quotas: what each team is guaranteed, what it may use at most, and what it uses.
+//!
+//! The leader's scheduler owns one [`Quota`] and charges every active attempt to it; copies of it serve to
+//! try out preemptions and to compute the demand. Every controller has one without usage to check submissions.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,56 +12,83 @@
 use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::jobs::Job;
 
-/// Processors and accelerators in use.
+/// The resources that quotas count.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Usage {
-    /// Processors.
-    pub cpus: f64,
+struct QuotaResources {
+    cpus: f64,
     /// Accelerators.
-    pub gpus: f64,
+    gpus: f64,
 }
 
-impl Usage {
-    /// Counts so many tasks of the job in.
+impl QuotaResources {
+    fn guarantee_of(team: &Team) -> QuotaResources {
+        QuotaResources {
+            cpus: team.cpus,
+            gpus: team.gpus,
+        }
+    }
+
+    /// Infinite where there is no limit.
+    fn limit_of(team: &Team) -> QuotaResources {
+        let (cpus, gpus) = team.limits();
+        QuotaResources { cpus, gpus }
+    }
+
+    /// Adds what `tasks` tasks of the job use.
     fn add(&mut self, job: &Job, tasks: u32) {
         self.cpus += job.spec.cpus * f64::from(tasks);
         self.gpus += job.spec.gpus * f64::from(tasks);
     }
 
-    /// Counts one task of the job out.
-    fn remove(&mut self, job: &Job) {
+    /// Subtracts what one task of the job uses.
+    fn subtract(&mut self, job: &Job) {
         self.cpus = (self.cpus - job.spec.cpus).max(0.0);
         self.gpus = (self.gpus - job.spec.gpus).max(0.0);
     }
+
+    /// Whether it is more than `bound` of either.
+    fn exceeds(&self, bound: &QuotaResources) -> bool {
+        self.cpus > bound.cpus + ROUNDING_TOLERANCE || self.gpus > bound.gpus + ROUNDING_TOLERANCE
+    }
 }
 
 /// What teams may use and do use.
 #[derive(Debug, Clone, Default)]
 pub struct Quota {
     teams: BTreeMap<TeamName, Team>,
-    used: BTreeMap<TeamName, Usage>,
-    /// What is kept free for tasks that come first.
-    reserved: BTreeMap<TeamName, Usage>,
+    used: BTreeMap<TeamName, QuotaResources>,
+    /// What is reserved for starved tasks.
+    reserved: BTreeMap<TeamName, QuotaResources>,
 }
 
 /// Processors in use by team.
 impl std::fmt::Display for Quota {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (i, (name, used)) in self.used.iter().enumerate() {
-            let gap = if i > 0 { " " } else { "" };
-            write!(f, "{gap}{name}:{:.1}", used.cpus)?;
+            let separator = if i > 0 { " " } else { "" };
+            write!(f, "{separator}{name}:{:.1}", used.cpus)?;
         }
         Ok(())
     }
 }
 
 impl Quota {
-    /// No use yet of what the teams may have.
+    /// The teams' quotas from the settings, with nothing in use.
     pub fn new(teams: &[Team]) -> Quota {
         Quota {
-            teams: teams.iter().map(|t| (t.name.clone(), t.clone())).collect(),
-            used: BTreeMap::new(),
-            reserved: BTreeMap::new(),
+            teams: teams
+                .iter()
+                .map(|team| (team.name.clone(), team.clone()))
+                .collect(),
+            ..Quota::default()
+        }
+    }
+
+    /// The same quotas with nothing in use.
+    pub fn without_usage(&self) -> Quota {
+        Quota {
+            teams: self.teams.clone(),
+            ..Quota::default()
         }
     }
 
@@ -67,11 +97,6 @@
         self.teams.get(name)
     }
 
-    /// A team's use.
-    fn used(&self, name: &TeamName) -> Usage {
-        self.used.get(name).copied().unwrap_or_default()
-    }
-
     /// Processors guaranteed to all teams together.
     pub fn guaranteed_cpus(&self) -> f64 {
         self.teams.values().map(|team| team.cpus).sum()
@@ -82,37 +107,16 @@
         self.tasks_within_limit(job) > 0
     }
 
-    /// How many more tasks of the job its team's limit admits beside what is kept.
+    /// How many more tasks of the job its team's limit admits beside what is reserved.
     pub fn tasks_within_limit(&self, job: &Job) -> u32 {
-        let kept = self
-            .reserved
-            .get(&job.spec.team)
-            .copied()
-            .unwrap_or_default();
-        self.remaining_tasks(job, kept, Team::limits)
+        let reserved = self.reserved(&job.spec.team);
+        self.remaining_tasks(job, reserved, QuotaResources::limit_of)
     }
 
-    /// How many more tasks of a job that something is kept for its team's limit admits.
+    /// How many more tasks of the job its team's limit admits: for a job that resources are reserved for.
     pub fn tasks_within_limit_ignoring_reservations(&self, job: &Job) -> u32 {
-        let nothing = Usage::default();
-        self.remaining_tasks(job, nothing, Team::limits)
-    }
-
-    /// Keeps room for one task of the job within its team's limit.
-    pub fn reserve(&mut self, job: &Job) {
-        let kept = self.reserved.entry(job.spec.team.clone()).or_default();
-        kept.add(job, 1);
-    }
-
-    /// Nothing has to be kept for the job any more.
-    pub fn cancel_reservation(&mut self, job: &Job) {
-        let kept = self.reserved.entry(job.spec.team.clone()).or_default();
-        kept.remove(job);
-    }
-
-    /// Keeps room for none any more.
-    pub fn clear_reservations(&mut self) {
-        self.reserved.clear();
+        let reserved = QuotaResources::default();
+        self.remaining_tasks(job, reserved, QuotaResources::limit_of)
     }
 
     /// Whether one more task of the job keeps its team within its guarantee.
@@ -120,79 +124,104 @@
         self.tasks_within_guarantee(job) > 0
     }
 
-    /// How many more tasks of the job lie within its team's guarantee.
+    /// How many more tasks of the job its team's guarantee covers beside what is reserved.
     pub fn tasks_within_guarantee(&self, job: &Job) -> u32 {
-        let kept = self
-            .reserved
-            .get(&job.spec.team)
-            .copied()
-            .unwrap_or_default();
-        self.remaining_tasks(job, kept, |team| (team.cpus, team.gpus))
+        let reserved = self.reserved(&job.spec.team);
+        self.remaining_tasks(job, reserved, QuotaResources::guarantee_of)
     }
 
-    fn remaining_tasks(&self, job: &Job, kept: Usage, bound: impl Fn(&Team) -> (f64, f64)) -> u32 {
+    /// How many more tasks of the job fit below its team's bound beside what is used and reserved.
+    fn remaining_tasks(
+        &self,
+        job: &Job,
+        reserved: QuotaResources,
+        bound_of: impl Fn(&Team) -> QuotaResources,
+    ) -> u32 {
         let Some(team) = self.teams.get(&job.spec.team) else {
             return 0;
         };
-        let (cpus, gpus) = bound(team);
+        let bound = bound_of(team);
         let mut used = self.used(&job.spec.team);
-        used.cpus += kept.cpus;
-        used.gpus += kept.gpus;
-        let times = |free: f64, each: f64| match each {
-            each if each > 0.0 => ((free + ROUNDING_TOLERANCE) / each).max(0.0) as u32,
-            // What it does not take cannot run out, but may have.
-            _ if free + ROUNDING_TOLERANCE >= 0.0 => u32::MAX,
-            _ => 0,
-        };
-        times(cpus - used.cpus, job.spec.cpus).min(times(gpus - used.gpus, job.spec.gpus))
+        used.cpus += reserved.cpus;
+        used.gpus += reserved.gpus;
+        let by_cpus = tasks_that_fit(bound.cpus - used.cpus, job.spec.cpus);
+        let by_gpus = tasks_that_fit(bound.gpus - used.gpus, job.spec.gpus);
+        by_cpus.min(by_gpus)
     }
 
-    /// The teams with nothing in use.
-    pub fn without_usage(&self) -> Quota {
-        Quota {
-            teams: self.teams.clone(),
-            ..Quota::default()
-        }
+    fn used(&self, team: &TeamName) -> QuotaResources {
+        self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// Counts all tasks of the job in; whether they fit into the team's guarantee beside what was
-    /// counted before.
-    pub fn charge_all_within_guarantee(&mut self, job: &Job) -> bool {
-        let fits = self.tasks_within_guarantee(job) >= job.spec.tasks;
-        self.charge_many(job, job.spec.tasks);
-        fits
+    fn reserved(&self, team: &TeamName) -> QuotaResources {
+        self.reserved.get(team).copied().unwrap_or_default()
     }
 
-    /// Whether a team uses more than its guarantee even without some of its tasks.
-    pub fn over_guarantee_without<'a>(
+    /// Whether a team uses more than its guarantee even without one task of each of these jobs.
+    pub fn is_over_guarantee_without<'a>(
         &self,
         name: &TeamName,
         without: impl Iterator<Item = &'a Rc<Job>>,
     ) -> bool {
         let mut used = self.used(name);
         for job in without {
-            used.remove(job);
+            used.subtract(job);
         }
-        let over = |team: &Team| {
-            used.cpus > team.cpus + ROUNDING_TOLERANCE || used.gpus > team.gpus + ROUNDING_TOLERANCE
-        };
-        self.teams.get(name).is_some_and(over)
+        let team = self.teams.get(name);
+        team.is_some_and(|team| used.exceeds(&QuotaResources::guarantee_of(team)))
     }
 
-    /// Counts one more task of the job.
+    /// Reserves one task's resources for the job, below its team's limit.
+    pub fn reserve(&mut self, job: &Job) {
+        let reserved = self.reserved.entry(job.spec.team.clone()).or_default();
+        reserved.add(job, 1);
+    }
+
+    /// Ends the reservation for the job.
+    pub fn cancel_reservation(&mut self, job: &Job) {
+        let reserved = self.reserved.entry(job.spec.team.clone()).or_default();
+        reserved.subtract(job);
+    }
+
+    /// Ends all reservations.
+    pub fn clear_reservations(&mut self) {
+        self.reserved.clear();
+    }
+
+    /// Charges one task of the job to its team.
     pub fn charge(&mut self, job: &Job) {
         self.charge_many(job, 1);
     }
 
-    /// Counts more tasks of the job.
+    /// Charges `tasks` tasks of the job to its team.
     pub fn charge_many(&mut self, job: &Job, tasks: u32) {
         let used = self.used.entry(job.spec.team.clone()).or_default();
         used.add(job, tasks);
     }
 
-    /// Counts one task of the job less.
+    /// Charges all tasks of the job to its team; whether the team's guarantee covers them beside what was
+    /// charged before.
+    pub fn charge_all_within_guarantee(&mut self, job: &Job) -> bool {
+        let is_covered = self.tasks_within_guarantee(job) >= job.spec.tasks;
+        self.charge_many(job, job.spec.tasks);
+        is_covered
+    }
+
+    /// Takes back the charge for one task of the job.
     pub fn refund(&mut self, job: &Job) {
         let used = self.used.entry(job.spec.team.clone()).or_default();
-        used.remove(job);
+        used.subtract(job);
+    }
+}
+
+/// How many tasks that use `per_task` of a resource each fit into `free` of it.
+fn tasks_that_fit(free: f64, per_task: f64) -> u32 {
+    if per_task > 0.0 {
+        ((free + ROUNDING_TOLERANCE) / per_task).max(0.0) as u32
+    } else if free + ROUNDING_TOLERANCE >= 0.0 {
+        u32::MAX
+    } else {
+        // More than the bound is used, so no task is admitted, even one that uses none of it.
+        0
     }
 }
--- a/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
+++ b/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
@@ -137,7 +137,7 @@
                 .iter()
                 .map(|victim| &self.attempts[*victim].job)
                 .filter(|job| job.spec.team == *team);
-            let is_over_guarantee = quota.over_guarantee_without(team, same_team);
+            let is_over_guarantee = quota.is_over_guarantee_without(team, same_team);
             if preemptor.may_preempt(&attempt.job, is_over_guarantee) {
                 free.release(&attempt.job.resources());
                 lost_ms += attempt.lost_ms;
@@ -212,7 +212,7 @@
     fn preemptible_classes(&self, preemptor: &Preemptor, quota: &Quota) -> Vec<bool> {
         let may_preempt = |other: &Rc<Job>| {
             let team = &other.spec.team;
-            let is_over_guarantee = quota.over_guarantee_without(team, std::iter::empty());
+            let is_over_guarantee = quota.is_over_guarantee_without(team, std::iter::empty());
             preemptor.may_preempt(other, is_over_guarantee)
         };
         self.classes.jobs.iter().map(may_preempt).collect()
