--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -1,4 +1,5 @@
-//! What users expect of each class of jobs, as the settings say it.
+//! Service-level objectives: what users expect of each class of jobs, as the settings say it, and the
+//! times that follow for a job. The leader's scheduler owns them and orders jobs by them.
 
 use std::collections::BTreeMap;
 
@@ -8,120 +9,120 @@
 use crate::constants::scheduling::{GUARANTEE_LEAD_S, OBJECTIVE_AT_RISK_S};
 use crate::jobs::Job;
 
+/// Milliseconds of a second.
+const MS_PER_S: f64 = 1_000.0;
+
+/// The objectives of one class of jobs.
 #[derive(Debug, Clone, Default)]
-struct Class {
+struct ClassObjectives {
     /// Multiples of the job's deadline by which it should be done.
-    times: Vec<f64>,
-    /// Seconds within which it should be done.
-    finish_s: Vec<f64>,
-    /// Seconds within which its tasks should start.
-    start_s: Option<f64>,
+    deadline_factors: Vec<f64>,
+    /// Seconds after acceptance within which it should be done.
+    finish_within_s: Vec<f64>,
+    /// Seconds after acceptance within which its tasks should start.
+    start_within_s: Option<f64>,
+}
+
+impl ClassObjectives {
+    fn add(&mut self, objective: &Objective) {
+        match objective.kind.as_str() {
+            "deadline" => self.deadline_factors.push(objective.times.unwrap_or(1.0)),
+            "finished" => self.finish_within_s.extend(objective.within_s),
+            "wait" => self.start_within_s = objective.within_s,
+            _ => {}
+        }
+    }
 }
 
 /// The objectives by class.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceLevelObjectives {
-    classes: BTreeMap<String, Class>,
+    classes: BTreeMap<String, ClassObjectives>,
     /// Seconds within which work within a guarantee should start.
-    guarantee_s: Option<f64>,
+    guarantee_within_s: Option<f64>,
 }
 
 impl ServiceLevelObjectives {
-    /// Reads the settings' list.
+    /// Reads the settings' list. Objectives of kinds that concern no scheduling are skipped.
     pub fn new(list: &[Objective]) -> ServiceLevelObjectives {
-        let mut classes: BTreeMap<String, Class> = BTreeMap::new();
-        let mut guarantee_s = None;
+        let mut objectives = ServiceLevelObjectives::default();
         for objective in list {
             if objective.kind == "guarantee" {
-                guarantee_s = objective.within_s;
+                objectives.guarantee_within_s = objective.within_s;
             }
-            let Some(name) = &objective.class else {
-                continue;
-            };
-            let class = classes.entry(name.clone()).or_default();
-            match objective.kind.as_str() {
-                "deadline" => class.times.push(objective.times.unwrap_or(1.0)),
-                "finished" => class.finish_s.extend(objective.within_s),
-                "wait" => class.start_s = objective.within_s,
-                _ => {}
+            if let Some(name) = &objective.class {
+                let class = objectives.classes.entry(name.clone()).or_default();
+                class.add(objective);
             }
         }
-        ServiceLevelObjectives {
-            classes,
-            guarantee_s,
-        }
+        objectives
     }
 
-    /// Seconds after acceptance by which a task of the job has to start, for each thing expected of
-    /// the job.
+    fn class_of(&self, job: &Job) -> Option<&ClassObjectives> {
+        self.classes.get(&job.spec.class)
+    }
+
+    /// Seconds after acceptance by which a task of the job has to start, for each of the job's objectives.
     fn latest_starts_s(&self, job: &Job) -> Vec<f64> {
-        let class = self.classes.get(&job.spec.class);
-        let mut done: Vec<f64> = class.map_or(Vec::new(), |c| c.finish_s.clone());
-        if let Some(deadline) = job.spec.deadline_s {
-            match class.filter(|c| !c.times.is_empty()) {
-                Some(class) => done.extend(class.times.iter().map(|times| times * deadline)),
-                None => done.push(deadline),
+        let class = self.class_of(job);
+        let mut finish_within_s = class.map_or(Vec::new(), |class| class.finish_within_s.clone());
+        if let Some(deadline_s) = job.spec.deadline_s {
+            let factors = class.map_or(&[][..], |class| &class.deadline_factors);
+            if factors.is_empty() {
+                finish_within_s.push(deadline_s);
             }
+            finish_within_s.extend(factors.iter().map(|factor| factor * deadline_s));
         }
-        done.into_iter()
-            .map(|done| done - job.spec.estimate_s)
-            .chain(class.and_then(|class| class.start_s))
+        finish_within_s
+            .into_iter()
+            .map(|within_s| within_s - job.spec.estimate_s)
+            .chain(class.and_then(|class| class.start_within_s))
             .collect()
     }
 
-    /// Whether something expected of the job can still be met, but not for much longer if its tasks
-    /// go on waiting. A job of which nothing is expected is always pressing.
-    pub fn at_risk(&self, job: &Job, wall_ms: u64, guaranteed: bool) -> bool {
-        let age_s = wall_ms.saturating_sub(job.accepted_ms) as f64 / 1_000.0;
-        let mut starts = self.latest_starts_s(job);
-        if guaranteed {
-            starts.extend(self.guarantee_s);
+    /// Whether an objective of the job can still be met, but not for much longer if its tasks go on
+    /// waiting. A job without objectives is always at risk. `is_guaranteed`: whether the job's next
+    /// task is within its team's guarantee; `wall_ms` is the time of day, milliseconds since 1970.
+    pub fn is_at_risk(&self, job: &Job, wall_ms: u64, is_guaranteed: bool) -> bool {
+        let age_s = age_s(job, wall_ms);
+        let mut latest_starts_s = self.latest_starts_s(job);
+        if is_guaranteed {
+            latest_starts_s.extend(self.guarantee_within_s);
         }
-        starts.is_empty()
-            || starts
-                .iter()
-                .any(|start| (0.0..=OBJECTIVE_AT_RISK_S).contains(&(start - age_s)))
+        let is_near = |start_s: &f64| (0.0..=OBJECTIVE_AT_RISK_S).contains(&(start_s - age_s));
+        latest_starts_s.is_empty() || latest_starts_s.iter().any(is_near)
+    }
+
+    /// Whether a job within its team's guarantee has waited nearly as long as that allows. `wall_ms` is the
+    /// time of day, milliseconds since 1970.
+    pub fn is_guarantee_at_risk(&self, job: &Job, wall_ms: u64) -> bool {
+        let age_s = age_s(job, wall_ms);
+        self.guarantee_within_s
+            .is_none_or(|within_s| age_s >= within_s - GUARANTEE_LEAD_S)
     }
 
-    /// The moment that decides among jobs of one priority: its deadline; where its tasks are expected to
-    /// start in time, its latest start. By deadline long jobs wait for shorter ones that come much later
-    /// whenever there is more work than room, but fewer jobs miss it.
+    /// The time that decides among jobs of one priority, milliseconds since 1970: its deadline; where its
+    /// tasks are expected to start in time, its latest start. By deadline long jobs wait for shorter ones
+    /// that come much later whenever there is more work than capacity, but fewer jobs miss it.
     pub fn ordering_time_ms(&self, job: &Job) -> Option<u64> {
-        let class = self.classes.get(&job.spec.class);
-        match class.and_then(|class| class.start_s) {
+        match self.class_of(job).and_then(|class| class.start_within_s) {
             Some(_) => job.latest_start_ms(),
             None => job.deadline_ms(),
         }
     }
 
-    /// The last moment at which a task of the job can start for anything expected of the job to be met; none
-    /// where nothing is expected of it.
+    /// The last time at which a task of the job can start for any of the job's objectives to be met,
+    /// milliseconds since 1970; none where it has none.
     pub fn last_start_ms(&self, job: &Job) -> Option<u64> {
         let last_s = self
             .latest_starts_s(job)
             .into_iter()
             .max_by(f64::total_cmp)?;
-        Some(job.accepted_ms + (last_s.max(0.0) * 1_000.0) as u64)
+        Some(job.accepted_ms + (last_s.max(0.0) * MS_PER_S) as u64)
     }
 
-    /// Classes whose tasks should start sooner than that.
-    pub fn classes_starting_within(&self, seconds: f64) -> impl Iterator<Item = &String> {
-        let sooner = move |class: &Class| class.start_s.is_some_and(|start| start < seconds);
-        let classes = self.classes.iter();
-        classes
-            .filter(move |(_, class)| sooner(class))
-            .map(|(name, _)| name)
-    }
-
-    /// Whether a job within its team's guarantee has waited nearly as long as that allows.
-    pub fn guarantee_at_risk(&self, job: &Job, wall_ms: u64) -> bool {
-        let age_s = wall_ms.saturating_sub(job.accepted_ms) as f64 / 1_000.0;
-        self.guarantee_s
-            .is_none_or(|within_s| age_s >= within_s - GUARANTEE_LEAD_S)
-    }
-
-    /// Seconds a task of the job may wait, counted from acceptance, for the first thing expected
-    /// of the job to be met.
+    /// Seconds a task of the job may wait, counted from acceptance, for the first of the job's objectives
+    /// to be met.
     pub fn slack_s(&self, job: &Job) -> f64 {
         self.latest_starts_s(job)
             .into_iter()
@@ -129,4 +130,18 @@
             .unwrap_or(DEFAULT_SLACK_S)
             .clamp(MIN_SLACK_S, MAX_SLACK_S)
     }
+
+    /// Classes whose tasks should start sooner than after `seconds`.
+    pub fn classes_starting_within(&self, seconds: f64) -> impl Iterator<Item = &String> {
+        let is_sooner = move |start_s: f64| start_s < seconds;
+        self.classes
+            .iter()
+            .filter(move |(_, class)| class.start_within_s.is_some_and(is_sooner))
+            .map(|(name, _)| name)
+    }
+}
+
+/// Seconds since a job was accepted.
+fn age_s(job: &Job, wall_ms: u64) -> f64 {
+    wall_ms.saturating_sub(job.accepted_ms) as f64 / MS_PER_S
 }
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -105,7 +105,7 @@
     }
 
     fn is_at_risk(&self, job: &Job, now: Now, is_guaranteed: bool) -> bool {
-        job.is_service() || self.objectives.at_risk(job, now.wall_ms, is_guaranteed)
+        job.is_service() || self.objectives.is_at_risk(job, now.wall_ms, is_guaranteed)
     }
 
     fn choose_victims(&self, stuck: &[StuckJob], now: Now, budget: &Budget) -> Vec<Attempt> {
--- a/crates/worksshunt-core/src/scheduler/round.rs
+++ b/crates/worksshunt-core/src/scheduler/round.rs
@@ -138,7 +138,10 @@
         let mut at_risk: Vec<&JobTasks> = waiting
             .iter()
             .copied()
-            .filter(|tasks| self.objectives.guarantee_at_risk(&tasks.job, now.wall_ms))
+            .filter(|tasks| {
+                self.objectives
+                    .is_guarantee_at_risk(&tasks.job, now.wall_ms)
+            })
             .collect();
         if !at_risk.is_empty() {
             let within = self.jobs_within_guarantees();
