--- a/crates/worksshunt-core/src/resources.rs
+++ b/crates/worksshunt-core/src/resources.rs
@@ -1,4 +1,7 @@
-//! Resources of machines, and what tasks take of them.
+//! Resources: what a machine has and what a task needs of it. Used wherever tasks are fitted onto
+//! machines: by the scheduler, by the partitions' owners and by the fleet.
+
+use std::ops::{AddAssign, SubAssign};
 
 use worksshunt_wire::cloud::MachineType;
 use worksshunt_wire::user::JobSpec;
@@ -17,16 +20,16 @@
 }
 
 impl Resources {
-    /// All of a machine type.
-    pub fn of_machine_type(t: &MachineType) -> Resources {
+    /// All of a machine of that type.
+    pub fn of_machine_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
-    /// What one task of such a job takes.
+    /// What one task of such a job needs.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -35,24 +38,36 @@
         }
     }
 
-    /// Whether `need` fits in here.
+    /// Whether a task that needs `need` fits, if these are free.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + ROUNDING_TOLERANCE
             && need.gpus <= self.gpus + ROUNDING_TOLERANCE
             && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// Takes `need` out.
+    /// Takes a task's resources out of these free ones.
     pub fn allocate(&mut self, need: &Resources) {
-        self.cpus -= need.cpus;
-        self.gpus -= need.gpus;
-        self.memory_gb -= need.memory_gb;
+        *self -= *need;
+    }
+
+    /// Adds the resources of a task that ended to these free ones.
+    pub fn release(&mut self, freed: &Resources) {
+        *self += *freed;
     }
+}
+
+impl AddAssign for Resources {
+    fn add_assign(&mut self, other: Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.memory_gb += other.memory_gb;
+    }
+}
 
-    /// Puts `back` in.
-    pub fn release(&mut self, back: &Resources) {
-        self.cpus += back.cpus;
-        self.gpus += back.gpus;
-        self.memory_gb += back.memory_gb;
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.memory_gb -= other.memory_gb;
     }
 }
--- a/crates/worksshunt-core/src/scheduler/machine_view.rs
+++ b/crates/worksshunt-core/src/scheduler/machine_view.rs
@@ -51,13 +51,13 @@
 
     /// Reserves resources for a task on its way.
     pub(super) fn reserve(&mut self, need: &Resources) {
-        self.reserved.release(need);
+        self.reserved += *need;
         self.recompute_free();
     }
 
     /// Ends the reservation for a task.
     pub(super) fn release_reservation(&mut self, need: &Resources) {
-        self.reserved.allocate(need);
+        self.reserved -= *need;
         self.recompute_free();
     }
 
