--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -119,7 +119,7 @@
         (waiting.min(admitted) as usize).saturating_sub(claimed)
     }
 
-    /// Machines that may be claimed for a task of at most `max_task_cpus` processors, the largest first. Only a
+    /// Machines that may be claimed for a task of at most `max_task_cpus` processors, those with most free first. Only a
     /// task that needs more than the next task to end will free has to be helped; the rest find resources by
     /// themselves. Even where some are free beside that, smaller tasks would take them first.
     fn claimable_machines(&self, max_task_cpus: f64) -> Vec<Candidate<'_>> {
@@ -145,12 +145,12 @@
     }
 
     fn is_claimable(&self, machine: &MachineStatus) -> bool {
-        // A former leader's claim has to go first.
-        let former_claim = PendingWrite::RemoveKey(claim_key(&machine.id));
+        let former_claim = || PendingWrite::RemoveKey(claim_key(&machine.id));
         machine.schedulable
             && !machine.reclaim_notice
             && !self.claims.contains_key(&machine.id)
-            && !self.pending_writes.contains(&former_claim)
+            // A former leader's claim has to be removed first.
+            && !self.pending_writes.contains(&former_claim())
     }
 
     /// Processors of the smallest task on each machine that has any.
