--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -16,7 +16,7 @@
 
 use super::active_attempt::ActiveAttempt;
 use super::job_tasks::JobTasks;
-use super::partitions::Directive;
+use super::partition_view::Directive;
 use super::{PendingWrite, Scheduler};
 
 /// Doublings of the wait between retries are counted up to this; the wait is at its maximum long before.
--- a/crates/worksshunt-core/src/scheduler/dispatch.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::time::{Now, Time};
 
 use super::active_attempt::ActiveAttempt;
-use super::partitions::Directive;
+use super::partition_view::Directive;
 use super::placement_targets::PlacementTarget;
 use super::round::Pass;
 use super::Scheduler;
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -18,7 +18,7 @@
 use super::active_attempt::ActiveAttempt;
 use super::attempt_numbers::AttemptNumbers;
 use super::demand::DemandHistory;
-use super::partitions::PartitionView;
+use super::partition_view::PartitionView;
 use super::round::SchedulingRound;
 use super::services::ServiceState;
 use super::stored_pages::StoredPages;
--- a/crates/worksshunt-core/src/scheduler/partition_sync.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync.rs
@@ -13,7 +13,7 @@
 
 use super::active_attempt::ActiveAttempt;
 use super::job_tasks::JobTaskCounts;
-use super::partitions::Directive;
+use super::partition_view::Directive;
 use super::Scheduler;
 
 impl Scheduler {
--- a/crates/worksshunt-core/src/scheduler/partitions/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `partitions`: the order of machines by their free processors.
+//! Tests of `partition_view`: the order of machines by their free processors.
 
 use super::*;
 
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -7,7 +7,7 @@
 use crate::pages::PageWrite;
 use crate::time::Time;
 
-use super::partitions::Directive;
+use super::partition_view::Directive;
 use super::Scheduler;
 
 /// A pending write apart from pages; the most useful kind comes first.
--- a/crates/worksshunt-core/src/scheduler/placement_targets.rs
+++ b/crates/worksshunt-core/src/scheduler/placement_targets.rs
@@ -8,7 +8,7 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-use super::partitions::PartitionView;
+use super::partition_view::PartitionView;
 use super::{MachineView, Scheduler};
 
 /// Where a task may go: a partition, and a machine there with enough free resources. The partition's
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -14,7 +14,7 @@
 use crate::time::{Budget, Now};
 
 use super::job_tasks::{JobTasks, Rank};
-use super::partitions::Directive;
+use super::partition_view::Directive;
 use super::preemption_candidates::{GuaranteeState, PreemptionCandidates, Preemptor};
 use super::Scheduler;
 
