--- /dev/null
+++ b/crates/worksshunt-core/src/scheduler/partition_view/tests.rs
@@ -0,0 +1,41 @@
+//! Tests of `partition_view`: the order of machines by their free processors.
+
+use super::*;
+
+fn machine(n: usize, cpus: f64) -> MachineStatus {
+    MachineStatus {
+        id: MachineId(format!("i-{n:06}")),
+        machine_type: "m4".into(),
+        zone: "a".into(),
+        spot: true,
+        schedulable: true,
+        idle_ms: None,
+        cpus,
+        gpus: 0.0,
+        memory_gb: 8.0,
+        reclaim_notice: false,
+        unreachable: false,
+        lost: false,
+    }
+}
+
+#[test]
+fn machines_are_found_by_their_free_processors() {
+    let mut partition = PartitionView::default();
+    for (n, cpus) in [4.0, 0.0, 1.5, 2.0, 0.5].into_iter().enumerate() {
+        partition.update_machine(machine(n, cpus), Time(0));
+    }
+    let free = |partition: &PartitionView, cpus: f64| -> Vec<f64> {
+        partition
+            .with_free_cpus(cpus)
+            .map(|view| view.free.cpus)
+            .collect()
+    };
+    assert_eq!(free(&partition, 0.0), [0.5, 1.5, 2.0, 4.0]);
+    assert_eq!(free(&partition, 1.5), [1.5, 2.0, 4.0]);
+    partition.update_machine(machine(0, 1.0), Time(1));
+    partition.update_machine(machine(2, 0.0), Time(1));
+    assert_eq!(free(&partition, 0.0), [0.5, 1.0, 2.0]);
+    partition.remove_machine(&MachineId("i-000003".into()));
+    assert_eq!(free(&partition, 0.0), [0.5, 1.0]);
+}
