--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -1,11 +1,102 @@
-//! Tests of `cloud`: pages of the machine list.
+//! Tests of `cloud`: the bytes of every request, what each answer means, pages of the machine list.
 
 use worksshunt_core::job_api::HttpResponse;
-use worksshunt_wire::cloud::{ListedMachine, ListedState};
+use worksshunt_wire::cloud::{Catalog, ListedMachine, ListedState, MachineIds, ProvisionRequest};
 use worksshunt_wire::MachineId;
 
 use super::*;
-use crate::test_server::{with_answer, DEADLINE};
+use crate::test_server::{with_answer, with_exchange, DEADLINE};
+
+/// The outcome of a request that is sent and answered like this: request lines, bodies, statuses and bodies.
+fn outcome(request: &CloudRequest, exchange: &[(&str, &str, u16, &str)]) -> CloudResponse {
+    with_exchange(exchange, |address| async move {
+        call(&HttpClient::new(address, 1), request, DEADLINE).await
+    })
+}
+
+fn names(names: &[&str]) -> MachineIds {
+    MachineIds {
+        machines: names.iter().map(|name| MachineId::from(*name)).collect(),
+    }
+}
+
+#[test]
+fn the_catalogue_is_read() {
+    let read = |status, body| {
+        let sent = ("GET /catalog HTTP/1.1", "", status, body);
+        outcome(&CloudRequest::ReadCatalog, &[sent])
+    };
+    assert_eq!(
+        read(200, r#"{"Modelos":[]}"#),
+        CloudResponse::Catalog(Catalog::default())
+    );
+    assert_eq!(read(200, "{}"), CloudResponse::NoAnswer);
+    assert_eq!(read(503, "{}"), CloudResponse::NoAnswer);
+}
+
+#[test]
+fn machines_are_provisioned() {
+    let request = CloudRequest::Provision(ProvisionRequest {
+        request_name: "n0.7.12".to_owned(),
+        machine_type: "m8".to_owned(),
+        zone: "b".to_owned(),
+        spot: true,
+        count: 3,
+    });
+    let sent = r#"{"Modelo":"m8","Number":3,"Patio":"b","Pedido":"n0.7.12","Prestados":true}"#;
+    let provision =
+        |status, body| outcome(&request, &[("POST /machines HTTP/1.1", sent, status, body)]);
+    assert_eq!(
+        provision(200, r#"{"Estibas":["i-1","i-2"]}"#),
+        CloudResponse::Machines(names(&["i-1", "i-2"]))
+    );
+    assert_eq!(provision(200, "{}"), CloudResponse::Machines(names(&[])));
+    assert_eq!(
+        provision(503, r#"{"error":"no capacity"}"#),
+        CloudResponse::NoCapacity
+    );
+    assert_eq!(provision(503, "{}"), CloudResponse::NoAnswer);
+    assert_eq!(provision(400, "no capacity"), CloudResponse::NoAnswer);
+}
+
+#[test]
+fn machines_are_released() {
+    let request = CloudRequest::Release(names(&["i-1", "i-2"]));
+    let release = |status, body| {
+        let sent = r#"{"Estibas":["i-1","i-2"]}"#;
+        let line = "POST /machines/return HTTP/1.1";
+        outcome(&request, &[(line, sent, status, body)])
+    };
+    let released = CloudResponse::Machines(names(&["i-1", "i-2"]));
+    assert_eq!(release(200, ""), released);
+    assert_eq!(release(200, r#"{"Estibas":["i-1"]}"#), released);
+    assert_eq!(release(503, "no capacity"), CloudResponse::NoCapacity);
+    assert_eq!(release(500, "{}"), CloudResponse::NoAnswer);
+}
+
+#[test]
+fn machines_are_listed_page_by_page() {
+    let first = r#"{"Estibas":[{"Ref":"i-1","Modelo":"m4","Patio":"a","Prestados":true,"Estado":"running","AgeS":1.0}],"More":true}"#;
+    let list = |second: (u16, &str)| {
+        let exchange = [
+            ("GET /machines?Most=500 HTTP/1.1", "", 200, first),
+            (
+                "GET /machines?Most=500&Since=i-1 HTTP/1.1",
+                "",
+                second.0,
+                second.1,
+            ),
+        ];
+        outcome(&CloudRequest::ListMachines, &exchange)
+    };
+    let CloudResponse::List(pages) = list((200, r#"{"Estibas":[],"More":true}"#)) else {
+        panic!("no list");
+    };
+    let lengths: Vec<usize> = pages.iter().map(|page| page.machines.len()).collect();
+    assert_eq!(lengths, [1, 0]);
+    assert_eq!(list((500, "{}")), CloudResponse::NoAnswer);
+    assert_eq!(list((200, "[]")), CloudResponse::NoAnswer);
+}
 
 fn page(machines: usize) -> MachineList {
     let listed = |n: usize| ListedMachine {
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -1,10 +1,194 @@
-//! Tests of `state`: pages of keys.
+//! Tests of `key_value`: the bytes of every request, what each answer means, pages of keys.
 
 use worksshunt_core::job_api::HttpResponse;
+use worksshunt_wire::key_value::{Change, ExpectedRevision, WatchEvent};
 use worksshunt_wire::Revision;
 
 use super::*;
-use crate::test_server::{with_answer, DEADLINE};
+use crate::test_server::{with_answer, with_exchange, DEADLINE};
+
+/// The outcome of a request that is sent and answered like this: request lines, bodies, statuses and bodies.
+fn outcome(request: KvRequest, exchange: &[(&str, &str, u16, &str)]) -> KvResponse {
+    with_exchange(exchange, |address| async move {
+        call(&HttpClient::new(address, 1), request, DEADLINE).await
+    })
+}
+
+#[test]
+fn a_lease_is_requested_and_renewed() {
+    let grant = |status, body| {
+        let sent = ("POST /holds HTTP/1.1", r#"{"TtlMs":4000}"#);
+        outcome(KvRequest::GrantLease, &[(sent.0, sent.1, status, body)])
+    };
+    assert_eq!(
+        grant(200, r#"{"Permiso":19}"#),
+        KvResponse::LeaseGranted(19)
+    );
+    assert_eq!(grant(200, "{}"), KvResponse::NoAnswer);
+    assert_eq!(grant(404, "{}"), KvResponse::NoAnswer);
+    let renew = |status| {
+        let sent = ("POST /holds/19/renew HTTP/1.1", "", status, "{}");
+        outcome(KvRequest::RenewLease(19), &[sent])
+    };
+    assert_eq!(renew(200), KvResponse::LeaseRenewed);
+    assert_eq!(renew(404), KvResponse::NoSuchLease);
+    assert_eq!(renew(400), KvResponse::NoAnswer);
+}
+
+#[test]
+fn a_key_is_read() {
+    let get = |status, body| {
+        let sent = ("GET /kv/c/epoch HTTP/1.1", "", status, body);
+        outcome(KvRequest::Get("c/epoch".to_owned()), &[sent])
+    };
+    let pair = KeyValue {
+        key: "c/epoch".to_owned(),
+        value: serde_json::json!([5]),
+        version: Revision(31),
+    };
+    assert_eq!(
+        get(200, r#"{"K":"c/epoch","V":[5],"Sello":31}"#),
+        KvResponse::Found(pair)
+    );
+    assert_eq!(get(404, r#"{"Corte":77}"#), KvResponse::Missing);
+    assert_eq!(get(404, "no such path"), KvResponse::NoAnswer);
+    assert_eq!(get(410, r#"{"Corte":77}"#), KvResponse::NoAnswer);
+}
+
+#[test]
+fn keys_are_listed_page_by_page_at_the_revision_of_the_first() {
+    let pair = |key: &str| KeyValue {
+        key: key.to_owned(),
+        value: serde_json::json!(1),
+        version: Revision(3),
+    };
+    let listing = outcome(
+        KvRequest::List("j/".to_owned()),
+        &[
+            (
+                "GET /kv?Starts=j/&Most=1000 HTTP/1.1",
+                "",
+                200,
+                r#"{"Pairs":[{"K":"j/a","V":1,"Sello":3},{"K":"j/b","V":1,"Sello":3}],"More":true,"Corte":7}"#,
+            ),
+            (
+                "GET /kv?Starts=j/&Since=j/b&Most=1000 HTTP/1.1",
+                "",
+                200,
+                r#"{"Pairs":[{"K":"j/c","V":1,"Sello":3}],"Corte":9}"#,
+            ),
+        ],
+    );
+    let expected = Listing {
+        pairs: vec![pair("j/a"), pair("j/b"), pair("j/c")],
+        more: false,
+        revision: Revision(7),
+    };
+    assert_eq!(listing, KvResponse::Listing(expected));
+    let list = |status, body| {
+        let sent = ("GET /kv?Starts=j/&Most=1000 HTTP/1.1", "", status, body);
+        outcome(KvRequest::List("j/".to_owned()), &[sent])
+    };
+    let empty = Listing {
+        pairs: Vec::new(),
+        more: false,
+        revision: Revision(7),
+    };
+    // More to come after an empty page would be asked for without end.
+    assert_eq!(
+        list(200, r#"{"Pairs":[],"More":true,"Corte":7}"#),
+        KvResponse::Listing(empty)
+    );
+    assert_eq!(list(200, "[]"), KvResponse::NoAnswer);
+    assert_eq!(list(503, "{}"), KvResponse::Refused);
+}
+
+#[test]
+fn a_transaction_is_sent_and_each_outcome_told_apart() {
+    let transaction = CompareAndSwap {
+        expected: vec![ExpectedRevision {
+            key: "c/epoch".to_owned(),
+            version: Revision(13),
+        }],
+        changes: vec![
+            Change::Put {
+                key: "c/n/n0".to_owned(),
+                value: serde_json::json!([1]),
+                lease: Some(9),
+            },
+            Change::Delete {
+                key: "k/i-000003".to_owned(),
+            },
+        ],
+    };
+    let sent = r#"{"If":[{"K":"c/epoch","Sello":13}],"Then":[{"Permiso":9,"Set":"c/n/n0","V":[1]},{"Remove":"k/i-000003"}]}"#;
+    let commit = |status, body| {
+        let request = KvRequest::CompareAndSwap(transaction.clone());
+        outcome(request, &[("POST /txn HTTP/1.1", sent, status, body)])
+    };
+    assert_eq!(
+        commit(200, r#"{"Corte":78}"#),
+        KvResponse::Committed(Revision(78))
+    );
+    assert_eq!(
+        commit(409, r#"{"failed":["c/epoch"]}"#),
+        KvResponse::Conflict(vec!["c/epoch".to_owned()])
+    );
+    assert_eq!(
+        commit(400, r#"{"error":"no such lease"}"#),
+        KvResponse::NoSuchLease
+    );
+    assert_eq!(
+        commit(400, r#"{"error":"too many changes"}"#),
+        KvResponse::TooLarge
+    );
+    assert_eq!(commit(429, "{}"), KvResponse::Refused);
+    assert_eq!(commit(503, "{}"), KvResponse::Refused);
+    assert_eq!(commit(500, "{}"), KvResponse::NoAnswer);
+    assert_eq!(commit(200, "{}"), KvResponse::NoAnswer);
+    assert_eq!(commit(409, "{}"), KvResponse::NoAnswer);
+}
+
+#[test]
+fn changes_are_watched() {
+    let watch = |status, body| {
+        let line = "GET /follow?Starts=j/&Since=77&WaitMs=2500 HTTP/1.1";
+        let request = KvRequest::Watch("j/".to_owned(), Revision(77), 2_500);
+        outcome(request, &[(line, "", status, body)])
+    };
+    let removed = WatchResponse {
+        revision: Revision(80),
+        events: vec![WatchEvent::Delete {
+            key: "j/a".to_owned(),
+            version: Revision(80),
+        }],
+    };
+    assert_eq!(
+        watch(
+            200,
+            r#"{"Corte":80,"Events":[{"Remove":"j/a","Sello":80}]}"#
+        ),
+        KvResponse::WatchResponse(removed)
+    );
+    assert_eq!(watch(410, "{}"), KvResponse::RevisionCompacted);
+    assert_eq!(watch(429, "{}"), KvResponse::Refused);
+    assert_eq!(watch(404, "{}"), KvResponse::NoAnswer);
+}
+
+#[test]
+fn a_request_that_never_left_is_refused_and_one_without_answer_is_unclear() {
+    let port = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = port.local_addr().expect("an address");
+    drop(port);
+    let client = HttpClient::new(address, 1);
+    let call = call(&client, KvRequest::GrantLease, DEADLINE);
+    assert_eq!(async_io::block_on(call), KvResponse::Refused);
+    assert_eq!(
+        outcome(KvRequest::RenewLease(1), &[]),
+        KvResponse::NoAnswer,
+        "the connection was closed unanswered"
+    );
+}
 
 /// What comes of a list whose only page has so many keys.
 fn listed(keys: usize) -> KvResponse {
--- a/crates/worksshunt-net/src/server.rs
+++ b/crates/worksshunt-net/src/server.rs
@@ -120,3 +120,6 @@
     }
     response
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/worksshunt-net/src/test_server.rs
+++ b/crates/worksshunt-net/src/test_server.rs
@@ -1,7 +1,10 @@
-//! A server on the loopback interface that gives one answer to everything, for tests of clients.
+//! Servers on the loopback interface for tests of clients: one gives one answer to everything, one gives answers
+//! in turn and compares the bytes of the requests.
 
+use std::collections::BTreeMap;
 use std::future::Future;
-use std::net::TcpListener;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -31,3 +34,91 @@
     let client = Rc::new(HttpClient::new(address, 1));
     async_io::block_on(executor.run(ask(client)))
 }
+
+/// A request, byte for byte as a client sent it.
+#[derive(Debug)]
+struct SentRequest {
+    request_line: String,
+    content_type: Option<String>,
+    body: String,
+}
+
+/// Reads one request from a connection; none if the client closed it.
+fn read_request(connection: &mut impl BufRead) -> Option<SentRequest> {
+    let mut request_line = String::new();
+    connection.read_line(&mut request_line).ok()?;
+    if request_line.is_empty() {
+        return None;
+    }
+    let mut headers = BTreeMap::new();
+    loop {
+        let mut line = String::new();
+        connection.read_line(&mut line).expect("a header");
+        let Some((name, value)) = line.trim_end().split_once(": ") else {
+            break;
+        };
+        headers.insert(name.to_ascii_lowercase(), value.to_owned());
+    }
+    let length = headers
+        .get("content-length")
+        .map_or(0, |length| length.parse().expect("a length"));
+    let mut body = vec![0; length];
+    connection.read_exact(&mut body).expect("a body");
+    Some(SentRequest {
+        request_line: request_line.trim_end().to_owned(),
+        content_type: headers.remove("content-type"),
+        body: String::from_utf8(body).expect("text"),
+    })
+}
+
+/// Answers the requests of one connection with these statuses and bodies, and returns the requests.
+fn record(listener: &TcpListener, responses: &[(u16, String)]) -> Vec<SentRequest> {
+    let (connection, _) = listener.accept().expect("a connection");
+    let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
+    let mut writer = connection;
+    let mut requests = Vec::new();
+    for (status, body) in responses {
+        let Some(request) = read_request(&mut reader) else {
+            break;
+        };
+        requests.push(request);
+        let length = body.len();
+        write!(
+            writer,
+            "HTTP/1.1 {status} x\r\ncontent-length: {length}\r\n\r\n{body}"
+        )
+        .expect("sent");
+    }
+    requests
+}
+
+/// What a client at that address makes of these answers, statuses and bodies, when it sends exactly these requests:
+/// request lines and bodies.
+pub fn with_exchange<T, F: Future<Output = T>>(
+    exchange: &[(&str, &str, u16, &str)],
+    ask: impl FnOnce(SocketAddr) -> F,
+) -> T {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let responses: Vec<(u16, String)> = exchange
+        .iter()
+        .map(|(_, _, status, body)| (*status, (*body).to_owned()))
+        .collect();
+    let server = std::thread::spawn(move || record(&listener, &responses));
+    let result = async_io::block_on(ask(address));
+    let requests = server.join().expect("recorded");
+    let sent: Vec<(&str, &str)> = requests
+        .iter()
+        .map(|request| (request.request_line.as_str(), request.body.as_str()))
+        .collect();
+    let expected: Vec<(&str, &str)> = exchange
+        .iter()
+        .map(|(request_line, body, _, _)| (*request_line, *body))
+        .collect();
+    assert_eq!(sent, expected);
+    for request in &requests {
+        let json = (!request.body.is_empty()).then_some("application/json");
+        assert_eq!(request.content_type.as_deref(), json, "{request:?}");
+    }
+    result
+}
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -71,3 +71,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/worksshunt-net/src/worker/tests.rs
@@ -0,0 +1,66 @@
+//! Tests of `worker`: the bytes of a request, and what each answer means.
+
+use worksshunt_wire::worker::{Command, CommandBatch};
+use worksshunt_wire::{Attempt, Epoch, Incarnation, JobId, TaskId};
+
+use super::*;
+use crate::test_server::{with_exchange, DEADLINE};
+
+const HEARTBEAT: &str = r#"{"Estiba":"i-41","Addr":"10.1.0.1:9000","Modelo":"m8","Patio":"b","Prestados":false,"Jornada":3,"Folio":17,"Vara":5,"Piezas":[]}"#;
+
+fn commands(address: String) -> DirectCommands {
+    let launch = Command::Launch {
+        task: TaskId {
+            job: JobId(412),
+            index: 1,
+        },
+        attempt: Attempt(301),
+    };
+    DirectCommands {
+        machine: "i-41".into(),
+        address,
+        batch: CommandBatch {
+            fencing_token: Epoch(5),
+            incarnation: Incarnation(3),
+            commands: vec![launch],
+        },
+    }
+}
+
+/// The outcome of commands that are answered like this.
+fn outcome(status: u16, body: &str) -> DirectCommandsOutcome {
+    let sent = r#"{"Jornada":3,"Ordenes":[{"Intento":301,"Orden":"launch","Pieza":"j-000412/1"}],"Vara":5}"#;
+    let exchange = [("POST /orders HTTP/1.1", sent, status, body)];
+    with_exchange(&exchange, |address| async move {
+        let workers = Workers::new(1);
+        workers.call(&commands(address.to_string()), DEADLINE).await
+    })
+}
+
+#[test]
+fn commands_are_sent_and_a_heartbeat_is_the_answer() {
+    let heartbeat: Heartbeat = serde_json::from_str(HEARTBEAT).expect("a heartbeat");
+    let answered = DirectCommandsOutcome::Answered(heartbeat);
+    assert_eq!(outcome(200, HEARTBEAT), answered);
+    assert_eq!(outcome(409, HEARTBEAT), answered);
+    assert_eq!(outcome(500, HEARTBEAT), DirectCommandsOutcome::NoAnswer);
+    assert_eq!(outcome(200, "{}"), DirectCommandsOutcome::NoAnswer);
+}
+
+#[test]
+fn commands_that_never_left_are_told_from_those_without_answer() {
+    let port = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = port.local_addr().expect("an address").to_string();
+    drop(port);
+    let workers = Workers::new(1);
+    for address in [address, "nowhere".to_owned()] {
+        let commands = commands(address);
+        let call = workers.call(&commands, DEADLINE);
+        assert_eq!(async_io::block_on(call), DirectCommandsOutcome::NotSent);
+    }
+    let unanswered = with_exchange(&[], |address| async move {
+        let workers = Workers::new(1);
+        workers.call(&commands(address.to_string()), DEADLINE).await
+    });
+    assert_eq!(unanswered, DirectCommandsOutcome::NoAnswer);
+}
--- a/crates/worksshunt/src/options/tests.rs
+++ b/crates/worksshunt/src/options/tests.rs
@@ -146,3 +146,146 @@
     let trailing = settings(&format!("{} x", valid()));
     assert!(trailing.is_err(), "something after the settings");
 }
+
+#[test]
+fn every_problem_of_settings_has_its_text() {
+    type Change = fn(&mut serde_json::Value);
+    let cases: [(&str, Change); 22] = [
+        ("host_name: empty, or with a space or slash", |v| {
+            v["host_name"] = "a/b".into()
+        }),
+        (
+            "client_listen: \"nowhere\" is not an address and port",
+            |v| v["client_listen"] = "nowhere".into(),
+        ),
+        ("internal_addr: \"1\" is not an address and port", |v| {
+            v["internal_addr"] = "1".into()
+        }),
+        ("services.cloud: \"\" is not an address and port", |v| {
+            v["services"]["cloud"] = "".into()
+        }),
+        ("services.state: \"a:b\" is not an address and port", |v| {
+            v["services"]["state"] = "a:b".into()
+        }),
+        ("internal_addr: the same as client_listen", |v| {
+            v["internal_addr"] = "127.0.0.1:1".into()
+        }),
+        ("known.endpoint: \"here\" is not an address and port", |v| {
+            v["known"][0]["endpoint"] = "here".into()
+        }),
+        ("known.host_name: estiba-0 twice", |v| {
+            v["known"][0]["host_name"] = "estiba-0".into()
+        }),
+        ("facts.teams.name: t twice", |v| {
+            let team = v["facts"]["teams"][0].clone();
+            v["facts"]["teams"] = serde_json::json!([team.clone(), team])
+        }),
+        (
+            "facts.teams.cpus_max: -1 of t is not a number from 0 up",
+            |v| v["facts"]["teams"][0]["cpus_max"] = (-1.0).into(),
+        ),
+        ("facts.teams.gpus: -1 of t is not from 0 to inf", |v| {
+            v["facts"]["teams"][0]["gpus"] = (-1.0).into()
+        }),
+        ("facts.teams.cpus: 3 of t is not from 0 to 2", |v| {
+            v["facts"]["teams"][0]["cpus"] = 3.0.into()
+        }),
+        ("facts.workers.report_s: 0 is not a positive number", |v| {
+            v["facts"]["workers"]["report_s"] = 0.0.into()
+        }),
+        (
+            "facts.workers.cancel_s: -2.5 is not a positive number",
+            |v| v["facts"]["workers"]["cancel_s"] = (-2.5).into(),
+        ),
+        (
+            "facts.state.next.write_rps: 0 is not a positive number",
+            |v| v["facts"]["state"]["next"] = serde_json::json!({"write_rps": 0.0}),
+        ),
+        (
+            "facts.state.rps: 3.9 is below the 4 that leases and epochs of 2 controllers take",
+            |v| v["facts"]["state"]["rps"] = 3.9.into(),
+        ),
+        ("facts.state.value_kb: not a number from 1 up", |v| {
+            v["facts"]["state"]["value_kb"] = 0.5.into()
+        }),
+        ("facts.state.next.value_kb: not a number from 1 up", |v| {
+            v["facts"]["state"]["next"] = serde_json::json!({"value_kb": 0.5})
+        }),
+        ("facts.state.txn_ops: 1 is below 2", |v| {
+            v["facts"]["state"]["txn_ops"] = 1.into()
+        }),
+        ("facts.cloud.rps: 0 is not a positive number", |v| {
+            v["facts"]["cloud"]["rps"] = 0.0.into()
+        }),
+        ("facts.cloud.list_lag_s: not a duration", |v| {
+            v["facts"]["cloud"]["list_lag_s"] = (-1.0).into()
+        }),
+        ("facts.limits.sockets: 1 is below 64", |v| {
+            v["facts"]["limits"]["sockets"] = 1.into()
+        }),
+    ];
+    for (text, change) in cases {
+        assert_eq!(problem(change), Err(text.to_owned()));
+    }
+}
+
+#[test]
+fn every_problem_of_options_has_its_text() {
+    for (options, text) in [
+        (
+            "window_s = -1.0",
+            "placement.window_s: -1 is not a positive number",
+        ),
+        (
+            "start_speed = 0.0",
+            "placement.start_speed: 0 is not a positive number",
+        ),
+        (
+            "summary_s = nan",
+            "placement.summary_s: NaN is not a positive number",
+        ),
+        (
+            "size_bands_s = [2.0, 1.0]",
+            "placement.size_bands_s: not positive and ascending",
+        ),
+    ] {
+        let error = parameters(&format!("[placement]\n{options}\n")).expect_err(text);
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn a_problem_is_one_line_that_begins_with_the_file() {
+    let directory = std::env::temp_dir();
+    let name = format!("worksshunt-settings-{}", std::process::id());
+    let file = directory.join(name);
+    let error = |text: &str, options: bool| {
+        std::fs::write(&file, text).expect("written");
+        let error = if options {
+            in_file(&file, parameters).expect_err("options")
+        } else {
+            in_file(&file, settings).expect_err("settings")
+        };
+        let error = error.to_string();
+        let prefix = format!("{}: ", file.display());
+        error.strip_prefix(&prefix).expect("the file").to_owned()
+    };
+    assert_eq!(
+        error("", false),
+        "EOF while parsing a value at line 1 column 0"
+    );
+    assert_eq!(
+        error(&format!("{} x", valid()), false),
+        "trailing characters at line 1 column 510"
+    );
+    assert_eq!(
+        error("windows = 1", true),
+        "TOML parse error at line 1, column 1   | 1 | windows = 1   | ^^^^^^^ unknown field \
+         `windows`, expected `placement`"
+    );
+    std::fs::remove_file(&file).expect("removed");
+    assert_eq!(
+        in_file(&file, settings).expect_err("no file").to_string(),
+        format!("{}: No such file or directory (os error 2)", file.display())
+    );
+}
