--- a/crates/worksshunt/src/options/tests.rs
+++ b/crates/worksshunt/src/options/tests.rs
@@ -21,7 +21,9 @@
 fn problem(change: impl FnOnce(&mut serde_json::Value)) -> Result<(), String> {
     let mut value = valid();
     change(&mut value);
-    settings(&value.to_string()).map(|_| ())
+    parse_settings(&value.to_string())
+        .map(|_| ())
+        .map_err(|problem| problem.to_string())
 }
 
 #[test]
@@ -82,7 +84,7 @@
 
 #[test]
 fn operators_settings_refuse_unknown_keys_and_bad_values() {
-    let given = parameters("[placement]\nwindow_s = 60.0\n").expect("valid");
+    let given = parse_parameters("[placement]\nwindow_s = 60.0\n").expect("valid");
     assert_eq!(given.window_s, 60.0);
     assert_eq!(given.start_speed, Parameters::default().start_speed);
     for bad in [
@@ -92,7 +94,7 @@
         "[placement]\nsize_bands_s = [2.0, 1.0]",
         "not toml",
     ] {
-        assert!(parameters(bad).is_err(), "{bad}");
+        assert!(parse_parameters(bad).is_err(), "{bad}");
     }
 }
 
@@ -143,7 +145,7 @@
         error.contains("facts.teams[0]") && error.contains("gpus_max"),
         "{error}"
     );
-    let trailing = settings(&format!("{} x", valid()));
+    let trailing = parse_settings(&format!("{} x", valid()));
     assert!(trailing.is_err(), "something after the settings");
 }
 
@@ -249,7 +251,7 @@
             "placement.size_bands_s: not positive and ascending",
         ),
     ] {
-        let error = parameters(&format!("[placement]\n{options}\n")).expect_err(text);
+        let error = parse_parameters(&format!("[placement]\n{options}\n")).expect_err(text);
         assert_eq!(error.to_string(), text);
     }
 }
@@ -262,9 +264,9 @@
     let error = |text: &str, options: bool| {
         std::fs::write(&file, text).expect("written");
         let error = if options {
-            in_file(&file, parameters).expect_err("options")
+            load_file(&file, parse_parameters).expect_err("options")
         } else {
-            in_file(&file, settings).expect_err("settings")
+            load_file(&file, parse_settings).expect_err("settings")
         };
         let error = error.to_string();
         let prefix = format!("{}: ", file.display());
@@ -285,7 +287,9 @@
     );
     std::fs::remove_file(&file).expect("removed");
     assert_eq!(
-        in_file(&file, settings).expect_err("no file").to_string(),
+        load_file(&file, parse_settings)
+            .expect_err("no file")
+            .to_string(),
         format!("{}: No such file or directory (os error 2)", file.display())
     );
 }
