--- a/crates/worksshunt/src/main.rs
+++ b/crates/worksshunt/src/main.rs
@@ -1,9 +1,15 @@
-//! worksshunt, a cluster scheduler.
+//! worksshunt, a cluster scheduler: the command line.
+//!
+//! Parses the arguments and starts a controller ([`service`]), checks settings ([`options`]) or sends one request to
+//! a controller ([`client`]).
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use tracing_subscriber::filter::Targets;
+use tracing_subscriber::layer::SubscriberExt;
+use tracing_subscriber::util::SubscriberInitExt;
 
 mod client;
 mod options;
@@ -68,63 +74,67 @@
     },
 }
 
-fn log() {
+fn main() -> ExitCode {
+    let arguments = Arguments::parse();
+    init_logging();
+    match (arguments.command, arguments.config) {
+        (None, Some(config)) => run(&config, arguments.options.as_deref()),
+        (Some(Command::Check { config, options }), _) => check(&config, options.as_deref()),
+        (Some(Command::Submit { server, file }), _) => client::submit(server, &file),
+        (Some(Command::Status { server, id }), _) => client::status(server, &id),
+        (Some(Command::Withdraw { server, id }), _) => client::cancel(server, &id),
+        (None, None) => {
+            eprintln!("worksshunt: nothing to do; see --help");
+            ExitCode::from(BAD_SETTINGS)
+        }
+    }
+}
+
+/// Logs to standard error, at the level of the environment variable `LOG_LEVEL`: `error`, `info` or `debug`.
+fn init_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let level = match level.as_str() {
         "error" => tracing::Level::ERROR,
         "debug" => tracing::Level::DEBUG,
         _ => tracing::Level::INFO,
     };
-    let filter = tracing_subscriber::filter::Targets::new()
+    let filter = Targets::new()
         .with_target("worksshunt", level)
         .with_target("worksshunt_core", level)
         .with_target("worksshunt_net", level);
-    use tracing_subscriber::layer::SubscriberExt;
-    use tracing_subscriber::util::SubscriberInitExt;
+    let to_standard_error = tracing_subscriber::fmt::layer()
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     tracing_subscriber::registry()
-        .with(
-            tracing_subscriber::fmt::layer()
-                .with_writer(std::io::stderr)
-                .with_ansi(false),
-        )
+        .with(to_standard_error)
         .with(filter)
         .init();
 }
 
-fn main() -> ExitCode {
-    let arguments = Arguments::parse();
-    log();
-    match (arguments.command, arguments.config) {
-        (None, Some(config)) => match options::load(&config, arguments.options.as_deref()) {
-            Ok((settings, parameters)) => match service::run(settings, parameters) {
-                Ok(never) => match never {},
-                Err(error) => {
-                    tracing::error!("{error}");
-                    ExitCode::from(FAILED)
-                }
-            },
-            Err(error) => bad_settings(&error),
-        },
-        (Some(Command::Check { config, options }), _) => {
-            match options::load(&config, options.as_deref()) {
-                Ok((settings, _)) => {
-                    println!(
-                        "{}: settings of {} are fine",
-                        config.display(),
-                        settings.host_name
-                    );
-                    ExitCode::SUCCESS
-                }
-                Err(error) => bad_settings(&error),
-            }
+/// Runs a controller until it is killed.
+fn run(config: &Path, options: Option<&Path>) -> ExitCode {
+    let (settings, parameters) = match options::load(config, options) {
+        Ok(loaded) => loaded,
+        Err(error) => return bad_settings(&error),
+    };
+    match service::run(settings, parameters) {
+        Ok(never) => match never {},
+        Err(error) => {
+            tracing::error!("{error}");
+            ExitCode::from(FAILED)
         }
-        (Some(Command::Submit { server, file }), _) => client::submit(server, &file),
-        (Some(Command::Status { server, id }), _) => client::status(server, &id),
-        (Some(Command::Withdraw { server, id }), _) => client::withdraw(server, &id),
-        (None, None) => {
-            eprintln!("worksshunt: nothing to do; see --help");
-            ExitCode::from(BAD_SETTINGS)
+    }
+}
+
+/// Checks settings and says what is wrong with them.
+fn check(config: &Path, options: Option<&Path>) -> ExitCode {
+    match options::load(config, options) {
+        Ok((settings, _)) => {
+            let (file, controller) = (config.display(), settings.host_name);
+            println!("{file}: settings of {controller} are fine");
+            ExitCode::SUCCESS
         }
+        Err(error) => bad_settings(&error),
     }
 }
 
