--- a/crates/worksshunt-measure/src/loopback/cloud.rs
+++ b/crates/worksshunt-measure/src/loopback/cloud.rs
@@ -8,7 +8,7 @@
 use http_types::Method;
 use serde_json::json;
 use worksshunt_core::job_api::HttpResponse;
-use worksshunt_net::server::Incoming;
+use worksshunt_net::server::HttpRequest;
 use worksshunt_net::Executor;
 use worksshunt_wire::cloud::{
     ListedMachine, ListedState, MachineIds, MachineList, ProvisionRequest,
@@ -100,7 +100,7 @@
     }
 
     /// Answers a request.
-    pub fn handle(self: Rc<Self>, incoming: Incoming) -> Handled {
+    pub fn handle(self: Rc<Self>, incoming: HttpRequest) -> Handled {
         Box::pin(async move {
             let body = incoming.body.as_deref().unwrap_or_default();
             match (incoming.method, incoming.path.as_str()) {
--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -10,7 +10,7 @@
 use worksshunt_core::controller::{KvRequest, KvResponse};
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_core::membership::EPOCH;
-use worksshunt_net::server::Incoming;
+use worksshunt_net::server::HttpRequest;
 use worksshunt_simulation::Store;
 use worksshunt_wire::key_value::{CompareAndSwap, Conflict, Lease, Listing, StoreRevision};
 use worksshunt_wire::Revision;
@@ -110,7 +110,7 @@
     }
 
     /// Answers a request.
-    pub fn handle(self: Rc<Self>, incoming: Incoming) -> Handled {
+    pub fn handle(self: Rc<Self>, incoming: HttpRequest) -> Handled {
         Box::pin(async move {
             let number = |name| query(&incoming, name).and_then(|text| text.parse().ok());
             let starts = query(&incoming, "Starts").unwrap_or_default();
--- a/crates/worksshunt-measure/src/loopback/mod.rs
+++ b/crates/worksshunt-measure/src/loopback/mod.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::client::HttpClient;
-use worksshunt_net::server::{self, Handler, Incoming};
+use worksshunt_net::server::{self, Handler, HttpRequest};
 use worksshunt_net::Executor;
 use worksshunt_simulation::job;
 
@@ -86,10 +86,8 @@
 }
 
 /// A value of a request's query.
-pub fn query<'a>(incoming: &'a Incoming, name: &str) -> Option<&'a str> {
-    let mut pairs = incoming.query.iter();
-    let found = pairs.find(|(key, _)| key == name);
-    found.map(|(_, value)| value.as_str())
+pub fn query<'a>(request: &'a HttpRequest, name: &str) -> Option<&'a str> {
+    request.query_value(name)
 }
 
 fn address(port: u16) -> SocketAddr {
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -11,7 +11,7 @@
 use http_types::Method;
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::client::HttpClient;
-use worksshunt_net::server::{self, Incoming};
+use worksshunt_net::server::{self, HttpRequest};
 use worksshunt_net::{within, Executor};
 use worksshunt_wire::cloud::ProvisionRequest;
 use worksshunt_wire::worker::{
@@ -253,7 +253,7 @@
         NEXT
     }
 
-    fn orders(&self, incoming: &Incoming, plan: &Plan, observer: &Observer) -> HttpResponse {
+    fn orders(&self, incoming: &HttpRequest, plan: &Plan, observer: &Observer) -> HttpResponse {
         let body = incoming.body.as_deref().unwrap_or_default();
         let Ok(orders) = serde_json::from_slice::<CommandBatch>(body) else {
             return malformed();
--- a/crates/worksshunt-net/src/client.rs
+++ b/crates/worksshunt-net/src/client.rs
@@ -1,4 +1,6 @@
 //! An HTTP client for one server: a bounded number of kept connections, a deadline for each call.
+//!
+//! The clients of the key-value store, the cloud, the workers and the command line are built on it.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
@@ -6,11 +8,11 @@
 
 use async_io::Async;
 use async_lock::Semaphore;
-use http_types::{Method, Request, Url};
+use http_types::{Method, Request, Response, Url};
 
 use crate::{within, DeadlineExceeded, Stream};
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The deadline passed.
@@ -19,29 +21,37 @@
     /// The connection could not be made: the request was not sent.
     #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection failed, or the answer was not HTTP.
+    /// The path does not make a URL.
+    #[error(transparent)]
+    InvalidUrl(#[from] http_types::url::ParseError),
+    /// The connection failed, or the response was not HTTP.
     #[error("{0}")]
-    Http(String),
+    Http(http_types::Error),
 }
 
 /// A client of one server.
 pub struct HttpClient {
-    addr: SocketAddr,
-    idle: RefCell<Vec<Stream>>,
+    address: SocketAddr,
+    idle_connections: RefCell<Vec<Stream>>,
     slots: Semaphore,
 }
 
 impl HttpClient {
-    /// A client that holds at most so many connections.
-    pub fn new(addr: SocketAddr, connections: usize) -> HttpClient {
+    /// A client that holds at most `max_connections` connections.
+    pub fn new(address: SocketAddr, max_connections: usize) -> HttpClient {
         HttpClient {
-            addr,
-            idle: RefCell::new(Vec::new()),
-            slots: Semaphore::new(connections),
+            address,
+            idle_connections: RefCell::new(Vec::new()),
+            slots: Semaphore::new(max_connections),
         }
     }
 
-    /// Calls the server. `path` starts with a slash and may carry a query.
+    /// Calls the server; returns status and body. `path` starts with a slash and may carry a query.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::Connect`] if the request was certainly not sent; after any other error the server may have
+    /// carried it out.
     pub async fn call(
         &self,
         method: Method,
@@ -64,19 +74,16 @@
         path: &str,
         body: Option<String>,
     ) -> Result<(u16, Vec<u8>), CallError> {
-        let kept = self.idle.borrow_mut().pop();
+        let idle_connection = self.idle_connections.borrow_mut().pop();
         // A kept connection may have been closed by the server meanwhile. A read can simply be
         // sent again; for a write the caller has to know that the outcome is open.
-        if let Some(stream) = kept {
+        if let Some(stream) = idle_connection {
             let result = self.send(stream, method, path, body.clone()).await;
             if result.is_ok() || method != Method::Get {
                 return result;
             }
         }
-        let stream = Async::<TcpStream>::connect(self.addr)
-            .await
-            .map_err(CallError::Connect)?;
-        let _ = stream.get_ref().set_nodelay(true);
+        let stream = connect(self.address).await.map_err(CallError::Connect)?;
         self.send(Stream::new(stream), method, path, body).await
     }
 
@@ -87,9 +94,7 @@
         path: &str,
         body: Option<String>,
     ) -> Result<(u16, Vec<u8>), CallError> {
-        let http = |error: http_types::Error| CallError::Http(error.to_string());
-        let url = Url::parse(&format!("http://{}{path}", self.addr))
-            .map_err(|error| CallError::Http(error.to_string()))?;
+        let url = Url::parse(&format!("http://{}{path}", self.address))?;
         let mut request = Request::new(method, url);
         if let Some(body) = body {
             request.set_body(body);
@@ -97,14 +102,25 @@
         }
         let mut response = async_h1::connect(stream.clone(), request)
             .await
-            .map_err(http)?;
-        let body = response.body_bytes().await.map_err(http)?;
-        let closes = response
-            .header("Connection")
-            .is_some_and(|values| values.last().as_str().eq_ignore_ascii_case("close"));
-        if !closes {
-            self.idle.borrow_mut().push(stream);
+            .map_err(CallError::Http)?;
+        let body = response.body_bytes().await.map_err(CallError::Http)?;
+        if !closes_connection(&response) {
+            self.idle_connections.borrow_mut().push(stream);
         }
         Ok((response.status() as u16, body))
     }
 }
+
+/// Whether the server closes the connection after this response.
+fn closes_connection(response: &Response) -> bool {
+    let header = response.header("Connection");
+    header.is_some_and(|values| values.last().as_str().eq_ignore_ascii_case("close"))
+}
+
+/// Opens a connection on which small messages are sent at once.
+pub(crate) async fn connect(address: SocketAddr) -> std::io::Result<Async<TcpStream>> {
+    let stream = Async::<TcpStream>::connect(address).await?;
+    // Without it only latency is worse.
+    let _ = stream.get_ref().set_nodelay(true);
+    Ok(stream)
+}
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -1,15 +1,23 @@
-//! Client of the cloud.
+//! Client of the cloud: one function per request.
+//!
+//! The service calls it for each such action of the controller. Any request may be repeated: a provisioning request
+//! has a name, and releasing a machine twice is harmless. So an unclear outcome and a refusal are not told apart.
 
 use std::time::Duration;
 
 use http_types::Method;
-use serde::de::DeserializeOwned;
 use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE;
 use worksshunt_core::controller::CloudResponse;
 use worksshunt_core::fleet::CloudRequest;
-use worksshunt_wire::cloud::MachineList;
+use worksshunt_wire::cloud::{MachineIds, MachineList, ProvisionRequest};
 
-use crate::client::{CallError, HttpClient};
+use crate::client::HttpClient;
+use crate::response::{check_page, contains, decode, RequestError};
+
+/// The service, as logs name it.
+const SERVICE: &str = "cloud";
+/// What the cloud says when it has no machine of that type left in that zone.
+const NO_CAPACITY: &str = "no capacity";
 
 /// Carries out one request.
 pub async fn call(
@@ -18,103 +26,98 @@
     deadline: Duration,
 ) -> CloudResponse {
     let result = match request {
-        CloudRequest::ReadCatalog => {
-            get(client, "/catalog", deadline)
-                .await
-                .map(|answer| match answer {
-                    Some(catalog) => CloudResponse::Catalog(catalog),
-                    None => CloudResponse::NoAnswer,
-                })
-        }
-        CloudRequest::ListMachines => list(client, deadline).await,
-        CloudRequest::Provision(rent) => {
-            post(
-                client,
-                "/machines",
-                serde_json::json!(rent).to_string(),
-                deadline,
-            )
-            .await
-        }
-        CloudRequest::Release(names) => {
-            let body = serde_json::json!(names).to_string();
-            post(client, "/machines/return", body, deadline)
-                .await
-                .map(|reply| match reply {
-                    // Only that it was done matters; the body says nothing more.
-                    CloudResponse::Machines(_) => CloudResponse::Machines(names.clone()),
-                    other => other,
-                })
-        }
+        CloudRequest::ReadCatalog => read_catalog(client, deadline).await,
+        CloudRequest::ListMachines => list_machines(client, deadline).await,
+        CloudRequest::Provision(request) => provision(client, request, deadline).await,
+        CloudRequest::Release(machines) => release(client, machines, deadline).await,
     };
     result.unwrap_or_else(|error| {
-        tracing::debug!(%error, "cloud");
+        error.log(SERVICE);
         CloudResponse::NoAnswer
     })
 }
 
-async fn get<T: DeserializeOwned>(
+async fn read_catalog(
     client: &HttpClient,
-    path: &str,
     deadline: Duration,
-) -> Result<Option<T>, CallError> {
-    let (status, body) = client.call(Method::Get, path, None, deadline).await?;
-    if status != 200 {
-        tracing::debug!(status, path, "cloud");
-        return Ok(None);
+) -> Result<CloudResponse, RequestError> {
+    match client.call(Method::Get, "/catalog", None, deadline).await? {
+        (200, body) => Ok(CloudResponse::Catalog(decode(&body)?)),
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
     }
-    Ok(serde_json::from_slice(&body).ok())
 }
 
-async fn post(
+async fn provision(
     client: &HttpClient,
-    path: &str,
-    body: String,
+    request: &ProvisionRequest,
     deadline: Duration,
-) -> Result<CloudResponse, CallError> {
-    let (status, body) = client
-        .call(Method::Post, path, Some(body), deadline)
-        .await?;
-    let capacity = body.windows(11).any(|part| part == b"no capacity");
-    Ok(match status {
-        200 => {
-            let names = serde_json::from_slice(&body).unwrap_or_default();
-            CloudResponse::Machines(names)
-        }
-        503 if capacity => CloudResponse::NoCapacity,
-        _ => {
-            tracing::debug!(status, path, "cloud");
-            CloudResponse::NoAnswer
-        }
-    })
+) -> Result<CloudResponse, RequestError> {
+    let body = serde_json::json!(request).to_string();
+    let call = client.call(Method::Post, "/machines", Some(body), deadline);
+    match call.await? {
+        // Names that cannot be read come with the next machine list.
+        (200, body) => Ok(CloudResponse::Machines(decode(&body).unwrap_or_default())),
+        (status, body) => rejected(status, &body),
+    }
+}
+
+async fn release(
+    client: &HttpClient,
+    machines: &MachineIds,
+    deadline: Duration,
+) -> Result<CloudResponse, RequestError> {
+    let body = serde_json::json!(machines).to_string();
+    let call = client.call(Method::Post, "/machines/return", Some(body), deadline);
+    match call.await? {
+        // Only that it was done matters; the body says nothing more.
+        (200, _) => Ok(CloudResponse::Machines(machines.clone())),
+        (status, body) => rejected(status, &body),
+    }
 }
 
-async fn list(client: &HttpClient, deadline: Duration) -> Result<CloudResponse, CallError> {
+/// The result of a change that was not made.
+fn rejected(status: u16, body: &[u8]) -> Result<CloudResponse, RequestError> {
+    match status {
+        503 if contains(body, NO_CAPACITY) => Ok(CloudResponse::NoCapacity),
+        _ => Err(RequestError::UnexpectedStatus(status)),
+    }
+}
+
+/// The whole machine list, read page by page.
+async fn list_machines(
+    client: &HttpClient,
+    deadline: Duration,
+) -> Result<CloudResponse, RequestError> {
     let mut pages: Vec<MachineList> = Vec::new();
     loop {
-        let last = pages.last().and_then(|page| page.machines.last());
-        let since = last.map(|machine| format!("&Since={}", machine.id));
-        let since = since.unwrap_or_default();
-        let path = format!("/machines?Most={MACHINE_LIST_PAGE}{since}");
-        let Some(page) = get::<MachineList>(client, &path, deadline).await? else {
-            return Ok(CloudResponse::NoAnswer);
-        };
-        if page.machines.len() > MACHINE_LIST_PAGE {
-            let machines = page.machines.len();
-            tracing::warn!(
-                machines,
-                most = MACHINE_LIST_PAGE,
-                "page of the machine list too long: refused"
-            );
-            return Ok(CloudResponse::NoAnswer);
-        }
-        let more = page.more && !page.machines.is_empty();
+        let page = list_page(client, pages.last(), deadline).await?;
+        let is_last = !page.more || page.machines.is_empty();
         pages.push(page);
-        if !more {
+        if is_last {
             return Ok(CloudResponse::List(pages));
         }
     }
 }
 
+/// One page of the machine list, after the last machine of the page before.
+async fn list_page(
+    client: &HttpClient,
+    previous: Option<&MachineList>,
+    deadline: Duration,
+) -> Result<MachineList, RequestError> {
+    let last = previous.and_then(|page| page.machines.last());
+    let since = last.map(|machine| format!("&Since={}", machine.id));
+    let since = since.unwrap_or_default();
+    let path = format!("/machines?Most={MACHINE_LIST_PAGE}{since}");
+    match client.call(Method::Get, &path, None, deadline).await? {
+        (200, body) => {
+            let page: MachineList = decode(&body)?;
+            check_page(page.machines.len(), MACHINE_LIST_PAGE)?;
+            Ok(page)
+        }
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/worksshunt-net/src/connections.rs
+++ b/crates/worksshunt-net/src/connections.rs
@@ -1,9 +1,11 @@
-//! Counts open connections against their limit.
+//! Counts the open connections of a listener against their limit.
 //!
 //! A controller has a limited number of sockets, and may have to serve more clients than that: all machines when it
 //! is the only one left. So when connections run short each is closed after its answer, and the clients share
-//! them, at the price of opening a new one for each request. Newcomers beyond the limit wait in the system's queue until
-//! one is free.
+//! them, at the price of opening a new one for each request. Clients beyond the limit wait in the system's queue of
+//! connections until one is free.
+//!
+//! The servers' accept loop takes a [`Slot`] for each connection and drops it when the connection ends.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,111 +16,117 @@
 
 /// How open connections compare with their limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Supply {
+enum Availability {
     /// Connections are kept open.
     Ample,
     /// They are closed after each answer.
     Short,
-    /// There is none left, newcomers wait; the others are closed after each answer.
-    UsedUp,
+    /// None is left, accepting pauses; the open ones are closed after each answer.
+    Exhausted,
 }
 
 /// Open connections of a listener.
 #[derive(Debug)]
 pub struct Connections {
-    most: usize,
+    limit: usize,
     open: Cell<usize>,
-    supply: Cell<Supply>,
-    /// When the log was last told of a change.
-    told: Cell<Option<Instant>>,
-    /// Tells who waits that one has ended.
+    availability: Cell<Availability>,
+    /// When a change was last logged.
+    last_logged_at: Cell<Option<Instant>>,
+    /// Wakes the accept loop when a connection has ended.
     ended: (Sender<()>, Receiver<()>),
 }
 
-/// One open connection.
+/// One open connection, counted until it is dropped.
 #[derive(Debug)]
 pub struct Slot(Rc<Connections>);
 
 impl Connections {
-    /// At most so many.
-    pub fn new(most: usize) -> Rc<Connections> {
+    /// At most `limit` connections at a time.
+    pub fn new(limit: usize) -> Rc<Connections> {
         Rc::new(Connections {
-            most,
+            limit,
             open: Cell::new(0),
-            supply: Cell::new(Supply::Ample),
-            told: Cell::new(None),
+            availability: Cell::new(Availability::Ample),
+            last_logged_at: Cell::new(None),
             ended: async_channel::bounded(1),
         })
     }
 
-    /// Counts another connection in, unless there are as many as there may be.
-    pub fn begin(self: &Rc<Connections>) -> Option<Slot> {
-        if self.open.get() >= self.most {
-            self.set_supply(Supply::UsedUp);
+    /// Counts another connection, unless the limit is reached.
+    pub fn try_acquire(self: &Rc<Connections>) -> Option<Slot> {
+        if self.open.get() >= self.limit {
+            self.set_availability(Availability::Exhausted);
             return None;
         }
         self.open.set(self.open.get() + 1);
-        let spare = self.most / SPARE_CONNECTION_DIVISOR;
-        if self.open.get() > self.most - spare && self.supply.get() == Supply::Ample {
-            self.set_supply(Supply::Short);
+        let is_ample = self.availability.get() == Availability::Ample;
+        if self.open.get() > self.limit - self.spare() && is_ample {
+            self.set_availability(Availability::Short);
         }
         Some(Slot(Rc::clone(self)))
     }
 
-    /// Waits until there may be another one.
-    pub async fn one_is_free(&self) {
-        while self.open.get() >= self.most {
-            self.set_supply(Supply::UsedUp);
+    /// Waits until fewer connections are open than the limit.
+    pub async fn wait_for_free(&self) {
+        while self.open.get() >= self.limit {
+            self.set_availability(Availability::Exhausted);
             // The other end is in here as well, so it is never closed.
             let _ = self.ended.1.recv().await;
         }
     }
 
     /// Whether connections run short, so that each is to be closed after its answer.
-    pub fn short(&self) -> bool {
-        self.supply.get() != Supply::Ample
+    pub fn are_short(&self) -> bool {
+        self.availability.get() != Availability::Ample
+    }
+
+    /// How many connections are to be free while the others are kept open.
+    fn spare(&self) -> usize {
+        self.limit / SPARE_CONNECTION_DIVISOR
     }
 
-    fn end(&self) {
+    fn release(&self) {
         self.open.set(self.open.get().saturating_sub(1));
         // Twice what has to be spare, so that it does not change to and fro.
-        let ample = self.most - self.most / SPARE_CONNECTION_DIVISOR * 2;
-        if self.open.get() <= ample {
-            self.set_supply(Supply::Ample);
+        if self.open.get() <= self.limit - self.spare() * 2 {
+            self.set_availability(Availability::Ample);
         }
-        // If it is full, whoever waits is being told.
+        // If it is full, the accept loop is being woken already.
         let _ = self.ended.0.try_send(());
     }
 
-    /// Whether the log should be told of another change: with fewer connections than clients there is one
-    /// every second.
-    fn may_tell(&self) -> bool {
-        let pause = Duration::from_millis(CONNECTION_LOG_INTERVAL_MS);
-        let may = self.told.get().is_none_or(|told| told.elapsed() >= pause);
-        if may {
-            self.told.set(Some(Instant::now()));
+    /// Whether another change may be logged now: with fewer connections than clients there is one every second.
+    fn may_log(&self) -> bool {
+        let interval = Duration::from_millis(CONNECTION_LOG_INTERVAL_MS);
+        let last_logged_at = self.last_logged_at.get();
+        let may_log = last_logged_at.is_none_or(|logged_at| logged_at.elapsed() >= interval);
+        if may_log {
+            self.last_logged_at.set(Some(Instant::now()));
         }
-        may
+        may_log
     }
 
-    /// The one place where the supply changes.
-    fn set_supply(&self, next: Supply) {
-        let before = self.supply.replace(next);
-        if before == next || !self.may_tell() {
+    /// The one place where the availability changes.
+    fn set_availability(&self, next: Availability) {
+        let before = self.availability.replace(next);
+        if before == next || !self.may_log() {
             return;
         }
-        let (open, most) = (self.open.get(), self.most);
+        let (open, limit) = (self.open.get(), self.limit);
         match next {
-            Supply::Ample => tracing::info!(open, most, "connections are kept open again"),
-            Supply::Short => {
+            Availability::Ample => {
+                tracing::info!(open, limit, "connections are kept alive again");
+            }
+            Availability::Short => {
                 tracing::warn!(
                     open,
-                    most,
-                    "connections run short: closed after each answer"
+                    limit,
+                    "connection limit near, connections closed after each response"
                 );
             }
-            Supply::UsedUp => {
-                tracing::warn!(open, most, "no connection is left: newcomers wait");
+            Availability::Exhausted => {
+                tracing::warn!(open, limit, "connection limit reached, accepting paused");
             }
         }
     }
@@ -126,7 +134,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.release();
     }
 }
 
--- a/crates/worksshunt-net/src/connections/tests.rs
+++ b/crates/worksshunt-net/src/connections/tests.rs
@@ -12,20 +12,20 @@
 use crate::Executor;
 
 #[test]
-fn they_run_short_before_they_are_used_up() {
+fn they_run_short_before_the_limit_is_reached() {
     let connections = Connections::new(16);
-    let mut slots: Vec<Slot> = (0..14).filter_map(|_| connections.begin()).collect();
-    assert!(!connections.short(), "an eighth is spare");
-    slots.extend(connections.begin());
-    assert!(connections.short());
-    slots.extend(connections.begin());
+    let mut slots: Vec<Slot> = (0..14).filter_map(|_| connections.try_acquire()).collect();
+    assert!(!connections.are_short(), "an eighth is spare");
+    slots.extend(connections.try_acquire());
+    assert!(connections.are_short());
+    slots.extend(connections.try_acquire());
     assert_eq!(slots.len(), 16);
-    assert!(connections.begin().is_none());
+    assert!(connections.try_acquire().is_none());
     slots.truncate(13);
-    assert!(connections.short(), "not to and fro at the border");
+    assert!(connections.are_short(), "not to and fro at the border");
     slots.truncate(12);
-    assert!(!connections.short());
-    slots.extend(connections.begin());
+    assert!(!connections.are_short());
+    slots.extend(connections.try_acquire());
     assert_eq!(slots.len(), 13);
 }
 
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -1,131 +1,112 @@
-//! Client of the state service: one call per operation, unclear outcomes named as such.
+//! Client of the key-value store: one function per request.
+//!
+//! The service calls it for each such action of the controller. A request whose outcome is unclear is told apart
+//! from one that was certainly not executed: a write may only be repeated blindly in the second case.
 
 use std::time::Duration;
 
 use http_types::Method;
-use serde::de::DeserializeOwned;
 use worksshunt_core::constants::key_value::KV_LIST_PAGE_KEYS;
 use worksshunt_core::constants::leases::MEMBER_LEASE_TTL_MS;
 use worksshunt_core::controller::{KvRequest, KvResponse};
 use worksshunt_wire::key_value::{
-    CompareAndSwap, Conflict, KeyValue, Lease, LeaseRequest, Listing, StoreRevision, WatchResponse,
+    CompareAndSwap, Conflict, KeyValue, Lease, LeaseRequest, Listing, StoreRevision,
 };
+use worksshunt_wire::Revision;
 
 use crate::client::{CallError, HttpClient};
+use crate::response::{check_page, contains, decode, RequestError};
 
-/// Carries out one operation.
-pub async fn call(client: &HttpClient, op: KvRequest, deadline: Duration) -> KvResponse {
-    let result = match op {
-        KvRequest::GrantLease => new_lease(client, deadline).await,
-        KvRequest::RenewLease(lease) => renew(client, lease, deadline).await,
+/// The service, as logs name it.
+const SERVICE: &str = "key-value store";
+/// What the store says of a change attached to a lease that has expired.
+const NO_SUCH_LEASE: &str = "no such lease";
+
+/// Carries out one request.
+pub async fn call(client: &HttpClient, request: KvRequest, deadline: Duration) -> KvResponse {
+    let result = match request {
+        KvRequest::GrantLease => grant_lease(client, deadline).await,
+        KvRequest::RenewLease(lease) => renew_lease(client, lease, deadline).await,
         KvRequest::Get(key) => get(client, &key, deadline).await,
         KvRequest::List(prefix) => list(client, &prefix, deadline).await,
-        KvRequest::CompareAndSwap(txn) => transact(client, &txn, deadline).await,
+        KvRequest::CompareAndSwap(transaction) => {
+            compare_and_swap(client, &transaction, deadline).await
+        }
         KvRequest::Watch(prefix, since, wait_ms) => {
-            let path = format!("/follow?Starts={prefix}&Since={since}&WaitMs={wait_ms}");
-            follow(client, &path, deadline).await
+            watch(client, &prefix, since, wait_ms, deadline).await
         }
     };
-    result.unwrap_or_else(|error| {
-        tracing::debug!(%error, "state service");
-        match error {
-            // Never sent, so never executed.
-            CallError::Connect(_) => KvResponse::Refused,
-            CallError::DeadlineExceeded(_) | CallError::Http(_) => KvResponse::NoAnswer,
+    result.unwrap_or_else(|error| match error {
+        // Over the store's limits; it has not executed the request.
+        RequestError::UnexpectedStatus(429 | 503) => KvResponse::Refused,
+        error => {
+            error.log(SERVICE);
+            match error {
+                // Never sent, so never executed.
+                RequestError::Call(CallError::Connect(_)) => KvResponse::Refused,
+                _ => KvResponse::NoAnswer,
+            }
         }
     })
 }
 
-fn read<T: DeserializeOwned>(body: &[u8], then: impl FnOnce(T) -> KvResponse) -> KvResponse {
-    match serde_json::from_slice(body) {
-        Ok(value) => then(value),
-        Err(error) => {
-            tracing::debug!(%error, "odd answer of the state service");
-            KvResponse::NoAnswer
-        }
-    }
-}
-
-fn other(status: u16) -> KvResponse {
-    match status {
-        429 | 503 => KvResponse::Refused,
-        _ => {
-            tracing::debug!(status, "odd status of the state service");
-            KvResponse::NoAnswer
-        }
+async fn grant_lease(client: &HttpClient, deadline: Duration) -> Result<KvResponse, RequestError> {
+    let request = LeaseRequest {
+        ttl_ms: MEMBER_LEASE_TTL_MS,
+    };
+    let body = serde_json::json!(request).to_string();
+    let call = client.call(Method::Post, "/holds", Some(body), deadline);
+    match call.await? {
+        (200, body) => Ok(KvResponse::LeaseGranted(decode::<Lease>(&body)?.lease)),
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
-async fn new_lease(client: &HttpClient, deadline: Duration) -> Result<KvResponse, CallError> {
-    let body = serde_json::json!(LeaseRequest {
-        ttl_ms: MEMBER_LEASE_TTL_MS
-    });
-    let (status, body) = client
-        .call(Method::Post, "/holds", Some(body.to_string()), deadline)
-        .await?;
-    Ok(match status {
-        200 => read(&body, |lease: Lease| KvResponse::LeaseGranted(lease.lease)),
-        _ => other(status),
-    })
-}
-
-async fn renew(
+async fn renew_lease(
     client: &HttpClient,
     lease: u64,
     deadline: Duration,
-) -> Result<KvResponse, CallError> {
+) -> Result<KvResponse, RequestError> {
     let path = format!("/holds/{lease}/renew");
-    let (status, _) = client.call(Method::Post, &path, None, deadline).await?;
-    Ok(match status {
-        200 => KvResponse::LeaseRenewed,
-        404 => KvResponse::NoSuchLease,
-        _ => other(status),
-    })
+    match client.call(Method::Post, &path, None, deadline).await? {
+        (200, _) => Ok(KvResponse::LeaseRenewed),
+        (404, _) => Ok(KvResponse::NoSuchLease),
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    }
 }
 
-async fn get(client: &HttpClient, key: &str, deadline: Duration) -> Result<KvResponse, CallError> {
+async fn get(
+    client: &HttpClient,
+    key: &str,
+    deadline: Duration,
+) -> Result<KvResponse, RequestError> {
     let path = format!("/kv/{key}");
-    let (status, body) = client.call(Method::Get, &path, None, deadline).await?;
-    Ok(match status {
-        200 => read(&body, KvResponse::Found),
-        404 => read(&body, |_: StoreRevision| KvResponse::Missing),
-        _ => other(status),
-    })
+    match client.call(Method::Get, &path, None, deadline).await? {
+        (200, body) => Ok(KvResponse::Found(decode(&body)?)),
+        (404, body) => {
+            // A 404 without revision is not about the key.
+            decode::<StoreRevision>(&body)?;
+            Ok(KvResponse::Missing)
+        }
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    }
 }
 
+/// All keys of a prefix, read page by page, at the revision of the first page.
 async fn list(
     client: &HttpClient,
     prefix: &str,
     deadline: Duration,
-) -> Result<KvResponse, CallError> {
+) -> Result<KvResponse, RequestError> {
     let mut pairs: Vec<KeyValue> = Vec::new();
-    let mut first = None;
+    let mut first_revision = None;
     loop {
-        let since = pairs
-            .last()
-            .map(|pair| format!("&Since={}", pair.key))
-            .unwrap_or_default();
-        let path = format!("/kv?Starts={prefix}{since}&Most={KV_LIST_PAGE_KEYS}");
-        let (status, body) = client.call(Method::Get, &path, None, deadline).await?;
-        if status != 200 {
-            return Ok(other(status));
-        }
-        let Ok(page) = serde_json::from_slice::<Listing>(&body) else {
-            return Ok(KvResponse::NoAnswer);
-        };
-        if page.pairs.len() > KV_LIST_PAGE_KEYS {
-            let keys = page.pairs.len();
-            tracing::warn!(
-                keys,
-                most = KV_LIST_PAGE_KEYS,
-                "page of keys too long: refused"
-            );
-            return Ok(KvResponse::NoAnswer);
-        }
-        let revision = *first.get_or_insert(page.revision);
-        let more = page.more && !page.pairs.is_empty();
+        let last_key = pairs.last().map(|pair| pair.key.as_str());
+        let page = list_page(client, prefix, last_key, deadline).await?;
+        let revision = *first_revision.get_or_insert(page.revision);
+        let is_last = !page.more || page.pairs.is_empty();
         pairs.extend(page.pairs);
-        if !more {
+        if is_last {
             return Ok(KvResponse::Listing(Listing {
                 pairs,
                 more: false,
@@ -135,45 +116,63 @@
     }
 }
 
-async fn transact(
+/// One page of the keys of a prefix, after the last key of the page before.
+async fn list_page(
     client: &HttpClient,
-    txn: &CompareAndSwap,
+    prefix: &str,
+    last_key: Option<&str>,
     deadline: Duration,
-) -> Result<KvResponse, CallError> {
-    let body = serde_json::json!(txn).to_string();
-    let (status, body) = client
-        .call(Method::Post, "/txn", Some(body), deadline)
-        .await?;
-    Ok(match status {
-        200 => read(&body, |at: StoreRevision| {
-            KvResponse::Committed(at.revision)
-        }),
-        409 => read(&body, |conflict: Conflict| {
-            KvResponse::Conflict(conflict.failed)
-        }),
-        400 if body.windows(13).any(|part| part == b"no such lease") => KvResponse::NoSuchLease,
-        400 => {
-            let answer = String::from_utf8_lossy(&body);
-            tracing::warn!(%answer, "the state service does not take a transaction");
-            KvResponse::TooLarge
+) -> Result<Listing, RequestError> {
+    let since = last_key.map(|key| format!("&Since={key}"));
+    let since = since.unwrap_or_default();
+    let path = format!("/kv?Starts={prefix}{since}&Most={KV_LIST_PAGE_KEYS}");
+    match client.call(Method::Get, &path, None, deadline).await? {
+        (200, body) => {
+            let page: Listing = decode(&body)?;
+            check_page(page.pairs.len(), KV_LIST_PAGE_KEYS)?;
+            Ok(page)
         }
-        _ => other(status),
-    })
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    }
 }
 
-async fn follow(
+async fn compare_and_swap(
     client: &HttpClient,
-    path: &str,
+    transaction: &CompareAndSwap,
     deadline: Duration,
-) -> Result<KvResponse, CallError> {
-    let (status, body) = client.call(Method::Get, path, None, deadline).await?;
-    Ok(match status {
-        200 => read(&body, |changes: WatchResponse| {
-            KvResponse::WatchResponse(changes)
-        }),
-        410 => KvResponse::RevisionCompacted,
-        _ => other(status),
-    })
+) -> Result<KvResponse, RequestError> {
+    let body = serde_json::json!(transaction).to_string();
+    let call = client.call(Method::Post, "/txn", Some(body), deadline);
+    match call.await? {
+        (200, body) => {
+            let committed: StoreRevision = decode(&body)?;
+            Ok(KvResponse::Committed(committed.revision))
+        }
+        (409, body) => Ok(KvResponse::Conflict(decode::<Conflict>(&body)?.failed)),
+        (400, body) if contains(&body, NO_SUCH_LEASE) => Ok(KvResponse::NoSuchLease),
+        (400, body) => {
+            let response = String::from_utf8_lossy(&body);
+            tracing::warn!(%response, "transaction rejected by the key-value store");
+            Ok(KvResponse::TooLarge)
+        }
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    }
+}
+
+/// Changes of a prefix after a revision; the store waits up to `wait_ms` for the first.
+async fn watch(
+    client: &HttpClient,
+    prefix: &str,
+    since: Revision,
+    wait_ms: u64,
+    deadline: Duration,
+) -> Result<KvResponse, RequestError> {
+    let path = format!("/follow?Starts={prefix}&Since={since}&WaitMs={wait_ms}");
+    match client.call(Method::Get, &path, None, deadline).await? {
+        (200, body) => Ok(KvResponse::WatchResponse(decode(&body)?)),
+        (410, _) => Ok(KvResponse::RevisionCompacted),
+        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    }
 }
 
 #[cfg(test)]
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `key_value`: the bytes of every request, what each answer means, pages of keys.
 
 use worksshunt_core::job_api::HttpResponse;
-use worksshunt_wire::key_value::{Change, ExpectedRevision, WatchEvent};
+use worksshunt_wire::key_value::{Change, ExpectedRevision, WatchEvent, WatchResponse};
 use worksshunt_wire::Revision;
 
 use super::*;
--- a/crates/worksshunt-net/src/lib.rs
+++ b/crates/worksshunt-net/src/lib.rs
@@ -1,7 +1,8 @@
 //! Input and output of worksshunt: executor, HTTP server, clients, peer link.
 //!
-//! Nothing in here decides anything. Every connection count is bounded and every call has a
-//! deadline.
+//! Nothing in here decides anything: the core crate says what to send and what a response means. Every connection
+//! count is bounded and every call has a deadline. The service's binary calls it, and so do the stand-ins with
+//! which real controllers are measured.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,6 +19,7 @@
 pub mod connections;
 pub mod key_value;
 pub mod peer;
+mod response;
 pub mod server;
 #[cfg(test)]
 mod test_server;
@@ -34,19 +36,23 @@
 #[error("deadline passed")]
 pub struct DeadlineExceeded;
 
-/// Gives a future so much time.
+/// Waits for a future, but no longer than the deadline.
+///
+/// # Errors
+///
+/// [`DeadlineExceeded`] if the future has not ended by then; it is dropped.
 pub async fn within<T>(
-    limit: Duration,
+    deadline: Duration,
     future: impl Future<Output = T>,
 ) -> Result<T, DeadlineExceeded> {
     futures_lite::future::or(async { Ok(future.await) }, async {
-        async_io::Timer::after(limit).await;
+        async_io::Timer::after(deadline).await;
         Err(DeadlineExceeded)
     })
     .await
 }
 
-/// Accepts connections for ever, at most so many at a time, and lets each be served.
+/// Accepts connections for ever, up to the limit at a time, and serves each in a task of its own.
 pub(crate) async fn accept<F: Future<Output = ()> + 'static>(
     executor: Rc<Executor>,
     listener: Async<TcpListener>,
@@ -54,7 +60,7 @@
     serve: impl Fn(Async<TcpStream>, SocketAddr) -> F,
 ) {
     loop {
-        connections.one_is_free().await;
+        connections.wait_for_free().await;
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
@@ -63,8 +69,8 @@
                 continue;
             }
         };
-        // Nobody else takes any, so the one that was free still is.
-        let Some(slot) = connections.begin() else {
+        // Nothing else acquires any, so the one that was free still is.
+        let Some(slot) = connections.try_acquire() else {
             continue;
         };
         let _ = stream.get_ref().set_nodelay(true);
--- a/crates/worksshunt-net/src/server/tests.rs
+++ b/crates/worksshunt-net/src/server/tests.rs
@@ -45,11 +45,14 @@
     let address = listener.get_ref().local_addr().expect("an address");
     let handed = Rc::new(RefCell::new(String::new()));
     let into = Rc::clone(&handed);
-    let handler: Handler = Rc::new(move |incoming| {
-        let body = incoming
+    let handler: Handler = Rc::new(move |request| {
+        let body = request
             .body
             .map(|body| String::from_utf8_lossy(&body).into_owned());
-        let parts = (incoming.method, incoming.path, incoming.query, body);
+        let parameters = request.query.into_iter();
+        let pairs = parameters.map(|parameter| (parameter.name, parameter.value));
+        let query: Vec<(String, String)> = pairs.collect();
+        let parts = (request.method, request.path, query, body);
         *into.borrow_mut() = format!("{parts:?}");
         let reply = reply.clone();
         Box::pin(async move { reply })
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -1,15 +1,17 @@
-//! Wires a controller to the network: events in, actions out.
+//! Wires a controller to the network: requests and responses in as events, the controller's actions out.
+//!
+//! Owns the controller, the clients of all outside services and the requests that wait for a response. `main` runs
+//! it. Everything is on one thread, so no event comes while another is handled.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
+use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use async_channel::Sender;
 use async_io::{Async, Timer};
-use http_types::Method;
 use worksshunt_core::capacity::Capacity;
 use worksshunt_core::constants::capacity::{
     CLOUD_CONNECTIONS, IDLE_HEARTBEAT_INTERVALS, KV_CONNECTIONS, MIN_IDLE_CONNECTION_MS,
@@ -19,54 +21,71 @@
 use worksshunt_core::constants::partition_sync::SYNC_DEADLINE_MS;
 use worksshunt_core::constants::timers::TICK_MS;
 use worksshunt_core::constants::workers::DIRECT_COMMAND_DEADLINE_MS;
-use worksshunt_core::controller::{Action, Controller, Event};
+use worksshunt_core::controller::{Action, Controller, Event, KvPurpose, KvRequest};
+use worksshunt_core::fleet::CloudRequest;
 use worksshunt_core::job_api::{HttpResponse, RequestId};
+use worksshunt_core::machines::DirectCommands;
 use worksshunt_core::placement::Parameters;
 use worksshunt_core::time::{Now, Time};
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::peer::PeerClient;
-use worksshunt_net::server::Incoming;
+use worksshunt_net::server::HttpRequest;
 use worksshunt_net::worker::Workers;
 use worksshunt_net::{cloud, key_value, peer, server, Executor};
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
-use worksshunt_wire::settings::Settings;
+use worksshunt_wire::settings::{Peer, Settings};
 use worksshunt_wire::ControllerName;
 
+use pending_responses::PendingResponses;
+
+mod pending_responses;
+mod routes;
+
 /// Why the service could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A port could not be opened.
     #[error("cannot listen on {0}: {1}")]
-    Listen(String, std::io::Error),
+    Listen(String, #[source] std::io::Error),
     /// An address is not one; the settings check should have found it.
     #[error("not an address: {0}")]
     Address(String),
 }
 
-fn address(text: &str) -> Result<SocketAddr, RunError> {
+fn parse_address(text: &str) -> Result<SocketAddr, RunError> {
     text.parse().map_err(|_| RunError::Address(text.to_owned()))
 }
 
 fn listen(text: &str) -> Result<Async<TcpListener>, RunError> {
-    Async::<TcpListener>::bind(address(text)?)
+    Async::<TcpListener>::bind(parse_address(text)?)
         .map_err(|error| RunError::Listen(text.to_owned(), error))
 }
 
+fn peer_clients(peers: &[Peer]) -> Result<BTreeMap<ControllerName, PeerClient>, RunError> {
+    let client = |peer: &Peer| {
+        let client = PeerClient::new(parse_address(&peer.endpoint)?);
+        Ok((peer.host_name.clone(), client))
+    };
+    peers.iter().map(client).collect()
+}
+
+/// How long a connection of a client or worker may be idle: some intervals of a worker's heartbeats.
+fn idle_connection_timeout(settings: &Settings) -> Duration {
+    let intervals_s = settings.facts.workers.report_s * IDLE_HEARTBEAT_INTERVALS;
+    Duration::from_secs_f64(intervals_s).max(Duration::from_millis(MIN_IDLE_CONNECTION_MS))
+}
+
 /// Runs a controller until it is killed.
+///
+/// # Errors
+///
+/// An address that is not one, or on which it is impossible to listen.
 pub fn run(settings: Settings, parameters: Parameters) -> Result<Infallible, RunError> {
-    let users = listen(&settings.client_listen)?;
-    let internal = listen(&settings.internal_addr)?;
+    let client_listener = listen(&settings.client_listen)?;
+    let peer_listener = listen(&settings.internal_addr)?;
     let capacity = Capacity::new(&settings);
-    let quiet = Duration::from_secs_f64(settings.facts.workers.report_s * IDLE_HEARTBEAT_INTERVALS);
-    let idle = quiet.max(Duration::from_millis(MIN_IDLE_CONNECTION_MS));
-    let peers = settings
-        .known
-        .iter()
-        .map(|peer| {
-            let client = PeerClient::new(address(&peer.endpoint)?);
-            Ok((peer.host_name.clone(), client))
-        })
-        .collect::<Result<_, RunError>>()?;
+    let idle_timeout = idle_connection_timeout(&settings);
+    let peers = peer_clients(&settings.known)?;
     tracing::info!(
         name = %settings.host_name, zone = settings.site, listen = settings.client_listen,
         "starting"
@@ -74,43 +93,18 @@
     let executor = Rc::new(Executor::new());
     let service = Rc::new(Service {
         executor: Rc::clone(&executor),
-        state: HttpClient::new(address(&settings.services.state)?, KV_CONNECTIONS),
-        cloud: HttpClient::new(address(&settings.services.cloud)?, CLOUD_CONNECTIONS),
+        key_value_store: HttpClient::new(parse_address(&settings.services.state)?, KV_CONNECTIONS),
+        cloud: HttpClient::new(parse_address(&settings.services.cloud)?, CLOUD_CONNECTIONS),
         workers: Workers::new(capacity.worker_connections),
         peers,
         controller: RefCell::new(Controller::new(settings, parameters)),
-        started: Instant::now(),
-        requests: Cell::new(0),
-        waiting: RefCell::new(BTreeMap::new()),
-        waiting_peers: RefCell::new(BTreeMap::new()),
-    });
-    let for_users = Rc::clone(&service);
-    let handler: server::Handler = Rc::new(move |incoming| {
-        let service = Rc::clone(&for_users);
-        Box::pin(async move { service.answer(incoming).await })
+        started_at: Instant::now(),
+        last_request_id: Cell::new(0),
+        pending_clients: PendingResponses::new(),
+        pending_peers: PendingResponses::new(),
     });
-    let for_peers = Rc::clone(&service);
-    let peer_handler: peer::PeerHandler = Rc::new(move |request| {
-        let service = Rc::clone(&for_peers);
-        Box::pin(async move { service.answer_peer(request).await })
-    });
-    executor
-        .spawn(server::serve(
-            Rc::clone(&executor),
-            users,
-            capacity.connections,
-            idle,
-            handler,
-        ))
-        .detach();
-    executor
-        .spawn(peer::serve(
-            Rc::clone(&executor),
-            internal,
-            PEER_CONNECTIONS,
-            peer_handler,
-        ))
-        .detach();
+    service.serve_clients(client_listener, capacity.connections, idle_timeout);
+    service.serve_peers(peer_listener);
     async_io::block_on(executor.run(async {
         loop {
             service.dispatch(Event::Tick);
@@ -119,42 +113,82 @@
     }))
 }
 
+/// A controller with its connections.
 struct Service {
     executor: Rc<Executor>,
-    state: HttpClient,
+    key_value_store: HttpClient,
     cloud: HttpClient,
     workers: Workers,
     peers: BTreeMap<ControllerName, PeerClient>,
     controller: RefCell<Controller>,
-    started: Instant,
-    requests: Cell<u64>,
-    waiting: RefCell<BTreeMap<RequestId, Sender<HttpResponse>>>,
-    waiting_peers: RefCell<BTreeMap<RequestId, Sender<PeerResponse>>>,
+    /// Zero of the controller's steady time.
+    started_at: Instant,
+    last_request_id: Cell<u64>,
+    pending_clients: PendingResponses<HttpResponse>,
+    pending_peers: PendingResponses<PeerResponse>,
 }
 
 impl Service {
-    fn steady(&self) -> Time {
-        Time(self.started.elapsed().as_millis() as u64)
+    /// Serves users, workers and health checks.
+    fn serve_clients(
+        self: &Rc<Self>,
+        listener: Async<TcpListener>,
+        max_connections: usize,
+        idle_timeout: Duration,
+    ) {
+        let this = Rc::clone(self);
+        let handler: server::Handler = Rc::new(move |request| {
+            let this = Rc::clone(&this);
+            Box::pin(async move { this.handle_client_request(request).await })
+        });
+        let executor = Rc::clone(&self.executor);
+        self.spawn(server::serve(
+            executor,
+            listener,
+            max_connections,
+            idle_timeout,
+            handler,
+        ));
+    }
+
+    /// Serves the other controllers.
+    fn serve_peers(self: &Rc<Self>, listener: Async<TcpListener>) {
+        let this = Rc::clone(self);
+        let handler: peer::PeerHandler = Rc::new(move |request| {
+            let this = Rc::clone(&this);
+            Box::pin(async move { this.handle_peer_request(request).await })
+        });
+        let executor = Rc::clone(&self.executor);
+        self.spawn(peer::serve(executor, listener, PEER_CONNECTIONS, handler));
+    }
+
+    fn spawn(&self, future: impl Future<Output = ()> + 'static) {
+        self.executor.spawn(future).detach();
+    }
+
+    fn steady_time(&self) -> Time {
+        Time(self.started_at.elapsed().as_millis() as u64)
     }
 
     fn now(&self) -> Now {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
-            steady: self.steady(),
+            steady: self.steady_time(),
             wall_ms: wall.map_or(0, |since| since.as_millis() as u64),
         }
     }
 
-    fn request(&self) -> RequestId {
-        self.requests.set(self.requests.get() + 1);
-        RequestId(self.requests.get())
+    fn next_request_id(&self) -> RequestId {
+        self.last_request_id.set(self.last_request_id.get() + 1);
+        RequestId(self.last_request_id.get())
     }
 
+    /// Lets the controller handle an event and carries out its actions.
     fn dispatch(self: &Rc<Self>, event: Event) {
         let actions = self
             .controller
             .borrow_mut()
-            .handle(self.now(), event, &|| self.steady());
+            .handle(self.now(), event, &|| self.steady_time());
         for action in actions {
             self.perform(action);
         }
@@ -162,132 +196,112 @@
 
     fn perform(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Respond(request, reply) => {
-                if let Some(sender) = self.waiting.borrow_mut().remove(&request) {
-                    let _ = sender.try_send(reply);
-                }
-            }
-            Action::RespondToPeer(request, answer) => {
-                if let Some(sender) = self.waiting_peers.borrow_mut().remove(&request) {
-                    let _ = sender.try_send(answer);
-                }
-            }
-            Action::CallKeyValueStore(tag, op, deadline_ms) => {
-                let this = Rc::clone(self);
-                let sent = self.steady();
-                self.executor
-                    .spawn(async move {
-                        let deadline = Duration::from_millis(deadline_ms);
-                        let reply = key_value::call(&this.state, op, deadline).await;
-                        this.dispatch(Event::KeyValueResponse(tag, sent, reply));
-                    })
-                    .detach();
-            }
-            Action::CallCloud(request) => {
-                let this = Rc::clone(self);
-                self.executor
-                    .spawn(async move {
-                        let deadline = Duration::from_millis(CLOUD_DEADLINE_MS);
-                        let reply = cloud::call(&this.cloud, &request, deadline).await;
-                        this.dispatch(Event::CloudResponse(request, reply));
-                    })
-                    .detach();
-            }
-            Action::SendCommands(orders) => {
-                let this = Rc::clone(self);
-                self.executor
-                    .spawn(async move {
-                        let deadline = Duration::from_millis(DIRECT_COMMAND_DEADLINE_MS);
-                        let reply = this.workers.call(&orders, deadline).await;
-                        this.dispatch(Event::CommandsAnswered(orders, reply));
-                    })
-                    .detach();
-            }
-            Action::SendToPeer(to, request) => {
-                let this = Rc::clone(self);
-                self.executor
-                    .spawn(async move {
-                        let deadline = Duration::from_millis(SYNC_DEADLINE_MS);
-                        let answer = match this.peers.get(&to) {
-                            Some(peer) => peer
-                                .call(&request, deadline)
-                                .await
-                                .inspect_err(|error| tracing::debug!(peer = %to, %error, "peer"))
-                                .ok(),
-                            None => {
-                                tracing::error!(peer = %to, "not among the known controllers");
-                                None
-                            }
-                        };
-                        match (request, answer) {
-                            (PeerRequest::Sync(_), answer) => {
-                                this.dispatch(Event::PeerResponse(answer));
-                            }
-                            (
-                                PeerRequest::KeyValueHealth,
-                                Some(PeerResponse::KeyValueHealth(well)),
-                            ) => {
-                                this.dispatch(Event::PeerKeyValueHealth(well));
-                            }
-                            (
-                                PeerRequest::KnownEpoch { .. },
-                                Some(PeerResponse::KnownEpoch(known)),
-                            ) => this.dispatch(Event::PeerKnownEpoch(to, known)),
-                            (PeerRequest::KeyValueHealth | PeerRequest::KnownEpoch { .. }, _) => {}
-                        }
-                    })
-                    .detach();
+            Action::Respond(id, response) => self.pending_clients.complete(id, response),
+            Action::RespondToPeer(id, response) => self.pending_peers.complete(id, response),
+            Action::CallKeyValueStore(purpose, request, deadline_ms) => {
+                self.call_key_value_store(purpose, request, Duration::from_millis(deadline_ms));
             }
+            Action::CallCloud(request) => self.call_cloud(request),
+            Action::SendCommands(commands) => self.send_commands(commands),
+            Action::SendToPeer(peer, request) => self.send_to_peer(peer, request),
         }
     }
 
-    async fn answer(self: Rc<Self>, incoming: Incoming) -> HttpResponse {
-        let request = self.request();
-        let event = match route(request, incoming) {
+    fn call_key_value_store(
+        self: &Rc<Self>,
+        purpose: KvPurpose,
+        request: KvRequest,
+        deadline: Duration,
+    ) {
+        let this = Rc::clone(self);
+        let sent_at = self.steady_time();
+        self.spawn(async move {
+            let response = key_value::call(&this.key_value_store, request, deadline).await;
+            this.dispatch(Event::KeyValueResponse(purpose, sent_at, response));
+        });
+    }
+
+    fn call_cloud(self: &Rc<Self>, request: CloudRequest) {
+        let this = Rc::clone(self);
+        self.spawn(async move {
+            let deadline = Duration::from_millis(CLOUD_DEADLINE_MS);
+            let response = cloud::call(&this.cloud, &request, deadline).await;
+            this.dispatch(Event::CloudResponse(request, response));
+        });
+    }
+
+    fn send_commands(self: &Rc<Self>, commands: DirectCommands) {
+        let this = Rc::clone(self);
+        self.spawn(async move {
+            let deadline = Duration::from_millis(DIRECT_COMMAND_DEADLINE_MS);
+            let outcome = this.workers.call(&commands, deadline).await;
+            this.dispatch(Event::CommandsAnswered(commands, outcome));
+        });
+    }
+
+    fn send_to_peer(self: &Rc<Self>, peer: ControllerName, request: PeerRequest) {
+        let this = Rc::clone(self);
+        self.spawn(async move {
+            let response = this.call_peer(&peer, &request).await;
+            if let Some(event) = peer_event(peer, &request, response) {
+                this.dispatch(event);
+            }
+        });
+    }
+
+    async fn call_peer(
+        &self,
+        peer: &ControllerName,
+        request: &PeerRequest,
+    ) -> Option<PeerResponse> {
+        let Some(client) = self.peers.get(peer) else {
+            tracing::error!(%peer, "not among the known controllers");
+            return None;
+        };
+        let deadline = Duration::from_millis(SYNC_DEADLINE_MS);
+        let result = client.call(request, deadline).await;
+        result
+            .inspect_err(|error| tracing::debug!(%peer, %error, "peer request failed"))
+            .ok()
+    }
+
+    async fn handle_client_request(self: Rc<Self>, request: HttpRequest) -> HttpResponse {
+        let id = self.next_request_id();
+        let event = match routes::route(id, request) {
             Ok(event) => event,
-            Err(reply) => return reply,
+            Err(response) => return response,
         };
-        let (sender, receiver) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(request, sender);
+        let response = self.pending_clients.register(id);
         self.dispatch(event);
-        receiver
+        response
             .recv()
             .await
             .unwrap_or_else(|_| HttpResponse::retry_later("no answer"))
     }
 
-    async fn answer_peer(self: Rc<Self>, request: PeerRequest) -> Option<PeerResponse> {
-        let id = self.request();
-        let (sender, receiver) = async_channel::bounded(1);
-        self.waiting_peers.borrow_mut().insert(id, sender);
+    async fn handle_peer_request(self: Rc<Self>, request: PeerRequest) -> Option<PeerResponse> {
+        let id = self.next_request_id();
+        let response = self.pending_peers.register(id);
         self.dispatch(Event::PeerRequest(id, request));
-        receiver.recv().await.ok()
+        response.recv().await.ok()
     }
 }
 
-/// Finds out what a request wants.
-fn route(request: RequestId, incoming: Incoming) -> Result<Event, HttpResponse> {
-    let Incoming {
-        method, path, body, ..
-    } = incoming;
-    let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-    let Some(body) = body else {
-        return Err(HttpResponse::error(400, "body over 64 KiB"));
-    };
-    let (wanted, event) = match parts.as_slice() {
-        ["healthz"] => (Method::Get, Event::Health(request)),
-        ["checkin"] => (Method::Post, Event::Heartbeat(request, body)),
-        ["v2", "runs"] => (Method::Post, Event::Submit(request, body)),
-        ["v2", "runs", id] => (Method::Get, Event::Status(request, (*id).to_owned())),
-        ["v2", "runs", id, "withdraw"] => (Method::Post, Event::Cancel(request, (*id).to_owned())),
-        _ => return Err(HttpResponse::error(404, "no such path")),
-    };
-    if method == wanted {
-        Ok(event)
-    } else {
-        Err(HttpResponse::error(405, "wrong method"))
+/// The event of a peer's response. The controller has to know of a sync that was not answered; an answer of
+/// another kind, or none, to the other requests is none.
+fn peer_event(
+    peer: ControllerName,
+    request: &PeerRequest,
+    response: Option<PeerResponse>,
+) -> Option<Event> {
+    match (request, response) {
+        (PeerRequest::Sync(_), response) => Some(Event::PeerResponse(response)),
+        (PeerRequest::KeyValueHealth, Some(PeerResponse::KeyValueHealth(is_healthy))) => {
+            Some(Event::PeerKeyValueHealth(is_healthy))
+        }
+        (PeerRequest::KnownEpoch { .. }, Some(PeerResponse::KnownEpoch(known))) => {
+            Some(Event::PeerKnownEpoch(peer, known))
+        }
+        (PeerRequest::KeyValueHealth | PeerRequest::KnownEpoch { .. }, _) => None,
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/worksshunt/src/service/tests.rs
+++ b/crates/worksshunt/src/service/routes/tests.rs
@@ -1,17 +1,15 @@
-//! Tests of `service`.
+//! Tests of `routes`.
 
 use super::*;
 
 fn status(method: Method, path: &str, body: Option<Vec<u8>>) -> Option<u16> {
-    let incoming = Incoming {
+    let request = HttpRequest {
         method,
         path: path.to_owned(),
         query: Vec::new(),
         body,
     };
-    route(RequestId(1), incoming)
-        .err()
-        .map(|reply| reply.status)
+    route(RequestId(1), request).err().map(|reply| reply.status)
 }
 
 #[test]
