--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -138,7 +138,8 @@
             lag_ms,
             give_up_from: Time::default(),
             give_up_ms: (workers.lease_s * 1_000.0 * SILENT_RELEASE_INTERVAL_LEASES) as u64,
-            unheard_ms: (workers.report_s * 1_000.0 * UNHEARD_HEARTBEAT_INTERVALS) as u64,
+            unheard_ms: (workers.heartbeat_interval_s * 1_000.0 * UNHEARD_HEARTBEAT_INTERVALS)
+                as u64,
         }
     }
 
--- a/crates/worksshunt-core/src/machines/mod.rs
+++ b/crates/worksshunt-core/src/machines/mod.rs
@@ -96,11 +96,14 @@
             parameters,
             lease_ms: lease_bound_ms(workers),
             timeouts: MachineTimeouts {
-                missed_heartbeats_ms: (workers.report_s * 1_000.0 * MISSED_HEARTBEAT_INTERVALS)
-                    as u64,
+                missed_heartbeats_ms: (workers.heartbeat_interval_s
+                    * 1_000.0
+                    * MISSED_HEARTBEAT_INTERVALS) as u64,
                 unreachable_ms: (workers.lease_s * 1_000.0 * UNREACHABLE_RELEASE_LEASES) as u64,
             },
-            unreachable_ms: (workers.report_s * 1_000.0 * UNREACHABLE_HEARTBEAT_INTERVALS) as u64,
+            unreachable_ms: (workers.heartbeat_interval_s
+                * 1_000.0
+                * UNREACHABLE_HEARTBEAT_INTERVALS) as u64,
             page_bytes,
             machines: BTreeMap::new(),
             sweep_cursor: None,
--- a/crates/worksshunt-core/src/machines/tests.rs
+++ b/crates/worksshunt-core/src/machines/tests.rs
@@ -52,7 +52,7 @@
     let mut partition = partition(SWEEP_MACHINES_PER_TICK * 2 + 5);
     let late = Time(
         lease_bound_ms(&Workers {
-            report_s: 5.0,
+            heartbeat_interval_s: 5.0,
             lease_s: 26.5,
             cancel_s: 46.5,
         }) + 1,
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -164,7 +164,7 @@
             completion_pages: Pages::new(DONE.to_owned(), page_bytes(&facts.state)),
             former_record_pages: Pages::new(RECORDS.to_owned(), page_bytes(&facts.state)),
             former_records_first: false,
-            silent_release_ms: ((facts.workers.report_s
+            silent_release_ms: ((facts.workers.heartbeat_interval_s
                 * 1_000.0
                 * SILENT_RELEASE_HEARTBEAT_INTERVALS) as u64)
                 .max(MIN_SILENT_RELEASE_MS),
--- a/crates/worksshunt-measure/src/loopback/controllers.rs
+++ b/crates/worksshunt-measure/src/loopback/controllers.rs
@@ -109,7 +109,7 @@
         }
         settings.services.state = address(STATE_PORT).to_string();
         settings.services.cloud = address(CLOUD_PORT).to_string();
-        settings.facts.workers.report_s = REPORT.as_secs_f64();
+        settings.facts.workers.heartbeat_interval_s = REPORT.as_secs_f64();
         settings.facts.workers.lease_s = LEASE.as_secs_f64();
         settings.facts.workers.cancel_s = CANCEL_S;
         settings.facts.limits.sockets = sockets;
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -152,7 +152,7 @@
                     }
                     Task {
                         task: *task,
-                        reason: full.then_some(ExitReason::NoRoom),
+                        reason: full.then_some(ExitReason::InsufficientResources),
                         ends: Instant::now() + plan.run,
                     }
                 });
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -304,7 +304,7 @@
                     } else {
                         TaskState::Fetching
                     },
-                    reason: full.then_some(ExitReason::NoRoom),
+                    reason: full.then_some(ExitReason::InsufficientResources),
                     ends_at: 0,
                 });
             }
--- a/crates/worksshunt-wire/src/cloud.rs
+++ b/crates/worksshunt-wire/src/cloud.rs
@@ -1,4 +1,6 @@
-//! The cloud's interface.
+//! The cloud's interface: catalogue, provisioning and release of machines, machine list.
+//!
+//! The network client reads and writes these messages; the fleet decides on them.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +21,7 @@
     /// Memory, GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// Ordinary price per hour.
+    /// On-demand price per hour.
     #[serde(rename = "Rate")]
     pub price: f64,
     /// Spot price per hour.
@@ -47,20 +49,21 @@
 impl Catalog {
     /// The shortest nominal boot time of all types, seconds.
     pub fn shortest_boot_s(&self) -> f64 {
-        let boots = self.types.iter().map(|t| t.boot_s);
+        let boots = self.types.iter().map(|machine_type| machine_type.boot_s);
         boots.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// The type of that name.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == name)
+        let mut types = self.types.iter();
+        types.find(|machine_type| machine_type.name == name)
     }
 }
 
-/// A rental request.
+/// Request to provision machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Name of the request, never reused for another.
+    /// Name of the request, never reused for another: repeating it is idempotent.
     #[serde(rename = "Pedido")]
     pub request_name: String,
     /// Machine type.
@@ -69,7 +72,7 @@
     /// Zone.
     #[serde(rename = "Patio")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot or on demand.
     #[serde(rename = "Prestados")]
     pub spot: bool,
     /// How many.
@@ -77,7 +80,7 @@
     pub count: u32,
 }
 
-/// Names of machines: the answer to a rental, the body of a return.
+/// Names of machines: the response to provisioning, the body of a release.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct MachineIds {
     /// The names.
@@ -85,7 +88,7 @@
     pub machines: Vec<MachineId>,
 }
 
-/// What the cloud says of a machine.
+/// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
@@ -109,13 +112,13 @@
     /// Zone.
     #[serde(rename = "Patio")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot or on demand.
     #[serde(rename = "Prestados")]
     pub spot: bool,
     /// State.
     #[serde(rename = "Estado")]
     pub state: ListedState,
-    /// Age since the rental request, seconds.
+    /// Age since the provisioning request, seconds.
     #[serde(rename = "AgeS")]
     pub age_s: f64,
 }
--- a/crates/worksshunt-wire/src/ids.rs
+++ b/crates/worksshunt-wire/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for identifiers, fencing tokens and revisions.
+//! Newtypes for identifiers, fencing tokens and revisions, in all interfaces and stored records.
 
 use std::fmt;
 use std::str::FromStr;
@@ -54,7 +54,7 @@
 }
 
 number_type!(
-    /// Number of an attempt at a task. Unique over all attempts of the service.
+    /// Number of an attempt at a task. Unique over all attempts of all tasks.
     Attempt
 );
 number_type!(
@@ -62,15 +62,15 @@
     Epoch
 );
 number_type!(
-    /// Revision of the state service. Zero stands for "the key does not exist".
+    /// Revision of the key-value store. Zero stands for "the key does not exist".
     Revision
 );
 number_type!(
-    /// A worker's session; increases whenever its lease runs out.
+    /// Incarnation of a worker; increases whenever its lease expires.
     Incarnation
 );
 text_type!(
-    /// Name of a rented machine.
+    /// Name of a provisioned machine.
     MachineId
 );
 text_type!(
--- a/crates/worksshunt-wire/src/key_value.rs
+++ b/crates/worksshunt-wire/src/key_value.rs
@@ -1,4 +1,7 @@
-//! The state service's interface.
+//! The interface of the consensus-backed key-value store, which the protocol calls the state service.
+//!
+//! The network client reads and writes these messages; the controller makes the transactions and caches what it
+//! watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -33,7 +36,7 @@
     pub revision: Revision,
 }
 
-/// A condition of a transaction.
+/// A condition of a transaction: the revision that a key must have.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedRevision {
     /// The key.
@@ -77,7 +80,7 @@
     }
 }
 
-/// A transaction.
+/// A transaction: its changes are made, all together, if all conditions hold.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct CompareAndSwap {
     /// Conditions.
@@ -103,7 +106,7 @@
     pub failed: Vec<String>,
 }
 
-/// Asks for a lease.
+/// Request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Time to live, milliseconds.
@@ -146,7 +149,7 @@
     },
 }
 
-/// Answer of a watch.
+/// Response of a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// The store's revision.
--- a/crates/worksshunt-wire/src/lib.rs
+++ b/crates/worksshunt-wire/src/lib.rs
@@ -1,6 +1,104 @@
 //! Message types of worksshunt, for the service itself and for clients of it.
 //!
-//! Protocol names appear only in serde renames; Rust names are the field's usual terms.
+//! One module for each interface, with nothing but data: the network client and the server read and write the messages,
+//! the core decides on them. Rust names are the field's usual terms; the protocol's words appear only in serde
+//! attributes, in the paths of the clients and routes, and in this table:
+//!
+//! | interface | protocol | Rust |
+//! | --- | --- | --- |
+//! | users ([`user`]) | `/v2/runs` | [`JobSpec`](user::JobSpec), [`JobStatus`](user::JobStatus) |
+//! | | `/v2/runs/{id}/withdraw` | cancel |
+//! | | `Ref` | `id` |
+//! | | `Carril` | `class` |
+//! | | `Cuadrilla` | `team` |
+//! | | `Oficio` | `kind` |
+//! | | `standing` | [`JobKind::Service`](user::JobKind::Service) |
+//! | | `Turno` | `priority` |
+//! | | `Piezas` | `tasks` |
+//! | | `Cores` | `cpus` |
+//! | | `Gpus` | `gpus` |
+//! | | `RamGb` | `memory_gb` |
+//! | | `Molde` | `image` |
+//! | | `SizeGb` | `image_gb` |
+//! | | `Modelos` | `machine_types` |
+//! | | `Patio` | `zone` |
+//! | | `SamePlace` | `one_zone` |
+//! | | `Spread` | `spread` |
+//! | | `Prestados` | `spot` |
+//! | | `CalculoS` | `estimate_s` |
+//! | | `RespaldoS` | `checkpoint_s` |
+//! | | `GuardadoS` | `save_s` |
+//! | | `EntregaS` | `deadline_s` |
+//! | | `Estado` | `state` |
+//! | | `aborted` | [`JobState::Cancelled`](user::JobState::Cancelled) |
+//! | workers ([`worker`]) | `/checkin` | [`Heartbeat`](worker::Heartbeat), [`HeartbeatResponse`](worker::HeartbeatResponse) |
+//! | | `/orders` | [`CommandBatch`](worker::CommandBatch) |
+//! | | `Estiba` | `machine` |
+//! | | `Addr` | `addr` |
+//! | | `Modelo` | `machine_type` |
+//! | | `Patio` | `zone` |
+//! | | `Prestados` | `spot` |
+//! | | `Jornada` | `incarnation` |
+//! | | `Folio` | `sequence` |
+//! | | `Vara` | `fencing_token` |
+//! | | `AvisoS` | `notice_s` |
+//! | | `Piezas` | `tasks` |
+//! | | `Pieza` | `task` |
+//! | | `Intento` | `attempt` |
+//! | | `Estado` | `state` |
+//! | | `Motivo` | `reason` |
+//! | | `full` | [`ExitReason::InsufficientResources`](worker::ExitReason::InsufficientResources) |
+//! | | `no_such` | [`ExitReason::Unknown`](worker::ExitReason::Unknown) |
+//! | | `Saved` | `saved` |
+//! | | `Ordenes` | `commands` |
+//! | | `Orden` | the variant of [`Command`](worker::Command) |
+//! | | `GraciaS` | `grace_s` |
+//! | | `Capataz` | `report_to` |
+//! | key-value store ([`key_value`]), the protocol's state service | `/holds` | [`LeaseRequest`](key_value::LeaseRequest), [`Lease`](key_value::Lease) |
+//! | | `/kv` | [`KeyValue`](key_value::KeyValue), [`Listing`](key_value::Listing) |
+//! | | `/txn` | [`CompareAndSwap`](key_value::CompareAndSwap) |
+//! | | `/follow` | watch, [`WatchResponse`](key_value::WatchResponse) |
+//! | | `Starts`, `Since`, `Most`, `WaitMs` | prefix, key or revision to continue after, items of a page, time to wait |
+//! | | `TtlMs` | `ttl_ms` |
+//! | | `Permiso` | `lease` |
+//! | | `K` | `key` |
+//! | | `V` | `value` |
+//! | | `Sello` | `version` |
+//! | | `Corte` | `revision` |
+//! | | `Pairs` | `pairs` |
+//! | | `More` | `more` |
+//! | | `If` | `expected` |
+//! | | `Then` | `changes` |
+//! | | `Set` | `key` of a `Put` |
+//! | | `Remove` | `key` of a `Delete` |
+//! | | `Events` | `events` |
+//! | cloud ([`cloud`]) | `/catalog` | [`Catalog`](cloud::Catalog) |
+//! | | `/machines` | [`ProvisionRequest`](cloud::ProvisionRequest), [`MachineList`](cloud::MachineList) |
+//! | | `/machines/return` | release, [`MachineIds`](cloud::MachineIds) |
+//! | | `Since`, `Most` | name to continue after, items of a page |
+//! | | `Modelos` | `types` |
+//! | | `Name` | `name` |
+//! | | `Cores` | `cpus` |
+//! | | `Gpus` | `gpus` |
+//! | | `RamGb` | `memory_gb` |
+//! | | `Rate` | `price` |
+//! | | `LowPrice` | `spot_price` |
+//! | | `ReadyS` | `boot_s` |
+//! | | `PullGbPerS` | `image_pull_gb_per_s` |
+//! | | `Patios` | `zones` |
+//! | | `Pedido` | `request_name` |
+//! | | `Modelo` | `machine_type` |
+//! | | `Patio` | `zone` |
+//! | | `Prestados` | `spot` |
+//! | | `Number` | `count` |
+//! | | `Estibas` | `machines` |
+//! | | `Ref` | `id` |
+//! | | `Estado` | `state` |
+//! | | `AgeS` | `age_s` |
+//! | | `More` | `more` |
+//! | settings ([`settings`]) | `report_s` | `heartbeat_interval_s` |
+//!
+//! Other names of the settings are the platform's own. Messages between controllers ([`peer`]) are encoded without names.
 
 pub mod cloud;
 pub mod ids;
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -1,27 +1,29 @@
 //! Messages between controllers, in borsh.
 //!
-//! A part's owner tells the leader what has changed in its part, the leader answers with what is
-//! new for it. One exchange is in flight at a time. Each side repeats what the other has not
-//! confirmed, and everything said is a state and not a step, so a repetition changes nothing.
+//! The owner of a partition sends the leader what has changed in it; the leader responds with the new directives.
+//! One exchange is in flight at a time. Each side repeats what the other has not acknowledged, and everything
+//! sent is a state and not a step, so a repetition is idempotent. The scheduler and the partitions make these messages.
+//!
+//! Borsh encodes by order: fields and variants must not be moved.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::ids::{Attempt, ControllerName, Epoch, JobId, MachineId, TaskId};
 
-/// Where an attempt stands, as its owner knows it.
+/// State of an attempt, as the owner of its partition knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Phase {
-    /// Handed to the part, not on a machine yet.
+    /// Assigned to the partition, not on a machine yet.
     Queued,
     /// On a machine, or on its way there.
     Placed,
     /// Seen running.
     Running,
-    /// Completed; waiting to be made durable.
+    /// Completed, but not durable yet.
     Completed,
 }
 
-/// One attempt held by a part.
+/// One attempt of a partition.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct AttemptStatus {
     /// The task.
@@ -30,14 +32,18 @@
     pub attempt: Attempt,
     /// Its machine.
     pub machine: MachineId,
-    /// Where it stands.
+    /// Its state.
     pub phase: Phase,
     /// How long it has run, milliseconds.
     pub running_ms: u64,
 }
 
-/// One machine of a part.
+/// One machine of a partition.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "the encoding of older versions"
+)]
 pub struct MachineStatus {
     /// Its name.
     pub id: MachineId,
@@ -49,7 +55,7 @@
     pub spot: bool,
     /// Whether it may take tasks now.
     pub schedulable: bool,
-    /// Since how many milliseconds nothing is, or may be, on it; none if something may be.
+    /// For how many milliseconds no task has been, or may have been, on it; none if one may be now.
     pub idle_ms: Option<u64>,
     /// Free processors.
     pub cpus: f64,
@@ -57,11 +63,11 @@
     pub gpus: f64,
     /// Free memory, GB.
     pub memory_gb: f64,
-    /// Whether the cloud gave notice to take it.
+    /// Whether the cloud gave notice to reclaim it.
     pub reclaim_notice: bool,
-    /// Whether its worker is heard but has not been reached for long.
+    /// Whether its worker sends heartbeats but has not answered direct commands for long.
     pub unreachable: bool,
-    /// Whether the lease of its worker has certainly run out.
+    /// Whether the lease of its worker has certainly expired.
     pub lost: bool,
 }
 
@@ -70,13 +76,13 @@
 pub enum AttemptOutcome {
     /// It failed on its machine.
     Failed,
-    /// It was stopped, or its machine refused it.
+    /// It was stopped, or its worker refused it.
     Stopped,
     /// Its machine was lost.
     Lost,
-    /// The part found no machine for it.
+    /// The partition had no machine for it.
     Unplaced,
-    /// It completed, which is durable, and its worker has forgotten it.
+    /// It completed, which is durable, and its worker no longer lists it.
     Acknowledged,
 }
 
@@ -93,20 +99,20 @@
     pub outcome: AttemptOutcome,
 }
 
-/// What has changed in a part since the leader last confirmed, from its owner to the leader.
+/// What has changed in a partition since the leader last acknowledged, from its owner to the leader.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PartitionStatus {
     /// The epoch.
     pub epoch: Epoch,
     /// The owner.
     pub from: ControllerName,
-    /// Number of this message; the leader takes none that is overtaken by a later one.
+    /// Sequence number; the leader ignores a message that a later one has overtaken.
     pub sequence: u64,
-    /// Number of the last answer that the owner has acted on.
+    /// Sequence number of the last response that the owner has acted on.
     pub acknowledged: u64,
     /// Machines that changed.
     pub machines: Vec<MachineStatus>,
-    /// Machines that are no longer part of it.
+    /// Machines that no longer belong to it.
     pub removed_machines: Vec<MachineId>,
     /// Attempts that changed.
     pub attempts: Vec<AttemptStatus>,
@@ -114,38 +120,38 @@
     pub ended_attempts: Vec<AttemptEnded>,
 }
 
-/// A task handed to a part.
+/// A task assigned to a partition.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Assignment {
     /// The task.
     pub task: TaskId,
     /// The attempt to make.
     pub attempt: Attempt,
-    /// The zone it must use, where its job's other tasks decide that.
+    /// The zone it must use, where its job's other tasks determine that.
     pub zone: Option<String>,
-    /// The machine it must use, where the leader has claimed one.
+    /// The machine it must use, where the leader has reserved one.
     pub claimed: Option<MachineId>,
 }
 
-/// What the leader wants of a part's machines; always complete.
+/// What the leader wants of a partition's machines; always complete.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct MachineDirectives {
-    /// Machines that take no new tasks: they are to be returned.
+    /// Machines that take no new tasks: they are to be released.
     pub draining: Vec<MachineId>,
-    /// Machines claimed for a task no part could hold: they take nothing else.
+    /// Machines reserved for a task that fits no partition: they take nothing else.
     pub claimed: Vec<MachineId>,
-    /// Machines the cloud has confirmed gone.
+    /// Machines that the cloud has confirmed to be gone.
     pub terminated: Vec<MachineId>,
 }
 
-/// The leader's answer.
+/// The leader's response.
 #[derive(Debug, Clone, PartialEq, Default, BorshSerialize, BorshDeserialize)]
 pub struct LeaderDirectives {
     /// The epoch.
     pub epoch: Epoch,
-    /// Number of the message this answers.
+    /// Sequence number of the message this answers.
     pub in_reply_to: u64,
-    /// Number of this answer.
+    /// Sequence number of this response.
     pub sequence: u64,
     /// New tasks.
     pub assignments: Vec<Assignment>,
@@ -153,47 +159,47 @@
     pub stop_attempts: Vec<Attempt>,
     /// Attempts whose completion is durable.
     pub durable_attempts: Vec<Attempt>,
-    /// What is wanted of the machines, if the owner does not know it yet.
+    /// What is wanted of the machines, if the owner has not acknowledged it yet.
     pub machine_directives: Option<MachineDirectives>,
     /// Progress of open jobs, done and running tasks, for display; from time to time.
     pub progress: Option<Vec<(JobId, u32, u32)>>,
 }
 
-/// A message on the peer link.
+/// A request on the peer link.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// A part's changes.
+    /// A partition's changes.
     Sync(PartitionStatus),
-    /// Whether the peer reaches the state service.
+    /// Whether the peer reaches the key-value store.
     KeyValueHealth,
-    /// Which epoch the peer knows. Sent only while the state service answers nobody; a version that does
-    /// not know the message drops the connection, which counts as no answer.
+    /// Which epoch the peer knows. Sent only while the key-value store answers no controller; a version that does
+    /// not know the message drops the connection, which counts as no response.
     KnownEpoch {
-        /// Number of the poll, by which the asker tells its answers apart.
+        /// Number of the poll, by which the sender tells its responses apart.
         poll: u64,
     },
 }
 
-/// What a controller knows of the epoch.
+/// What a controller knows about the epoch.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct KnownEpoch {
     /// Number of the poll that this answers.
     pub poll: u64,
-    /// The newest epoch it has learnt of in this life; 0 for none.
+    /// The newest epoch it has learnt of since it started; 0 for none.
     pub epoch: Epoch,
-    /// Whether the state service answered it lately.
+    /// Whether the key-value store answered it lately.
     pub key_value_store_reachable: bool,
 }
 
-/// An answer on the peer link.
+/// A response on the peer link.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerResponse {
-    /// The leader's answer.
+    /// The leader's response.
     Sync(LeaderDirectives),
     /// Not the leader of that epoch.
     NotLeader,
-    /// Whether the state service answered the peer lately.
+    /// Whether the key-value store answered the peer lately.
     KeyValueHealth(bool),
-    /// What the peer knows of the epoch.
+    /// What the peer knows about the epoch.
     KnownEpoch(KnownEpoch),
 }
--- a/crates/worksshunt-wire/src/settings.rs
+++ b/crates/worksshunt-wire/src/settings.rs
@@ -1,4 +1,7 @@
-//! The settings file the platform hands over.
+//! The settings file that the platform passes to a controller.
+//!
+//! The command line reads and checks it; the controller's parts take their limits and intervals from it. Field names are
+//! the platform's unless the table of the [crate documentation](crate) has another.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,13 +14,13 @@
     pub host_name: ControllerName,
     /// Its zone.
     pub site: String,
-    /// Where users, workers and health checks connect.
+    /// Address and port for users, workers and health checks.
     pub client_listen: String,
-    /// Where the other controllers connect.
+    /// Address and port for the other controllers.
     pub internal_addr: String,
     /// The other controllers.
     pub known: Vec<Peer>,
-    /// Addresses of cloud and state service.
+    /// Addresses of cloud and key-value store.
     pub services: Services,
     /// Facts of the deployment.
     pub facts: Facts,
@@ -30,16 +33,16 @@
     pub host_name: ControllerName,
     /// Its zone.
     pub site: String,
-    /// Its internal address.
+    /// Its internal address and port.
     pub endpoint: String,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the external services, with ports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Services {
     /// The cloud.
     pub cloud: String,
-    /// The state service.
+    /// The key-value store.
     pub state: String,
 }
 
@@ -48,12 +51,12 @@
 pub struct Facts {
     /// Teams.
     pub teams: Vec<Team>,
-    /// What is expected for each class of jobs.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers' rhythm.
+    /// Intervals and deadlines of the workers.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the key-value store.
     pub state: KeyValueLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
@@ -61,7 +64,7 @@
     pub limits: ProcessLimits,
 }
 
-/// What is expected for a class of jobs.
+/// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Objective {
     /// `deadline`, `finished`, `wait`, `guarantee`; others are ignored.
@@ -72,46 +75,47 @@
     /// Seconds within which jobs should start or finish.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of the deadline.
+    /// Multiple of the job's deadline.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// A team's guarantee and limit.
+/// A team's guarantee and limit (its quota).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Team {
     /// Its name.
     pub name: TeamName,
     /// Guaranteed processors.
     pub cpus: f64,
-    /// Most processors; 0: no limit.
+    /// Limit of processors; 0: no limit.
     pub cpus_max: f64,
     /// Guaranteed accelerators.
     pub gpus: f64,
-    /// Most accelerators; 0: no limit.
+    /// Limit of accelerators; 0: no limit.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// The most processors and accelerators that its tasks may use at a time; infinite where there is no limit.
+    /// Limits of the processors and accelerators that its tasks use at a time; infinite where there is none.
     pub fn limits(&self) -> (f64, f64) {
-        let limit = |most: f64| if most > 0.0 { most } else { f64::INFINITY };
+        let limit = |stated: f64| if stated > 0.0 { stated } else { f64::INFINITY };
         (limit(self.cpus_max), limit(self.gpus_max))
     }
 }
 
-/// Workers' rhythm.
+/// Intervals and deadlines of the workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workers {
-    /// Interval of reports, seconds.
-    pub report_s: f64,
-    /// Lease, seconds.
+    /// Interval of heartbeats, seconds.
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
+    /// Time from the sending of a worker's last answered heartbeat until its lease expires and it ends its tasks, seconds.
     pub lease_s: f64,
-    /// Time by which a cancelled job's tasks must be gone, seconds.
+    /// Time within which a cancelled job's tasks must have ended, seconds.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValueLimits {
     /// Requests per second.
@@ -122,13 +126,13 @@
     pub value_kb: f64,
     /// Changes per transaction.
     pub txn_ops: usize,
-    /// Limits that come into force at some later moment, without notice.
+    /// Limits that come into force later, without notice.
     #[serde(default)]
     pub next: Option<NextKeyValueLimits>,
 }
 
 impl KeyValueLimits {
-    /// Limits that keep both those of today and those announced.
+    /// The lower of each limit in force and the one announced, so that both are kept.
     pub fn lowest(&self) -> KeyValueLimits {
         let next = self.next.clone().unwrap_or_default();
         KeyValueLimits {
@@ -139,13 +143,15 @@
             value_kb: next
                 .value_kb
                 .map_or(self.value_kb, |kb| kb.min(self.value_kb)),
-            txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
+            txn_ops: next
+                .txn_ops
+                .map_or(self.txn_ops, |ops| ops.min(self.txn_ops)),
             next: None,
         }
     }
 }
 
-/// Limits of the state service announced for later; any of them may be missing.
+/// Limits of the key-value store announced for later; any of them may be missing.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct NextKeyValueLimits {
     /// Requests per second.
@@ -167,16 +173,16 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// How late the machine list is, seconds.
+    /// How far the machine list lags behind, seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of the process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProcessLimits {
-    /// Sockets it may have.
+    /// Sockets it may have open.
     pub sockets: usize,
-    /// Memory it may hold, MB, where the platform says so.
+    /// Memory it may use, MB, where the platform limits it.
     #[serde(default)]
     pub mem_mb: Option<f64>,
 }
--- a/crates/worksshunt-wire/src/user.rs
+++ b/crates/worksshunt-wire/src/user.rs
@@ -1,4 +1,6 @@
-//! Users' interface: submit, status, withdraw.
+//! The users' interface: submit a job, read its status, cancel it.
+//!
+//! The controller reads the specifications and writes the statuses.
 
 use serde::{Deserialize, Serialize};
 
@@ -59,7 +61,7 @@
     /// Memory each task takes, GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// Image a machine needs first.
+    /// Image a machine has to fetch first.
     #[serde(rename = "Molde")]
     pub image: String,
     /// Size of the image, GB.
@@ -83,10 +85,10 @@
     /// Owner's estimate of a task's run time, seconds.
     #[serde(rename = "CalculoS")]
     pub estimate_s: f64,
-    /// Checkpoint interval, seconds; 0 means the task never saves.
+    /// Checkpoint interval, seconds; 0 means the task makes no checkpoints.
     #[serde(rename = "RespaldoS")]
     pub checkpoint_s: f64,
-    /// Time a task needs to save when stopped, seconds.
+    /// Time a task needs for a checkpoint when it is stopped, seconds.
     #[serde(rename = "GuardadoS")]
     pub save_s: f64,
     /// When the job should be complete, seconds from submission.
@@ -111,7 +113,7 @@
     Cancelled,
 }
 
-/// Answer about a job.
+/// Response about a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
--- a/crates/worksshunt-wire/src/worker.rs
+++ b/crates/worksshunt-wire/src/worker.rs
@@ -1,4 +1,7 @@
-//! Workers' interface: reports and commands.
+//! The workers' interface: heartbeats and commands.
+//!
+//! A worker sends heartbeats and gets commands in the responses, or directly. The partition of its machine reads and
+//! writes these messages.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +15,7 @@
     Fetching,
     /// Running.
     Running,
-    /// Told to stop, saving its progress.
+    /// Stopping, making a checkpoint.
     Saving,
     /// Over; see [`ExitReason`].
     Ended,
@@ -30,9 +33,9 @@
     /// Failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: no room.
+    /// Refused: not enough free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: the task is there with another attempt.
     #[serde(rename = "busy")]
     Busy,
@@ -41,7 +44,7 @@
     Unknown,
 }
 
-/// One task in a worker's report.
+/// One task in a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
@@ -56,18 +59,18 @@
     /// Why it ended.
     #[serde(rename = "Motivo", default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<ExitReason>,
-    /// Whether its progress was saved when it was stopped.
+    /// Whether a checkpoint was made when it was stopped.
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, with the status of all its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "Estiba")]
     pub machine: MachineId,
-    /// Where the worker takes direct commands.
+    /// Address and port on which the worker takes direct commands.
     #[serde(rename = "Addr")]
     pub addr: String,
     /// Machine type.
@@ -79,16 +82,16 @@
     /// Whether it is a spot machine.
     #[serde(rename = "Prestados")]
     pub spot: bool,
-    /// Session.
+    /// Incarnation.
     #[serde(rename = "Jornada")]
     pub incarnation: Incarnation,
-    /// Sequence number within the session.
+    /// Sequence number within the incarnation.
     #[serde(rename = "Folio")]
     pub sequence: u64,
     /// Highest fencing token seen.
     #[serde(rename = "Vara")]
     pub fencing_token: Epoch,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud reclaims the machine.
     #[serde(rename = "AvisoS", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
@@ -117,11 +120,11 @@
         /// The attempt.
         #[serde(rename = "Intento")]
         attempt: Attempt,
-        /// Time allowed for saving, seconds.
+        /// Time allowed for a checkpoint, seconds.
         #[serde(rename = "GraciaS")]
         grace_s: f64,
     },
-    /// Remove an ended attempt from the reports.
+    /// Remove an ended attempt from the heartbeats.
     Reap {
         /// The task.
         #[serde(rename = "Pieza")]
@@ -132,7 +135,7 @@
     },
 }
 
-/// As logs name it.
+/// The form used in logs.
 impl std::fmt::Display for Command {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -147,7 +150,7 @@
     }
 }
 
-/// Answer to a report.
+/// Response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// Fencing token.
@@ -158,13 +161,13 @@
     pub commands: Vec<Command>,
 }
 
-/// Commands sent straight to a worker.
+/// Commands sent directly to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// Fencing token.
     #[serde(rename = "Vara")]
     pub fencing_token: Epoch,
-    /// The session they are for.
+    /// The incarnation they are for.
     #[serde(rename = "Jornada")]
     pub incarnation: Incarnation,
     /// Commands, executed in order.
@@ -172,10 +175,10 @@
     pub commands: Vec<Command>,
 }
 
-/// Tells a worker which node to report to.
+/// Refers a worker to the controller that owns its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The node, if known.
+    /// The controller, if known.
     #[serde(rename = "Capataz", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<ControllerName>,
 }
--- a/crates/worksshunt-wire/tests/wire_format.rs
+++ b/crates/worksshunt-wire/tests/wire_format.rs
@@ -141,7 +141,7 @@
 #[test]
 fn cloud_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::json(include_str!("fixtures/cloud.json"));
-    let catalog = |spot_price, fetch_gb_per_s| Catalog {
+    let catalog = |spot_price, image_pull_gb_per_s| Catalog {
         types: vec![MachineType {
             name: "m8".into(),
             cpus: 8.5,
@@ -150,22 +150,22 @@
             price: 3.5,
             spot_price,
             boot_s: 45.0,
-            image_pull_gb_per_s: fetch_gb_per_s,
+            image_pull_gb_per_s,
             zones: vec!["a".into(), "b".into()],
         }],
     };
     fixtures.same("catalog", catalog(Some(1.25), 0.75));
     fixtures.same("catalog, no spot price", catalog(None, 0.75));
     fixtures.reads("catalog, fields absent", catalog(None, 0.0));
-    let rental = |spot| ProvisionRequest {
+    let provision = |spot| ProvisionRequest {
         request_name: "n0.7.12".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
         spot,
         count: 3,
     };
-    fixtures.same("rental of spot machines", rental(true));
-    fixtures.same("rental of ordinary machines", rental(false));
+    fixtures.same("rental of spot machines", provision(true));
+    fixtures.same("rental of ordinary machines", provision(false));
     let names = machines(&["i-000041", "i-000042"]);
     fixtures.same("machine names", MachineIds { machines: names });
     let listed = |id: &str, state, spot| ListedMachine {
@@ -176,7 +176,7 @@
         state,
         age_s: 12.5,
     };
-    let list = MachineList {
+    let machine_list = MachineList {
         machines: vec![
             listed("i-000001", ListedState::Starting, true),
             listed("i-000002", ListedState::Running, false),
@@ -184,13 +184,13 @@
         ],
         more: true,
     };
-    fixtures.same("machine list", list);
+    fixtures.same("machine list", machine_list);
     fixtures.reads("machine list, fields absent", MachineList::default());
     fixtures.all_compared();
 }
 
 #[test]
-fn state_service_messages_keep_their_bytes() {
+fn key_value_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::json(include_str!("fixtures/key_value.json"));
     let listing = |more| Listing {
         pairs: vec![KeyValue {
@@ -209,7 +209,7 @@
         value: json!([1, "x"]),
         lease,
     };
-    let write = CompareAndSwap {
+    let transaction = CompareAndSwap {
         expected: vec![ExpectedRevision {
             key: "c/epoch".into(),
             version: Revision(13),
@@ -222,7 +222,7 @@
             },
         ],
     };
-    fixtures.same("transaction", write);
+    fixtures.same("transaction", transaction);
     let revision = Revision(78);
     fixtures.same("at revision", StoreRevision { revision });
     let failed = vec!["c/epoch".into(), "d/4".into()];
@@ -315,7 +315,7 @@
 #[test]
 fn worker_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::json(include_str!("fixtures/worker.json"));
-    let reported = |index, state, reason, saved| TaskStatus {
+    let task_status = |index, state, reason, saved| TaskStatus {
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
         state,
@@ -333,15 +333,20 @@
         fencing_token: Epoch(5),
         notice_s,
         tasks: vec![
-            reported(0, TaskState::Fetching, None, None),
-            reported(1, TaskState::Running, None, None),
-            reported(2, TaskState::Saving, None, None),
-            reported(3, TaskState::Ended, Some(ExitReason::Done), None),
-            reported(4, TaskState::Ended, Some(ExitReason::Stopped), Some(true)),
-            reported(5, TaskState::Ended, Some(ExitReason::Error), Some(false)),
-            reported(6, TaskState::Ended, Some(ExitReason::NoRoom), None),
-            reported(7, TaskState::Ended, Some(ExitReason::Busy), None),
-            reported(8, TaskState::Ended, Some(ExitReason::Unknown), None),
+            task_status(0, TaskState::Fetching, None, None),
+            task_status(1, TaskState::Running, None, None),
+            task_status(2, TaskState::Saving, None, None),
+            task_status(3, TaskState::Ended, Some(ExitReason::Done), None),
+            task_status(4, TaskState::Ended, Some(ExitReason::Stopped), Some(true)),
+            task_status(5, TaskState::Ended, Some(ExitReason::Error), Some(false)),
+            task_status(
+                6,
+                TaskState::Ended,
+                Some(ExitReason::InsufficientResources),
+                None,
+            ),
+            task_status(7, TaskState::Ended, Some(ExitReason::Busy), None),
+            task_status(8, TaskState::Ended, Some(ExitReason::Unknown), None),
         ],
     };
     fixtures.same("report with notice", heartbeat(true, Some(30.5)));
@@ -363,17 +368,17 @@
         };
         vec![launch, halt, reap]
     };
-    let answer = HeartbeatResponse {
+    let response = HeartbeatResponse {
         fencing_token: Epoch(5),
         commands: commands(),
     };
-    fixtures.same("answer to a report", answer);
-    let orders = CommandBatch {
+    fixtures.same("answer to a report", response);
+    let batch = CommandBatch {
         fencing_token: Epoch(5),
         incarnation: Incarnation(3),
         commands: commands(),
     };
-    fixtures.same("orders", orders);
+    fixtures.same("orders", batch);
     let redirect = |report_to| Redirect { report_to };
     fixtures.same("redirect", redirect(Some("n2".into())));
     fixtures.same("redirect to nobody", redirect(None));
@@ -413,7 +418,7 @@
             teams: vec![team("red", 10.5), team("blue", 20.5)],
             objectives,
             workers: Workers {
-                report_s: 2.5,
+                heartbeat_interval_s: 2.5,
                 lease_s: 16.25,
                 cancel_s: 30.75,
             },
@@ -472,7 +477,7 @@
     fixtures.all_compared();
 }
 
-fn machine_up(idle_ms: Option<u64>) -> MachineStatus {
+fn machine_status(idle_ms: Option<u64>) -> MachineStatus {
     MachineStatus {
         id: "i-000041".into(),
         machine_type: "m8".into(),
@@ -489,19 +494,19 @@
     }
 }
 
-fn sync_up() -> PartitionStatus {
-    let attempt_up = |index, phase| AttemptStatus {
+fn partition_status() -> PartitionStatus {
+    let attempt_status = |index, phase| AttemptStatus {
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
         machine: "i-000042".into(),
         phase,
         running_ms: 1_234,
     };
-    let ended = |index, machine: Option<&str>, how| AttemptEnded {
+    let ended = |index, machine: Option<&str>, outcome| AttemptEnded {
         task: task(413, index),
         attempt: Attempt(400 + u64::from(index)),
         machine: machine.map(MachineId::from),
-        outcome: how,
+        outcome,
     };
     // Every flag is set on a machine of its own, so that none can take another's place.
     let flags: [fn(&mut MachineStatus); 5] = [
@@ -512,7 +517,7 @@
         |machine| machine.lost = true,
     ];
     let flagged = flags.map(|set| {
-        let mut machine = machine_up(None);
+        let mut machine = machine_status(None);
         set(&mut machine);
         machine
     });
@@ -521,16 +526,16 @@
         from: "n1".into(),
         sequence: 9,
         acknowledged: 8,
-        machines: [machine_up(Some(7_000))]
+        machines: [machine_status(Some(7_000))]
             .into_iter()
             .chain(flagged)
             .collect(),
         removed_machines: machines(&["i-000050", "i-000051"]),
         attempts: vec![
-            attempt_up(0, Phase::Queued),
-            attempt_up(1, Phase::Placed),
-            attempt_up(2, Phase::Running),
-            attempt_up(3, Phase::Completed),
+            attempt_status(0, Phase::Queued),
+            attempt_status(1, Phase::Placed),
+            attempt_status(2, Phase::Running),
+            attempt_status(3, Phase::Completed),
         ],
         ended_attempts: vec![
             ended(0, Some("i-000060"), AttemptOutcome::Failed),
@@ -542,8 +547,8 @@
     }
 }
 
-fn sync_down() -> LeaderDirectives {
-    let give = |index, zone: Option<&str>, claimed: Option<&str>| Assignment {
+fn leader_directives() -> LeaderDirectives {
+    let assignment = |index, zone: Option<&str>, claimed: Option<&str>| Assignment {
         task: task(412, index),
         attempt: Attempt(500 + u64::from(index)),
         zone: zone.map(str::to_owned),
@@ -553,7 +558,10 @@
         epoch: Epoch(5),
         in_reply_to: 9,
         sequence: 11,
-        assignments: vec![give(4, Some("b"), Some("i-000070")), give(5, None, None)],
+        assignments: vec![
+            assignment(4, Some("b"), Some("i-000070")),
+            assignment(5, None, None),
+        ],
         stop_attempts: vec![Attempt(601), Attempt(602)],
         durable_attempts: vec![Attempt(603)],
         machine_directives: Some(MachineDirectives {
@@ -568,24 +576,27 @@
 #[test]
 fn peer_messages_keep_their_bytes() {
     let mut fixtures = Fixtures::hex(include_str!("fixtures/peer.txt"));
-    fixtures.same_frame("request-sync", PeerRequest::Sync(sync_up()));
+    fixtures.same_frame("request-sync", PeerRequest::Sync(partition_status()));
     fixtures.same_frame("request-store-health", PeerRequest::KeyValueHealth);
     fixtures.same_frame("request-known-epoch", PeerRequest::KnownEpoch { poll: 21 });
-    fixtures.same_frame("answer-sync", PeerResponse::Sync(sync_down()));
-    let quiet = LeaderDirectives {
+    fixtures.same_frame("answer-sync", PeerResponse::Sync(leader_directives()));
+    let without_options = LeaderDirectives {
         machine_directives: None,
         progress: None,
-        ..sync_down()
+        ..leader_directives()
     };
-    fixtures.same_frame("answer-sync-fields-absent", PeerResponse::Sync(quiet));
+    fixtures.same_frame(
+        "answer-sync-fields-absent",
+        PeerResponse::Sync(without_options),
+    );
     fixtures.same_frame("answer-not-leader", PeerResponse::NotLeader);
     fixtures.same_frame("answer-store-up", PeerResponse::KeyValueHealth(true));
     fixtures.same_frame("answer-store-down", PeerResponse::KeyValueHealth(false));
-    let known = |state_service_answers| {
+    let known = |store_is_reachable| {
         PeerResponse::KnownEpoch(KnownEpoch {
             poll: 21,
             epoch: Epoch(5),
-            key_value_store_reachable: state_service_answers,
+            key_value_store_reachable: store_is_reachable,
         })
     };
     fixtures.same_frame("answer-known-epoch-store-up", known(true));
--- a/crates/worksshunt/src/options/check.rs
+++ b/crates/worksshunt/src/options/check.rs
@@ -138,7 +138,7 @@
 }
 
 fn check_workers(workers: &Workers) -> Result<(), FieldError> {
-    check_positive("facts.workers.report_s", workers.report_s)?;
+    check_positive("facts.workers.report_s", workers.heartbeat_interval_s)?;
     check_positive("facts.workers.lease_s", workers.lease_s)?;
     check_positive("facts.workers.cancel_s", workers.cancel_s)
 }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -71,7 +71,7 @@
 
 /// How long a connection of a client or worker may be idle: some intervals of a worker's heartbeats.
 fn idle_connection_timeout(settings: &Settings) -> Duration {
-    let intervals_s = settings.facts.workers.report_s * IDLE_HEARTBEAT_INTERVALS;
+    let intervals_s = settings.facts.workers.heartbeat_interval_s * IDLE_HEARTBEAT_INTERVALS;
     Duration::from_secs_f64(intervals_s).max(Duration::from_millis(MIN_IDLE_CONNECTION_MS))
 }
 
