--- a/crates/worksshunt-wire/tests/wire_format.rs
+++ b/crates/worksshunt-wire/tests/wire_format.rs
@@ -189,27 +189,13 @@
     fixtures.all_compared();
 }
 
-#[test]
-fn key_value_messages_keep_their_bytes() {
-    let mut fixtures = Fixtures::json(include_str!("fixtures/key_value.json"));
-    let listing = |more| Listing {
-        pairs: vec![KeyValue {
-            key: "j/j-000412".into(),
-            value: json!({ "at": 5 }),
-            version: Revision(31),
-        }],
-        more,
-        revision: Revision(77),
-    };
-    fixtures.same("pair", listing(true).pairs.remove(0));
-    fixtures.same("listing", listing(true));
-    fixtures.reads("listing, fields absent", listing(false));
+fn transaction() -> CompareAndSwap {
     let put = |lease| Change::Put {
         key: "c/n/n0".into(),
         value: json!([1, "x"]),
         lease,
     };
-    let transaction = CompareAndSwap {
+    CompareAndSwap {
         expected: vec![ExpectedRevision {
             key: "c/epoch".into(),
             version: Revision(13),
@@ -221,8 +207,25 @@
                 key: "k/i-000003".into(),
             },
         ],
+    }
+}
+
+#[test]
+fn key_value_messages_keep_their_bytes() {
+    let mut fixtures = Fixtures::json(include_str!("fixtures/key_value.json"));
+    let listing = |more| Listing {
+        pairs: vec![KeyValue {
+            key: "j/j-000412".into(),
+            value: json!({ "at": 5 }),
+            version: Revision(31),
+        }],
+        more,
+        revision: Revision(77),
     };
-    fixtures.same("transaction", transaction);
+    fixtures.same("pair", listing(true).pairs.remove(0));
+    fixtures.same("listing", listing(true));
+    fixtures.reads("listing, fields absent", listing(false));
+    fixtures.same("transaction", transaction());
     let revision = Revision(78);
     fixtures.same("at revision", StoreRevision { revision });
     let failed = vec!["c/epoch".into(), "d/4".into()];
@@ -312,9 +315,7 @@
     fixtures.all_compared();
 }
 
-#[test]
-fn worker_messages_keep_their_bytes() {
-    let mut fixtures = Fixtures::json(include_str!("fixtures/worker.json"));
+fn heartbeat(spot: bool, notice_s: Option<f64>) -> Heartbeat {
     let task_status = |index, state, reason, saved| TaskStatus {
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
@@ -322,7 +323,8 @@
         reason,
         saved,
     };
-    let heartbeat = |spot, notice_s| Heartbeat {
+    let ended = |index, reason, saved| task_status(index, TaskState::Ended, Some(reason), saved);
+    Heartbeat {
         machine: "i-000041".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "m8".into(),
@@ -336,38 +338,39 @@
             task_status(0, TaskState::Fetching, None, None),
             task_status(1, TaskState::Running, None, None),
             task_status(2, TaskState::Saving, None, None),
-            task_status(3, TaskState::Ended, Some(ExitReason::Done), None),
-            task_status(4, TaskState::Ended, Some(ExitReason::Stopped), Some(true)),
-            task_status(5, TaskState::Ended, Some(ExitReason::Error), Some(false)),
-            task_status(
-                6,
-                TaskState::Ended,
-                Some(ExitReason::InsufficientResources),
-                None,
-            ),
-            task_status(7, TaskState::Ended, Some(ExitReason::Busy), None),
-            task_status(8, TaskState::Ended, Some(ExitReason::Unknown), None),
+            ended(3, ExitReason::Done, None),
+            ended(4, ExitReason::Stopped, Some(true)),
+            ended(5, ExitReason::Error, Some(false)),
+            ended(6, ExitReason::InsufficientResources, None),
+            ended(7, ExitReason::Busy, None),
+            ended(8, ExitReason::Unknown, None),
         ],
+    }
+}
+
+fn commands() -> Vec<Command> {
+    let launch = Command::Launch {
+        task: task(412, 1),
+        attempt: Attempt(301),
+    };
+    let halt = Command::Halt {
+        task: task(412, 2),
+        attempt: Attempt(302),
+        grace_s: 4.5,
+    };
+    let reap = Command::Reap {
+        task: task(412, 3),
+        attempt: Attempt(303),
     };
+    vec![launch, halt, reap]
+}
+
+#[test]
+fn worker_messages_keep_their_bytes() {
+    let mut fixtures = Fixtures::json(include_str!("fixtures/worker.json"));
     fixtures.same("report with notice", heartbeat(true, Some(30.5)));
     fixtures.same("report", heartbeat(false, None));
     fixtures.reads("report, fields absent", heartbeat(false, None));
-    let commands = || {
-        let launch = Command::Launch {
-            task: task(412, 1),
-            attempt: Attempt(301),
-        };
-        let halt = Command::Halt {
-            task: task(412, 2),
-            attempt: Attempt(302),
-            grace_s: 4.5,
-        };
-        let reap = Command::Reap {
-            task: task(412, 3),
-            attempt: Attempt(303),
-        };
-        vec![launch, halt, reap]
-    };
     let response = HeartbeatResponse {
         fencing_token: Epoch(5),
         commands: commands(),
--- a/crates/worksshunt/src/options/tests.rs
+++ b/crates/worksshunt/src/options/tests.rs
@@ -149,10 +149,18 @@
     assert!(trailing.is_err(), "something after the settings");
 }
 
+/// The text of a problem, and a change to valid settings that causes it.
+type ProblemText = (&'static str, fn(&mut serde_json::Value));
+
+fn assert_texts(cases: &[ProblemText]) {
+    for (text, change) in cases {
+        assert_eq!(problem(change), Err((*text).to_owned()));
+    }
+}
+
 #[test]
-fn every_problem_of_settings_has_its_text() {
-    type Change = fn(&mut serde_json::Value);
-    let cases: [(&str, Change); 22] = [
+fn every_problem_of_names_addresses_and_teams_has_its_text() {
+    assert_texts(&[
         ("host_name: empty, or with a space or slash", |v| {
             v["host_name"] = "a/b".into()
         }),
@@ -192,6 +200,12 @@
         ("facts.teams.cpus: 3 of t is not from 0 to 2", |v| {
             v["facts"]["teams"][0]["cpus"] = 3.0.into()
         }),
+    ]);
+}
+
+#[test]
+fn every_problem_of_intervals_and_limits_has_its_text() {
+    assert_texts(&[
         ("facts.workers.report_s: 0 is not a positive number", |v| {
             v["facts"]["workers"]["report_s"] = 0.0.into()
         }),
@@ -225,10 +239,7 @@
         ("facts.limits.sockets: 1 is below 64", |v| {
             v["facts"]["limits"]["sockets"] = 1.into()
         }),
-    ];
-    for (text, change) in cases {
-        assert_eq!(problem(change), Err(text.to_owned()));
-    }
+    ]);
 }
 
 #[test]
--- a/crates/worksshunt/tests/http_interface.rs
+++ b/crates/worksshunt/tests/http_interface.rs
@@ -3,11 +3,15 @@
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
 /// How long anything may take.
 const DEADLINE: Duration = Duration::from_secs(20);
+/// Controllers started so far.
+static STARTED: AtomicUsize = AtomicUsize::new(0);
 
 /// A request or an answer: its first line, its header lines without the date, and its body.
 #[derive(Debug, PartialEq)]
@@ -108,7 +112,8 @@
 struct Controller {
     process: Child,
     address: SocketAddr,
-    settings: std::path::PathBuf,
+    settings: PathBuf,
+    log: PathBuf,
 }
 
 impl Drop for Controller {
@@ -116,22 +121,39 @@
         let _ = self.process.kill();
         let _ = self.process.wait();
         let _ = std::fs::remove_file(&self.settings);
+        let _ = std::fs::remove_file(&self.log);
     }
 }
 
-/// A port that is free at this moment.
-fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address")
+/// Two different ports that are free at this moment.
+fn free_addresses() -> (SocketAddr, SocketAddr) {
+    let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = |listener: &TcpListener| listener.local_addr().expect("an address");
+    let (first, second) = (bind(), bind());
+    (address(&first), address(&second))
 }
 
-/// Starts a controller and waits until it takes connections.
+/// Starts a controller between stand-ins and waits until it listens.
 fn start(store: fn(&str) -> Option<(u16, &'static str)>) -> Controller {
-    let (address, internal) = (free_address(), free_address());
+    let (store, cloud) = (stand_in(store), stand_in(cloud));
+    let since = Instant::now();
+    loop {
+        let mut controller = spawn(store, cloud);
+        if controller.listens(since) {
+            return controller;
+        }
+        // Something else may have taken a port that was free before; the next ones are others.
+        let log = controller.logged();
+        assert!(log.contains("cannot listen on"), "it has ended: {log}");
+    }
+}
+
+fn spawn(store: SocketAddr, cloud: SocketAddr) -> Controller {
+    let (address, internal) = free_addresses();
     let settings = serde_json::json!({
         "host_name": "estiba-0", "site": "a", "known": [],
         "client_listen": address.to_string(), "internal_addr": internal.to_string(),
-        "services": {"cloud": stand_in(cloud).to_string(), "state": stand_in(store).to_string()},
+        "services": {"cloud": cloud.to_string(), "state": store.to_string()},
         "facts": {
             "teams": [{"name": "t", "cpus": 1.0, "cpus_max": 2.0, "gpus": 0.0, "gpus_max": 0.0}],
             "workers": {"report_s": 2.5, "lease_s": 16.0, "cancel_s": 40.0},
@@ -140,30 +162,46 @@
             "limits": {"sockets": 1000}
         }
     });
-    let name = format!("worksshunt-{}-{}.json", std::process::id(), address.port());
+    // Not by the port: two tests may be given the same one after the other.
+    let number = STARTED.fetch_add(1, Ordering::Relaxed);
+    let name = format!("worksshunt-{}-{number}", std::process::id());
     let file = std::env::temp_dir().join(name);
-    std::fs::write(&file, settings.to_string()).expect("written");
+    let (settings_file, log) = (file.with_extension("json"), file.with_extension("log"));
+    std::fs::write(&settings_file, settings.to_string()).expect("written");
     let process = Command::new(env!("CARGO_BIN_EXE_worksshunt"))
         .arg("--config")
-        .arg(&file)
+        .arg(&settings_file)
         .env_remove("WORKSSHUNT_OPTIONS")
-        .stderr(Stdio::null())
+        .env("LOG_LEVEL", "info")
+        .stderr(std::fs::File::create(&log).expect("a log"))
         .spawn()
         .expect("started");
-    let controller = Controller {
+    Controller {
         process,
         address,
-        settings: file,
-    };
-    let since = Instant::now();
-    while TcpStream::connect(address).is_err() {
-        assert!(since.elapsed() < DEADLINE, "it takes no connections");
-        std::thread::sleep(Duration::from_millis(20));
+        settings: settings_file,
+        log,
     }
-    controller
 }
 
 impl Controller {
+    /// Waits until it has logged that it listens on its ports; false if it has ended before. An answer would not
+    /// do: it may come from another program that has taken the port.
+    fn listens(&mut self, since: Instant) -> bool {
+        while !self.logged().contains("starting") {
+            if self.process.try_wait().expect("a state").is_some() {
+                return false;
+            }
+            assert!(since.elapsed() < DEADLINE, "not started: {}", self.logged());
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        true
+    }
+
+    fn logged(&self) -> String {
+        std::fs::read_to_string(&self.log).expect("a log")
+    }
+
     fn send(&self, request_line: &str, body: &str) -> Message {
         let mut connection = TcpStream::connect(self.address).expect("connected");
         connection
@@ -173,7 +211,8 @@
         let request =
             format!("{request_line} HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
         connection.write_all(request.as_bytes()).expect("sent");
-        read_message(&mut BufReader::new(connection)).expect("an answer")
+        let answer = read_message(&mut BufReader::new(connection));
+        answer.unwrap_or_else(|| panic!("{request_line}: no answer: {}", self.logged()))
     }
 
     /// Status line, body and `Retry-After` of the answer to a request.
