--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -5,11 +5,11 @@
 use worksshunt_wire::MachineId;
 
 use super::*;
-use crate::test_server::{with_answer, with_exchange, DEADLINE};
+use crate::test_server::{with_exchanges, with_response, Exchange, DEADLINE};
 
-/// The outcome of a request that is sent and answered like this: request lines, bodies, statuses and bodies.
-fn outcome(request: &CloudRequest, exchange: &[(&str, &str, u16, &str)]) -> CloudResponse {
-    with_exchange(exchange, |address| async move {
+/// The outcome of a request that is sent and answered in these exchanges.
+fn outcome(request: &CloudRequest, exchanges: &[Exchange]) -> CloudResponse {
+    with_exchanges(exchanges, |address| async move {
         call(&HttpClient::new(address, 1), request, DEADLINE).await
     })
 }
@@ -23,8 +23,8 @@
 #[test]
 fn the_catalogue_is_read() {
     let read = |status, body| {
-        let sent = ("GET /catalog HTTP/1.1", "", status, body);
-        outcome(&CloudRequest::ReadCatalog, &[sent])
+        let exchange = Exchange::new("GET /catalog HTTP/1.1", "", status, body);
+        outcome(&CloudRequest::ReadCatalog, &[exchange])
     };
     assert_eq!(
         read(200, r#"{"Modelos":[]}"#),
@@ -44,8 +44,12 @@
         count: 3,
     });
     let sent = r#"{"Modelo":"m8","Number":3,"Patio":"b","Pedido":"n0.7.12","Prestados":true}"#;
-    let provision =
-        |status, body| outcome(&request, &[("POST /machines HTTP/1.1", sent, status, body)]);
+    let provision = |status, body| {
+        outcome(
+            &request,
+            &[Exchange::new("POST /machines HTTP/1.1", sent, status, body)],
+        )
+    };
     assert_eq!(
         provision(200, r#"{"Estibas":["i-1","i-2"]}"#),
         CloudResponse::Machines(names(&["i-1", "i-2"]))
@@ -65,7 +69,7 @@
     let release = |status, body| {
         let sent = r#"{"Estibas":["i-1","i-2"]}"#;
         let line = "POST /machines/return HTTP/1.1";
-        outcome(&request, &[(line, sent, status, body)])
+        outcome(&request, &[Exchange::new(line, sent, status, body)])
     };
     let released = CloudResponse::Machines(names(&["i-1", "i-2"]));
     assert_eq!(release(200, ""), released);
@@ -78,16 +82,16 @@
 fn machines_are_listed_page_by_page() {
     let first = r#"{"Estibas":[{"Ref":"i-1","Modelo":"m4","Patio":"a","Prestados":true,"Estado":"running","AgeS":1.0}],"More":true}"#;
     let list = |second: (u16, &str)| {
-        let exchange = [
-            ("GET /machines?Most=500 HTTP/1.1", "", 200, first),
-            (
+        let exchanges = [
+            Exchange::new("GET /machines?Most=500 HTTP/1.1", "", 200, first),
+            Exchange::new(
                 "GET /machines?Most=500&Since=i-1 HTTP/1.1",
                 "",
                 second.0,
                 second.1,
             ),
         ];
-        outcome(&CloudRequest::ListMachines, &exchange)
+        outcome(&CloudRequest::ListMachines, &exchanges)
     };
     let CloudResponse::List(pages) = list((200, r#"{"Estibas":[],"More":true}"#)) else {
         panic!("no list");
@@ -113,10 +117,10 @@
     }
 }
 
-/// What comes of a list whose only page has so many machines.
+/// The response to a list request whose only page has that many machines.
 fn listed(machines: usize) -> CloudResponse {
     let reply = HttpResponse::json(200, &page(machines));
-    with_answer(reply, |client| async move {
+    with_response(reply, |client| async move {
         call(&client, &CloudRequest::ListMachines, DEADLINE).await
     })
 }
--- a/crates/worksshunt-net/src/connections/tests.rs
+++ b/crates/worksshunt-net/src/connections/tests.rs
@@ -29,9 +29,9 @@
     assert_eq!(slots.len(), 13);
 }
 
-/// How many of three answers each of `clients` gets from a server with so many connections, when they begin one
-/// after the other with such a pause.
-fn answers(clients: usize, connections: usize, pause: Duration) -> Vec<usize> {
+/// How many of three responses each of `clients` receives from a server with a limit of connections, when they
+/// start one after the other with a pause between them.
+fn responses(clients: usize, connections: usize, pause: Duration) -> Vec<usize> {
     let executor = Rc::new(Executor::new());
     let listener =
         async_io::Async::<std::net::TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
@@ -68,16 +68,17 @@
     served.take()
 }
 
-// Guards against machines that are never heard because others hold all connections. They come one at a time at
-// first, as workers do that come up one after the other.
+// Guards against workers whose heartbeats are never received because others hold all connections. They connect one
+// at a time at first, as workers do that start one after the other.
 #[test]
 fn more_clients_than_connections_are_all_served() {
     let pause = Duration::from_millis(5);
-    assert_eq!(answers(48, 16, pause), vec![3; 48]);
+    assert_eq!(responses(48, 16, pause), vec![3; 48]);
 }
 
-// Beside load, those above came at one moment: a newcomer beyond the limit was accepted and dropped unanswered.
+// On a loaded machine the clients above connected at one moment: a client beyond the limit was accepted and its
+// connection dropped without a response.
 #[test]
 fn a_crowd_that_comes_at_once_is_served_to_the_last() {
-    assert_eq!(answers(48, 4, Duration::ZERO), vec![3; 48]);
+    assert_eq!(responses(48, 4, Duration::ZERO), vec![3; 48]);
 }
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -5,11 +5,11 @@
 use worksshunt_wire::Revision;
 
 use super::*;
-use crate::test_server::{with_answer, with_exchange, DEADLINE};
+use crate::test_server::{with_exchanges, with_response, Exchange, DEADLINE};
 
-/// The outcome of a request that is sent and answered like this: request lines, bodies, statuses and bodies.
-fn outcome(request: KvRequest, exchange: &[(&str, &str, u16, &str)]) -> KvResponse {
-    with_exchange(exchange, |address| async move {
+/// The outcome of a request that is sent and answered in these exchanges.
+fn outcome(request: KvRequest, exchanges: &[Exchange]) -> KvResponse {
+    with_exchanges(exchanges, |address| async move {
         call(&HttpClient::new(address, 1), request, DEADLINE).await
     })
 }
@@ -17,8 +17,9 @@
 #[test]
 fn a_lease_is_requested_and_renewed() {
     let grant = |status, body| {
-        let sent = ("POST /holds HTTP/1.1", r#"{"TtlMs":4000}"#);
-        outcome(KvRequest::GrantLease, &[(sent.0, sent.1, status, body)])
+        let sent = r#"{"TtlMs":4000}"#;
+        let exchange = Exchange::new("POST /holds HTTP/1.1", sent, status, body);
+        outcome(KvRequest::GrantLease, &[exchange])
     };
     assert_eq!(
         grant(200, r#"{"Permiso":19}"#),
@@ -27,8 +28,8 @@
     assert_eq!(grant(200, "{}"), KvResponse::NoAnswer);
     assert_eq!(grant(404, "{}"), KvResponse::NoAnswer);
     let renew = |status| {
-        let sent = ("POST /holds/19/renew HTTP/1.1", "", status, "{}");
-        outcome(KvRequest::RenewLease(19), &[sent])
+        let exchange = Exchange::new("POST /holds/19/renew HTTP/1.1", "", status, "{}");
+        outcome(KvRequest::RenewLease(19), &[exchange])
     };
     assert_eq!(renew(200), KvResponse::LeaseRenewed);
     assert_eq!(renew(404), KvResponse::NoSuchLease);
@@ -38,8 +39,8 @@
 #[test]
 fn a_key_is_read() {
     let get = |status, body| {
-        let sent = ("GET /kv/c/epoch HTTP/1.1", "", status, body);
-        outcome(KvRequest::Get("c/epoch".to_owned()), &[sent])
+        let exchange = Exchange::new("GET /kv/c/epoch HTTP/1.1", "", status, body);
+        outcome(KvRequest::Get("c/epoch".to_owned()), &[exchange])
     };
     let pair = KeyValue {
         key: "c/epoch".to_owned(),
@@ -65,13 +66,13 @@
     let listing = outcome(
         KvRequest::List("j/".to_owned()),
         &[
-            (
+            Exchange::new(
                 "GET /kv?Starts=j/&Most=1000 HTTP/1.1",
                 "",
                 200,
                 r#"{"Pairs":[{"K":"j/a","V":1,"Sello":3},{"K":"j/b","V":1,"Sello":3}],"More":true,"Corte":7}"#,
             ),
-            (
+            Exchange::new(
                 "GET /kv?Starts=j/&Since=j/b&Most=1000 HTTP/1.1",
                 "",
                 200,
@@ -86,8 +87,8 @@
     };
     assert_eq!(listing, KvResponse::Listing(expected));
     let list = |status, body| {
-        let sent = ("GET /kv?Starts=j/&Most=1000 HTTP/1.1", "", status, body);
-        outcome(KvRequest::List("j/".to_owned()), &[sent])
+        let exchange = Exchange::new("GET /kv?Starts=j/&Most=1000 HTTP/1.1", "", status, body);
+        outcome(KvRequest::List("j/".to_owned()), &[exchange])
     };
     let empty = Listing {
         pairs: Vec::new(),
@@ -124,7 +125,10 @@
     let sent = r#"{"If":[{"K":"c/epoch","Sello":13}],"Then":[{"Permiso":9,"Set":"c/n/n0","V":[1]},{"Remove":"k/i-000003"}]}"#;
     let commit = |status, body| {
         let request = KvRequest::CompareAndSwap(transaction.clone());
-        outcome(request, &[("POST /txn HTTP/1.1", sent, status, body)])
+        outcome(
+            request,
+            &[Exchange::new("POST /txn HTTP/1.1", sent, status, body)],
+        )
     };
     assert_eq!(
         commit(200, r#"{"Corte":78}"#),
@@ -154,7 +158,7 @@
     let watch = |status, body| {
         let line = "GET /follow?Starts=j/&Since=77&WaitMs=2500 HTTP/1.1";
         let request = KvRequest::Watch("j/".to_owned(), Revision(77), 2_500);
-        outcome(request, &[(line, "", status, body)])
+        outcome(request, &[Exchange::new(line, "", status, body)])
     };
     let removed = WatchResponse {
         revision: Revision(80),
@@ -190,7 +194,7 @@
     );
 }
 
-/// What comes of a list whose only page has so many keys.
+/// The response to a list request whose only page has that many keys.
 fn listed(keys: usize) -> KvResponse {
     let pair = |n: usize| KeyValue {
         key: format!("a/{n:06}"),
@@ -202,7 +206,7 @@
         more: false,
         revision: Revision(7),
     };
-    with_answer(HttpResponse::json(200, &page), |client| async move {
+    with_response(HttpResponse::json(200, &page), |client| async move {
         call(&client, KvRequest::List("a/".to_owned()), DEADLINE).await
     })
 }
--- a/crates/worksshunt-net/src/peer/tests.rs
+++ b/crates/worksshunt-net/src/peer/tests.rs
@@ -33,7 +33,7 @@
     );
 }
 
-// Production meets the poll of epochs in this way: what it does not know ends the connection.
+// A version in production that does not know the poll of epochs receives it like this, and drops the connection.
 #[test]
 fn a_message_of_a_later_version_is_an_error() {
     let unknown_variant: u8 = 200;
--- a/crates/worksshunt-net/src/test_server.rs
+++ b/crates/worksshunt-net/src/test_server.rs
@@ -1,5 +1,5 @@
-//! Servers on the loopback interface for tests of clients: one gives one answer to everything, one gives answers
-//! in turn and compares the bytes of the requests.
+//! Servers on the loopback interface for tests of clients: one sends the same response to every request, one sends
+//! responses in turn and compares the bytes of the requests.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -17,22 +17,22 @@
 /// How long a call may take.
 pub const DEADLINE: Duration = Duration::from_secs(2);
 
-/// What a client makes of a server's answer.
-pub fn with_answer<T, F: Future<Output = T>>(
-    reply: HttpResponse,
-    ask: impl FnOnce(Rc<HttpClient>) -> F,
+/// The result of a client's call to a server that sends this response to every request.
+pub fn with_response<T, F: Future<Output = T>>(
+    response: HttpResponse,
+    call: impl FnOnce(Rc<HttpClient>) -> F,
 ) -> T {
     let executor = Rc::new(Executor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
     let handler: server::Handler = Rc::new(move |_| {
-        let reply = reply.clone();
-        Box::pin(async move { reply })
+        let response = response.clone();
+        Box::pin(async move { response })
     });
     let serving = server::serve(Rc::clone(&executor), listener, 4, DEADLINE, handler);
     executor.spawn(serving).detach();
     let client = Rc::new(HttpClient::new(address, 1));
-    async_io::block_on(executor.run(ask(client)))
+    async_io::block_on(executor.run(call(client)))
 }
 
 /// A request, byte for byte as a client sent it.
@@ -71,11 +71,40 @@
     })
 }
 
-/// Answers the requests of one connection with these statuses and bodies, and returns the requests.
+/// A request that a client is expected to send, and the response to it.
+#[derive(Debug, Clone, Copy)]
+pub struct Exchange<'a> {
+    /// Method, path with query, and version.
+    pub request_line: &'a str,
+    /// Body of the request.
+    pub request_body: &'a str,
+    /// Status of the response.
+    pub status: u16,
+    /// Body of the response.
+    pub response_body: &'a str,
+}
+
+impl<'a> Exchange<'a> {
+    /// Request line and body, and status and body of the response.
+    pub fn new(
+        request_line: &'a str,
+        request_body: &'a str,
+        status: u16,
+        response_body: &'a str,
+    ) -> Exchange<'a> {
+        Exchange {
+            request_line,
+            request_body,
+            status,
+            response_body,
+        }
+    }
+}
+
+/// Sends the responses on one connection, and returns the requests.
 fn record(listener: &TcpListener, responses: &[(u16, String)]) -> Vec<SentRequest> {
-    let (connection, _) = listener.accept().expect("a connection");
+    let (mut connection, _) = listener.accept().expect("a connection");
     let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
-    let mut writer = connection;
     let mut requests = Vec::new();
     for (status, body) in responses {
         let Some(request) = read_request(&mut reader) else {
@@ -83,37 +112,33 @@
         };
         requests.push(request);
         let length = body.len();
-        write!(
-            writer,
-            "HTTP/1.1 {status} x\r\ncontent-length: {length}\r\n\r\n{body}"
-        )
-        .expect("sent");
+        let head = format!("HTTP/1.1 {status} x\r\ncontent-length: {length}\r\n\r\n");
+        let response = head + body;
+        connection.write_all(response.as_bytes()).expect("sent");
     }
     requests
 }
 
-/// What a client at that address makes of these answers, statuses and bodies, when it sends exactly these requests:
-/// request lines and bodies.
-pub fn with_exchange<T, F: Future<Output = T>>(
-    exchange: &[(&str, &str, u16, &str)],
-    ask: impl FnOnce(SocketAddr) -> F,
+/// The result of a client's calls to a server at that address. The client has to send exactly the requests of
+/// `exchanges`, and receives their responses.
+pub fn with_exchanges<T, F: Future<Output = T>>(
+    exchanges: &[Exchange],
+    call: impl FnOnce(SocketAddr) -> F,
 ) -> T {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let responses: Vec<(u16, String)> = exchange
-        .iter()
-        .map(|(_, _, status, body)| (*status, (*body).to_owned()))
-        .collect();
+    let response = |exchange: &Exchange| (exchange.status, exchange.response_body.to_owned());
+    let responses: Vec<(u16, String)> = exchanges.iter().map(response).collect();
     let server = std::thread::spawn(move || record(&listener, &responses));
-    let result = async_io::block_on(ask(address));
+    let result = async_io::block_on(call(address));
     let requests = server.join().expect("recorded");
     let sent: Vec<(&str, &str)> = requests
         .iter()
         .map(|request| (request.request_line.as_str(), request.body.as_str()))
         .collect();
-    let expected: Vec<(&str, &str)> = exchange
+    let expected: Vec<(&str, &str)> = exchanges
         .iter()
-        .map(|(request_line, body, _, _)| (*request_line, *body))
+        .map(|exchange| (exchange.request_line, exchange.request_body))
         .collect();
     assert_eq!(sent, expected);
     for request in &requests {
--- a/crates/worksshunt-net/src/worker/tests.rs
+++ b/crates/worksshunt-net/src/worker/tests.rs
@@ -4,7 +4,7 @@
 use worksshunt_wire::{Attempt, Epoch, Incarnation, JobId, TaskId};
 
 use super::*;
-use crate::test_server::{with_exchange, DEADLINE};
+use crate::test_server::{with_exchanges, Exchange, DEADLINE};
 
 const HEARTBEAT: &str = r#"{"Estiba":"i-41","Addr":"10.1.0.1:9000","Modelo":"m8","Patio":"b","Prestados":false,"Jornada":3,"Folio":17,"Vara":5,"Piezas":[]}"#;
 
@@ -27,11 +27,11 @@
     }
 }
 
-/// The outcome of commands that are answered like this.
+/// The outcome of commands that are answered with this status and body.
 fn outcome(status: u16, body: &str) -> DirectCommandsOutcome {
     let sent = r#"{"Jornada":3,"Ordenes":[{"Intento":301,"Orden":"launch","Pieza":"j-000412/1"}],"Vara":5}"#;
-    let exchange = [("POST /orders HTTP/1.1", sent, status, body)];
-    with_exchange(&exchange, |address| async move {
+    let exchanges = [Exchange::new("POST /orders HTTP/1.1", sent, status, body)];
+    with_exchanges(&exchanges, |address| async move {
         let workers = Workers::new(1);
         workers.call(&commands(address.to_string()), DEADLINE).await
     })
@@ -58,7 +58,7 @@
         let call = workers.call(&commands, DEADLINE);
         assert_eq!(async_io::block_on(call), DirectCommandsOutcome::NotSent);
     }
-    let unanswered = with_exchange(&[], |address| async move {
+    let unanswered = with_exchanges(&[], |address| async move {
         let workers = Workers::new(1);
         workers.call(&commands(address.to_string()), DEADLINE).await
     });
--- a/crates/worksshunt/src/main.rs
+++ b/crates/worksshunt/src/main.rs
@@ -120,7 +120,7 @@
     match service::run(settings, parameters) {
         Ok(never) => match never {},
         Err(error) => {
-            tracing::error!("{error}");
+            tracing::error!(%error, "service failed");
             ExitCode::from(FAILED)
         }
     }
