--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -100,8 +100,9 @@
             silent_release_not_before: Time::default(),
             silent_release_interval_ms: (workers.lease_s * 1_000.0 * SILENT_RELEASE_INTERVAL_LEASES)
                 as u64,
-            first_heartbeat_timeout_ms: (workers.report_s * 1_000.0 * UNHEARD_HEARTBEAT_INTERVALS)
-                as u64,
+            first_heartbeat_timeout_ms: (workers.heartbeat_interval_s
+                * 1_000.0
+                * UNHEARD_HEARTBEAT_INTERVALS) as u64,
         }
     }
 
--- a/crates/worksshunt-core/src/scheduler/services.rs
+++ b/crates/worksshunt-core/src/scheduler/services.rs
@@ -23,7 +23,7 @@
     /// No open service yet.
     pub fn new(workers: &Workers) -> ServiceState {
         let silent_release_ms =
-            (workers.report_s * 1_000.0 * SILENT_RELEASE_HEARTBEAT_INTERVALS) as u64;
+            (workers.heartbeat_interval_s * 1_000.0 * SILENT_RELEASE_HEARTBEAT_INTERVALS) as u64;
         ServiceState {
             open: BTreeSet::new(),
             has_stuck_replica: false,
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -1,12 +1,200 @@
-//! Tests of `state`: pages of keys.
+//! Tests of `key_value`: the bytes of every request, what each answer means, pages of keys.
 
 use worksshunt_core::job_api::HttpResponse;
+use worksshunt_wire::key_value::{Change, ExpectedRevision, WatchEvent, WatchResponse};
 use worksshunt_wire::Revision;
 
 use super::*;
-use crate::test_server::{with_answer, DEADLINE};
+use crate::test_server::{with_exchanges, with_response, Exchange, DEADLINE};
 
-/// What comes of a list whose only page has so many keys.
+/// The outcome of a request that is sent and answered in these exchanges.
+fn outcome(request: KvRequest, exchanges: &[Exchange]) -> KvResponse {
+    with_exchanges(exchanges, |address| async move {
+        call(&HttpClient::new(address, 1), request, DEADLINE).await
+    })
+}
+
+#[test]
+fn a_lease_is_requested_and_renewed() {
+    let grant = |status, body| {
+        let sent = r#"{"TtlMs":4000}"#;
+        let exchange = Exchange::new("POST /holds HTTP/1.1", sent, status, body);
+        outcome(KvRequest::GrantLease, &[exchange])
+    };
+    assert_eq!(
+        grant(200, r#"{"Permiso":19}"#),
+        KvResponse::LeaseGranted(19)
+    );
+    assert_eq!(grant(200, "{}"), KvResponse::NoAnswer);
+    assert_eq!(grant(404, "{}"), KvResponse::NoAnswer);
+    let renew = |status| {
+        let exchange = Exchange::new("POST /holds/19/renew HTTP/1.1", "", status, "{}");
+        outcome(KvRequest::RenewLease(19), &[exchange])
+    };
+    assert_eq!(renew(200), KvResponse::LeaseRenewed);
+    assert_eq!(renew(404), KvResponse::NoSuchLease);
+    assert_eq!(renew(400), KvResponse::NoAnswer);
+}
+
+#[test]
+fn a_key_is_read() {
+    let get = |status, body| {
+        let exchange = Exchange::new("GET /kv/c/epoch HTTP/1.1", "", status, body);
+        outcome(KvRequest::Get("c/epoch".to_owned()), &[exchange])
+    };
+    let pair = KeyValue {
+        key: "c/epoch".to_owned(),
+        value: serde_json::json!([5]),
+        version: Revision(31),
+    };
+    assert_eq!(
+        get(200, r#"{"K":"c/epoch","V":[5],"Sello":31}"#),
+        KvResponse::Found(pair)
+    );
+    assert_eq!(get(404, r#"{"Corte":77}"#), KvResponse::Missing);
+    assert_eq!(get(404, "no such path"), KvResponse::NoAnswer);
+    assert_eq!(get(410, r#"{"Corte":77}"#), KvResponse::NoAnswer);
+}
+
+#[test]
+fn keys_are_listed_page_by_page_at_the_revision_of_the_first() {
+    let pair = |key: &str| KeyValue {
+        key: key.to_owned(),
+        value: serde_json::json!(1),
+        version: Revision(3),
+    };
+    let listing = outcome(
+        KvRequest::List("j/".to_owned()),
+        &[
+            Exchange::new(
+                "GET /kv?Starts=j/&Most=1000 HTTP/1.1",
+                "",
+                200,
+                r#"{"Pairs":[{"K":"j/a","V":1,"Sello":3},{"K":"j/b","V":1,"Sello":3}],"More":true,"Corte":7}"#,
+            ),
+            Exchange::new(
+                "GET /kv?Starts=j/&Since=j/b&Most=1000 HTTP/1.1",
+                "",
+                200,
+                r#"{"Pairs":[{"K":"j/c","V":1,"Sello":3}],"Corte":9}"#,
+            ),
+        ],
+    );
+    let expected = Listing {
+        pairs: vec![pair("j/a"), pair("j/b"), pair("j/c")],
+        more: false,
+        revision: Revision(7),
+    };
+    assert_eq!(listing, KvResponse::Listing(expected));
+    let list = |status, body| {
+        let exchange = Exchange::new("GET /kv?Starts=j/&Most=1000 HTTP/1.1", "", status, body);
+        outcome(KvRequest::List("j/".to_owned()), &[exchange])
+    };
+    let empty = Listing {
+        pairs: Vec::new(),
+        more: false,
+        revision: Revision(7),
+    };
+    // More to come after an empty page would be asked for without end.
+    assert_eq!(
+        list(200, r#"{"Pairs":[],"More":true,"Corte":7}"#),
+        KvResponse::Listing(empty)
+    );
+    assert_eq!(list(200, "[]"), KvResponse::NoAnswer);
+    assert_eq!(list(503, "{}"), KvResponse::Refused);
+}
+
+#[test]
+fn a_transaction_is_sent_and_each_outcome_told_apart() {
+    let transaction = CompareAndSwap {
+        expected: vec![ExpectedRevision {
+            key: "c/epoch".to_owned(),
+            version: Revision(13),
+        }],
+        changes: vec![
+            Change::Put {
+                key: "c/n/n0".to_owned(),
+                value: serde_json::json!([1]),
+                lease: Some(9),
+            },
+            Change::Delete {
+                key: "k/i-000003".to_owned(),
+            },
+        ],
+    };
+    let sent = r#"{"If":[{"K":"c/epoch","Sello":13}],"Then":[{"Permiso":9,"Set":"c/n/n0","V":[1]},{"Remove":"k/i-000003"}]}"#;
+    let commit = |status, body| {
+        let request = KvRequest::CompareAndSwap(transaction.clone());
+        outcome(
+            request,
+            &[Exchange::new("POST /txn HTTP/1.1", sent, status, body)],
+        )
+    };
+    assert_eq!(
+        commit(200, r#"{"Corte":78}"#),
+        KvResponse::Committed(Revision(78))
+    );
+    assert_eq!(
+        commit(409, r#"{"failed":["c/epoch"]}"#),
+        KvResponse::Conflict(vec!["c/epoch".to_owned()])
+    );
+    assert_eq!(
+        commit(400, r#"{"error":"no such lease"}"#),
+        KvResponse::NoSuchLease
+    );
+    assert_eq!(
+        commit(400, r#"{"error":"too many changes"}"#),
+        KvResponse::TooLarge
+    );
+    assert_eq!(commit(429, "{}"), KvResponse::Refused);
+    assert_eq!(commit(503, "{}"), KvResponse::Refused);
+    assert_eq!(commit(500, "{}"), KvResponse::NoAnswer);
+    assert_eq!(commit(200, "{}"), KvResponse::NoAnswer);
+    assert_eq!(commit(409, "{}"), KvResponse::NoAnswer);
+}
+
+#[test]
+fn changes_are_watched() {
+    let watch = |status, body| {
+        let line = "GET /follow?Starts=j/&Since=77&WaitMs=2500 HTTP/1.1";
+        let request = KvRequest::Watch("j/".to_owned(), Revision(77), 2_500);
+        outcome(request, &[Exchange::new(line, "", status, body)])
+    };
+    let removed = WatchResponse {
+        revision: Revision(80),
+        events: vec![WatchEvent::Delete {
+            key: "j/a".to_owned(),
+            version: Revision(80),
+        }],
+    };
+    assert_eq!(
+        watch(
+            200,
+            r#"{"Corte":80,"Events":[{"Remove":"j/a","Sello":80}]}"#
+        ),
+        KvResponse::WatchResponse(removed)
+    );
+    assert_eq!(watch(410, "{}"), KvResponse::RevisionCompacted);
+    assert_eq!(watch(429, "{}"), KvResponse::Refused);
+    assert_eq!(watch(404, "{}"), KvResponse::NoAnswer);
+}
+
+#[test]
+fn a_request_that_never_left_is_refused_and_one_without_answer_is_unclear() {
+    let port = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = port.local_addr().expect("an address");
+    drop(port);
+    let client = HttpClient::new(address, 1);
+    let call = call(&client, KvRequest::GrantLease, DEADLINE);
+    assert_eq!(async_io::block_on(call), KvResponse::Refused);
+    assert_eq!(
+        outcome(KvRequest::RenewLease(1), &[]),
+        KvResponse::NoAnswer,
+        "the connection was closed unanswered"
+    );
+}
+
+/// The response to a list request whose only page has that many keys.
 fn listed(keys: usize) -> KvResponse {
     let pair = |n: usize| KeyValue {
         key: format!("a/{n:06}"),
@@ -18,7 +206,7 @@
         more: false,
         revision: Revision(7),
     };
-    with_answer(HttpResponse::json(200, &page), |client| async move {
+    with_response(HttpResponse::json(200, &page), |client| async move {
         call(&client, KvRequest::List("a/".to_owned()), DEADLINE).await
     })
 }
