--- /dev/null
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -0,0 +1,99 @@
+//! From loading to serving: partition, scheduler and fleet are built from what the epoch's members have read.
+
+use worksshunt_wire::key_value::KeyValue;
+use worksshunt_wire::{ControllerName, Epoch};
+
+use crate::fleet::Fleet;
+use crate::membership::EpochRecord;
+use crate::placement::owner;
+use crate::records::{self, AttemptRecord};
+use crate::scheduler::{Scheduler, StoredState};
+use crate::time::Time;
+
+use super::{Controller, Leader, PartitionEpoch};
+
+impl Controller {
+    /// Everything is read: this controller serves from now on, and leads if the epoch says so.
+    pub(super) fn begin_serving(&mut self, now: Time) {
+        let Some(epoch) = self.membership.epoch().cloned() else {
+            return;
+        };
+        let mut load = std::mem::take(&mut self.epoch_load);
+        let stale_record_pages = records::retain_latest_attempts(&mut load.record_pages);
+        let owners = epoch.partition_owners();
+        self.begin_partition(now, &epoch, &owners, &load.record_pages);
+        if self.membership.is_leader() {
+            let stored = StoredState {
+                record_pages: load.record_pages,
+                stale_record_pages,
+                completion_pages: load.completion_pages,
+                claims: load.claims,
+                cancelled: load.cancelled_jobs,
+            };
+            self.begin_leading(now, &epoch, &owners, &stored, load.previous_fleet);
+        }
+        self.membership.epoch_loaded();
+    }
+
+    fn begin_partition(
+        &mut self,
+        now: Time,
+        epoch: &EpochRecord,
+        owners: &[ControllerName],
+        record_pages: &[(KeyValue, Vec<AttemptRecord>)],
+    ) {
+        let me = self.membership.name();
+        let previous_owners = self
+            .partition_epoch
+            .take()
+            .filter(|previous| previous.number == epoch_before(epoch))
+            .map_or(Vec::new(), |previous| previous.owners);
+        let records: Vec<AttemptRecord> = record_pages
+            .iter()
+            .flat_map(|(_, records)| records.clone())
+            .collect();
+        self.partition.begin_epoch(
+            now,
+            (epoch.number, me),
+            &records,
+            &self.job_cache,
+            |machine| owner(machine, owners) == Some(me),
+            |machine| owner(machine, &previous_owners) == Some(me),
+        );
+        self.partition_epoch = Some(PartitionEpoch {
+            number: epoch.number,
+            owners: owners.to_vec(),
+        });
+    }
+
+    fn begin_leading(
+        &mut self,
+        now: Time,
+        epoch: &EpochRecord,
+        owners: &[ControllerName],
+        stored: &StoredState,
+        previous_fleet: Option<Fleet>,
+    ) {
+        let facts = &self.settings.facts;
+        let mut scheduler =
+            Scheduler::load(now, epoch.number, owners, facts, &self.job_cache, stored);
+        let fleet = match previous_fleet {
+            Some(fleet) if fleet.epoch() == epoch_before(epoch) => fleet.carried_over(epoch.number),
+            _ => {
+                let rentals = self.capacity.rentals;
+                Fleet::new(epoch.number, now, &facts.cloud, &facts.workers, rentals)
+            }
+        };
+        scheduler.set_draining(fleet.draining());
+        if let Some(max_attempts) = self.attempt_limit {
+            scheduler.limit_attempts(max_attempts);
+        }
+        self.leader = Some(Leader { scheduler, fleet });
+        tracing::info!(epoch = %epoch.number, members = owners.len(), "leading");
+    }
+}
+
+/// The number before the epoch's.
+fn epoch_before(epoch: &EpochRecord) -> Epoch {
+    Epoch(epoch.number.0 - 1)
+}
--- /dev/null
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -0,0 +1,87 @@
+//! Workers' heartbeats: each goes to the controller that owns the machine.
+
+use worksshunt_wire::worker::{Heartbeat, HeartbeatResponse, Redirect};
+use worksshunt_wire::Epoch;
+
+use crate::constants::job_api::MAX_MACHINE_NAME_BYTES;
+use crate::job_api::HttpResponse;
+use crate::machines::HeartbeatOutcome;
+use crate::placement::owner;
+use crate::time::Time;
+
+use super::Controller;
+
+impl Controller {
+    /// Takes in a heartbeat if this controller owns the machine and may act, and returns the response.
+    pub(super) fn heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
+        let heartbeat = match parse_heartbeat(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return self.refuse_heartbeat(&error),
+        };
+        let owners = self
+            .membership
+            .epoch()
+            .map(|epoch| epoch.partition_owners())
+            .unwrap_or_default();
+        match (owner(&heartbeat.machine, &owners), &self.catalog.current) {
+            (Some(name), _) if name != self.membership.name() => HttpResponse::json(
+                421,
+                &Redirect {
+                    report_to: Some(name.clone()),
+                },
+            ),
+            (Some(_), Some(catalog)) if self.membership.may_act(now) => {
+                let fencing_token = self.membership.fencing_token();
+                let outcome =
+                    self.partition
+                        .process_heartbeat(now, &heartbeat, fencing_token, catalog);
+                heartbeat_response(outcome, fencing_token)
+            }
+            _ => HttpResponse::retry_later("not entitled to act now"),
+        }
+    }
+
+    /// Refuses a malformed heartbeat. Only the first is logged, since a faulty worker sends one after the other.
+    fn refuse_heartbeat(&mut self, error: &MalformedHeartbeat) -> HttpResponse {
+        if !std::mem::replace(&mut self.malformed_heartbeat_logged, true) {
+            tracing::warn!(%error, "malformed heartbeat; further ones are not logged");
+        }
+        HttpResponse::error(400, &error.to_string())
+    }
+}
+
+/// Why a heartbeat cannot be taken in.
+#[derive(Debug, thiserror::Error)]
+enum MalformedHeartbeat {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("not a machine's name")]
+    MachineName,
+}
+
+fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, MalformedHeartbeat> {
+    let heartbeat: Heartbeat = serde_json::from_slice(body)?;
+    match is_key_component(&heartbeat.machine.0) {
+        true => Ok(heartbeat),
+        false => Err(MalformedHeartbeat::MachineName),
+    }
+}
+
+/// Whether the machine's name may become part of a key of the key-value store.
+fn is_key_component(name: &str) -> bool {
+    let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '/';
+    (1..=MAX_MACHINE_NAME_BYTES).contains(&name.len()) && name.chars().all(is_plain)
+}
+
+fn heartbeat_response(outcome: HeartbeatOutcome, fencing_token: Epoch) -> HttpResponse {
+    match outcome {
+        HeartbeatOutcome::Accepted(commands) => HttpResponse::json(
+            200,
+            &HeartbeatResponse {
+                fencing_token,
+                commands,
+            },
+        ),
+        HeartbeatOutcome::Rejected => HttpResponse::retry_later("a newer message has come"),
+    }
+}
--- /dev/null
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -0,0 +1,238 @@
+//! Users' requests about jobs: their way from the request to its response.
+//!
+//! A request waits for a read of the open jobs that was sent after it came in ([`crate::job_api`]); one read
+//! serves all that wait. Accepting submissions is in `submissions` and `accept_write`.
+
+use worksshunt_wire::key_value::CompareAndSwap;
+use worksshunt_wire::settings::KeyValueLimits;
+use worksshunt_wire::user::JobState;
+use worksshunt_wire::JobId;
+
+use crate::constants::key_value::USER_READ_SHARE;
+use crate::job_api::{
+    final_state_response, resolve, HttpResponse, JobApi, JobOperation, JobRequest, JobRequestStep,
+    RequestId,
+};
+use crate::jobs::{JobCacheChange, OPEN};
+use crate::time::{Periodic, Time, TokenBucket};
+
+use super::accept_write::AcceptWrite;
+use super::final_state_lookups::FinalStateLookups;
+use super::key_value_responses::RequestTimes;
+use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
+
+/// Error text of the responses during an outage of the key-value store, which users know as the state service.
+pub(super) const STORE_SILENT: &str = "the state service does not answer";
+
+/// Users' requests, and the requests to the key-value store that serve them.
+#[derive(Debug)]
+pub(super) struct JobApiState {
+    /// Requests that wait.
+    pub requests: JobApi,
+    /// The last request found too many others waiting.
+    was_full: bool,
+    /// Reads for users that the key-value store's limit allows.
+    pub read_tokens: TokenBucket,
+    catch_up_timer: Periodic,
+    pub final_state_lookups: FinalStateLookups,
+    pub accept_write: AcceptWrite,
+}
+
+impl JobApiState {
+    /// No request waits; at most so many may.
+    pub fn new(max_requests: usize, limits: &KeyValueLimits) -> JobApiState {
+        let read_rate = limits.rps * USER_READ_SHARE;
+        JobApiState {
+            requests: JobApi::new(max_requests),
+            was_full: false,
+            read_tokens: TokenBucket::new(read_rate, read_rate.max(1.0)),
+            catch_up_timer: Periodic::default(),
+            final_state_lookups: FinalStateLookups::default(),
+            accept_write: AcceptWrite::default(),
+        }
+    }
+}
+
+impl Controller {
+    /// Sends what users' requests wait for, as soon as the limits allow.
+    pub(super) fn advance_job_api(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.advance_catch_up_read(now, actions);
+        self.advance_final_state_lookups(now, actions);
+        self.advance_accept_write(now, actions);
+    }
+
+    fn advance_catch_up_read(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let job_api = &mut self.job_api;
+        let may_read = job_api.read_tokens.available(now) > 0;
+        if !job_api.catch_up_timer.is_due(now) || !job_api.requests.read_due() || !may_read {
+            return;
+        }
+        if let Some(since) = self.job_cache.revision() {
+            job_api.requests.read_sent();
+            job_api.read_tokens.take(1);
+            job_api.catch_up_timer.mark_sent(now, 0);
+            let request = KvRequest::Watch(OPEN.to_owned(), since, 0);
+            call_store(actions, KvPurpose::CatchUpOpenJobs, request);
+        }
+    }
+
+    /// A user asks about a job or cancels it; `id` as the user wrote it.
+    pub(super) fn job_request(
+        &mut self,
+        now: Time,
+        request_id: RequestId,
+        id: &str,
+        operation: JobOperation,
+        actions: &mut Vec<Action>,
+    ) {
+        let response = match id.parse::<JobId>() {
+            Err(_) => Some(HttpResponse::error(404, "no such job")),
+            Ok(id) => {
+                let job_request = JobRequest {
+                    request_id,
+                    id,
+                    operation,
+                    seen_in_batch: false,
+                };
+                match self.job_cache.final_state(id) {
+                    Some(state) => Some(final_state_response(&job_request, state)),
+                    None => self.queue_job_request(now, job_request).err(),
+                }
+            }
+        };
+        if let Some(response) = response {
+            actions.push(Action::Respond(request_id, response));
+        }
+    }
+
+    /// Has a request wait for the next read of the open jobs.
+    ///
+    /// # Errors
+    ///
+    /// The response, if it cannot wait.
+    pub(super) fn queue_job_request(
+        &mut self,
+        now: Time,
+        job_request: JobRequest,
+    ) -> Result<(), HttpResponse> {
+        if !self.job_cache.is_loaded() {
+            return Err(HttpResponse::retry_later("starting"));
+        }
+        if self.store_health.is_silent(now) {
+            return Err(HttpResponse::retry_later(STORE_SILENT));
+        }
+        if self.is_job_api_full() {
+            return Err(HttpResponse::retry_later("too many requests wait"));
+        }
+        self.job_api.requests.queue_request(job_request);
+        Ok(())
+    }
+
+    /// Whether another request would be one too many; logged when that begins.
+    pub(super) fn is_job_api_full(&mut self) -> bool {
+        let is_full = self.job_api.requests.is_full();
+        let was_full = std::mem::replace(&mut self.job_api.was_full, is_full);
+        if is_full && !was_full {
+            let limit = self.capacity.user_requests;
+            tracing::warn!(limit, "pending user requests at limit, refusing new ones");
+        }
+        is_full
+    }
+
+    /// The read of the open jobs that requests wait for was answered, or not.
+    pub(super) fn catch_up_answered(
+        &mut self,
+        times: RequestTimes,
+        response: KvResponse,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = times.answered;
+        self.job_api.catch_up_timer.schedule_retry(now, 0);
+        match response {
+            KvResponse::WatchResponse(changes) if self.job_cache.is_loaded() => {
+                self.open_jobs_changed(times, &changes);
+                for job_request in self.job_api.requests.read_answered() {
+                    let step = resolve(job_request, &self.job_cache, &self.progress);
+                    self.apply_job_request_step(now, step, actions);
+                }
+            }
+            KvResponse::RevisionCompacted => self.reload_job_cache(actions),
+            _ => {
+                for job_request in self.job_api.requests.read_answered() {
+                    let response = HttpResponse::retry_later(STORE_SILENT);
+                    actions.push(Action::Respond(job_request.request_id, response));
+                }
+            }
+        }
+    }
+
+    /// Takes the next step of a request.
+    pub(super) fn apply_job_request_step(
+        &mut self,
+        now: Time,
+        step: JobRequestStep,
+        actions: &mut Vec<Action>,
+    ) {
+        match step {
+            JobRequestStep::Respond(request_id, response) => {
+                actions.push(Action::Respond(request_id, response));
+            }
+            JobRequestStep::LookUpFinal(job_request) => {
+                self.look_up_final_state(now, job_request, actions);
+            }
+            JobRequestStep::Cancel(job_request, write) => {
+                self.write_cancellation(job_request, write, actions);
+            }
+            JobRequestStep::ResolveAgain(job_request) => {
+                self.job_api.requests.queue_request(job_request);
+            }
+            JobRequestStep::Accept(request_id, job) => {
+                self.job_api.requests.queue_submission(now, request_id, job);
+            }
+        }
+    }
+
+    fn write_cancellation(
+        &mut self,
+        job_request: JobRequest,
+        write: CompareAndSwap,
+        actions: &mut Vec<Action>,
+    ) {
+        let tokens = &mut self.write_queues.user_write_tokens;
+        tokens.take(write.changes.len());
+        let request = KvRequest::CompareAndSwap(write);
+        call_store(actions, KvPurpose::CancelJob(job_request), request);
+    }
+
+    /// The write of a cancellation was answered, or not.
+    pub(super) fn cancellation_answered(
+        &mut self,
+        now: Time,
+        job_request: JobRequest,
+        response: KvResponse,
+        actions: &mut Vec<Action>,
+    ) {
+        match response {
+            KvResponse::Committed(_) => {
+                let id = job_request.id;
+                self.job_cache.remember_final(id, JobState::Cancelled);
+                self.apply_job_changes(now, vec![JobCacheChange::Closed(id)]);
+                let response = final_state_response(&job_request, JobState::Cancelled);
+                actions.push(Action::Respond(job_request.request_id, response));
+            }
+            KvResponse::Conflict(_) => self.job_api.requests.queue_request(job_request),
+            _ => actions.push(Action::Respond(
+                job_request.request_id,
+                HttpResponse::retry_later("not cancelled yet"),
+            )),
+        }
+    }
+
+    /// Answers every request that waits, because the key-value store does not answer.
+    pub(super) fn give_up_job_requests(&mut self, actions: &mut Vec<Action>) {
+        for request in self.job_api.requests.take_all() {
+            let response = HttpResponse::retry_later(STORE_SILENT);
+            actions.push(Action::Respond(request, response));
+        }
+    }
+}
--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -1,20 +1,47 @@
-//! The leader's turns, and the exchange between owners and leader.
+//! The leader's duties: decision rounds, the machine list, and scaling the fleet.
 
-use std::collections::BTreeMap;
+use worksshunt_wire::settings::CloudLimits;
 
-use worksshunt_wire::key_value::{Change, CompareAndSwap};
-use worksshunt_wire::peer::{LeaderDirectives, PartitionStatus, PeerRequest};
-
-use crate::constants::fleet::MACHINE_LIST_PAGE;
-use crate::constants::partition_sync::{SYNC_BUSY_INTERVAL_MS, SYNC_IDLE_INTERVAL_MS};
+use crate::constants::fleet::{CLOUD_REQUEST_SHARE, MACHINE_LIST_PAGE};
 use crate::constants::timers::{
     FLEET_INTERVAL_MS, MACHINE_LIST_INTERVAL_MS, WAITING_TASKS_INTERVAL_MS,
 };
 use crate::fleet::CloudRequest;
-use crate::time::{Budget, Now, Time};
+use crate::time::{Budget, Now, Periodic, Time, TokenBucket};
+
+use super::{Action, Controller, Leader};
+
+/// When the leader's duties are due, and how many requests to the cloud it may make.
+#[derive(Debug)]
+pub(super) struct LeaderDuties {
+    /// Listing the machines in the cloud.
+    pub machine_list_timer: Periodic,
+    /// Scaling the fleet.
+    pub fleet_timer: Periodic,
+    /// Reviewing the tasks that wait for machines.
+    waiting_tasks_timer: Periodic,
+    cloud_request_tokens: TokenBucket,
+}
+
+impl LeaderDuties {
+    /// Everything is due; requests to the cloud keep to their share of its limit.
+    pub fn new(cloud: &CloudLimits) -> LeaderDuties {
+        let rate = cloud.rps * CLOUD_REQUEST_SHARE;
+        LeaderDuties {
+            machine_list_timer: Periodic::default(),
+            fleet_timer: Periodic::default(),
+            waiting_tasks_timer: Periodic::default(),
+            cloud_request_tokens: TokenBucket::new(rate, rate.max(1.0)),
+        }
+    }
 
-use super::events::{Action, KvPurpose, KvRequest};
-use super::{store, Controller, CATALOG_KEY};
+    /// Everything is due anew in an epoch. The cloud's limit goes on.
+    pub fn begin_epoch(&mut self) {
+        self.machine_list_timer = Periodic::default();
+        self.fleet_timer = Periodic::default();
+        self.waiting_tasks_timer = Periodic::default();
+    }
+}
 
 impl Controller {
     pub(super) fn run_leader_duties(
@@ -23,134 +50,97 @@
         budget: &Budget,
         actions: &mut Vec<Action>,
     ) {
-        let t = now.steady;
-        if !self.membership.may_act(t) {
+        if !self.membership.may_act(now.steady)
+            || self.leader.is_none()
+            || self.catalog.current.is_none()
+        {
             return;
         }
-        let store_silent = self.key_value_store_silent(t);
-        let (Some(leader), Some(catalog)) = (&mut self.leader, &self.catalog) else {
+        self.review_waiting_tasks(now, budget);
+        self.run_decision_round(now, budget);
+        self.request_machine_list(now.steady, actions);
+        self.scale_fleet(now, actions);
+    }
+
+    /// Claims and frees machines for tasks that wait, once all partitions have reported.
+    fn review_waiting_tasks(&mut self, now: Now, budget: &Budget) {
+        let store_silent = self.store_health.is_silent(now.steady);
+        let Some(leader) = &mut self.leader else {
             return;
         };
-        let pressing = self.waiting_tasks_timer.is_due(t) || leader.scheduler.replica_stuck();
-        if pressing && leader.scheduler.all_partitions_reported() {
-            self.waiting_tasks_timer.next = t + WAITING_TASKS_INTERVAL_MS;
-            leader.scheduler.note_spot_machines(t);
-            leader.scheduler.reassign_unsent(t);
-            leader.scheduler.claim_machines(t);
-            // Nothing can be launched in the place of what is stopped before it can be recorded.
-            if !store_silent {
-                leader.scheduler.preempt(now, budget);
-            }
-            if tracing::enabled!(tracing::Level::DEBUG) {
-                leader.scheduler.log_load();
-            }
-            self.write_queues
-                .warn_of_final_write_backlog(leader.scheduler.pending_writes().count());
-            // What time alone brings about: jobs that may be tried again, or have waited too long.
-            leader.scheduler.request_round();
+        let scheduler = &mut leader.scheduler;
+        let timer = &mut self.leader_duties.waiting_tasks_timer;
+        let is_due = timer.is_due(now.steady) || scheduler.replica_stuck();
+        if !is_due || !scheduler.all_partitions_reported() {
+            return;
+        }
+        timer.next = now.steady + WAITING_TASKS_INTERVAL_MS;
+        scheduler.note_spot_machines(now.steady);
+        scheduler.reassign_unsent(now.steady);
+        scheduler.claim_machines(now.steady);
+        // Nothing can be launched in the place of what is stopped before it can be recorded.
+        if !store_silent {
+            scheduler.preempt(now, budget);
         }
+        if tracing::enabled!(tracing::Level::DEBUG) {
+            scheduler.log_load();
+        }
+        self.write_queues
+            .warn_of_final_write_backlog(scheduler.pending_writes().count());
+        // What time alone brings about: jobs that may be tried again, or have waited too long.
+        scheduler.request_round();
+    }
+
+    fn run_decision_round(&mut self, now: Now, budget: &Budget) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         leader.scheduler.run_round(now, budget);
         if leader.scheduler.attempts_exhausted() {
             self.membership.mark_attempts_exhausted();
         }
-        if self.machine_list_timer.is_due(t) && self.cloud_calls.available(t) > 0 {
-            self.cloud_calls
-                .take(1 + leader.fleet.size() / MACHINE_LIST_PAGE);
-            self.machine_list_timer
-                .mark_sent(t, MACHINE_LIST_INTERVAL_MS);
-            actions.push(Action::CallCloud(CloudRequest::ListMachines));
-        }
-        let may_call = self.cloud_calls.available(t) > 0;
-        if self.fleet_timer.is_due(t) && may_call && leader.scheduler.all_partitions_reported() {
-            self.fleet_timer.next = t + FLEET_INTERVAL_MS;
-            if self.stored_catalog.is_none() {
-                let write = CompareAndSwap {
-                    expected: self.membership.epoch_unchanged().into_iter().collect(),
-                    changes: vec![Change::Put {
-                        key: CATALOG_KEY.to_owned(),
-                        value: serde_json::json!(catalog),
-                        lease: None,
-                    }],
-                };
-                let tag = KvPurpose::StoreCatalog(catalog.clone());
-                store(actions, tag, KvRequest::CompareAndSwap(write));
-            }
-            leader
-                .fleet
-                .update_from_partitions(t, leader.scheduler.machines());
-            let demand = leader.scheduler.demand(now);
-            let forecast = leader.scheduler.forecast(now, catalog.shortest_boot_s());
-            let machines = leader.scheduler.machines();
-            let requests = leader
-                .fleet
-                .plan_requests(t, catalog, machines, &demand, &forecast);
-            leader.scheduler.set_draining(leader.fleet.draining());
-            for request in requests {
-                self.cloud_calls.take(1);
-                actions.push(Action::CallCloud(request));
-            }
-        }
     }
 
-    /// Takes in a part's changes as the leader; none if it does not lead the part's epoch.
-    pub(super) fn apply_partition_status(
-        &mut self,
-        now: Now,
-        up: PartitionStatus,
-        budget: &Budget,
-    ) -> Option<LeaderDirectives> {
-        if up.epoch != self.membership.fencing_token() || !self.membership.may_act(now.steady) {
-            return None;
+    fn request_machine_list(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let Some(leader) = &self.leader else {
+            return;
+        };
+        let duties = &mut self.leader_duties;
+        if duties.machine_list_timer.is_due(now) && duties.cloud_request_tokens.available(now) > 0 {
+            let pages = 1 + leader.fleet.size() / MACHINE_LIST_PAGE;
+            duties.cloud_request_tokens.take(pages);
+            duties
+                .machine_list_timer
+                .mark_sent(now, MACHINE_LIST_INTERVAL_MS);
+            actions.push(Action::CallCloud(CloudRequest::ListMachines));
         }
-        let leader = self.leader.as_mut()?;
-        let from = up.from.clone();
-        leader.scheduler.apply_status(now.steady, up);
-        leader.scheduler.run_round(now, budget);
-        let gone = leader.fleet.terminated();
-        Some(leader.scheduler.directives_for(now.steady, &from, gone))
     }
 
-    pub(super) fn sync_with_leader(
-        &mut self,
-        now: Now,
-        budget: &Budget,
-        actions: &mut Vec<Action>,
-    ) {
-        let t = now.steady;
-        let every_ms = if self.partition.has_pending_updates() {
-            SYNC_BUSY_INTERVAL_MS
-        } else {
-            SYNC_IDLE_INTERVAL_MS
-        };
-        if self.sync_timer.in_flight || t.since(self.last_sync_at) < every_ms {
+    /// Scales the fleet out and in, as the demand and its forecast ask for.
+    fn scale_fleet(&mut self, now: Now, actions: &mut Vec<Action>) {
+        let steady = now.steady;
+        let duties = &mut self.leader_duties;
+        let may_call_cloud = duties.cloud_request_tokens.available(steady) > 0;
+        let is_due = duties.fleet_timer.is_due(steady) && may_call_cloud;
+        let reported = |leader: &Leader| leader.scheduler.all_partitions_reported();
+        if !is_due || !self.leader.as_ref().is_some_and(reported) {
             return;
         }
-        let Some(leader) = self.membership.epoch().map(|e| e.leader.name.clone()) else {
+        duties.fleet_timer.next = steady + FLEET_INTERVAL_MS;
+        self.store_catalog(actions);
+        let (Some(leader), Some(catalog)) = (&mut self.leader, &self.catalog.current) else {
             return;
         };
-        self.last_sync_at = t;
-        let me = self.membership.name().clone();
-        let up = self
-            .partition
-            .next_status(t, self.membership.fencing_token(), &me);
-        if self.membership.is_leader() {
-            match self.apply_partition_status(now, up, budget) {
-                Some(directives) => self.apply_leader_directives(t, directives),
-                None => self.partition.status_unanswered(),
-            }
-        } else {
-            self.sync_timer.in_flight = true;
-            actions.push(Action::SendToPeer(leader, PeerRequest::Sync(up)));
-        }
-    }
-
-    pub(super) fn apply_leader_directives(&mut self, now: Time, directives: LeaderDirectives) {
-        self.partition.apply_directives(&directives, now);
-        if let Some(progress) = directives.progress {
-            self.progress = progress
-                .into_iter()
-                .map(|(id, done, running)| (id, (done, running)))
-                .collect::<BTreeMap<_, _>>();
+        let (fleet, scheduler) = (&mut leader.fleet, &mut leader.scheduler);
+        fleet.update_from_partitions(steady, scheduler.machines());
+        let demand = scheduler.demand(now);
+        let forecast = scheduler.forecast(now, catalog.shortest_boot_s());
+        let machines = scheduler.machines();
+        let requests = fleet.plan_requests(steady, catalog, machines, &demand, &forecast);
+        scheduler.set_draining(fleet.draining());
+        for request in requests {
+            self.leader_duties.cloud_request_tokens.take(1);
+            actions.push(Action::CallCloud(request));
         }
     }
 }
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -1,9 +1,9 @@
-//! What a new epoch reads before its controllers act: records, completions, claims, open jobs and ends.
+//! What a new epoch reads before its members act: records, completions, claims, open jobs and final states.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-use worksshunt_wire::key_value::KeyValue;
+use worksshunt_wire::key_value::{KeyValue, WatchResponse};
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{Epoch, JobId};
 
@@ -12,62 +12,74 @@
 use crate::fleet::Fleet;
 use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
 use crate::membership::MemberState;
-use crate::placement::owner;
 use crate::records::{self, AttemptRecord, UnknownForm, RECORDS};
-use crate::scheduler::{Scheduler, StoredState, CLAIMS};
-use crate::time::Time;
+use crate::scheduler::CLAIMS;
+use crate::time::{Periodic, Time};
 
-use super::{store, Action, Controller, KvPurpose, KvRequest, KvResponse, Leader, LoadStep};
+use super::key_value_responses::RequestTimes;
+use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse, LoadStep};
 
-/// Loading under way.
+/// What was read so far, and what is in flight.
 #[derive(Debug, Default)]
 pub(super) struct EpochLoad {
+    retry_timer: Periodic,
     step: Option<LoadStep>,
-    pages: Vec<(KeyValue, Vec<AttemptRecord>)>,
-    done: Vec<KeyValue>,
-    claims: Vec<KeyValue>,
-    /// Jobs on record and not open, whose ends are still to be asked for, and those asked for.
-    to_ask: VecDeque<JobId>,
-    asked: BTreeSet<JobId>,
-    answered: BTreeSet<JobId>,
+    /// Pages of attempt records, with the records on them.
+    pub record_pages: Vec<(KeyValue, Vec<AttemptRecord>)>,
+    pub completion_pages: Vec<KeyValue>,
+    pub claims: Vec<KeyValue>,
+    /// Jobs on record and not open, whose final states are still to be requested.
+    final_states_to_request: VecDeque<JobId>,
+    /// Those whose final states are requested and not answered.
+    final_states_in_flight: BTreeSet<JobId>,
+    /// Those whose final states are read.
+    final_states_read: BTreeSet<JobId>,
     /// The cancelled ones among them: their tasks may be on machines and use what they use.
-    cancelled: BTreeMap<JobId, Rc<Job>>,
+    pub cancelled_jobs: BTreeMap<JobId, Rc<Job>>,
     /// The fleet as this controller knew it when it led the last epoch it led.
-    fleet: Option<Fleet>,
+    pub previous_fleet: Option<Fleet>,
 }
 
 impl EpochLoad {
     /// Begins anew, with the fleet as this controller knows it if it led until now.
-    pub fn restarted(&mut self, led: Option<Fleet>) -> EpochLoad {
+    pub fn restarted(&mut self, fleet_until_now: Option<Fleet>) -> EpochLoad {
         EpochLoad {
-            fleet: led.or(self.fleet.take()),
+            previous_fleet: fleet_until_now.or(self.previous_fleet.take()),
             ..EpochLoad::default()
         }
     }
+
+    /// Whether the step is to be requested again.
+    pub fn is_retry_due(&self, now: Time) -> bool {
+        self.retry_timer.is_due(now)
+    }
 }
 
 impl Controller {
+    /// Sends the request of the step that is next.
     pub(super) fn request_load_step(&mut self, now: Time, actions: &mut Vec<Action>) {
         let step = *self.epoch_load.step.get_or_insert(LoadStep::AttemptRecords);
-        let tag = KvPurpose::LoadEpoch(self.membership.fencing_token(), step);
-        let op = match (step, self.job_cache.revision()) {
+        let request = match (step, self.job_cache.revision()) {
             (LoadStep::AttemptRecords, _) => KvRequest::List(RECORDS.to_owned()),
             (LoadStep::Completions, _) => KvRequest::List(DONE.to_owned()),
             (LoadStep::Claims, _) => KvRequest::List(CLAIMS.to_owned()),
             (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch(OPEN.to_owned(), since, 0),
             (LoadStep::OpenJobs, None) => {
-                // The first reading is under way.
-                self.load_retry.schedule_retry(now, KV_RETRY_MS);
-                return;
+                // The first listing is in flight.
+                return self.retry_load_step(now, KV_RETRY_MS);
             }
             (LoadStep::FinalStates, _) => {
-                self.load_retry.mark_sent(now, 0);
-                self.request_final_states(actions);
-                return;
+                self.epoch_load.retry_timer.mark_sent(now, 0);
+                return self.request_final_states(actions);
             }
         };
-        self.load_retry.mark_sent(now, 0);
-        store(actions, tag, op);
+        self.epoch_load.retry_timer.mark_sent(now, 0);
+        let purpose = KvPurpose::LoadEpoch(self.membership.fencing_token(), step);
+        call_store(actions, purpose, request);
+    }
+
+    fn retry_load_step(&mut self, now: Time, wait_ms: u64) {
+        self.epoch_load.retry_timer.schedule_retry(now, wait_ms);
     }
 
     /// Whether it is that epoch's records that are being read.
@@ -75,191 +87,162 @@
         self.membership.state() == MemberState::Loading && epoch == self.membership.fencing_token()
     }
 
-    /// Asks how jobs on record that are not open have ended, some at a time.
-    fn request_final_states(&mut self, actions: &mut Vec<Action>) {
-        while self.epoch_load.asked.len() < FINAL_STATE_LOADS_IN_FLIGHT {
-            let Some(id) = self.epoch_load.to_ask.pop_front() else {
-                break;
-            };
-            self.epoch_load.asked.insert(id);
-            let tag = KvPurpose::LoadFinalState(self.membership.fencing_token(), id);
-            store(actions, tag, KvRequest::Get(final_state_key(id)));
+    /// A step was answered, or not.
+    pub(super) fn load_step_answered(
+        &mut self,
+        times: RequestTimes,
+        step: LoadStep,
+        response: KvResponse,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.epoch_load.step != Some(step) {
+            return;
+        }
+        let now = times.answered;
+        let next = match (step, response) {
+            (LoadStep::AttemptRecords, KvResponse::Listing(listing)) => {
+                self.attempt_records_loaded(now, listing.pairs)
+            }
+            (LoadStep::Completions, KvResponse::Listing(listing)) => {
+                self.epoch_load.completion_pages = listing.pairs;
+                Some(LoadStep::Claims)
+            }
+            (LoadStep::Claims, KvResponse::Listing(listing)) => {
+                self.epoch_load.claims = listing.pairs;
+                Some(LoadStep::OpenJobs)
+            }
+            (LoadStep::OpenJobs, KvResponse::WatchResponse(changes)) => {
+                self.open_jobs_loaded(times, &changes)
+            }
+            (LoadStep::OpenJobs, KvResponse::RevisionCompacted) => {
+                self.job_cache.mark_outdated();
+                Some(LoadStep::OpenJobs)
+            }
+            _ => {
+                self.retry_load_step(now, KV_RETRY_MS);
+                None
+            }
+        };
+        if next.is_some() {
+            self.epoch_load.step = next;
+            self.request_load_step(now, actions);
+        }
+    }
+
+    /// Takes in the attempt records. The next step; none if a record cannot be read.
+    fn attempt_records_loaded(&mut self, now: Time, pairs: Vec<KeyValue>) -> Option<LoadStep> {
+        let read_page = |pair: KeyValue| {
+            let records = records::read(&pair)?;
+            Ok((pair, records))
+        };
+        let pages: Result<Vec<_>, UnknownForm> = pairs.into_iter().map(read_page).collect();
+        match pages {
+            Ok(pages) => self.epoch_load.record_pages = pages,
+            Err(error) => {
+                // Acting without knowing what may run would run tasks twice.
+                tracing::error!(%error, "unreadable attempt record, not serving");
+                self.retry_load_step(now, UNREADABLE_RECORDS_RETRY_MS);
+                return None;
+            }
+        }
+        match self.membership.is_leader() {
+            true => Some(LoadStep::Completions),
+            false => Some(LoadStep::OpenJobs),
         }
     }
 
+    /// Takes in the changes of the open jobs. The next step; none if this was the last.
+    fn open_jobs_loaded(
+        &mut self,
+        times: RequestTimes,
+        changes: &WatchResponse,
+    ) -> Option<LoadStep> {
+        self.open_jobs_changed(times, changes);
+        if self.membership.is_leader() {
+            self.epoch_load.final_states_to_request = self.final_states_to_load();
+        }
+        if self.epoch_load.final_states_to_request.is_empty() {
+            self.begin_serving(times.answered);
+            return None;
+        }
+        Some(LoadStep::FinalStates)
+    }
+
     /// Jobs on record that are not open, and not known to be done. One that is done uses nothing any more:
     /// no other attempt is made at a task that has completed.
     fn final_states_to_load(&self) -> VecDeque<JobId> {
-        let on = self.epoch_load.pages.iter().flat_map(|(_, on)| on);
-        let jobs: BTreeSet<JobId> = on.map(|record| record.task.job).collect();
-        let open =
+        let pages = self.epoch_load.record_pages.iter();
+        let records = pages.flat_map(|(_, records)| records);
+        let jobs: BTreeSet<JobId> = records.map(|record| record.task.job).collect();
+        let is_open =
             |id: &JobId| self.job_cache.get(*id).is_some() || self.job_cache.is_unreadable(*id);
-        let done = |id: &JobId| self.job_cache.final_state(*id) == Some(JobState::Done);
-        let answered = &self.epoch_load.answered;
+        let is_done = |id: &JobId| self.job_cache.final_state(*id) == Some(JobState::Done);
+        let already_read = &self.epoch_load.final_states_read;
         jobs.into_iter()
-            .filter(|id| !open(id) && !done(id) && !answered.contains(id))
+            .filter(|id| !is_open(id) && !is_done(id) && !already_read.contains(id))
             .collect()
     }
 
-    /// It was told how a job on record has ended, or not.
+    /// Requests final states of jobs on record that are not open, some at a time.
+    fn request_final_states(&mut self, actions: &mut Vec<Action>) {
+        let token = self.membership.fencing_token();
+        let load = &mut self.epoch_load;
+        while load.final_states_in_flight.len() < FINAL_STATE_LOADS_IN_FLIGHT {
+            let Some(id) = load.final_states_to_request.pop_front() else {
+                break;
+            };
+            load.final_states_in_flight.insert(id);
+            let request = KvRequest::Get(final_state_key(id));
+            call_store(actions, KvPurpose::LoadFinalState(token, id), request);
+        }
+    }
+
+    /// The final state of a job on record was read, or not.
     pub(super) fn final_state_loaded(
         &mut self,
         now: Time,
         id: JobId,
-        reply: KvResponse,
+        response: KvResponse,
         actions: &mut Vec<Action>,
     ) {
-        if !self.epoch_load.asked.remove(&id) {
+        if !self.epoch_load.final_states_in_flight.remove(&id) {
             return;
         }
-        match reply {
-            KvResponse::Found(pair) => {
-                let state = read_final_state(&pair.value);
-                if let Some(state) = state {
-                    self.job_cache.remember_final(id, state);
-                }
-                if state != Some(JobState::Done) {
-                    // Production keeps no job along.
-                    let kept = read_cancelled(&pair.value).map(Rc::new);
-                    let job = kept.or_else(|| self.job_cache.recently_closed(id).cloned());
-                    self.epoch_load.cancelled.extend(job.map(|job| (id, job)));
-                }
-            }
+        match response {
+            KvResponse::Found(pair) => self.keep_final_state(id, &pair),
             KvResponse::Missing => {}
             _ => {
-                self.epoch_load.to_ask.push_back(id);
-                if self.epoch_load.asked.is_empty() {
-                    self.load_retry.schedule_retry(now, KV_RETRY_MS);
+                self.epoch_load.final_states_to_request.push_back(id);
+                if self.epoch_load.final_states_in_flight.is_empty() {
+                    self.retry_load_step(now, KV_RETRY_MS);
                 }
                 return;
             }
         }
-        self.epoch_load.answered.insert(id);
-        if self.epoch_load.asked.is_empty() && self.epoch_load.to_ask.is_empty() {
-            // Others may have ended meanwhile.
-            self.epoch_load.to_ask = self.final_states_to_load();
+        let load = &mut self.epoch_load;
+        load.final_states_read.insert(id);
+        if load.final_states_in_flight.is_empty() && load.final_states_to_request.is_empty() {
+            // Other jobs may have ended meanwhile.
+            self.epoch_load.final_states_to_request = self.final_states_to_load();
         }
         self.request_final_states(actions);
-        if self.epoch_load.asked.is_empty() {
-            self.finish_loading(now);
+        if self.epoch_load.final_states_in_flight.is_empty() {
+            self.begin_serving(now);
         }
     }
 
-    pub(super) fn load_step_answered(
-        &mut self,
-        (now, sent): (Time, Time),
-        step: LoadStep,
-        reply: KvResponse,
-        actions: &mut Vec<Action>,
-    ) {
-        if self.epoch_load.step != Some(step) {
-            return;
+    /// Remembers a final state, and the job itself if it was cancelled.
+    fn keep_final_state(&mut self, id: JobId, pair: &KeyValue) {
+        let state = read_final_state(&pair.value);
+        if let Some(state) = state {
+            self.job_cache.remember_final(id, state);
         }
-        let next = match (step, reply) {
-            (LoadStep::AttemptRecords, KvResponse::Listing(listing)) => {
-                let read = |pair: KeyValue| {
-                    let records = records::read(&pair)?;
-                    Ok((pair, records))
-                };
-                let pages: Result<Vec<_>, UnknownForm> =
-                    listing.pairs.into_iter().map(read).collect();
-                match pages {
-                    Ok(pages) => self.epoch_load.pages = pages,
-                    Err(error) => {
-                        // Acting without knowing what may run would run tasks twice.
-                        tracing::error!(%error, "cannot serve");
-                        self.load_retry
-                            .schedule_retry(now, UNREADABLE_RECORDS_RETRY_MS);
-                        return;
-                    }
-                }
-                if self.membership.is_leader() {
-                    LoadStep::Completions
-                } else {
-                    LoadStep::OpenJobs
-                }
-            }
-            (LoadStep::Completions, KvResponse::Listing(listing)) => {
-                self.epoch_load.done = listing.pairs;
-                LoadStep::Claims
-            }
-            (LoadStep::Claims, KvResponse::Listing(listing)) => {
-                self.epoch_load.claims = listing.pairs;
-                LoadStep::OpenJobs
-            }
-            (LoadStep::OpenJobs, KvResponse::WatchResponse(changes)) => {
-                self.open_jobs_changed(now, sent, &changes);
-                if self.membership.is_leader() {
-                    self.epoch_load.to_ask = self.final_states_to_load();
-                }
-                if self.epoch_load.to_ask.is_empty() {
-                    return self.finish_loading(now);
-                }
-                LoadStep::FinalStates
-            }
-            (LoadStep::OpenJobs, KvResponse::RevisionCompacted) => {
-                self.job_cache.mark_outdated();
-                LoadStep::OpenJobs
-            }
-            _ => {
-                self.load_retry.schedule_retry(now, KV_RETRY_MS);
-                return;
-            }
-        };
-        self.epoch_load.step = Some(next);
-        self.request_load_step(now, actions);
-    }
-
-    fn finish_loading(&mut self, now: Time) {
-        let Some(epoch) = self.membership.epoch().cloned() else {
-            return;
-        };
-        let load = std::mem::take(&mut self.epoch_load);
-        let mut pages = load.pages;
-        let stale = records::retain_latest_attempts(&mut pages);
-        let names = epoch.partition_owners();
-        let me = self.membership.name();
-        let just_before = Epoch(epoch.number.0 - 1);
-        let before = self
-            .partition_epoch
-            .take()
-            .filter(|(number, _)| *number == just_before)
-            .map_or(Vec::new(), |(_, names)| names);
-        let on: Vec<AttemptRecord> = pages.iter().flat_map(|(_, on)| on.clone()).collect();
-        self.partition.begin_epoch(
-            now,
-            (epoch.number, me),
-            &on,
-            &self.job_cache,
-            |machine| owner(machine, &names) == Some(me),
-            |machine| owner(machine, &before) == Some(me),
-        );
-        self.partition_epoch = Some((epoch.number, names.clone()));
-        if self.membership.is_leader() {
-            let found = StoredState {
-                record_pages: pages,
-                stale_record_pages: stale,
-                completion_pages: load.done,
-                claims: load.claims,
-                cancelled: load.cancelled,
-            };
-            let facts = &self.settings.facts;
-            let mut scheduler =
-                Scheduler::load(now, epoch.number, &names, facts, &self.job_cache, &found);
-            let fleet = match load.fleet {
-                Some(fleet) if fleet.epoch() == just_before => fleet.carried_over(epoch.number),
-                _ => {
-                    let rentals = self.capacity.rentals;
-                    Fleet::new(epoch.number, now, &facts.cloud, &facts.workers, rentals)
-                }
-            };
-            scheduler.set_draining(fleet.draining());
-            if let Some(most) = self.attempt_limit {
-                scheduler.limit_attempts(most);
-            }
-            self.leader = Some(Leader { scheduler, fleet });
-            tracing::info!(epoch = %epoch.number, members = names.len(), "leading");
+        if state != Some(JobState::Done) {
+            // Final states of the release in production do not contain the job.
+            let stored = read_cancelled(&pair.value).map(Rc::new);
+            let job = stored.or_else(|| self.job_cache.recently_closed(id).cloned());
+            let cancelled = &mut self.epoch_load.cancelled_jobs;
+            cancelled.extend(job.map(|job| (id, job)));
         }
-        self.membership.epoch_loaded();
     }
 }
--- /dev/null
+++ b/crates/worksshunt-core/src/controller/peers.rs
@@ -0,0 +1,33 @@
+//! Requests of the other controllers.
+
+use worksshunt_wire::peer::{PeerRequest, PeerResponse};
+
+use crate::job_api::RequestId;
+use crate::time::{Budget, Now};
+
+use super::{Action, Controller};
+
+impl Controller {
+    pub(super) fn answer_peer(
+        &mut self,
+        now: Now,
+        request: RequestId,
+        question: PeerRequest,
+        budget: &Budget,
+        actions: &mut Vec<Action>,
+    ) {
+        let response = match question {
+            PeerRequest::Sync(status) => match self.apply_partition_status(now, status, budget) {
+                Some(directives) => PeerResponse::Sync(directives),
+                None => PeerResponse::NotLeader,
+            },
+            PeerRequest::KeyValueHealth => {
+                PeerResponse::KeyValueHealth(self.store_health.is_answering(now.steady))
+            }
+            PeerRequest::KnownEpoch { poll } => {
+                PeerResponse::KnownEpoch(self.known_epoch(now.steady, poll))
+            }
+        };
+        actions.push(Action::RespondToPeer(request, response));
+    }
+}
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -1,4 +1,5 @@
-//! What a controller does while the state service is silent: asks its peers about their health and epoch.
+//! Outages of the key-value store: whether it answers this controller and its peers, and the polls by which the
+//! peers confirm the epoch meanwhile.
 
 use std::collections::BTreeSet;
 
@@ -6,63 +7,107 @@
 use worksshunt_wire::ControllerName;
 
 use crate::constants::key_value::{
-    KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS, PEER_HEALTH_INTERVAL_MS, PEER_HEALTH_VALID_MS,
+    KV_SILENT_AFTER_MS, KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS, PEER_HEALTH_INTERVAL_MS,
+    PEER_HEALTH_VALID_MS,
 };
+use crate::epoch_confirmation::EpochConfirmation;
 use crate::job_api::HttpResponse;
 use crate::membership::MemberState;
-use crate::time::Time;
+use crate::time::{Periodic, Time};
 
-use super::events::Action;
-use super::Controller;
+use super::{Action, Controller};
 
-impl Controller {
-    /// Whether the state service answered this controller lately.
-    pub(super) fn key_value_store_answers(&self, now: Time) -> bool {
-        now.since(self.key_value_answered_at) < KV_SUSPECT_AFTER_MS
+/// What this controller knows of the key-value store's health.
+#[derive(Debug, Default)]
+pub(super) struct StoreHealth {
+    answered_at: Time,
+    peer_query_timer: Periodic,
+    epoch_confirmation: EpochConfirmation,
+    /// When a peer last said that the key-value store answers it.
+    peer_healthy_at: Option<Time>,
+    /// When a peer last said that the key-value store does not answer it.
+    peer_unhealthy_at: Option<Time>,
+}
+
+impl StoreHealth {
+    /// The key-value store has answered a request of this controller.
+    pub fn request_answered(&mut self, now: Time) {
+        self.answered_at = now;
+        self.epoch_confirmation.key_value_store_answered();
     }
 
-    /// A controller that alone has lost the state service should get no users; when all have lost
-    /// it, taking them all out of service helps nobody, since coming back is slow. One that has lost
-    /// its peers as well cannot know, and is unhealthy.
-    pub(super) fn health(&self, now: Time) -> HttpResponse {
-        let silent_ms = now.since(self.key_value_answered_at);
-        let lately =
-            |word: Option<Time>| word.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS);
-        let store = self.key_value_store_answers(now)
-            || (!lately(self.peer_store_healthy_at)
-                && (silent_ms < KV_UNHEALTHY_AFTER_MS || lately(self.peer_store_unhealthy_at)));
-        if self.job_cache.is_loaded() && self.catalog.is_some() && store {
-            HttpResponse::json(200, &serde_json::json!({ "healthy": true }))
-        } else {
-            HttpResponse::retry_later("not ready")
+    /// A peer has said whether it reaches the key-value store.
+    pub fn peer_reported(&mut self, now: Time, is_reachable: bool) {
+        match is_reachable {
+            true => self.peer_healthy_at = Some(now),
+            false => self.peer_unhealthy_at = Some(now),
         }
     }
 
-    /// Asks the peers when the state service is silent here.
+    /// Whether the key-value store answered this controller lately.
+    pub fn is_answering(&self, now: Time) -> bool {
+        now.since(self.answered_at) < KV_SUSPECT_AFTER_MS
+    }
+
+    /// Whether it has been silent so long that a request would only cost time.
+    pub fn is_silent(&self, now: Time) -> bool {
+        now.since(self.answered_at) > KV_SILENT_AFTER_MS
+    }
+
+    /// Whether this controller should get users, as far as the key-value store is concerned.
+    ///
+    /// A controller that alone has lost the key-value store should get no users; when all have lost it, taking
+    /// them all out of service helps nobody, since coming back is slow. One that has lost its peers as well
+    /// cannot know, and is unhealthy.
+    fn may_serve_users(&self, now: Time) -> bool {
+        let silent_ms = now.since(self.answered_at);
+        let is_recent =
+            |report: Option<Time>| report.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS);
+        self.is_answering(now)
+            || (!is_recent(self.peer_healthy_at)
+                && (silent_ms < KV_UNHEALTHY_AFTER_MS || is_recent(self.peer_unhealthy_at)))
+    }
+}
+
+impl Controller {
+    /// The response to a health check.
+    pub(super) fn health_response(&self, now: Time) -> HttpResponse {
+        let is_healthy = self.job_cache.is_loaded()
+            && self.catalog.current.is_some()
+            && self.store_health.may_serve_users(now);
+        match is_healthy {
+            true => HttpResponse::json(200, &serde_json::json!({ "healthy": true })),
+            false => HttpResponse::retry_later("not ready"),
+        }
+    }
+
+    /// Asks the peers for their health and epoch while the key-value store does not answer this controller.
     pub(super) fn query_peer_health(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if !self.key_value_store_answers(now) && self.peer_health_timer.is_due(now) {
-            self.peer_health_timer.next = now + PEER_HEALTH_INTERVAL_MS;
-            for peer in &self.settings.known {
-                let to = peer.host_name.clone();
-                actions.push(Action::SendToPeer(to, PeerRequest::KeyValueHealth));
-            }
-            self.poll_peer_epochs(now, actions);
+        let health = &mut self.store_health;
+        if health.is_answering(now) || !health.peer_query_timer.is_due(now) {
+            return;
         }
+        health.peer_query_timer.next = now + PEER_HEALTH_INTERVAL_MS;
+        for peer in &self.settings.known {
+            let to = peer.host_name.clone();
+            actions.push(Action::SendToPeer(to, PeerRequest::KeyValueHealth));
+        }
+        self.poll_peer_epochs(now, actions);
     }
 
-    /// Asks all other controllers whether the epoch is still the newest that they know of. While the state
-    /// service answers nobody this confirms it as well as a read would.
+    /// Asks all other controllers whether the epoch is still the newest that they know of. While the key-value
+    /// store answers nobody this confirms it as well as a read would.
     fn poll_peer_epochs(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.membership.state() != MemberState::Serving {
             return;
         }
-        let known = self.settings.known.iter();
-        let others: BTreeSet<ControllerName> = known.map(|peer| peer.host_name.clone()).collect();
-        let poll = self.epoch_confirmation.begin_poll(
-            now,
-            self.membership.fencing_token(),
-            others.clone(),
-        );
+        let peers = self.settings.known.iter();
+        let others: BTreeSet<ControllerName> = peers.map(|peer| peer.host_name.clone()).collect();
+        let epoch = self.membership.fencing_token();
+        let poll = self
+            .store_health
+            .epoch_confirmation
+            .begin_poll(now, epoch, others.clone());
         for peer in others {
             actions.push(Action::SendToPeer(peer, PeerRequest::KnownEpoch { poll }));
         }
@@ -73,19 +118,20 @@
         KnownEpoch {
             poll,
             epoch: self.membership.fencing_token(),
-            key_value_store_reachable: self.key_value_store_answers(now),
+            key_value_store_reachable: self.store_health.is_answering(now),
         }
     }
 
-    /// Takes in what a peer knows of the epoch; once all have confirmed it, authority goes on.
+    /// Takes in what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
     pub(super) fn peer_epoch_answered(&mut self, from: &ControllerName, known: &KnownEpoch) {
-        self.epoch_confirmation.record_response(from, known);
+        let confirmation = &mut self.store_health.epoch_confirmation;
+        confirmation.record_response(from, known);
         let epoch = self.membership.fencing_token();
-        let Some(sent) = self.epoch_confirmation.confirmed_at(epoch) else {
+        let Some(sent) = confirmation.confirmed_at(epoch) else {
             return;
         };
-        if self.epoch_confirmation.mark_confirmed() {
-            tracing::info!(%epoch, "the state service is silent: all controllers confirm the epoch");
+        if confirmation.mark_confirmed() {
+            tracing::info!(%epoch, "key-value store outage: epoch confirmed by all controllers");
         }
         self.membership.epoch_confirmed(sent);
     }
--- /dev/null
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -0,0 +1,113 @@
+//! Users' submissions: checked, and queued for the write that accepts them or for a read if the job may be known.
+
+use worksshunt_wire::user::JobSpec;
+use worksshunt_wire::JobId;
+
+use crate::constants::job_api::STORED_JOB_OVERHEAD_BYTES;
+use crate::job_api::{final_state_response, HttpResponse, JobOperation, JobRequest, RequestId};
+use crate::jobs::Job;
+use crate::submissions::{check_possible, parse, Refusal};
+use crate::time::{Now, Time};
+
+use super::job_requests::STORE_SILENT;
+use super::{Action, Controller};
+
+impl Controller {
+    /// A user submits a job.
+    pub(super) fn submit(
+        &mut self,
+        now: Now,
+        request_id: RequestId,
+        body: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        let response = match self.check_submission(body) {
+            Ok(Some(spec)) => self.submit_job(now, request_id, spec),
+            Ok(None) => Some(HttpResponse::retry_later("machine types not known yet")),
+            Err((None, refusal)) => Some(HttpResponse::refused(&refusal)),
+            Err((Some(id), refusal)) => {
+                let job_request = JobRequest {
+                    request_id,
+                    id,
+                    operation: JobOperation::Unacceptable(refusal),
+                    seen_in_batch: false,
+                };
+                self.queue_job_request(now.steady, job_request).err()
+            }
+        };
+        if let Some(response) = response {
+            actions.push(Action::Respond(request_id, response));
+        }
+    }
+
+    /// The job that a submission describes; none while there is no catalogue to check it by.
+    ///
+    /// # Errors
+    ///
+    /// Why it is refused, with the job's id if that can be read: under a known id it is answered with the job's
+    /// state.
+    fn check_submission(&self, body: &[u8]) -> Result<Option<JobSpec>, (Option<JobId>, Refusal)> {
+        let spec = parse(body)?;
+        let id = Some(spec.id);
+        let max_bytes = (self.settings.facts.state.value_kb * 1_024.0) as usize;
+        let spec_bytes = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
+        if spec_bytes.saturating_add(STORED_JOB_OVERHEAD_BYTES) > max_bytes {
+            let text = "longer than the state service keeps".to_owned();
+            return Err((id, Refusal::Malformed(text)));
+        }
+        let Some(catalog) = &self.catalog.current else {
+            return Ok(None);
+        };
+        check_possible(&spec, catalog, &self.quota).map_err(|refusal| (id, refusal))?;
+        Ok(Some(spec))
+    }
+
+    /// Queues an acceptable job. The response, if it can be given at once.
+    fn submit_job(
+        &mut self,
+        now: Now,
+        request_id: RequestId,
+        spec: JobSpec,
+    ) -> Option<HttpResponse> {
+        let id = spec.id;
+        let job = Box::new(Job {
+            spec,
+            accepted_ms: now.wall_ms,
+        });
+        let final_state = self.job_cache.final_state(id);
+        let is_known = self.job_cache.get(id).is_some() || self.job_cache.is_in_batch(id);
+        if final_state.is_none() && !is_known {
+            let refusal = self.refuse_new_job(now.steady, job.is_service());
+            if refusal.is_none() {
+                let requests = &mut self.job_api.requests;
+                requests.queue_submission(now.steady, request_id, job);
+            }
+            return refusal;
+        }
+        let job_request = JobRequest {
+            request_id,
+            id,
+            operation: JobOperation::Submit(job),
+            seen_in_batch: false,
+        };
+        match final_state {
+            Some(state) => Some(final_state_response(&job_request, state)),
+            None => self.queue_job_request(now.steady, job_request).err(),
+        }
+    }
+
+    /// Why a job that is not known cannot be queued now, if it cannot.
+    fn refuse_new_job(&mut self, now: Time, is_service: bool) -> Option<HttpResponse> {
+        let reason = if is_service && !self.membership.accepts_services() {
+            // A controller that does not understand it would call it unknown.
+            "controllers that do not know services may be left"
+        } else if !self.job_cache.is_loaded() || self.store_health.is_silent(now) {
+            STORE_SILENT
+        } else if self.is_job_api_full() {
+            "too many requests wait"
+        } else {
+            return None;
+        };
+        Some(HttpResponse::retry_later(reason))
+    }
+}
--- /dev/null
+++ b/crates/worksshunt-core/src/controller/tick.rs
@@ -0,0 +1,77 @@
+//! What time alone brings about; called at every tick.
+
+use crate::job_api::HttpResponse;
+use crate::membership::MemberState;
+use crate::time::{Budget, Now, Time};
+
+use super::{Action, Controller};
+
+/// When the over-capacity placements are summed up in the log.
+pub(super) struct OverCapacitySummary {
+    logged_at: Time,
+    interval_ms: u64,
+}
+
+impl OverCapacitySummary {
+    /// One summary per interval.
+    pub fn new(interval_ms: u64) -> OverCapacitySummary {
+        OverCapacitySummary {
+            logged_at: Time::default(),
+            interval_ms,
+        }
+    }
+
+    /// Whether one is due; if so, the next interval begins.
+    fn begin_if_due(&mut self, now: Time) -> bool {
+        let is_due = now.since(self.logged_at) >= self.interval_ms;
+        if is_due {
+            self.logged_at = now;
+        }
+        is_due
+    }
+}
+
+impl Controller {
+    pub(super) fn tick(&mut self, now: Now, budget: &Budget, actions: &mut Vec<Action>) {
+        let steady = now.steady;
+        self.advance_membership(steady, actions);
+        self.advance_job_cache(steady, actions);
+        self.query_peer_health(steady, actions);
+        self.expire_job_requests(steady, actions);
+        self.refresh_catalog(steady, actions);
+        match self.membership.state() {
+            MemberState::Loading if self.epoch_load.is_retry_due(steady) => {
+                self.request_load_step(steady, actions);
+            }
+            MemberState::Serving => {
+                if self.membership.may_act(steady) {
+                    self.partition.tick(steady);
+                    self.update_readiness(steady);
+                }
+                self.run_leader_duties(now, budget, actions);
+            }
+            _ => {}
+        }
+        self.log_over_capacity_summary(steady);
+    }
+
+    /// Answers submissions that have waited too long, and all requests while the key-value store is silent.
+    fn expire_job_requests(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for request in self.job_api.requests.take_overdue(now) {
+            let response = HttpResponse::retry_later("not accepted yet");
+            actions.push(Action::Respond(request, response));
+        }
+        if self.store_health.is_silent(now) {
+            self.give_up_job_requests(actions);
+        }
+    }
+
+    fn log_over_capacity_summary(&mut self, now: Time) {
+        if self.over_capacity_summary.begin_if_due(now) {
+            let summary = self.partition.over_capacity_summary();
+            if summary != "none" {
+                tracing::info!(summary, "over-capacity placements");
+            }
+        }
+    }
+}
--- a/crates/worksshunt-core/src/controller/write_queues.rs
+++ b/crates/worksshunt-core/src/controller/write_queues.rs
@@ -1,4 +1,7 @@
-//! The lanes in which an epoch's conditional writes leave, each within a share of the state service's limit.
+//! The queues of an epoch's conditional writes, each within a share of the key-value store's write limit.
+//!
+//! [`WriteQueues`] owns the writes in flight and the tokens of the shares; `writes` fills the queues and
+//! `write_outcomes` empties them.
 
 use std::collections::BTreeSet;
 
@@ -7,94 +10,55 @@
 use worksshunt_wire::{JobId, MachineId, Revision};
 
 use crate::constants::key_value::{
-    FINAL_WRITE_BACKLOG_S, FINAL_WRITE_SHARE, KV_HEDGE_AFTER_MS, LEADER_PAGE_WRITE_SHARE,
-    RECORD_WRITE_SHARE, SUBMISSION_BATCH_WRITE_SHARE, THROTTLED_PAGE_WRITE_INTERVAL_MS,
-    USER_WRITE_SHARE, WRITE_REFUSAL_MEMORY_MS,
+    FINAL_WRITE_BACKLOG_S, FINAL_WRITE_SHARE, LEADER_PAGE_WRITE_SHARE, RECORD_WRITE_SHARE,
+    SUBMISSION_BATCH_WRITE_SHARE, THROTTLED_PAGE_WRITE_INTERVAL_MS, USER_WRITE_SHARE,
+    WRITE_REFUSAL_MEMORY_MS,
 };
 use crate::constants::pages::PAGES_PER_WRITE;
 use crate::time::{Periodic, Time, TokenBucket};
 
+use super::hedged_request::HedgedRequest;
+use super::write_contents::CHANGES_PER_JOB_END;
 use super::WriteQueueId;
 
-/// One write among the ends.
+/// One of the final writes.
 #[derive(Debug, Clone)]
 pub(super) enum FinalWrite {
     /// A job is done.
     FinishJob(JobId),
     /// A claim on a machine, held or released.
-    UpdateClaim(MachineId, bool),
-    /// A key of a former epoch goes.
+    UpdateClaim { machine: MachineId, is_held: bool },
+    /// A key of a former epoch is removed.
     RemoveKey(String),
 }
 
-/// Counts the copies of the write under way. A second one is sent when the answer is slow: now and then one
-/// takes many times as long as the others, which nobody should have to wait for. Both can be applied only once,
-/// by the conditions they carry.
-#[derive(Debug, Default)]
-pub(super) struct HedgedRequest {
-    number: u64,
-    sent_at: Time,
-    /// Copies that are not answered.
-    unanswered: u32,
-    hedged: bool,
-}
-
-impl HedgedRequest {
-    /// A write is sent; its number.
-    pub fn first_sent(&mut self, now: Time) -> u64 {
-        *self = HedgedRequest {
-            number: self.number + 1,
-            sent_at: now,
-            unanswered: 1,
-            hedged: false,
-        };
-        self.number
-    }
-
-    /// The number of the write of which a second copy is to be sent now, if any.
-    pub fn hedge_due(&mut self, now: Time) -> Option<u64> {
-        if self.unanswered != 1 || self.hedged || now.since(self.sent_at) < KV_HEDGE_AFTER_MS {
-            return None;
-        }
-        self.hedged = true;
-        self.unanswered += 1;
-        Some(self.number)
-    }
-
-    /// A copy was answered, `clearly` or not. Whether that settles the write of that number: an unclear
-    /// answer does only if no other is to come, and what comes after a clear one is of no interest.
-    pub fn answered(&mut self, number: u64, clearly: bool) -> bool {
-        if number != self.number || self.unanswered == 0 {
-            return false;
-        }
-        self.unanswered -= 1;
-        if clearly {
-            self.unanswered = 0;
-        }
-        self.unanswered == 0
-    }
+/// The submission batch that was last handled, at the version that was read.
+#[derive(Debug)]
+pub(super) struct HandledBatch {
+    pub key: String,
+    pub version: Revision,
 }
 
-/// One write at a time, within a share of the state service's limit.
+/// One write at a time, within a share of the key-value store's write limit.
 #[derive(Debug)]
 pub(super) struct WriteQueue {
-    /// When the next write may leave.
+    /// When the next write may be sent.
     pub timer: Periodic,
-    /// Copies of the write under way.
+    /// Copies of the write in flight.
     pub hedge: HedgedRequest,
-    /// The write under way, repeated unchanged until its outcome is clear.
+    /// The write in flight, repeated unchanged until its outcome is clear.
     pub in_flight: Option<CompareAndSwap>,
     /// Changes that the share allows.
     pub change_tokens: TokenBucket,
 }
 
 impl WriteQueue {
-    fn new(writes: TokenBucket) -> WriteQueue {
+    fn new(change_tokens: TokenBucket) -> WriteQueue {
         WriteQueue {
             timer: Periodic::default(),
             hedge: HedgedRequest::default(),
             in_flight: None,
-            change_tokens: writes,
+            change_tokens,
         }
     }
 
@@ -105,51 +69,55 @@
     }
 }
 
-/// The lanes, and the shares of the state service's limit that they keep to.
+/// The queues, and the shares of the key-value store's write limit that they keep to.
 pub(super) struct WriteQueues {
     attempt_records: WriteQueue,
     leader_pages: WriteQueue,
     final_writes: WriteQueue,
-    /// Keys for jobs taken in together.
-    pub submission_batches: WriteQueue,
-    /// The page of jobs that was last dealt with, until the mirror shows what has become of it.
-    pub handled_batch: Option<(String, Revision)>,
-    /// Jobs on pages that have a key of their own by now, or are over.
+    /// Keys of their own for jobs of submission batches.
+    submission_batches: WriteQueue,
+    /// The submission batch that was last handled; the job cache may still show it.
+    pub handled_batch: Option<HandledBatch>,
+    /// Jobs of submission batches that have a key of their own by now, or are over.
     pub settled_jobs: BTreeSet<JobId>,
     /// Reading the version of an uncertain page.
     pub page_version_timer: Periodic,
-    /// What the write of ends under way brings.
+    /// What the final write in flight consists of.
     pub final_writes_in_flight: Vec<FinalWrite>,
-    /// More ends wait than are written in a while.
+    /// More final writes wait than are written in [`FINAL_WRITE_BACKLOG_S`].
     final_writes_behind: bool,
-    /// When the state service last refused a write, most likely because of its limit.
+    /// When the key-value store last refused a write, most likely because of its limit.
     refused_at: Option<Time>,
+    /// Changes a second that the key-value store takes.
     write_rps: f64,
     /// Changes in a transaction.
-    pub txn_ops: usize,
+    txn_ops: usize,
     /// For submissions and cancellations.
     pub user_write_tokens: TokenBucket,
 }
 
 impl WriteQueues {
-    /// Nothing is under way.
-    pub fn new(state: &KeyValueLimits) -> WriteQueues {
+    /// Nothing is in flight.
+    pub fn new(limits: &KeyValueLimits) -> WriteQueues {
         let share =
-            |share: f64, burst: usize| TokenBucket::new(state.write_rps * share, burst as f64);
+            |share: f64, burst: usize| TokenBucket::new(limits.write_rps * share, burst as f64);
         WriteQueues {
             attempt_records: WriteQueue::new(share(RECORD_WRITE_SHARE, PAGES_PER_WRITE)),
             leader_pages: WriteQueue::new(share(LEADER_PAGE_WRITE_SHARE, PAGES_PER_WRITE)),
-            final_writes: WriteQueue::new(share(FINAL_WRITE_SHARE, state.txn_ops)),
-            submission_batches: WriteQueue::new(share(SUBMISSION_BATCH_WRITE_SHARE, state.txn_ops)),
+            final_writes: WriteQueue::new(share(FINAL_WRITE_SHARE, limits.txn_ops)),
+            submission_batches: WriteQueue::new(share(
+                SUBMISSION_BATCH_WRITE_SHARE,
+                limits.txn_ops,
+            )),
             handled_batch: None,
             settled_jobs: BTreeSet::new(),
             page_version_timer: Periodic::default(),
             final_writes_in_flight: Vec::new(),
             final_writes_behind: false,
             refused_at: None,
-            write_rps: state.write_rps,
-            txn_ops: state.txn_ops,
-            user_write_tokens: share(USER_WRITE_SHARE, state.txn_ops),
+            write_rps: limits.write_rps,
+            txn_ops: limits.txn_ops,
+            user_write_tokens: share(USER_WRITE_SHARE, limits.txn_ops),
         }
     }
 
@@ -166,24 +134,31 @@
         self.final_writes_in_flight.clear();
     }
 
-    /// Pages that a write of the lane may have now.
-    pub fn page_allowance(&mut self, lane: WriteQueueId, now: Time) -> usize {
-        let most = PAGES_PER_WRITE.min(self.txn_ops);
-        self.queue(lane).change_tokens.available(now).min(most)
+    /// Pages that a write of the queue may have now.
+    pub fn page_allowance(&mut self, queue_id: WriteQueueId, now: Time) -> usize {
+        let max_pages = PAGES_PER_WRITE.min(self.txn_ops);
+        let tokens = &mut self.queue(queue_id).change_tokens;
+        tokens.available(now).min(max_pages)
     }
 
-    /// The state service has refused a write.
+    /// Changes that a write of submission batches may have now.
+    pub fn submission_batch_allowance(&mut self, now: Time) -> usize {
+        let tokens = &mut self.submission_batches.change_tokens;
+        tokens.available(now).min(self.txn_ops)
+    }
+
+    /// The key-value store has refused a write.
     pub fn write_refused(&mut self, now: Time) {
         self.refused_at = Some(now);
     }
 
-    /// How long a lane waits between two writes. Pages take any number of entries, so where the limit of changes is
+    /// How long a queue waits between two writes. Pages take any number of entries, so where the limit of changes is
     /// used up they are written less often and fuller: what that saves is for the ends of jobs.
-    pub fn write_interval_ms(&self, lane: WriteQueueId, now: Time) -> u64 {
-        let lately = |at: Time| now.since(at) < WRITE_REFUSAL_MEMORY_MS;
-        match lane {
+    pub fn write_interval_ms(&self, queue_id: WriteQueueId, now: Time) -> u64 {
+        let is_recent = |at: Time| now.since(at) < WRITE_REFUSAL_MEMORY_MS;
+        match queue_id {
             WriteQueueId::AttemptRecords | WriteQueueId::LeaderPages
-                if self.refused_at.is_some_and(lately) =>
+                if self.refused_at.is_some_and(is_recent) =>
             {
                 THROTTLED_PAGE_WRITE_INTERVAL_MS
             }
@@ -191,51 +166,47 @@
         }
     }
 
-    /// Tells when more ends of jobs wait than their share writes in a while, and when that is over.
-    pub fn warn_of_final_write_backlog(&mut self, waiting: usize) {
-        // Each takes two changes.
-        let most = self.write_rps * FINAL_WRITE_SHARE / 2.0 * FINAL_WRITE_BACKLOG_S;
-        let behind = waiting as f64 > most;
-        if behind == std::mem::replace(&mut self.final_writes_behind, behind) {
-            return;
-        }
+    /// Logs when more final writes wait than their share writes in a while, and when that is over.
+    pub fn warn_of_final_write_backlog(&mut self, pending: usize) {
+        let writes_per_s = self.write_rps * FINAL_WRITE_SHARE / CHANGES_PER_JOB_END as f64;
+        let is_behind = pending as f64 > writes_per_s * FINAL_WRITE_BACKLOG_S;
+        let was_behind = std::mem::replace(&mut self.final_writes_behind, is_behind);
         let write_rps = self.write_rps;
-        if behind {
-            tracing::warn!(
-                waiting,
-                write_rps,
-                "ends of jobs wait for the state service's limit of changes"
-            );
-        } else {
-            tracing::info!(waiting, "ends of jobs are written as they come again");
+        match (was_behind, is_behind) {
+            (false, true) => {
+                tracing::warn!(pending, write_rps, "job completions delayed by write limit");
+            }
+            (true, false) => tracing::info!(pending, "job completions no longer delayed"),
+            _ => {}
         }
     }
 
-    /// Changes that a write of ends may have now. Where no jobs taken in together wait for keys of their own, ends
-    /// use that share as well: with 4,000 machines more than their own comes to an end.
-    pub fn final_write_allowance(&mut self, now: Time, intake_waits: bool) -> usize {
-        let lent = match intake_waits {
+    /// Changes that a final write may have now. Where no submission batches wait, final writes use their share as
+    /// well: with 4,000 machines more than their own is needed.
+    pub fn final_write_allowance(&mut self, now: Time, batches_wait: bool) -> usize {
+        let lent = match batches_wait {
             true => 0,
             false => self.submission_batches.change_tokens.available(now),
         };
         (self.final_writes.change_tokens.available(now) + lent).min(self.txn_ops)
     }
 
-    /// Counts so many changes of a lane as sent: what is beyond the share of ends as lent to them.
-    pub fn charge(&mut self, lane: WriteQueueId, changes: usize, now: Time) {
-        let own = match lane {
+    /// Counts so many changes of a queue as sent. What exceeds the share of final writes is counted as lent to them
+    /// by that of submission batches.
+    pub fn charge(&mut self, queue_id: WriteQueueId, changes: usize, now: Time) {
+        let own = match queue_id {
             WriteQueueId::FinalWrites => {
                 self.final_writes.change_tokens.available(now).min(changes)
             }
             _ => changes,
         };
-        self.queue(lane).change_tokens.take(own);
+        self.queue(queue_id).change_tokens.take(own);
         self.submission_batches.change_tokens.take(changes - own);
     }
 
-    /// The line of a lane.
-    pub fn queue(&mut self, lane: WriteQueueId) -> &mut WriteQueue {
-        match lane {
+    /// The queue of that name.
+    pub fn queue(&mut self, queue_id: WriteQueueId) -> &mut WriteQueue {
+        match queue_id {
             WriteQueueId::AttemptRecords => &mut self.attempt_records,
             WriteQueueId::LeaderPages => &mut self.leader_pages,
             WriteQueueId::FinalWrites => &mut self.final_writes,
