--- a/crates/worksshunt-core/src/membership/tests.rs
+++ b/crates/worksshunt-core/src/membership/tests.rs
@@ -1,8 +1,10 @@
 //! Tests of `membership`.
 
+use worksshunt_wire::key_value::{KeyValue, Listing};
+
 use super::*;
 
-fn listing(revision: u64, pairs: Vec<worksshunt_wire::key_value::KeyValue>) -> Listing {
+fn listing(revision: u64, pairs: Vec<KeyValue>) -> Listing {
     Listing {
         pairs,
         more: false,
@@ -10,8 +12,8 @@
     }
 }
 
-// Guards against a controller that takes its member key for gone, and leaves, because of a read
-// that was on its way while the key was written.
+// Guards against a controller that leaves because a read that was in flight while its member key was written does
+// not show the key.
 #[test]
 fn a_read_from_before_the_member_key_does_not_show_it_gone() {
     let mut membership = Membership::new("estiba-0".into(), std::iter::empty(), 10_000);
