--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -1,4 +1,7 @@
-//! How much of everything a controller takes at a time, and what a deployment needs; from its settings.
+//! A controller's limits on connections and on requests in flight, and what a deployment needs; from its settings.
+//!
+//! The controller and the binary's service compute [`Capacity`] once, at the start; [`shortfalls`] is checked when the
+//! catalogue is known. Nothing here keeps state.
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::settings::{Facts, Settings};
@@ -15,74 +18,74 @@
 /// Bytes of a megabyte of memory, as the platform counts.
 const MEGABYTE: f64 = 1_000_000.0;
 
-/// How much of everything a controller takes at a time.
+/// A controller's limits on connections and on requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Capacity {
     /// Connections that users and workers may have to it.
     pub connections: usize,
     /// Connections that it may have to workers.
     pub worker_connections: usize,
-    /// Direct orders under way.
+    /// Direct commands in flight.
     pub direct_commands: usize,
-    /// Requests of users that wait for the state service.
+    /// Requests of users that wait for the key-value store.
     pub user_requests: usize,
-    /// Rental requests under way.
-    pub rentals: usize,
+    /// Requests to provision machines in flight.
+    pub provision_requests: usize,
 }
 
 impl Capacity {
     /// What these settings allow.
     pub fn new(settings: &Settings) -> Capacity {
         let facts = &settings.facts;
-        let free = facts.limits.sockets.saturating_sub(RESERVED_SOCKETS);
-        let worker_connections = free / WORKER_CONNECTION_DIVISOR;
-        let exchanges = exchanges(facts);
+        let sockets = facts.limits.sockets.saturating_sub(RESERVED_SOCKETS);
+        let worker_connections = sockets / WORKER_CONNECTION_DIVISOR;
+        let exchanges = max_exchanges(facts);
         Capacity {
-            connections: free - worker_connections,
+            connections: sockets - worker_connections,
             worker_connections,
             direct_commands: exchanges.min(worker_connections),
             user_requests: exchanges,
-            rentals: ((facts.cloud.rps * CLOUD_REQUEST_SHARE / 2.0) as usize)
+            provision_requests: ((facts.cloud.rps * CLOUD_REQUEST_SHARE / 2.0) as usize)
                 .max(MIN_PROVISION_REQUESTS),
         }
     }
 }
 
-/// Exchanges under way of one kind that the memory holds.
-fn exchanges(facts: &Facts) -> usize {
+/// Exchanges of one kind that may be in flight, as far as the memory allows.
+fn max_exchanges(facts: &Facts) -> usize {
     let bytes = facts.limits.mem_mb.unwrap_or(0.0) * MEGABYTE * EXCHANGE_MEMORY_SHARE;
     ((bytes / EXCHANGE_BYTES as f64) as usize).max(MIN_EXCHANGES)
 }
 
-/// Something of which the settings name less than the fleet that the guarantees imply may need.
+/// A limit in the settings that is lower than the fleet implied by the guarantees may need.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortfall {
-    /// One controller cannot keep a connection to every worker: they share them, at the price of new ones.
+    /// One controller cannot keep a connection to every worker: they share them, which takes new connections.
     Connections {
         /// Machines that the guarantees imply.
         machines: usize,
         /// Sockets that one controller would need.
         sockets_needed: usize,
     },
-    /// Launches on the whole fleet take longer to record than a lease lasts.
-    StateWrites {
+    /// Launches on the whole fleet take longer to record than a worker lease lasts.
+    KeyValueWrites {
         /// Machines that the guarantees imply.
         machines: usize,
-        /// Changes a second that would do.
+        /// Changes a second that would be enough.
         write_rps_needed: usize,
     },
 }
 
-/// What the settings fall short of, if all guarantees are used with tasks of one processor on machines of the
-/// largest type there is. Whether it matters depends on the load.
+/// What the settings lack if all guarantees are used with tasks of one processor on machines of the largest type
+/// there is. Whether it matters depends on the load.
 pub fn shortfalls(settings: &Settings, catalog: &Catalog) -> Vec<Shortfall> {
     let facts = &settings.facts;
     let cpus: f64 = facts.teams.iter().map(|team| team.cpus).sum();
-    let each = catalog.types.iter().map(|t| t.cpus).fold(1.0, f64::max);
-    let machines = (cpus / each).ceil() as usize;
+    let largest_cpus = catalog.types.iter().map(|t| t.cpus).fold(1.0, f64::max);
+    let machines = (cpus / largest_cpus).ceil() as usize;
     let mut found = Vec::new();
     if machines > Capacity::new(settings).connections {
-        // Users and workers have all but one in `WORKER_CONNECTION_DIVISOR` of the sockets that are not its own.
+        // Users and workers get all but one in `WORKER_CONNECTION_DIVISOR` of the sockets that are not reserved.
         let sockets_needed = RESERVED_SOCKETS
             + (machines * WORKER_CONNECTION_DIVISOR).div_ceil(WORKER_CONNECTION_DIVISOR - 1);
         found.push(Shortfall::Connections {
@@ -93,7 +96,7 @@
     let pages = cpus * ATTEMPT_RECORD_BYTES as f64 / page_bytes(&facts.state) as f64;
     let write_rps_needed = (pages / (RECORD_WRITE_SHARE * facts.workers.lease_s)).ceil() as usize;
     if write_rps_needed as f64 > facts.state.write_rps {
-        found.push(Shortfall::StateWrites {
+        found.push(Shortfall::KeyValueWrites {
             machines,
             write_rps_needed,
         });
--- a/crates/worksshunt-core/src/capacity/tests.rs
+++ b/crates/worksshunt-core/src/capacity/tests.rs
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn what_is_under_way_grows_with_memory_sockets_and_the_clouds_rate() {
+fn limits_grow_with_memory_sockets_and_the_clouds_rate() {
     let small = Capacity::new(&settings(900, Some(56.0), 3.0));
     assert_eq!(
-        (small.user_requests, small.rentals),
+        (small.user_requests, small.provision_requests),
         (MIN_EXCHANGES, MIN_PROVISION_REQUESTS)
     );
     assert_eq!(
@@ -40,13 +40,13 @@
     );
     let large = Capacity::new(&settings(12_000, Some(320.0), 16.0));
     assert_eq!((large.direct_commands, large.user_requests), (2_000, 2_000));
-    assert_eq!(large.rentals, 6);
+    assert_eq!(large.provision_requests, 6);
     let unnamed = Capacity::new(&settings(12_000, None, 16.0));
     assert_eq!(unnamed.direct_commands, MIN_EXCHANGES);
 }
 
 #[test]
-fn what_falls_short_is_told_with_the_number_needed() {
+fn a_shortfall_names_the_number_needed() {
     // 16,000 guaranteed processors are 4,000 machines of four.
     let enough = settings(5_400, None, 8.0);
     assert_eq!(shortfalls(&enough, &catalog(4.0)), Vec::new());
@@ -74,7 +74,7 @@
     let mut slow = settings(5_400, None, 8.0);
     slow.facts.state.write_rps = 5.0;
     let found = shortfalls(&slow, &catalog(4.0));
-    let [Shortfall::StateWrites {
+    let [Shortfall::KeyValueWrites {
         write_rps_needed, ..
     }] = found[..]
     else {
--- a/crates/worksshunt-core/src/controller/catalog.rs
+++ b/crates/worksshunt-core/src/controller/catalog.rs
@@ -102,7 +102,7 @@
                     sockets = self.settings.facts.limits.sockets,
                     "fewer sockets than guaranteed machines: workers of a single controller share connections"
                 ),
-                Shortfall::StateWrites {
+                Shortfall::KeyValueWrites {
                     machines,
                     write_rps_needed,
                 } => tracing::warn!(
--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -80,8 +80,14 @@
         let fleet = match previous_fleet {
             Some(fleet) if fleet.epoch() == epoch_before(epoch) => fleet.carried_over(epoch.number),
             _ => {
-                let rentals = self.capacity.rentals;
-                Fleet::new(epoch.number, now, &facts.cloud, &facts.workers, rentals)
+                let max_requests = self.capacity.provision_requests;
+                Fleet::new(
+                    epoch.number,
+                    now,
+                    &facts.cloud,
+                    &facts.workers,
+                    max_requests,
+                )
             }
         };
         scheduler.set_draining(fleet.draining());
--- a/crates/worksshunt-core/src/time.rs
+++ b/crates/worksshunt-core/src/time.rs
@@ -1,4 +1,6 @@
-//! Time as the decisions see it: milliseconds of the process's steady clock.
+//! Time as the decisions see it, in milliseconds of the process's steady clock; budgets, rate limits and timers.
+//!
+//! Nothing here reads a clock: the time comes in with each event.
 
 use std::ops::{Add, Sub};
 
@@ -7,7 +9,7 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// Milliseconds since an earlier moment; 0 if that lies ahead.
+    /// Milliseconds since an earlier moment; 0 if that is later.
     pub fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -34,11 +36,11 @@
 pub struct Now {
     /// Steady clock.
     pub steady: Time,
-    /// Time of day, milliseconds since 1970.
+    /// Wall clock, milliseconds since 1970.
     pub wall_ms: u64,
 }
 
-/// How long a round of decisions may still go on.
+/// The time that a round of decisions may take.
 pub struct Budget<'a> {
     /// When it ends.
     pub until: Time,
@@ -47,70 +49,72 @@
 }
 
 impl Budget<'_> {
-    /// Whether the time is used up.
+    /// Whether no time is left.
     pub fn exhausted(&self) -> bool {
         (self.clock)() >= self.until
     }
 }
 
-/// Tokens that come back at a steady rate.
+/// A token bucket: limits a rate, with bursts up to the bucket's size.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
-    rate: f64,
+    rate_per_s: f64,
     burst: f64,
-    level: f64,
-    at: Time,
+    /// Negative after more was taken than there was.
+    tokens: f64,
+    /// Until when the tokens gained are counted.
+    counted_until: Time,
 }
 
 impl TokenBucket {
-    /// A full bucket of `burst` tokens that regains `rate` a second.
-    pub fn new(rate: f64, burst: f64) -> TokenBucket {
+    /// A full bucket of `burst` tokens that gains `rate_per_s` tokens a second.
+    pub fn new(rate_per_s: f64, burst: f64) -> TokenBucket {
         TokenBucket {
-            rate,
+            rate_per_s,
             burst,
-            level: burst,
-            at: Time::default(),
+            tokens: burst,
+            counted_until: Time::default(),
         }
     }
 
-    /// The whole tokens there are now.
+    /// The whole tokens available now.
     pub fn available(&mut self, now: Time) -> usize {
-        let gained = now.since(self.at) as f64 / 1_000.0 * self.rate;
-        self.level = (self.level + gained).min(self.burst);
-        self.at = now;
-        self.level.max(0.0) as usize
+        let gained = now.since(self.counted_until) as f64 / 1_000.0 * self.rate_per_s;
+        self.tokens = (self.tokens + gained).min(self.burst);
+        self.counted_until = now;
+        self.tokens.max(0.0) as usize
     }
 
-    /// Takes tokens, going into debt if need be.
+    /// Takes tokens, also more than there are: the next ones then make up for them.
     pub fn take(&mut self, count: usize) {
-        self.level -= count as f64;
+        self.tokens -= count as f64;
     }
 }
 
-/// Something done at intervals and repeated sooner when it fails.
+/// A timer of requests that are sent at intervals, one at a time, and sooner again after a failure.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Periodic {
-    /// Not before.
+    /// The next request is not sent before.
     pub next: Time,
-    /// Under way.
+    /// A request is not answered yet.
     pub in_flight: bool,
 }
 
 impl Periodic {
-    /// Whether it should be done now.
+    /// Whether the next request is due.
     pub fn is_due(&self, now: Time) -> bool {
         !self.in_flight && now >= self.next
     }
 
-    /// It is under way; next time no sooner than after so long.
-    pub fn mark_sent(&mut self, now: Time, every_ms: u64) {
+    /// A request is sent; the next one follows after `interval_ms` at the earliest.
+    pub fn mark_sent(&mut self, now: Time, interval_ms: u64) {
         self.in_flight = true;
-        self.next = now + every_ms;
+        self.next = now + interval_ms;
     }
 
-    /// It has ended; next time after so long.
-    pub fn schedule_retry(&mut self, now: Time, after_ms: u64) {
+    /// The request was answered, or given up; the next one follows after `wait_ms`.
+    pub fn schedule_retry(&mut self, now: Time, wait_ms: u64) {
         self.in_flight = false;
-        self.next = now + after_ms;
+        self.next = now + wait_ms;
     }
 }
