--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -89,10 +89,7 @@
                 self.retry_accept_write(now, jobs);
             }
             _ => {
-                for (_, request_id, _) in jobs {
-                    let response = HttpResponse::retry_later("not accepted yet");
-                    actions.push(Action::Respond(request_id, response));
-                }
+                ask_to_resubmit(jobs, actions);
                 self.give_up_job_requests(actions);
             }
         }
@@ -135,3 +132,11 @@
         actions.push(Action::Respond(request_id, accepted_response(job.spec.id)));
     }
 }
+
+/// Asks the users to submit again: whether the jobs were accepted is not known, and a repeated submission is safe.
+fn ask_to_resubmit(jobs: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
+    for (_, request_id, _) in jobs {
+        let response = HttpResponse::retry_later("not accepted yet");
+        actions.push(Action::Respond(request_id, response));
+    }
+}
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -1,4 +1,7 @@
-//! What happens to a controller and what it does.
+//! The events that a controller takes in and the actions that it returns.
+//!
+//! The service of the binary and the simulation turn what comes over the network into an [`Event`] and carry out
+//! each [`Action`]; its response comes back as another event.
 
 use worksshunt_wire::cloud::{Catalog, MachineIds, MachineList};
 use worksshunt_wire::key_value::{CompareAndSwap, KeyValue, Listing, WatchResponse};
@@ -10,7 +13,7 @@
 use crate::machines::{DirectCommands, DirectCommandsOutcome};
 use crate::time::Time;
 
-/// A request to the state service.
+/// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
     /// A new lease.
@@ -21,13 +24,13 @@
     Get(String),
     /// Read all keys of a prefix.
     List(String),
-    /// Write.
+    /// Write if the expected revisions hold.
     CompareAndSwap(CompareAndSwap),
-    /// Changes of a prefix after a revision; waits so many milliseconds for the first.
+    /// Changes of a prefix after a revision; waits so many milliseconds for the first of them.
     Watch(String, Revision, u64),
 }
 
-/// The state service's answer.
+/// The key-value store's response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvResponse {
     /// The lease granted.
@@ -42,30 +45,30 @@
     Missing,
     /// All keys of the prefix, at the revision of the first page.
     Listing(Listing),
-    /// The transaction was applied.
+    /// The write was applied, at that revision.
     Committed(Revision),
-    /// Conditions of the transaction did not hold.
+    /// The expected revisions of these keys did not hold.
     Conflict(Vec<String>),
     /// The changes.
     WatchResponse(WatchResponse),
-    /// The revision lies too far back.
+    /// The changes after the revision are no longer kept.
     RevisionCompacted,
     /// Not executed: larger than the limits.
     TooLarge,
     /// Not executed.
     Refused,
-    /// No answer that tells whether it was executed.
+    /// No response that shows whether it was executed.
     NoAnswer,
 }
 
 impl KvResponse {
-    /// Whether the state service has carried the request out, or said why it does not.
+    /// Whether the key-value store has carried the request out, or said why it does not.
     pub(super) fn is_definite(&self) -> bool {
         !matches!(self, KvResponse::Refused | KvResponse::NoAnswer)
     }
 }
 
-/// What a state service request is for.
+/// What a request to the key-value store is for; comes back with its response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvPurpose {
     /// The controller's lease.
@@ -84,45 +87,67 @@
     WatchOpenJobs,
     /// The catch-up read of the open jobs.
     CatchUpOpenJobs,
-    /// Records at the start of an epoch.
-    LoadEpoch(Epoch, LoadStep),
-    /// How a job on record has ended, at the start of an epoch.
-    LoadFinalState(Epoch, JobId),
-    /// A conditional write of an epoch, by its number in its lane.
-    QueuedWrite(WriteQueueId, Epoch, u64),
-    /// A page whose version has become uncertain.
-    ReadPageVersion(Epoch, String),
-    /// A final state that questions had to be put off for.
+    /// A step of loading an epoch.
+    LoadEpoch {
+        /// The epoch.
+        epoch: Epoch,
+        /// The step.
+        step: LoadStep,
+    },
+    /// The final state of a job on record, at the start of an epoch.
+    LoadFinalState {
+        /// The epoch.
+        epoch: Epoch,
+        /// The job.
+        job: JobId,
+    },
+    /// A conditional write of an epoch.
+    QueuedWrite {
+        /// The queue.
+        queue: WriteQueueId,
+        /// The epoch.
+        epoch: Epoch,
+        /// The write's number in its queue.
+        number: u64,
+    },
+    /// The version of a page that was written at an unknown one.
+    ReadPageVersion {
+        /// The epoch.
+        epoch: Epoch,
+        /// The key of the page.
+        key: String,
+    },
+    /// A final state whose read had to be put off.
     LookUpFinalState(JobId),
     /// Submissions, by the number of their write.
     AcceptSubmissions(u64),
     /// A cancellation.
     CancelJob(JobRequest),
-    /// A final state.
+    /// The final state that a request waits for.
     ReadFinalState(JobRequest),
-    /// The catalogue as the service last knew it.
+    /// The catalogue as it was last stored.
     ReadCatalog,
-    /// Keeping the catalogue.
+    /// Storing the catalogue.
     StoreCatalog(Catalog),
 }
 
 /// Which of an epoch's conditional writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteQueueId {
-    /// Machines' records of the own part.
+    /// Attempt records of the own partition.
     AttemptRecords,
-    /// Completions, and machines' records of former epochs (leader).
+    /// Completions, and attempt records of former epochs (leader).
     LeaderPages,
-    /// Ends of jobs and claims (leader).
+    /// Ends of jobs, claims, and keys to be removed (leader).
     FinalWrites,
-    /// Keys of their own for jobs taken in together (leader).
+    /// Keys of their own for jobs of submission batches (leader).
     SubmissionBatches,
 }
 
 /// Steps of loading an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadStep {
-    /// The machines' records.
+    /// The attempt records.
     AttemptRecords,
     /// Completed tasks (leader).
     Completions,
@@ -130,69 +155,69 @@
     Claims,
     /// The open jobs, read after the records: a job on a record but not open is over.
     OpenJobs,
-    /// How jobs on record that are over have ended, and what their tasks use (leader).
+    /// Final states of jobs on record that are over, and what their tasks use (leader).
     FinalStates,
 }
 
-/// The cloud's answer.
+/// The cloud's response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudResponse {
-    /// Machines rented, or returned.
+    /// Machines provisioned, or released.
     Machines(MachineIds),
-    /// None to be had.
+    /// No machines are available.
     NoCapacity,
     /// The machine list.
     List(Vec<MachineList>),
     /// The catalogue.
     Catalog(Catalog),
-    /// No answer that helps.
+    /// No response, or one that helps nothing.
     NoAnswer,
 }
 
-/// What happens to a controller.
+/// What a controller takes in.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// A submission.
     Submit(RequestId, Vec<u8>),
-    /// A question about a job; the id as the user wrote it.
+    /// A request for a job's status; the id as the user wrote it.
     Status(RequestId, String),
-    /// A cancellation.
+    /// A cancellation; the id as the user wrote it.
     Cancel(RequestId, String),
     /// A health check.
     Health(RequestId),
-    /// A worker's report.
+    /// A worker's heartbeat.
     Heartbeat(RequestId, Vec<u8>),
-    /// The state service answered a request sent at that time.
+    /// The key-value store has answered a request sent at that time, or has not.
     KeyValueResponse(KvPurpose, Time, KvResponse),
-    /// The cloud answered.
+    /// The cloud has answered a request, or has not.
     CloudResponse(CloudRequest, CloudResponse),
-    /// Direct orders to a worker were answered, or not.
+    /// Direct commands to a worker were answered, or not.
     CommandsAnswered(DirectCommands, DirectCommandsOutcome),
-    /// A peer asks.
+    /// A peer's request.
     PeerRequest(RequestId, PeerRequest),
-    /// A peer answered an exchange; none: it did not.
+    /// The leader has answered a partition's status; none: it has not.
     PeerResponse(Option<PeerResponse>),
-    /// A peer told whether it reaches the state service.
+    /// A peer has said whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
-    /// A peer told what it knows of the epoch.
+    /// A peer has said what it knows of the epoch.
     PeerKnownEpoch(ControllerName, KnownEpoch),
 }
 
-/// What a controller does.
+/// What a controller has its process do.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    /// Answer a client.
+    /// Respond to a user or a worker.
     Respond(RequestId, HttpResponse),
-    /// Ask the state service, within so many milliseconds.
+    /// Send a request to the key-value store, to be given up after so many milliseconds.
     CallKeyValueStore(KvPurpose, KvRequest, u64),
-    /// Ask the cloud.
+    /// Send a request to the cloud.
     CallCloud(CloudRequest),
-    /// Send orders straight to a worker.
+    /// Send commands straight to a worker.
     SendCommands(DirectCommands),
-    /// Ask a peer.
+    /// Send a request to a peer.
     SendToPeer(ControllerName, PeerRequest),
-    /// Answer a peer.
+    /// Respond to a peer.
     RespondToPeer(RequestId, PeerResponse),
 }
--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -6,6 +6,7 @@
 use crate::constants::job_api::MAX_MACHINE_NAME_BYTES;
 use crate::job_api::HttpResponse;
 use crate::machines::HeartbeatOutcome;
+use crate::membership::EpochRecord;
 use crate::placement::owner;
 use crate::time::Time;
 
@@ -21,7 +22,7 @@
         let owners = self
             .membership
             .epoch()
-            .map(|epoch| epoch.partition_owners())
+            .map(EpochRecord::partition_owners)
             .unwrap_or_default();
         match (owner(&heartbeat.machine, &owners), &self.catalog.current) {
             (Some(name), _) if name != self.membership.name() => HttpResponse::json(
@@ -61,9 +62,10 @@
 
 fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, MalformedHeartbeat> {
     let heartbeat: Heartbeat = serde_json::from_slice(body)?;
-    match is_key_component(&heartbeat.machine.0) {
-        true => Ok(heartbeat),
-        false => Err(MalformedHeartbeat::MachineName),
+    if is_key_component(&heartbeat.machine.0) {
+        Ok(heartbeat)
+    } else {
+        Err(MalformedHeartbeat::MachineName)
     }
 }
 
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -48,11 +48,11 @@
                 // After an outage, for instance, what is known is old: a watch would show only after its wait
                 // that nothing has changed.
                 let longest_wait_ms = reads.watch_wait_ms + KV_DEADLINE_MS;
-                let wait_ms =
-                    match self.membership.cancellations_fresh_for_ms(now) > longest_wait_ms {
-                        true => reads.watch_wait_ms,
-                        false => 0,
-                    };
+                let wait_ms = if self.membership.cancellations_fresh_for_ms(now) > longest_wait_ms {
+                    reads.watch_wait_ms
+                } else {
+                    0
+                };
                 actions.push(Action::CallKeyValueStore(
                     KvPurpose::WatchOpenJobs,
                     KvRequest::Watch(OPEN.to_owned(), since, wait_ms),
--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -35,10 +35,10 @@
             KvPurpose::ListOpenJobs => self.open_jobs_answered(times, response),
             KvPurpose::WatchOpenJobs => self.watch_answered(times, response, actions),
             KvPurpose::CatchUpOpenJobs => self.catch_up_answered(times, response, actions),
-            KvPurpose::LoadEpoch(..)
-            | KvPurpose::LoadFinalState(..)
-            | KvPurpose::QueuedWrite(..)
-            | KvPurpose::ReadPageVersion(..) => {
+            KvPurpose::LoadEpoch { .. }
+            | KvPurpose::LoadFinalState { .. }
+            | KvPurpose::QueuedWrite { .. }
+            | KvPurpose::ReadPageVersion { .. } => {
                 self.process_epoch_response(times, purpose, response, actions);
             }
             KvPurpose::LookUpFinalState(id) => self.final_state_lookup_answered(id, response),
@@ -66,16 +66,20 @@
     ) {
         let current = self.membership.fencing_token();
         match purpose {
-            KvPurpose::LoadEpoch(epoch, step) if self.is_loading_epoch(epoch) => {
+            KvPurpose::LoadEpoch { epoch, step } if self.is_loading_epoch(epoch) => {
                 self.load_step_answered(times, step, response, actions);
             }
-            KvPurpose::LoadFinalState(epoch, id) if self.is_loading_epoch(epoch) => {
-                self.final_state_loaded(times.answered, id, response, actions);
+            KvPurpose::LoadFinalState { epoch, job } if self.is_loading_epoch(epoch) => {
+                self.final_state_loaded(times.answered, job, response, actions);
             }
-            KvPurpose::QueuedWrite(queue_id, epoch, number) if epoch == current => {
-                self.queued_write_answered(queue_id, number, times, response);
+            KvPurpose::QueuedWrite {
+                queue,
+                epoch,
+                number,
+            } if epoch == current => {
+                self.queued_write_answered(queue, number, times, response);
             }
-            KvPurpose::ReadPageVersion(epoch, key) if epoch == current => {
+            KvPurpose::ReadPageVersion { epoch, key } if epoch == current => {
                 self.page_version_answered(times.answered, &key, response);
             }
             _ => {}
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -74,7 +74,8 @@
             }
         };
         self.epoch_load.retry_timer.mark_sent(now, 0);
-        let purpose = KvPurpose::LoadEpoch(self.membership.fencing_token(), step);
+        let epoch = self.membership.fencing_token();
+        let purpose = KvPurpose::LoadEpoch { epoch, step };
         call_store(actions, purpose, request);
     }
 
@@ -145,9 +146,10 @@
                 return None;
             }
         }
-        match self.membership.is_leader() {
-            true => Some(LoadStep::Completions),
-            false => Some(LoadStep::OpenJobs),
+        if self.membership.is_leader() {
+            Some(LoadStep::Completions)
+        } else {
+            Some(LoadStep::OpenJobs)
         }
     }
 
@@ -185,7 +187,7 @@
 
     /// Requests final states of jobs on record that are not open, some at a time.
     fn request_final_states(&mut self, actions: &mut Vec<Action>) {
-        let token = self.membership.fencing_token();
+        let epoch = self.membership.fencing_token();
         let load = &mut self.epoch_load;
         while load.final_states_in_flight.len() < FINAL_STATE_LOADS_IN_FLIGHT {
             let Some(id) = load.final_states_to_request.pop_front() else {
@@ -193,7 +195,11 @@
             };
             load.final_states_in_flight.insert(id);
             let request = KvRequest::Get(final_state_key(id));
-            call_store(actions, KvPurpose::LoadFinalState(token, id), request);
+            call_store(
+                actions,
+                KvPurpose::LoadFinalState { epoch, job: id },
+                request,
+            );
         }
     }
 
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -57,9 +57,10 @@
     }
 
     pub(super) fn lease_grant_answered(&mut self, now: Time, response: KvResponse) {
-        let wait_ms = match response.is_definite() {
-            true => 0,
-            false => KV_RETRY_MS,
+        let wait_ms = if response.is_definite() {
+            0
+        } else {
+            KV_RETRY_MS
         };
         self.membership_timers.lease.schedule_retry(now, wait_ms);
         if let KvResponse::LeaseGranted(lease) = response {
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -194,8 +194,8 @@
             Event::CommandsAnswered(commands, outcome) => {
                 self.direct_commands_answered(steady, &commands, &outcome);
             }
-            Event::PeerRequest(request, question) => {
-                self.answer_peer(now, request, question, budget, actions);
+            Event::PeerRequest(request, peer_request) => {
+                self.answer_peer(now, request, peer_request, budget, actions);
             }
             Event::PeerResponse(response) => self.sync_answered(steady, response),
             Event::PeerKeyValueHealth(reachable) => {
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -32,9 +32,10 @@
         budget: &Budget,
         actions: &mut Vec<Action>,
     ) {
-        let interval_ms = match self.partition.has_pending_updates() {
-            true => SYNC_BUSY_INTERVAL_MS,
-            false => SYNC_IDLE_INTERVAL_MS,
+        let interval_ms = if self.partition.has_pending_updates() {
+            SYNC_BUSY_INTERVAL_MS
+        } else {
+            SYNC_IDLE_INTERVAL_MS
         };
         let sync = &mut self.partition_sync;
         if sync.in_flight || now.steady.since(sync.last_sent_at) < interval_ms {
--- a/crates/worksshunt-core/src/controller/peers.rs
+++ b/crates/worksshunt-core/src/controller/peers.rs
@@ -12,11 +12,11 @@
         &mut self,
         now: Now,
         request: RequestId,
-        question: PeerRequest,
+        peer_request: PeerRequest,
         budget: &Budget,
         actions: &mut Vec<Action>,
     ) {
-        let response = match question {
+        let response = match peer_request {
             PeerRequest::Sync(status) => match self.apply_partition_status(now, status, budget) {
                 Some(directives) => PeerResponse::Sync(directives),
                 None => PeerResponse::NotLeader,
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -1,5 +1,5 @@
-//! Whether this controller is ready to own machines. Its member key says so, and the leader gives machines only
-//! to members that are ready.
+//! Whether this controller is ready to own machines. Its member key says so, and only members that are
+//! ready own machines in the next epoch.
 
 use crate::constants::partition_sync::PARTITION_SILENT_MS;
 use crate::constants::readiness::{
@@ -50,9 +50,10 @@
 
     /// What the readiness should be now.
     fn next(&self, now: Time, is_leader: bool, is_unreachable: bool) -> Readiness {
-        let leader_silent_ms = match is_leader {
-            true => 0,
-            false => now.since(self.leader_answered_at),
+        let leader_silent_ms = if is_leader {
+            0
+        } else {
+            now.since(self.leader_answered_at)
         };
         match self.current {
             Readiness::Ready if is_unreachable => Readiness::NoHeartbeats,
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -38,9 +38,10 @@
 
     /// A peer has said whether it reaches the key-value store.
     pub fn peer_reported(&mut self, now: Time, is_reachable: bool) {
-        match is_reachable {
-            true => self.peer_healthy_at = Some(now),
-            false => self.peer_unhealthy_at = Some(now),
+        if is_reachable {
+            self.peer_healthy_at = Some(now);
+        } else {
+            self.peer_unhealthy_at = Some(now);
         }
     }
 
@@ -75,9 +76,10 @@
         let is_healthy = self.job_cache.is_loaded()
             && self.catalog.current.is_some()
             && self.store_health.may_serve_users(now);
-        match is_healthy {
-            true => HttpResponse::json(200, &serde_json::json!({ "healthy": true })),
-            false => HttpResponse::retry_later("not ready"),
+        if is_healthy {
+            HttpResponse::json(200, &serde_json::json!({ "healthy": true }))
+        } else {
+            HttpResponse::retry_later("not ready")
         }
     }
 
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -41,9 +41,10 @@
         }
         let outcome = self.write_outcome(times, response);
         let is_clear = !matches!(outcome, WriteOutcome::Unclear);
-        let interval_ms = match is_clear {
-            true => self.write_queues.write_interval_ms(queue_id, now),
-            false => KV_RETRY_MS,
+        let interval_ms = if is_clear {
+            self.write_queues.write_interval_ms(queue_id, now)
+        } else {
+            KV_RETRY_MS
         };
         let queue = self.write_queues.queue(queue_id);
         if !queue.hedge.answered(number, is_clear) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The outcome that a response shows.
+    /// The outcome that a response shows. Whether the epoch is still the one known is noted as well.
     fn write_outcome(&mut self, times: RequestTimes, response: KvResponse) -> WriteOutcome {
         match response {
             KvResponse::Committed(revision) => {
@@ -78,9 +79,10 @@
                 // Nobody else writes an owner's pages, the leader's pages or its claims in its epoch, or handles
                 // submission batches: a copy of this write was applied before.
                 let is_own = |key: &String| is_submission_batch(key) || job_of_key(key).is_none();
-                match failed.iter().any(is_own) {
-                    true => WriteOutcome::Applied(None),
-                    false => WriteOutcome::Refuted(failed),
+                if failed.iter().any(is_own) {
+                    WriteOutcome::Applied(None)
+                } else {
+                    WriteOutcome::Refuted(failed)
                 }
             }
             _ => WriteOutcome::Unclear,
@@ -200,8 +202,10 @@
         let record_pages = self.partition.uncertain_record_pages();
         if let Some(key) = record_pages.into_iter().chain(leader_pages).next() {
             self.write_queues.page_version_timer.mark_sent(now, 0);
-            let token = self.membership.fencing_token();
-            let purpose = KvPurpose::ReadPageVersion(token, key.clone());
+            let purpose = KvPurpose::ReadPageVersion {
+                epoch: self.membership.fencing_token(),
+                key: key.clone(),
+            };
             call_store(actions, purpose, KvRequest::Get(key));
         }
     }
--- a/crates/worksshunt-core/src/controller/write_queues.rs
+++ b/crates/worksshunt-core/src/controller/write_queues.rs
@@ -184,9 +184,10 @@
     /// Changes that a final write may have now. Where no submission batches wait, final writes use their share as
     /// well: with 4,000 machines more than their own is needed.
     pub fn final_write_allowance(&mut self, now: Time, batches_wait: bool) -> usize {
-        let lent = match batches_wait {
-            true => 0,
-            false => self.submission_batches.change_tokens.available(now),
+        let lent = if batches_wait {
+            0
+        } else {
+            self.submission_batches.change_tokens.available(now)
         };
         (self.final_writes.change_tokens.available(now) + lent).min(self.txn_ops)
     }
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -46,7 +46,11 @@
         queue.in_flight = Some(write.clone());
         queue.timer.mark_sent(now, 0);
         let number = queue.hedge.first_sent(now);
-        let purpose = KvPurpose::QueuedWrite(queue_id, self.membership.fencing_token(), number);
+        let purpose = KvPurpose::QueuedWrite {
+            queue: queue_id,
+            epoch: self.membership.fencing_token(),
+            number,
+        };
         call_store(actions, purpose, KvRequest::CompareAndSwap(write));
     }
 
@@ -58,7 +62,11 @@
         }
         if let (Some(number), Some(write)) = (queue.hedge.hedge_due(now), &queue.in_flight) {
             queue.change_tokens.take(write.changes.len());
-            let purpose = KvPurpose::QueuedWrite(queue_id, self.membership.fencing_token(), number);
+            let purpose = KvPurpose::QueuedWrite {
+                queue: queue_id,
+                epoch: self.membership.fencing_token(),
+                number,
+            };
             actions.push(second_copy(purpose, write));
         }
     }
