--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use worksshunt_simulation::ZonePartition;
 use worksshunt_wire::JobId;
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
@@ -12,13 +13,16 @@
     let mut users = Users::default();
     cluster.faults.heartbeat_copies_after_ms = vec![9_000, 30_000];
     cluster.run(3_000);
-    cluster.faults.partitioned_zone = Some(("b".into(), BTreeSet::new()));
+    cluster.faults.partitioned_zone = Some(ZonePartition {
+        zone: "b".into(),
+        controllers: BTreeSet::new(),
+    });
     users.ask_for(&mut cluster, 22);
     cluster.faults.partitioned_zone = None;
     users.ask_for(&mut cluster, 20);
     cluster.faults.heartbeat_copies_after_ms.clear();
     assert!(
-        cluster.effects("copy") > 50_000,
+        cluster.effects("heartbeat copy") > 50_000,
         "late copies of all reports came"
     );
     assert_eq!(users.refused, 0);
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -28,7 +28,7 @@
         .iter()
         .filter(|(_, task, _)| running.contains(task));
     assert_eq!(again.count(), 0, "nothing that ran was started again");
-    let (most, dropped) = (cluster.usage.sync_most, cluster.usage.frames_dropped);
+    let (most, dropped) = (cluster.usage.max_sync_bytes, cluster.usage.frames_dropped);
     assert!(
         dropped == 0 && most < MAX_FRAME_BYTES / 8,
         "an exchange of {most} bytes"
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -29,7 +29,7 @@
             }
             cluster.run(32_000);
             assert!(cluster.invariants.any_cancelled(), "{moment}");
-            assert!(cluster.effects("close look") > 0, "{moment}");
+            assert!(cluster.effects("rapid status query") > 0, "{moment}");
             settle(&mut cluster, &moment);
         }
     }
@@ -49,7 +49,7 @@
         cluster.run(away_ms);
         (0..3).for_each(|node| cluster.start(node));
         cluster.run(20_000);
-        assert!(cluster.effects("copy") > 0, "{moment}");
+        assert!(cluster.effects("heartbeat copy") > 0, "{moment}");
         settle(&mut cluster, &moment);
         assert!((1..=5).all(|id| cluster.all_done(id, 4)), "{moment}");
     }
@@ -180,7 +180,7 @@
         let leader = cluster.leader();
         cluster.restart(leader, if crash_ms % 800 == 0 { 300 } else { 5_000 });
         cluster.run(12_000);
-        assert!(cluster.effects("close look") > 0, "{moment}");
+        assert!(cluster.effects("rapid status query") > 0, "{moment}");
         settle(&mut cluster, &moment);
         let (tasks, starts) = (15, cluster.task_starts.len());
         assert_eq!(starts, tasks, "{moment}: each task ran once");
@@ -232,7 +232,7 @@
             cluster.run(17 * seed);
         }
         cluster.run(25_000);
-        assert!(cluster.effects("cancel at end") >= 12, "seed {seed}");
+        assert!(cluster.effects("cancel at completion") >= 12, "seed {seed}");
         settle(&mut cluster, &format!("seed {seed}"));
     }
 }
@@ -338,7 +338,7 @@
             }
             cluster.submit(others(node)[0], &red(10, 8));
             cluster.run(still_ms);
-            assert_eq!(cluster.effects("freeze"), 1, "{moment}");
+            assert_eq!(cluster.effects("pause"), 1, "{moment}");
             cluster.run(22_000);
             settle(&mut cluster, &moment);
             assert!(
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
@@ -81,8 +81,8 @@
             cluster.start(leader);
         }
         cluster.run(25_000);
-        assert!(cluster.effects("close look") > 100, "seed {seed}");
-        assert!(cluster.effects("cancel at end") > 0, "seed {seed}");
+        assert!(cluster.effects("rapid status query") > 100, "seed {seed}");
+        assert!(cluster.effects("cancel at completion") > 0, "seed {seed}");
         settle(&mut cluster, &format!("seed {seed}"));
     }
 }
@@ -209,7 +209,7 @@
         }
         cluster.run(8_000);
         assert!(cluster.invariants.any_cancelled(), "{moment}");
-        let broken = &cluster.invariants.broken;
+        let broken = &cluster.invariants.violations;
         assert!(broken.is_empty(), "{moment}: {broken:?}");
     }
 }
@@ -321,7 +321,7 @@
         }
         cluster.run(250);
     }
-    assert!(cluster.invariants.accepted().len() > jobs as usize * 9 / 10);
+    assert!(cluster.invariants.accepted_jobs().len() > jobs as usize * 9 / 10);
     assert!(cluster.invariants.any_cancelled());
     settle(&mut cluster, "a stream");
     let late = cluster.invariants.starts_after_cancel;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -1,6 +1,7 @@
 //! Faults of machines and workers that come together with others.
 
 use serde_json::json;
+use worksshunt_simulation::ZonePartition;
 use worksshunt_wire::JobId;
 
 use super::{busy, machines_of, others, red, settle};
@@ -78,7 +79,7 @@
         let leader = cluster.leader();
         cluster.restart(leader, 500);
         cluster.run(20_000);
-        assert!(cluster.effects("copy") > 100, "{moment}");
+        assert!(cluster.effects("heartbeat copy") > 100, "{moment}");
         settle(&mut cluster, &moment);
         assert!(cluster.all_done(9, 30));
     }
@@ -174,7 +175,7 @@
         cluster.send_cancel(0, JobId(1));
         cluster.submit(1, &long_job(9, 8));
         cluster.run(mute_ms);
-        assert!(cluster.effects("unheard report") > 0, "{moment}");
+        assert!(cluster.effects("lost heartbeat") > 0, "{moment}");
         cluster.faults.silent_machines.clear();
         cluster.run(30_000);
         settle(&mut cluster, &moment);
@@ -227,13 +228,16 @@
             cluster.submit(0, &long_job(1, 12));
             cluster.submit(1, &red(2, 8));
             cluster.until("tasks", 30_000, |w| w.running().len() == 20);
-            cluster.faults.partitioned_zone = Some(("b".to_owned(), [inside].into()));
+            cluster.faults.partitioned_zone = Some(ZonePartition {
+                zone: "b".to_owned(),
+                controllers: [inside].into(),
+            });
             cluster.run(2_000);
             let node = others(inside)[0];
             cluster.send_cancel(node, JobId(2));
             cluster.submit(node, &red(3, 8));
             cluster.run(cut_ms);
-            assert!(cluster.effects("unheard report") > 0, "{moment}");
+            assert!(cluster.effects("lost heartbeat") > 0, "{moment}");
             cluster.faults.partitioned_zone = None;
             cluster.run(30_000);
             settle(&mut cluster, &moment);
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -12,23 +12,23 @@
 
 fn rules() -> Invariants {
     let mut rules = Invariants::default();
-    rules.keep(&settings(0));
+    rules.set_limits(&settings(0));
     rules
 }
 
 fn submission(rules: &mut Invariants, id: u64) -> JobQuery {
     let body = job(id, 1).to_string().into_bytes();
-    rules.asked(&Event::Submit(RequestId(1), body))
+    rules.request_sent(&Event::Submit(RequestId(1), body))
 }
 
 fn status(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.asked(&Event::Status(RequestId(1), id))
+    rules.request_sent(&Event::Status(RequestId(1), id))
 }
 
 fn withdrawal(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.asked(&Event::Cancel(RequestId(1), id))
+    rules.request_sent(&Event::Cancel(RequestId(1), id))
 }
 
 fn says(state: &str) -> HttpResponse {
@@ -48,12 +48,12 @@
 fn accepted() -> Invariants {
     let mut rules = rules();
     let question = submission(&mut rules, 1);
-    rules.answered(0, &question, &says("pending"));
+    rules.response_received(0, &question, &says("pending"));
     rules
 }
 
 fn breaks(rules: &Invariants, rule: &str) -> bool {
-    rules.broken.iter().any(|text| text.starts_with(rule))
+    rules.violations.iter().any(|text| text.starts_with(rule))
 }
 
 #[test]
@@ -61,16 +61,16 @@
     let mut rules = accepted();
     let before = status(&mut rules, 1);
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &HttpResponse::retry_later("busy"));
-    rules.answered(2, &before, &says("pending"));
-    assert!(rules.broken.is_empty());
+    rules.response_received(1, &question, &HttpResponse::retry_later("busy"));
+    rules.response_received(2, &before, &says("pending"));
+    assert!(rules.violations.is_empty());
     let question = status(&mut rules, 1);
-    rules.answered(3, &question, &none());
+    rules.response_received(3, &question, &none());
     assert!(breaks(&rules, "forgotten"));
     for status in [400, 422] {
         let mut rules = accepted();
         let question = submission(&mut rules, 1);
-        rules.answered(1, &question, &HttpResponse::error(status, "no"));
+        rules.response_received(1, &question, &HttpResponse::error(status, "no"));
         assert!(breaks(&rules, "forgotten"), "{status}");
     }
 }
@@ -80,19 +80,19 @@
     let mut rules = rules();
     let early = status(&mut rules, 1);
     let question = submission(&mut rules, 1);
-    rules.answered(1, &question, &says("pending"));
-    rules.answered(2, &early, &none());
-    assert!(rules.broken.is_empty(), "asked before it was accepted");
+    rules.response_received(1, &question, &says("pending"));
+    rules.response_received(2, &early, &none());
+    assert!(rules.violations.is_empty(), "asked before it was accepted");
 }
 
 #[test]
 fn a_job_that_nobody_submitted_must_be_unknown() {
     let mut rules = rules();
     let question = status(&mut rules, 2);
-    rules.answered(0, &question, &none());
-    assert!(rules.broken.is_empty());
+    rules.response_received(0, &question, &none());
+    assert!(rules.violations.is_empty());
     let question = status(&mut rules, 2);
-    rules.answered(1, &question, &says("pending"));
+    rules.response_received(1, &question, &says("pending"));
     assert!(breaks(&rules, "invented"));
 }
 
@@ -100,13 +100,13 @@
 fn a_job_is_done_only_after_its_last_task() {
     let mut rules = accepted();
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &says("done"));
+    rules.response_received(1, &question, &says("done"));
     assert!(breaks(&rules, "not_done"));
     let mut rules = accepted();
     rules.completed(task(1, 0));
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &says("done"));
-    assert!(rules.broken.is_empty());
+    rules.response_received(1, &question, &says("done"));
+    assert!(rules.violations.is_empty());
 }
 
 #[test]
@@ -116,22 +116,22 @@
         rules.completed(task(1, 0));
         let early = status(&mut rules, 1);
         let question = status(&mut rules, 1);
-        rules.answered(1, &question, &says("done"));
-        rules.answered(2, &early, &says("running"));
-        assert!(rules.broken.is_empty(), "asked before it was done");
+        rules.response_received(1, &question, &says("done"));
+        rules.response_received(2, &early, &says("running"));
+        assert!(rules.violations.is_empty(), "asked before it was done");
         rules
     };
     let mut rules = done();
     let question = status(&mut rules, 1);
-    rules.answered(3, &question, &says("running"));
+    rules.response_received(3, &question, &says("running"));
     assert!(breaks(&rules, "went_back"));
     let mut rules = done();
     let question = withdrawal(&mut rules, 1);
-    rules.answered(3, &question, &says("aborted"));
+    rules.response_received(3, &question, &says("aborted"));
     assert!(breaks(&rules, "went_back"));
     let mut rules = accepted();
     let question = status(&mut rules, 1);
-    rules.answered(3, &question, &says("aborted"));
+    rules.response_received(3, &question, &says("aborted"));
     assert!(breaks(&rules, "went_back"), "its user did not cancel it");
 }
 
@@ -151,7 +151,7 @@
     cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
     cluster.hang(&ids[0], 20_000);
-    assert!(cluster.invariants.broken.is_empty());
+    assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[1], task(1, 0), 8);
     cluster.run(300);
     assert!(breaks(&cluster.invariants, "ran_twice"));
@@ -170,7 +170,7 @@
     }
     cluster.run(300);
     cluster.hang(&ids[0], 20_000);
-    assert!(cluster.invariants.broken.is_empty());
+    assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[2], task(1, 8), 80);
     cluster.run(300);
     assert!(breaks(&cluster.invariants, "quota"));
@@ -213,7 +213,7 @@
     assert_eq!(cluster.invariants.starts_after_cancel, 1);
     // The machine is deaf, so its lease ends the tasks; others are put there again.
     cluster.run(29_000);
-    assert!(cluster.invariants.broken.is_empty());
+    assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[0], task(1, 0), 9);
     cluster.run(300);
     cluster.hang(&ids[0], 3_000);
@@ -230,11 +230,11 @@
     let stranger = job(9, 1).to_string().into_bytes();
     let question = cluster
         .invariants
-        .asked(&Event::Submit(RequestId(0), stranger));
+        .request_sent(&Event::Submit(RequestId(0), stranger));
     let now = cluster.now;
     cluster
         .invariants
-        .answered(now, &question, &says("pending"));
+        .response_received(now, &question, &says("pending"));
     // Accepted by the checker's lights, unknown to the controllers; there is always a machine for it.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -78,9 +78,9 @@
     let started = cluster.task_starts.len();
     cluster.run(within_ms);
     assert!(
-        cluster.invariants.broken.is_empty(),
+        cluster.invariants.violations.is_empty(),
         "{:?}",
-        cluster.invariants.broken
+        cluster.invariants.violations
     );
     let again = &cluster.task_starts[started..];
     let again: BTreeSet<JobId> = again.iter().map(|(_, task, _)| task.job).collect();
@@ -134,9 +134,9 @@
     let started = cluster.task_starts.len();
     cluster.run(30_000);
     assert!(
-        cluster.invariants.broken.is_empty(),
+        cluster.invariants.violations.is_empty(),
         "{:?}",
-        cluster.invariants.broken
+        cluster.invariants.violations
     );
     assert!(cluster.task_starts.len() > started, "others go on");
 }
@@ -151,5 +151,8 @@
     // It is still listed, so nothing but its lease tells that its tasks are gone.
     cluster.hang(&doomed.machine, 120_000);
     goes_on_elsewhere(&mut cluster, &doomed, 20_000);
-    assert!(cluster.effects("copy") > 100, "copies came all the time");
+    assert!(
+        cluster.effects("heartbeat copy") > 100,
+        "copies came all the time"
+    );
 }
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -16,7 +16,7 @@
 use worksshunt_wire::{JobId, Revision};
 
 use crate::{long_job, ready};
-use worksshunt_simulation::{job, service, Cluster};
+use worksshunt_simulation::{job, service, Cluster, KeyValueLimits};
 
 fn production_store() -> BTreeMap<String, Value> {
     serde_json::from_str(include_str!("samples/production-store.json")).expect("JSON")
@@ -219,8 +219,14 @@
     cluster.check();
 }
 
-/// What production left, under smaller limits than it was written with.
-fn left_by_production(limits: (usize, usize), announced: bool) -> Cluster {
+/// Limits smaller than those under which production wrote its records.
+const SMALL_LIMITS: KeyValueLimits = KeyValueLimits {
+    value_bytes: 2_048,
+    changes: 6,
+};
+
+/// What production left, under [`SMALL_LIMITS`].
+fn left_by_production(announced: bool) -> Cluster {
     let mut cluster = Cluster::new();
     (0..3).for_each(|node| cluster.crash(node));
     let mut largest = 0;
@@ -233,20 +239,20 @@
         let page = value["jobs"].as_array().cloned().unwrap_or_default();
         for stored in page.iter().chain([&value]) {
             if let Ok(job) = serde_json::from_value::<Job>(stored.clone()) {
-                cluster.invariants.accepted_before(job.spec);
+                cluster.invariants.assume_accepted(job.spec);
             }
         }
         cluster.put(&key, value);
     }
     assert!(
-        largest > limits.0,
+        largest > SMALL_LIMITS.value_bytes,
         "{largest} bytes are no test of the limit"
     );
-    cluster.faults.key_value_limits = Some(limits);
+    cluster.faults.key_value_limits = Some(SMALL_LIMITS);
     for node in 0..3 {
         if announced {
-            let kb = limits.0 as f64 / 1_024.0;
-            let next = json!({ "value_kb": kb, "txn_ops": limits.1 });
+            let kb = SMALL_LIMITS.value_bytes as f64 / 1_024.0;
+            let next = json!({ "value_kb": kb, "txn_ops": SMALL_LIMITS.changes });
             let next = serde_json::from_value(next).expect("limits");
             cluster.settings[node].facts.state.next = Some(next);
         }
@@ -264,7 +270,7 @@
 // that the announced limits do not admit.
 #[test]
 fn what_production_left_is_served_under_announced_limits() {
-    let mut cluster = left_by_production((2_048, 6), true);
+    let mut cluster = left_by_production(true);
     cluster.capacity = 30;
     let more: Vec<Value> = (100..160).map(|id| job(id, 3)).collect();
     cluster.submit_at_once(&[0], &more);
@@ -284,7 +290,7 @@
 // written in its place, when limits fall that were not announced.
 #[test]
 fn limits_that_fall_without_a_word_are_found_out() {
-    let mut cluster = left_by_production((2_048, 6), false);
+    let mut cluster = left_by_production(false);
     cluster.capacity = 30;
     let more: Vec<Value> = (100..160).map(|id| job(id, 1)).collect();
     cluster.submit_at_once(&[1], &more);
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -146,7 +146,7 @@
         let page = stored["jobs"].as_array().cloned().unwrap_or_default();
         for stored in page.into_iter().chain([stored.clone()]) {
             if let Ok(job) = serde_json::from_value::<Job>(stored) {
-                cluster.invariants.accepted_before(job.spec);
+                cluster.invariants.assume_accepted(job.spec);
             }
         }
         cluster.put(key, stored);
@@ -159,12 +159,12 @@
     for id in [5, 6, 7] {
         let mut spec = cancelled.spec.clone();
         spec.id = JobId(id);
-        cluster.invariants.accepted_before(spec);
+        cluster.invariants.assume_accepted(spec);
     }
     (0..7).for_each(|index| cluster.invariants.completed(task(5, index)));
     for id in [6, 7] {
         let withdrawal = Event::Cancel(RequestId(0), JobId(id).to_string());
-        cluster.invariants.asked(&withdrawal);
+        cluster.invariants.request_sent(&withdrawal);
     }
     let first = cluster.machine("a", true, 0);
     let second = cluster.machine("a", true, 0);
--- a/crates/worksshunt-measure/src/workload.rs
+++ b/crates/worksshunt-measure/src/workload.rs
@@ -123,11 +123,11 @@
         ("state service: changes a second", meter.changes),
         ("state service: bytes a second", meter.value_bytes),
         ("exchanges: bytes a second", meter.sync_bytes),
-        ("direct orders a second", meter.orders),
+        ("direct orders a second", meter.command_requests),
     ] {
         day.put(name, count as f64 / seconds);
     }
-    day.put("exchanges: largest, bytes", meter.sync_most as f64);
+    day.put("exchanges: largest, bytes", meter.max_sync_bytes as f64);
 }
 
 /// What one controller takes with all machines.
@@ -181,9 +181,9 @@
     alone(&mut day, &mut cluster, &mut jobs);
     restart(&mut day, &mut cluster);
     assert!(
-        cluster.invariants.broken.is_empty(),
+        cluster.invariants.violations.is_empty(),
         "{:?}",
-        cluster.invariants.broken
+        cluster.invariants.violations
     );
     day
 }
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -1,52 +1,78 @@
-//! The cloud of the cluster.
+//! The cloud of the cluster: its rate, its machines and the responses to controllers' requests.
 
 use std::collections::BTreeMap;
 
 use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE;
-use worksshunt_core::controller::CloudResponse;
+use worksshunt_core::controller::{CloudResponse, Event};
 use worksshunt_core::fleet::CloudRequest;
-use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineIds, MachineList};
-use worksshunt_wire::{Epoch, MachineId};
+use worksshunt_core::time::Time;
+use worksshunt_wire::cloud::{
+    ListedMachine, ListedState, MachineIds, MachineList, ProvisionRequest,
+};
+use worksshunt_wire::MachineId;
 
-use super::*;
+use crate::events::{ControllerRun, SimulationEvent};
+use crate::fixtures::catalog;
+use crate::links::Link;
+use crate::workers::Worker;
+use crate::Cluster;
+
+/// What the cloud remembers beside the machines themselves.
+#[derive(Default)]
+pub(crate) struct CloudRecords {
+    /// Machines provisioned by each request, by its name; a repeated request gets the same ones.
+    provisioned: BTreeMap<String, MachineIds>,
+    machines_created: u64,
+}
 
 impl Cluster {
-    pub(super) fn cloud_request(&mut self, request: &CloudRequest) -> CloudResponse {
+    pub(crate) fn cloud_request_arrives(&mut self, from: ControllerRun, request: CloudRequest) {
+        let response = self.cloud_response(&request);
+        let arrives_at = self.arrival_time(Link::Other);
+        self.deliver_at(arrives_at, from, Event::CloudResponse(request, response));
+    }
+
+    fn cloud_response(&mut self, request: &CloudRequest) -> CloudResponse {
         if self.faults.cloud_down || !self.cloud_rate_allows(request) {
             return CloudResponse::NoAnswer;
         }
         match request {
             CloudRequest::ReadCatalog => CloudResponse::Catalog(catalog(self.nominal_boot_s)),
             CloudRequest::ListMachines => CloudResponse::List(self.machine_list()),
-            CloudRequest::Provision(rent) => {
-                if let Some(names) = self.provisioned.get(&rent.request_name) {
-                    return CloudResponse::Machines(names.clone());
-                }
-                if rent.spot && self.faults.no_spot {
-                    return CloudResponse::NoCapacity;
-                }
-                let free = self.capacity.saturating_sub(self.workers.len());
-                let count = free.min(rent.count as usize);
-                if count == 0 {
-                    return CloudResponse::NoCapacity;
-                }
-                let machines = (0..count)
-                    .map(|_| self.machine(&rent.zone, rent.spot, self.boot_ms))
-                    .collect();
-                let names = MachineIds { machines };
-                self.provisioned
-                    .insert(rent.request_name.clone(), names.clone());
-                CloudResponse::Machines(names)
-            }
-            CloudRequest::Release(names) => {
-                for id in &names.machines {
-                    if self.workers.remove(id).is_some() {
-                        self.released_machines.push(id.clone());
-                    }
-                }
-                CloudResponse::Machines(names.clone())
+            CloudRequest::Provision(request) => self.provision(request),
+            CloudRequest::Release(released) => self.release_machines(released),
+        }
+    }
+
+    fn provision(&mut self, request: &ProvisionRequest) -> CloudResponse {
+        if let Some(provisioned) = self.cloud.provisioned.get(&request.request_name) {
+            return CloudResponse::Machines(provisioned.clone());
+        }
+        if request.spot && self.faults.no_spot {
+            return CloudResponse::NoCapacity;
+        }
+        let free = self.capacity.saturating_sub(self.workers.len());
+        let count = free.min(request.count as usize);
+        if count == 0 {
+            return CloudResponse::NoCapacity;
+        }
+        let machines = (0..count)
+            .map(|_| self.machine(&request.zone, request.spot, self.boot_ms))
+            .collect();
+        let provisioned = MachineIds { machines };
+        self.cloud
+            .provisioned
+            .insert(request.request_name.clone(), provisioned.clone());
+        CloudResponse::Machines(provisioned)
+    }
+
+    fn release_machines(&mut self, released: &MachineIds) -> CloudResponse {
+        for id in &released.machines {
+            if self.workers.remove(id).is_some() {
+                self.released_machines.push(id.clone());
             }
         }
+        CloudResponse::Machines(released.clone())
     }
 
     /// Whether the cloud's rate admits a request. A list is as many calls as it has pages.
@@ -59,40 +85,27 @@
         let Some(rate) = &mut self.cloud_rate else {
             return true;
         };
-        let admitted = rate.available(Time(self.now)) >= calls;
-        if admitted {
+        let is_admitted = rate.available(Time(self.now)) >= calls;
+        if is_admitted {
             rate.take(calls);
         } else {
             self.usage.refused += 1;
         }
-        admitted
+        is_admitted
     }
 
+    /// The pages of the list of machines. Machines are missing from it for a while after they were provisioned.
     fn machine_list(&self) -> Vec<MachineList> {
-        let listed =
-            |(_, worker): &(&MachineId, &Worker)| self.now >= worker.rented_at + self.list_lag_ms;
-        let machines = self.workers.iter().filter(listed);
-        let machines: Vec<ListedMachine> = machines
-            .map(|(id, worker)| ListedMachine {
-                id: id.clone(),
-                machine_type: "m4".into(),
-                zone: worker.zone.clone(),
-                spot: worker.spot,
-                state: if self.now >= worker.up_at {
-                    ListedState::Running
-                } else {
-                    ListedState::Starting
-                },
-                age_s: (self.now - worker.rented_at) as f64 / 1_000.0,
-            })
-            .collect();
-        let mut pages: Vec<MachineList> = machines
-            .chunks(MACHINE_LIST_PAGE)
-            .map(|page| MachineList {
-                machines: page.to_vec(),
-                more: true,
-            })
+        let workers = self.workers.iter();
+        let machines: Vec<ListedMachine> = workers
+            .filter(|(_, worker)| self.now >= worker.rented_at + self.list_lag_ms)
+            .map(|(id, worker)| self.listed_machine(id, worker))
             .collect();
+        let page = |machines: &[ListedMachine]| MachineList {
+            machines: machines.to_vec(),
+            more: true,
+        };
+        let mut pages: Vec<MachineList> = machines.chunks(MACHINE_LIST_PAGE).map(page).collect();
         match pages.last_mut() {
             Some(last) => last.more = false,
             None => pages.push(MachineList {
@@ -103,29 +116,28 @@
         pages
     }
 
-    /// Makes a machine that is up after so long.
+    fn listed_machine(&self, id: &MachineId, worker: &Worker) -> ListedMachine {
+        ListedMachine {
+            id: id.clone(),
+            machine_type: "m4".into(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            state: if self.now >= worker.up_at {
+                ListedState::Running
+            } else {
+                ListedState::Starting
+            },
+            age_s: (self.now - worker.rented_at) as f64 / 1_000.0,
+        }
+    }
+
+    /// Creates a machine that has booted after so long.
     pub fn machine(&mut self, zone: &str, spot: bool, boot_ms: u64) -> MachineId {
-        let id = MachineId(format!("i-{:06}", self.machines_made));
-        self.machines_made += 1;
+        let id = MachineId(format!("i-{:06}", self.cloud.machines_created));
+        self.cloud.machines_created += 1;
         let up_at = (self.now + boot_ms).next_multiple_of(self.worker_step_ms);
-        self.workers.insert(
-            id.clone(),
-            Worker {
-                zone: zone.to_owned(),
-                spot,
-                incarnation: 1,
-                sequence: 0,
-                fencing_token: Epoch(0),
-                tasks: BTreeMap::new(),
-                controller: 0,
-                last_answered_at: up_at,
-                heartbeat_in_flight: None,
-                next_heartbeat_at: up_at,
-                hung: false,
-                up_at,
-                rented_at: self.now,
-            },
-        );
+        let worker = Worker::new(zone, spot, self.now, up_at);
+        self.workers.insert(id.clone(), worker);
         self.schedule_at(up_at, SimulationEvent::WorkerStep(id.clone()));
         id
     }
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -1,4 +1,5 @@
-//! A digest of everything that controllers send and receive, and of the verdict on the day.
+//! A digest of everything that controllers send and receive, and of the verdict on the day. The cluster feeds it
+//! while it runs.
 //!
 //! Two versions of the program that behave alike and write the same bytes have the same digests for the same
 //! seeds. The digest covers, for each message, the time, the controller, the direction, the kind of the message and
@@ -14,7 +15,7 @@
 use worksshunt_wire::key_value::{Conflict, Lease, StoreRevision};
 use worksshunt_wire::Revision;
 
-use super::*;
+use crate::Failure;
 
 /// The finished digest of a day.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -72,23 +73,23 @@
         self.hash.update(bytes);
     }
 
-    fn message(&mut self, at_ms: u64, node: usize, message: &Message) {
+    fn message(&mut self, at_ms: u64, controller: usize, message: &Message) {
         self.messages += 1;
         self.hash.update(at_ms.to_le_bytes());
-        self.hash.update((node as u64).to_le_bytes());
+        self.hash.update((controller as u64).to_le_bytes());
         self.field(message.kind.as_bytes());
         self.field(&message.bytes);
     }
 
     /// Adds what a controller sends.
-    pub(super) fn sent(&mut self, at_ms: u64, node: usize, action: &Action) {
-        self.message(at_ms, node, &action_message(action));
+    pub(crate) fn sent(&mut self, at_ms: u64, controller: usize, action: &Action) {
+        self.message(at_ms, controller, &action_message(action));
     }
 
     /// Adds what reaches a controller. The passing of time is no message.
-    pub(super) fn received(&mut self, at_ms: u64, node: usize, event: &Event) {
+    pub(crate) fn received(&mut self, at_ms: u64, controller: usize, event: &Event) {
         if let Some(message) = event_message(event) {
-            self.message(at_ms, node, &message);
+            self.message(at_ms, controller, &message);
         }
     }
 
--- a/crates/worksshunt-simulation/src/fixtures.rs
+++ b/crates/worksshunt-simulation/src/fixtures.rs
@@ -5,6 +5,8 @@
 use worksshunt_wire::settings::Settings;
 use worksshunt_wire::JobId;
 
+use crate::MACHINE_CPUS;
+
 /// Settings of one of three controllers of a small deployment.
 pub fn settings(name: usize) -> Settings {
     let peer = |n: usize| json!({"host_name": format!("n{n}"), "site": "a", "endpoint": format!("10.0.0.{n}:1")});
@@ -29,10 +31,10 @@
 }
 
 /// Settings of one of three controllers of a deployment of so many machines. Teams and sockets grow with it;
-/// the limits of the state service and the cloud are those of the users' deployments of 1,200 machines.
+/// the limits of the key-value store and the cloud are those of the users' deployments of 1,200 machines.
 pub fn large_settings(name: usize, machines: usize) -> Settings {
     let mut settings = settings(name);
-    let cpus = machines as f64 * super::MACHINE_CPUS;
+    let cpus = machines as f64 * MACHINE_CPUS;
     for team in &mut settings.facts.teams {
         let share = if team.name.0 == "red" { 0.25 } else { 0.5 };
         team.cpus = cpus * share / 2.0;
@@ -49,7 +51,7 @@
     settings
 }
 
-pub(super) fn catalog(ready_s: f64) -> Catalog {
+pub(crate) fn catalog(ready_s: f64) -> Catalog {
     serde_json::from_value(json!({"Modelos": [
         {"Name": "m4", "Cores": 4, "Gpus": 0, "RamGb": 16, "Rate": 1.0, "LowPrice": 0.4,
          "ReadyS": ready_s, "PullGbPerS": 1.0, "Patios": ["a", "b"]}
--- /dev/null
+++ b/crates/worksshunt-simulation/src/heartbeats.rs
@@ -0,0 +1,245 @@
+//! Heartbeats on their way from workers to controllers, their copies, and the responses to them.
+
+use worksshunt_core::controller::Event;
+use worksshunt_core::job_api::HttpResponse;
+use worksshunt_wire::worker::{Heartbeat, HeartbeatResponse, Redirect};
+use worksshunt_wire::MachineId;
+
+use crate::events::{ControllerRun, SentHeartbeat, SimulationEvent};
+use crate::links::Link;
+use crate::network::PendingRequest;
+use crate::workers::Worker;
+use crate::{Cluster, CONTROLLERS, HEARTBEAT_DEADLINE_MS, INSPECTION_INTERVAL_MS};
+
+/// When a worker whose leader has changed sends its next heartbeat, ms.
+const NEW_EPOCH_HEARTBEAT_MS: u64 = 500;
+/// How long a worker waits before it tries another controller, ms.
+const NEXT_CONTROLLER_WAIT_MS: u64 = 1_000;
+
+/// HTTP status of a response to a heartbeat.
+const STATUS_OK: u16 = 200;
+/// HTTP status of a response that names another controller to report to.
+const STATUS_MISDIRECTED: u16 = 421;
+
+impl Cluster {
+    /// Puts a heartbeat on its way to the controller to which its worker reports, with the copies that the faults ask
+    /// for.
+    pub(crate) fn send_heartbeat(&mut self, controller: usize, heartbeat: Heartbeat) {
+        let now = self.now;
+        let sent = SentHeartbeat {
+            machine: heartbeat.machine.clone(),
+            incarnation: heartbeat.incarnation.0,
+            sequence: heartbeat.sequence,
+            sent_at: now,
+        };
+        let slow_ms = self.faults.slow_heartbeats_ms.get(&sent.machine).copied();
+        let deadline = SimulationEvent::HeartbeatDeadline(sent);
+        self.schedule_at(now + HEARTBEAT_DEADLINE_MS, deadline);
+        if self.faults.heartbeat_copies_for_next_leader {
+            self.copies_for_next_leader.push(heartbeat.clone());
+        }
+        for after_ms in self.faults.heartbeat_copies_after_ms.clone() {
+            self.schedule_copies(now + after_ms, &heartbeat);
+        }
+        let arrives_at = self.arrival_time(Link::Worker(controller)) + slow_ms.unwrap_or_default();
+        let arrival = SimulationEvent::HeartbeatArrives {
+            to: controller,
+            heartbeat,
+            sent_at: now,
+        };
+        self.schedule_at(arrives_at, arrival);
+    }
+
+    /// Schedules a copy of a heartbeat for each controller.
+    fn schedule_copies(&mut self, due_at: u64, heartbeat: &Heartbeat) {
+        for to in 0..CONTROLLERS {
+            let heartbeat = heartbeat.clone();
+            self.schedule_at(
+                due_at,
+                SimulationEvent::HeartbeatCopyArrives { to, heartbeat },
+            );
+        }
+    }
+
+    /// Once a new epoch has begun, the copies kept for its leader reach all controllers.
+    pub(crate) fn deliver_copies_to_next_leader(&mut self) {
+        let epoch = self.epoch();
+        if epoch == self.copies_epoch {
+            return;
+        }
+        self.copies_epoch = epoch;
+        for heartbeat in std::mem::take(&mut self.copies_for_next_leader) {
+            for _ in 0..CONTROLLERS {
+                self.record_effect("copy for the next leader");
+            }
+            self.schedule_copies(self.now, &heartbeat);
+        }
+    }
+
+    pub(crate) fn heartbeat_arrives(&mut self, to: usize, heartbeat: Heartbeat, sent_at: u64) {
+        let id = heartbeat.machine.clone();
+        if self.faults.hold_heartbeats.contains(&id) {
+            self.held_heartbeats.push(heartbeat);
+            return;
+        }
+        if self.faults.silent_machines.contains(&id) || !self.is_linked(&id, to) {
+            self.record_effect("lost heartbeat");
+            return;
+        }
+        let sent = SentHeartbeat {
+            machine: id,
+            incarnation: heartbeat.incarnation.0,
+            sequence: heartbeat.sequence,
+            sent_at,
+        };
+        let is_reached = !self.faults.cut_from_workers.contains(&to);
+        let Some(receiver) = self.current_run(to).filter(|_| is_reached) else {
+            if self.awaits_response(&sent) {
+                self.try_next_controller(&sent.machine);
+            }
+            return;
+        };
+        self.dispatch_heartbeat(receiver, &heartbeat, Some(PendingRequest::Heartbeat(sent)));
+    }
+
+    /// A copy of a heartbeat reaches a controller. Nobody waits for the response.
+    pub(crate) fn heartbeat_copy_arrives(&mut self, to: usize, heartbeat: &Heartbeat) {
+        if let Some(receiver) = self.current_run(to) {
+            self.record_effect("heartbeat copy");
+            self.dispatch_heartbeat(receiver, heartbeat, None);
+        }
+    }
+
+    fn dispatch_heartbeat(
+        &mut self,
+        to: ControllerRun,
+        heartbeat: &Heartbeat,
+        pending: Option<PendingRequest>,
+    ) {
+        let request = self.pending_requests.next_id();
+        if let Some(pending) = pending {
+            self.pending_requests.insert(to, request, pending);
+        }
+        let body = serde_json::to_vec(heartbeat).expect("JSON");
+        self.dispatch(to, Event::Heartbeat(request, body));
+    }
+
+    /// The time of a worker's heartbeat is over. A worker that hangs notices when it goes on.
+    pub(crate) fn heartbeat_deadline(&mut self, sent: SentHeartbeat) {
+        let is_hung = self.workers.get(&sent.machine).map(|worker| worker.hung);
+        match is_hung.filter(|_| self.awaits_response(&sent)) {
+            Some(true) => {
+                let check_at = self.now + INSPECTION_INTERVAL_MS;
+                self.schedule_at(check_at, SimulationEvent::HeartbeatDeadline(sent));
+            }
+            Some(false) => self.try_next_controller(&sent.machine),
+            None => {}
+        }
+    }
+
+    /// Whether a worker still waits for the response to that heartbeat.
+    fn awaits_response(&self, sent: &SentHeartbeat) -> bool {
+        let awaits = |worker: &Worker| {
+            worker.incarnation == sent.incarnation
+                && worker.heartbeat_in_flight == Some(sent.sequence)
+        };
+        self.workers.get(&sent.machine).is_some_and(awaits)
+    }
+
+    fn try_next_controller(&mut self, id: &MachineId) {
+        let now = self.now;
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.controller = (worker.controller + 1) % CONTROLLERS;
+            worker.heartbeat_in_flight = None;
+            worker.next_heartbeat_at = now + NEXT_CONTROLLER_WAIT_MS;
+        }
+    }
+
+    pub(crate) fn heartbeat_response_arrives(
+        &mut self,
+        sent: &SentHeartbeat,
+        response: &HttpResponse,
+    ) {
+        let id = &sent.machine;
+        if let Ok(body) = serde_json::from_str::<HeartbeatResponse>(&response.body) {
+            self.record_launches(id, &body.commands);
+        }
+        let now = self.now;
+        if !self.awaits_response(sent) {
+            return;
+        }
+        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.hung) else {
+            return;
+        };
+        worker.heartbeat_in_flight = None;
+        if self.faults.unreachable_machines.contains(id) {
+            // The worker gives up on the lost response after a while.
+            self.record_effect("lost response");
+            return;
+        }
+        match response.status {
+            STATUS_OK => {
+                let body: HeartbeatResponse = serde_json::from_str(&response.body).expect("JSON");
+                worker.accept_response(now, sent.sent_at, &body);
+            }
+            STATUS_MISDIRECTED => {
+                let redirect: Redirect = serde_json::from_str(&response.body).expect("JSON");
+                let name = redirect.report_to.expect("a controller").0;
+                worker.controller = name[1..].parse().expect("a number");
+                worker.next_heartbeat_at = now;
+            }
+            _ => self.try_next_controller(id),
+        }
+    }
+
+    /// Delivers a heartbeat to a controller once more.
+    pub fn deliver_copy(&mut self, controller: usize, heartbeat: Heartbeat) {
+        let to = controller;
+        let arrival = SimulationEvent::HeartbeatCopyArrives { to, heartbeat };
+        self.schedule_at(self.now, arrival);
+        self.run(10);
+    }
+
+    /// A machine's heartbeat as it would be now.
+    ///
+    /// # Panics
+    ///
+    /// There is no such machine.
+    pub fn heartbeat_of(&mut self, id: &MachineId) -> Heartbeat {
+        let worker = self.workers.get_mut(id).expect("a worker");
+        worker.next_heartbeat(id)
+    }
+
+    /// The heartbeats held back reach these controllers now. Returns how many there were.
+    pub fn release_heartbeats(&mut self, controllers: &[usize]) -> usize {
+        let held = std::mem::take(&mut self.held_heartbeats);
+        for heartbeat in &held {
+            for to in controllers {
+                self.record_effect("held heartbeat");
+                let arrival = SimulationEvent::HeartbeatCopyArrives {
+                    to: *to,
+                    heartbeat: heartbeat.clone(),
+                };
+                self.schedule_at(self.now, arrival);
+            }
+        }
+        held.len()
+    }
+}
+
+impl Worker {
+    /// Renews the lease and executes the commands, unless the response is of an earlier epoch.
+    fn accept_response(&mut self, now: u64, sent_at: u64, response: &HeartbeatResponse) {
+        if response.fencing_token < self.fencing_token {
+            return;
+        }
+        if response.fencing_token > self.fencing_token {
+            self.fencing_token = response.fencing_token;
+            self.next_heartbeat_at = now + NEW_EPOCH_HEARTBEAT_MS;
+        }
+        self.last_answered_at = self.last_answered_at.max(sent_at);
+        for command in &response.commands {
+            self.execute(command);
+        }
+    }
+}
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -1,25 +1,27 @@
-//! What a scenario can look up in the cluster, or put there.
+//! What scenarios and the inspections look up in the cluster, and what scenarios write to its key-value store.
 
 use std::collections::BTreeSet;
 
 use serde_json::{json, Value};
-use worksshunt_core::controller::KvRequest;
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
 use worksshunt_wire::worker::TaskState;
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
-use super::*;
+use crate::job_audit::ObservedTask;
+use crate::workers::{Task, Worker};
+use crate::{Cluster, LEASE_MS};
 
 impl Cluster {
     /// A key's value in the store.
     pub fn stored(&self, key: &str) -> Option<&Value> {
-        self.key_value_store
+        self.key_value
+            .store
             .keys
             .get(key)
-            .map(|(value, _, _)| value)
+            .map(|stored| &stored.value)
     }
 
-    /// Puts a value into the store, as somebody else would.
+    /// Writes a value to the store, as another client would.
     pub fn put(&mut self, key: &str, value: Value) {
         let change = Change::Put {
             key: key.to_owned(),
@@ -30,9 +32,7 @@
             expected: Vec::new(),
             changes: vec![change],
         };
-        self.key_value_store
-            .apply(self.now, &KvRequest::CompareAndSwap(write));
-        self.wake_watches();
+        self.write_to_store(write);
     }
 
     /// Removes a key from the store.
@@ -42,24 +42,22 @@
             expected: Vec::new(),
             changes: vec![Change::Delete { key }],
         };
-        self.key_value_store
-            .apply(self.now, &KvRequest::CompareAndSwap(write));
-        self.wake_watches();
+        self.write_to_store(write);
     }
 
-    /// Puts a final state into the store, as of a job long over.
+    /// Writes a final state to the store, as of a job that ended long ago.
     pub fn put_final(&mut self, id: u64) {
         self.put(&format!("f/{}", JobId(id)), json!({ "state": "done" }));
     }
 
-    /// The epoch's number by the store's word.
+    /// The epoch's number according to the store; 0 before the first.
     pub fn epoch(&self) -> u64 {
         self.stored("c/epoch")
-            .and_then(|e| e["number"].as_u64())
+            .and_then(|epoch| epoch["number"].as_u64())
             .unwrap_or(0)
     }
 
-    /// How many attempts were launched on a machine, whether or not it heard of them.
+    /// How many attempts were launched on a machine, whether or not the commands reached it.
     pub fn launches_on(&self, id: &MachineId) -> usize {
         self.launched
             .values()
@@ -75,19 +73,19 @@
             .count()
     }
 
-    /// How many direct orders were sent to a machine.
+    /// How many requests with direct commands were sent to a machine.
     pub fn commands_sent_count(&self, id: &MachineId) -> usize {
         self.commands_sent_to.iter().filter(|to| *to == id).count()
     }
 
     /// The store's revision.
     pub fn revision(&self) -> u64 {
-        self.key_value_store.revision
+        self.key_value.store.revision()
     }
 
-    /// The store's keys that begin so.
+    /// The store's keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        let keys = self.key_value_store.keys.keys();
+        let keys = self.key_value.store.keys.keys();
         keys.filter(|key| key.starts_with(prefix))
             .cloned()
             .collect()
@@ -111,12 +109,12 @@
         self.on_machines().any(|(machine, _)| machine == id)
     }
 
-    /// The session that a machine's worker is in; 0 if it is gone.
+    /// The incarnation of a machine's worker; 0 if it is gone.
     pub fn worker_incarnation(&self, id: &MachineId) -> u64 {
         self.workers.get(id).map_or(0, |worker| worker.incarnation)
     }
 
-    /// Whether a machine's worker waits for the answer to a report.
+    /// Whether a machine's worker waits for the response to a heartbeat.
     pub fn awaits_heartbeat_response(&self, id: &MachineId) -> bool {
         self.workers
             .get(id)
@@ -129,20 +127,20 @@
         here.map(|(_, task)| task.task.job).collect()
     }
 
-    /// Tasks on machines; those of a worker whose lease is over are dead, hung or not.
-    pub(super) fn on_machines(&self) -> impl Iterator<Item = (&MachineId, &Task)> {
+    /// Tasks on machines; those of a worker whose lease has expired are dead, hung or not.
+    pub(crate) fn on_machines(&self) -> impl Iterator<Item = (&MachineId, &Task)> {
         let leased = |worker: &Worker| self.now <= worker.last_answered_at + LEASE_MS;
         self.workers.iter().flat_map(move |(id, worker)| {
             let tasks = worker.tasks.values().filter(move |_| leased(worker));
             tasks
-                .filter(|t| matches!(t.state, TaskState::Running | TaskState::Saving))
-                .map(move |t| (id, t))
+                .filter(|task| matches!(task.state, TaskState::Running | TaskState::Saving))
+                .map(move |task| (id, task))
         })
     }
 
-    /// What is on machines, as the rules see it.
-    pub(super) fn observed_tasks(&self) -> Vec<ObservedTask<'_>> {
-        let seen = |(machine, task): (_, &Task)| {
+    /// What is on machines, as the invariants see it.
+    pub(crate) fn observed_tasks(&self) -> Vec<ObservedTask<'_>> {
+        let observed = |(machine, task): (_, &Task)| {
             let worker: &Worker = &self.workers[machine];
             ObservedTask {
                 task: task.task,
@@ -151,6 +149,6 @@
                 spot: worker.spot,
             }
         };
-        self.on_machines().map(seen).collect()
+        self.on_machines().map(observed).collect()
     }
 }
--- a/crates/worksshunt-simulation/src/job_audit.rs
+++ b/crates/worksshunt-simulation/src/job_audit.rs
@@ -40,12 +40,12 @@
 
 impl JobAudit {
     /// Counts what is there.
-    pub fn new(at: u64, on: &[ObservedTask]) -> JobAudit {
+    pub fn new(at: u64, on_machines: &[ObservedTask]) -> JobAudit {
         let mut audit = JobAudit {
             at,
             by_job: BTreeMap::new(),
         };
-        on.iter().for_each(|seen| audit.add(seen));
+        on_machines.iter().for_each(|task| audit.add(task));
         audit
     }
 
@@ -55,15 +55,15 @@
     }
 
     /// Adds a task that has started since.
-    pub fn add(&mut self, seen: &ObservedTask) {
+    pub fn add(&mut self, observed: &ObservedTask) {
         self.by_job
-            .entry(seen.task.job)
+            .entry(observed.task.job)
             .or_default()
             .push(AuditedTask {
-                task: seen.task,
-                machine: seen.machine.clone(),
-                zone: seen.zone.to_owned(),
-                spot: seen.spot,
+                task: observed.task,
+                machine: observed.machine.clone(),
+                zone: observed.zone.to_owned(),
+                spot: observed.spot,
             });
     }
 
@@ -74,6 +74,6 @@
 
     /// Jobs with tasks on machines, and how many.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobId, usize)> {
-        self.by_job.iter().map(|(id, on)| (id, on.len()))
+        self.by_job.iter().map(|(id, tasks)| (id, tasks.len()))
     }
 }
--- a/crates/worksshunt-simulation/src/links.rs
+++ b/crates/worksshunt-simulation/src/links.rs
@@ -1,15 +1,15 @@
-//! How long messages take.
+//! How long messages take; called for each message that is sent.
 //!
-//! Every message's delay is drawn on its own. On one connection there is one request at a time, and one that is
-//! given up is closed, so nothing else has to keep messages of one connection in order. Messages on different
-//! connections overtake each other.
+//! The delay of every message is drawn independently. A connection carries one request at a time and is closed when
+//! the request is given up, so messages of one connection need no other ordering. Messages on different connections
+//! overtake each other.
 
-use super::*;
+use crate::Cluster;
 
-/// Between whom a message passes.
+/// The ends of a connection.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Link {
-    /// A controller and a machine, either way.
+pub(crate) enum Link {
+    /// A controller and a machine, in either direction.
     Worker(usize),
     /// Anything else.
     Other,
@@ -20,8 +20,8 @@
 pub struct SlowLinks {
     /// The share of these messages.
     pub share: f64,
-    /// How much longer they take at the most, ms.
-    pub most_ms: u64,
+    /// The most that they take longer, ms.
+    pub max_extra_ms: u64,
 }
 
 /// Spread of the arrivals of messages that were held back, ms.
@@ -29,25 +29,25 @@
 
 impl Cluster {
     /// When a message that is sent now arrives.
-    pub(super) fn arrival_time(&mut self, link: Link) -> u64 {
-        let mut at = self.now + self.link_delay_ms;
+    pub(crate) fn arrival_time(&mut self, link: Link) -> u64 {
+        let mut arrives_at = self.now + self.link_delay_ms;
         if self.jitter_ms > 0 {
-            at += self.rng.u64(0..=self.jitter_ms);
+            arrives_at += self.rng.u64(0..=self.jitter_ms);
         }
-        let Link::Worker(node) = link else {
-            return at;
+        let Link::Worker(controller) = link else {
+            return arrives_at;
         };
         if let Some(slow) = self.faults.slow_links {
             if self.rng.f64() < slow.share {
                 self.record_effect("slow message");
-                at += self.rng.u64(0..=slow.most_ms);
+                arrives_at += self.rng.u64(0..=slow.max_extra_ms);
             }
         }
-        let held_until = self.faults.held_until.get(&node).copied();
-        if let Some(until) = held_until.filter(|until| at < *until) {
+        let held_until = self.faults.held_until.get(&controller).copied();
+        if let Some(until) = held_until.filter(|until| arrives_at < *until) {
             self.record_effect("held message");
-            at = until + self.rng.u64(0..=RELEASE_SPREAD_MS);
+            arrives_at = until + self.rng.u64(0..=RELEASE_SPREAD_MS);
         }
-        at
+        arrives_at
     }
 }
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -1,303 +1,154 @@
-//! What passes between controllers, services and workers, and when.
+//! Messages that controllers send: what each of their actions puts on its way, and the requests that wait for a
+//! response of a controller.
+//!
+//! [`Cluster::dispatch`] calls [`Cluster::perform`] for each action. How long a message takes is in `links.rs`; what
+//! happens on its arrival is in the file of its receiver.
+
+use std::collections::BTreeMap;
 
-use worksshunt_core::constants::partition_sync::{MAX_FRAME_BYTES, SYNC_DEADLINE_MS};
-use worksshunt_core::constants::timers::TICK_MS;
 use worksshunt_core::constants::workers::DIRECT_COMMAND_DEADLINE_MS;
-use worksshunt_core::controller::{Action, Event, KvRequest};
-use worksshunt_core::job_api::RequestId;
-use worksshunt_core::machines::DirectCommandsOutcome;
+use worksshunt_core::controller::Action;
+use worksshunt_core::job_api::{HttpResponse, RequestId};
+use worksshunt_core::machines::DirectCommands;
 use worksshunt_core::time::Time;
-use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 use worksshunt_wire::MachineId;
 
-use super::*;
+use crate::events::{ControllerRun, KeyValueCaller, SentHeartbeat, SimulationEvent};
+use crate::invariants::JobQuery;
+use crate::links::Link;
+use crate::Cluster;
+
+/// How long the cloud takes beside the time on the network, ms.
+const CLOUD_PROCESSING_MS: u64 = 100;
+
+/// Who waits for a controller's response to a request.
+pub(crate) enum PendingRequest {
+    /// A user; the response goes to this slot.
+    User { slot: usize, query: JobQuery },
+    /// A worker.
+    Heartbeat(SentHeartbeat),
+    /// Another controller.
+    Peer(ControllerRun),
+}
+
+/// A request that a controller has received.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ReceivedRequest {
+    pub(crate) by: ControllerRun,
+    pub(crate) id: RequestId,
+}
+
+/// Requests that controllers have received and not responded to.
+#[derive(Default)]
+pub(crate) struct PendingRequests {
+    last_id: u64,
+    waiting: BTreeMap<ReceivedRequest, PendingRequest>,
+}
+
+impl PendingRequests {
+    /// An identifier that no other request of the cluster has.
+    pub(crate) fn next_id(&mut self) -> RequestId {
+        self.last_id += 1;
+        RequestId(self.last_id)
+    }
+
+    pub(crate) fn insert(&mut self, by: ControllerRun, id: RequestId, request: PendingRequest) {
+        self.waiting.insert(ReceivedRequest { by, id }, request);
+    }
+
+    pub(crate) fn remove(&mut self, by: ControllerRun, id: RequestId) -> Option<PendingRequest> {
+        self.waiting.remove(&ReceivedRequest { by, id })
+    }
+
+    /// Removes the request with that identifier that a peer sent; whether it was there.
+    pub(crate) fn remove_peer_request(&mut self, from: ControllerRun, id: RequestId) -> bool {
+        let sent_by_peer = |(key, request): &(&ReceivedRequest, &PendingRequest)| {
+            key.id == id && matches!(request, PendingRequest::Peer(sender) if *sender == from)
+        };
+        let found = self.waiting.iter().find(sent_by_peer).map(|(key, _)| *key);
+        found.is_some_and(|key| self.waiting.remove(&key).is_some())
+    }
+}
 
 impl Cluster {
-    pub(super) fn perform(&mut self, node: usize, incarnation: u64, steady: Time, action: Action) {
+    /// Carries out what a controller has decided. `clock` is its own time when it did.
+    pub(crate) fn perform(&mut self, from: ControllerRun, clock: Time, action: Action) {
         if let Some(digest) = &mut self.digest {
-            digest.sent(self.now, node, &action);
+            digest.sent(self.now, from.index, &action);
         }
         match action {
-            Action::CallKeyValueStore(tag, op, deadline_ms) => {
-                let what = SimulationEvent::KeyValueRequestArrives(
-                    node,
-                    incarnation,
-                    tag,
-                    op,
-                    steady,
-                    self.now + deadline_ms,
-                );
-                let arrives = self.arrival_time(Link::Other);
-                self.schedule_at(arrives, what);
+            Action::CallKeyValueStore(purpose, request, deadline_ms) => {
+                let caller = KeyValueCaller {
+                    run: from,
+                    purpose,
+                    sent_at: clock,
+                    deadline_at: self.now + deadline_ms,
+                };
+                let arrives_at = self.arrival_time(Link::Other);
+                let arrival = SimulationEvent::KeyValueRequestArrives { caller, request };
+                self.schedule_at(arrives_at, arrival);
             }
             Action::CallCloud(request) => {
-                let arrives = self.arrival_time(Link::Other) + 100;
-                self.schedule_at(
-                    arrives,
-                    SimulationEvent::CloudRequestArrives(node, incarnation, request),
-                );
-            }
-            Action::SendCommands(orders) => {
-                self.usage.orders += 1;
-                let until = self.now + DIRECT_COMMAND_DEADLINE_MS;
-                let arrives = self.arrival_time(Link::Worker(node));
-                if arrives > until {
-                    self.commands_timed_out(node, incarnation, orders.clone(), until);
-                    self.schedule_at(arrives, SimulationEvent::LateCommandsArrive(node, orders));
-                } else {
-                    self.schedule_at(
-                        arrives,
-                        SimulationEvent::CommandsArrive(node, incarnation, orders, until),
-                    );
-                }
-            }
-            Action::SendToPeer(to, request) => {
-                let to: usize = to.0[1..].parse().expect("a number");
-                let id = self.request();
-                if let PeerRequest::Sync(_) = request {
-                    let silence = SimulationEvent::PeerDeadline(node, incarnation, id.0);
-                    self.schedule_at(self.now + SYNC_DEADLINE_MS, silence);
-                    if self.usage.sync(&request) > MAX_FRAME_BYTES {
-                        // Its reader refuses it, and it is not answered.
-                        self.usage.frames_dropped += 1;
-                        let event = Box::new(Event::PeerResponse(None));
-                        let when = self.now + SYNC_DEADLINE_MS;
-                        self.schedule_at(when, SimulationEvent::Dispatch(node, incarnation, event));
-                        return;
-                    }
-                }
-                let arrives = self.arrival_time(Link::Other);
-                self.schedule_at(
-                    arrives,
-                    SimulationEvent::PeerRequestArrives(node, incarnation, to, id, request),
-                );
-            }
-            Action::RespondToPeer(request, answer) => {
-                self.answer_peer(node, incarnation, request, answer)
-            }
-            Action::Respond(request, reply) => {
-                match self.pending_requests.remove(&(node, incarnation, request)) {
-                    Some(PendingRequest::User(slot, question)) => {
-                        self.user_answered(slot, &question, reply)
-                    }
-                    Some(PendingRequest::Heartbeat(machine, incarnation, sequence, sent)) => {
-                        let arrives = self.arrival_time(Link::Worker(node));
-                        let what = SimulationEvent::HeartbeatResponseArrives(
-                            machine,
-                            incarnation,
-                            sequence,
-                            sent,
-                            reply,
-                        );
-                        self.schedule_at(arrives, what);
-                    }
-                    _ => {}
-                }
-            }
+                let arrives_at = self.arrival_time(Link::Other) + CLOUD_PROCESSING_MS;
+                let arrival = SimulationEvent::CloudRequestArrives { from, request };
+                self.schedule_at(arrives_at, arrival);
+            }
+            Action::SendCommands(commands) => self.send_commands(from, commands),
+            Action::SendToPeer(to, request) => self.send_to_peer(from, &to, request),
+            Action::RespondToPeer(request, answer) => self.respond_to_peer(from, request, answer),
+            Action::Respond(request, response) => self.respond(from, request, response),
         }
     }
 
-    pub(super) fn node_in_cut_zone(&self, node: usize) -> bool {
-        let cut = self.faults.partitioned_zone.as_ref();
-        cut.is_some_and(|(_, inside)| inside.contains(&node))
-    }
-
-    /// Whether packets pass between a machine and a controller.
-    pub(super) fn linked(&self, id: &MachineId, node: usize) -> bool {
-        let Some((zone, inside)) = &self.faults.partitioned_zone else {
-            return true;
-        };
-        let in_zone = self.workers.get(id).is_some_and(|w| w.zone == *zone);
-        in_zone == inside.contains(&node)
+    fn send_commands(&mut self, from: ControllerRun, commands: DirectCommands) {
+        self.usage.command_requests += 1;
+        let deadline_at = self.now + DIRECT_COMMAND_DEADLINE_MS;
+        let arrives_at = self.arrival_time(Link::Worker(from.index));
+        if arrives_at > deadline_at {
+            self.commands_timed_out(from, commands.clone(), deadline_at);
+            let from = from.index;
+            let arrival = SimulationEvent::LateCommandsArrive { from, commands };
+            self.schedule_at(arrives_at, arrival);
+        } else {
+            let arrival = SimulationEvent::CommandsArrive {
+                from,
+                commands,
+                deadline_at,
+            };
+            self.schedule_at(arrives_at, arrival);
+        }
     }
 
-    /// A controller hears by its deadline that its orders were not answered.
-    fn commands_timed_out(
-        &mut self,
-        node: usize,
-        incarnation: u64,
-        orders: DirectCommands,
-        until: u64,
-    ) {
-        let event = Box::new(Event::CommandsAnswered(
-            orders,
-            DirectCommandsOutcome::NoAnswer,
-        ));
-        self.schedule_at(until, SimulationEvent::Dispatch(node, incarnation, event));
+    /// A response to a user or to a worker's heartbeat.
+    fn respond(&mut self, from: ControllerRun, request: RequestId, response: HttpResponse) {
+        match self.pending_requests.remove(from, request) {
+            Some(PendingRequest::User { slot, query }) => {
+                self.user_answered(slot, &query, response);
+            }
+            Some(PendingRequest::Heartbeat(to)) => {
+                let arrives_at = self.arrival_time(Link::Worker(from.index));
+                let arrival = SimulationEvent::HeartbeatResponseArrives { to, response };
+                self.schedule_at(arrives_at, arrival);
+            }
+            Some(PendingRequest::Peer(_)) | None => {}
+        }
     }
 
-    pub(super) fn answer_peer(
-        &mut self,
-        node: usize,
-        incarnation: u64,
-        request: RequestId,
-        answer: PeerResponse,
-    ) {
-        if let Some(PendingRequest::Peer(asker, asker_life, _)) =
-            self.pending_requests.remove(&(node, incarnation, request))
-        {
-            let event = Box::new(match answer {
-                PeerResponse::KeyValueHealth(well) => Event::PeerKeyValueHealth(well),
-                PeerResponse::KnownEpoch(known) => {
-                    Event::PeerKnownEpoch(format!("n{node}").as_str().into(), known)
-                }
-                answer => Event::PeerResponse(Some(answer)),
-            });
-            let what = SimulationEvent::Dispatch(asker, asker_life, event);
-            let arrives = self.arrival_time(Link::Other);
-            self.schedule_at(arrives, what);
-        }
+    /// Whether a controller is inside a zone that is partitioned from the rest.
+    pub(crate) fn is_in_partitioned_zone(&self, controller: usize) -> bool {
+        let partition = self.faults.partitioned_zone.as_ref();
+        partition.is_some_and(|partition| partition.controllers.contains(&controller))
     }
 
-    pub(super) fn apply_event(&mut self, what: SimulationEvent) {
-        match what {
-            SimulationEvent::Tick(node, incarnation) => {
-                let alive = self.nodes[node]
-                    .as_ref()
-                    .is_some_and(|n| n.incarnation == incarnation);
-                if alive {
-                    self.dispatch(node, incarnation, Event::Tick);
-                    self.schedule_at(self.now + TICK_MS, SimulationEvent::Tick(node, incarnation));
-                }
-            }
-            SimulationEvent::Dispatch(node, incarnation, event) => {
-                self.dispatch(node, incarnation, *event)
-            }
-            SimulationEvent::KeyValueRequestArrives(node, incarnation, tag, op, sent, until) => {
-                self.key_value_request(node, incarnation, tag, op, sent, until);
-            }
-            SimulationEvent::CloudRequestArrives(node, incarnation, request) => {
-                let reply = self.cloud_request(&request);
-                let event = Box::new(Event::CloudResponse(request, reply));
-                let arrives = self.arrival_time(Link::Other);
-                self.schedule_at(arrives, SimulationEvent::Dispatch(node, incarnation, event));
-            }
-            SimulationEvent::PeerRequestArrives(node, incarnation, to, id, request) => {
-                let cut = &self.faults.cut_from_peers;
-                let reached = !cut.contains(&node)
-                    && !cut.contains(&to)
-                    && self.node_in_cut_zone(node) == self.node_in_cut_zone(to);
-                let to_life = self.nodes[to].as_ref().map(|n| n.incarnation);
-                let Some(to_life) = to_life.filter(|_| reached) else {
-                    if let PeerRequest::Sync(_) = request {
-                        let event = Box::new(Event::PeerResponse(None));
-                        let when = self.now + SYNC_DEADLINE_MS;
-                        self.schedule_at(when, SimulationEvent::Dispatch(node, incarnation, event));
-                    }
-                    return;
-                };
-                self.pending_requests.insert(
-                    (to, to_life, id),
-                    PendingRequest::Peer(node, incarnation, id.0),
-                );
-                self.dispatch(to, to_life, Event::PeerRequest(id, request));
-            }
-            SimulationEvent::PeerDeadline(node, incarnation, id) => {
-                let lost = self
-                    .pending_requests
-                    .iter()
-                    .find(|(_, w)| matches!(w, PendingRequest::Peer(n, l, i) if (*n, *l, *i) == (node, incarnation, id)))
-                    .map(|(key, _)| *key);
-                if let Some(key) = lost {
-                    self.pending_requests.remove(&key);
-                    self.dispatch(node, incarnation, Event::PeerResponse(None));
-                }
-            }
-            SimulationEvent::CommandsArrive(node, incarnation, orders, until) => {
-                self.commands_sent_to.push(orders.machine.clone());
-                let linked = self.linked(&orders.machine, node);
-                let reply = if self.faults.cut_from_workers.contains(&node) || !linked {
-                    DirectCommandsOutcome::NoAnswer
-                } else if self.faults.hold_commands {
-                    self.held_commands.push(orders.clone());
-                    DirectCommandsOutcome::NoAnswer
-                } else {
-                    match self.execute_commands(&orders) {
-                        Some(heartbeat) => DirectCommandsOutcome::Answered(heartbeat),
-                        None => DirectCommandsOutcome::NoAnswer,
-                    }
-                };
-                let arrives = self.arrival_time(Link::Worker(node));
-                if arrives > until {
-                    self.commands_timed_out(node, incarnation, orders, until);
-                } else {
-                    let event = Box::new(Event::CommandsAnswered(orders, reply));
-                    self.schedule_at(arrives, SimulationEvent::Dispatch(node, incarnation, event));
-                }
-            }
-            SimulationEvent::LateCommandsArrive(node, orders) => {
-                let reached = !self.faults.cut_from_workers.contains(&node);
-                if reached && self.linked(&orders.machine, node) {
-                    self.record_effect("late orders");
-                    self.execute_commands(&orders);
-                }
-            }
-            SimulationEvent::WorkerStep(id) => self.step_worker(&id),
-            SimulationEvent::HeartbeatArrives(node, id, heartbeat, sent) => {
-                if self.faults.hold_heartbeats.contains(&id) {
-                    self.held_heartbeats.push(heartbeat);
-                    return;
-                }
-                if self.faults.silent_machines.contains(&id) || !self.linked(&id, node) {
-                    self.record_effect("unheard report");
-                    return;
-                }
-                let reached = !self.faults.cut_from_workers.contains(&node);
-                let Some(incarnation) = self.nodes[node]
-                    .as_ref()
-                    .map(|n| n.incarnation)
-                    .filter(|_| reached)
-                else {
-                    if self.awaits_response(&id, heartbeat.incarnation.0, heartbeat.sequence) {
-                        self.next_node(&id);
-                    }
-                    return;
-                };
-                let request = self.request();
-                let waiting = PendingRequest::Heartbeat(
-                    id,
-                    heartbeat.incarnation.0,
-                    heartbeat.sequence,
-                    sent,
-                );
-                self.pending_requests
-                    .insert((node, incarnation, request), waiting);
-                let body = serde_json::to_vec(&heartbeat).expect("JSON");
-                self.dispatch(node, incarnation, Event::Heartbeat(request, body));
-            }
-            SimulationEvent::CopyArrives(node, heartbeat) => {
-                if let Some(incarnation) = self.nodes[node].as_ref().map(|n| n.incarnation) {
-                    self.record_effect("copy");
-                    let request = self.request();
-                    let body = serde_json::to_vec(&heartbeat).expect("JSON");
-                    self.dispatch(node, incarnation, Event::Heartbeat(request, body));
-                }
-            }
-            SimulationEvent::HeartbeatResponseArrives(id, incarnation, sequence, sent, reply) => {
-                self.heartbeat_answered(&id, incarnation, sequence, sent, &reply);
-            }
-            SimulationEvent::HeartbeatDeadline(id, incarnation, sequence) => {
-                let hung = self.workers.get(&id).map(|worker| worker.hung);
-                match hung.filter(|_| self.awaits_response(&id, incarnation, sequence)) {
-                    // It notices when it goes on.
-                    Some(true) => {
-                        self.schedule_at(
-                            self.now + LOOK_MS,
-                            SimulationEvent::HeartbeatDeadline(id, incarnation, sequence),
-                        );
-                    }
-                    Some(false) => self.next_node(&id),
-                    None => {}
-                }
-            }
-            SimulationEvent::LateWriteArrives(write) => {
-                self.record_effect("late write");
-                self.key_value_store
-                    .apply(self.now, &KvRequest::CompareAndSwap(write));
-                self.wake_watches();
-            }
-            SimulationEvent::Inspect => self.inspect(),
-            SimulationEvent::RunAction(scene) => scene(self),
-        }
+    /// Whether a partition of a zone lets packets pass between a machine and a controller.
+    pub(crate) fn is_linked(&self, id: &MachineId, controller: usize) -> bool {
+        let Some(partition) = &self.faults.partitioned_zone else {
+            return true;
+        };
+        let in_zone = self
+            .workers
+            .get(id)
+            .is_some_and(|worker| worker.zone == partition.zone);
+        in_zone == partition.controllers.contains(&controller)
     }
 }
--- /dev/null
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -0,0 +1,93 @@
+//! Requests between controllers and their responses.
+
+use worksshunt_core::constants::partition_sync::{MAX_FRAME_BYTES, SYNC_DEADLINE_MS};
+use worksshunt_core::controller::Event;
+use worksshunt_core::job_api::RequestId;
+use worksshunt_wire::peer::{PeerRequest, PeerResponse};
+use worksshunt_wire::ControllerName;
+
+use crate::events::{ControllerRun, SimulationEvent};
+use crate::links::Link;
+use crate::network::PendingRequest;
+use crate::Cluster;
+
+impl Cluster {
+    pub(crate) fn send_to_peer(
+        &mut self,
+        from: ControllerRun,
+        to: &ControllerName,
+        request: PeerRequest,
+    ) {
+        let to: usize = to.0[1..].parse().expect("a number");
+        let id = self.pending_requests.next_id();
+        if let PeerRequest::Sync(_) = request {
+            let deadline_at = self.now + SYNC_DEADLINE_MS;
+            self.schedule_at(deadline_at, SimulationEvent::PeerDeadline { from, id });
+            if self.usage.sync(&request) > MAX_FRAME_BYTES {
+                // The receiver refuses the frame and does not respond.
+                self.usage.frames_dropped += 1;
+                self.deliver_at(deadline_at, from, Event::PeerResponse(None));
+                return;
+            }
+        }
+        let arrives_at = self.arrival_time(Link::Other);
+        let arrival = SimulationEvent::PeerRequestArrives {
+            from,
+            to,
+            id,
+            request,
+        };
+        self.schedule_at(arrives_at, arrival);
+    }
+
+    pub(crate) fn peer_request_arrives(
+        &mut self,
+        from: ControllerRun,
+        to: usize,
+        id: RequestId,
+        request: PeerRequest,
+    ) {
+        let cut = &self.faults.cut_from_peers;
+        let is_reached = !cut.contains(&from.index)
+            && !cut.contains(&to)
+            && self.is_in_partitioned_zone(from.index) == self.is_in_partitioned_zone(to);
+        let Some(receiver) = self.current_run(to).filter(|_| is_reached) else {
+            if let PeerRequest::Sync(_) = request {
+                let deadline_at = self.now + SYNC_DEADLINE_MS;
+                self.deliver_at(deadline_at, from, Event::PeerResponse(None));
+            }
+            return;
+        };
+        self.pending_requests
+            .insert(receiver, id, PendingRequest::Peer(from));
+        self.dispatch(receiver, Event::PeerRequest(id, request));
+    }
+
+    pub(crate) fn respond_to_peer(
+        &mut self,
+        from: ControllerRun,
+        request: RequestId,
+        response: PeerResponse,
+    ) {
+        let pending = self.pending_requests.remove(from, request);
+        let Some(PendingRequest::Peer(to)) = pending else {
+            return;
+        };
+        let event = match response {
+            PeerResponse::KeyValueHealth(healthy) => Event::PeerKeyValueHealth(healthy),
+            PeerResponse::KnownEpoch(known) => {
+                Event::PeerKnownEpoch(format!("n{}", from.index).as_str().into(), known)
+            }
+            response => Event::PeerResponse(Some(response)),
+        };
+        let arrives_at = self.arrival_time(Link::Other);
+        self.deliver_at(arrives_at, to, event);
+    }
+
+    /// The sender of a sync request gives up on the response.
+    pub(crate) fn peer_deadline(&mut self, from: ControllerRun, id: RequestId) {
+        if self.pending_requests.remove_peer_request(from, id) {
+            self.dispatch(from, Event::PeerResponse(None));
+        }
+    }
+}
--- a/crates/worksshunt-simulation/src/resource_usage.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -1,4 +1,5 @@
-//! What passes between the members of a cluster, counted.
+//! Counts of the traffic between the members of a cluster, and how long controllers took to handle events. The cluster
+//! counts; measurements and the scale scenarios read and reset.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,36 +14,36 @@
 pub struct ResourceUsage {
     /// Whether bytes are counted too, which costs as much as sending them.
     pub bytes: bool,
-    /// Requests to the state service.
+    /// Requests to the key-value store.
     pub requests: u64,
     /// Keys changed by transactions that were sent.
     pub changes: u64,
     /// Bytes of values in them.
     pub value_bytes: u64,
-    /// Requests that the state service or the cloud refused for their rate.
+    /// Requests that the key-value store or the cloud refused for their rate.
     pub refused: u64,
-    /// Exchanges between owners and the leader.
+    /// Sync requests of partition owners to the leader.
     pub syncs: u64,
-    /// Bytes of their requests.
+    /// Bytes of them.
     pub sync_bytes: u64,
-    /// The largest of them.
-    pub sync_most: usize,
+    /// Bytes of the largest of them.
+    pub max_sync_bytes: usize,
     /// Frames that were too large for the link.
     pub frames_dropped: u64,
     /// Calls of the cloud, each page of a list counted.
     pub cloud_calls: u64,
-    /// Direct orders to workers.
-    pub orders: u64,
-    /// Launches, stops and reaps, in orders and in answers.
+    /// Requests with direct commands to workers.
+    pub command_requests: u64,
+    /// Launch commands, sent directly and in responses to heartbeats.
     pub launches: u64,
-    /// Stops among them.
+    /// Halt commands, sent directly and in responses to heartbeats.
     pub halts: u64,
     /// Time taken by kind of event, if it is measured.
     pub took: Option<BTreeMap<&'static str, Vec<Duration>>>,
 }
 
 impl ResourceUsage {
-    /// Starts anew.
+    /// Sets all counts to zero.
     pub fn reset(&mut self) {
         *self = ResourceUsage {
             bytes: self.bytes,
@@ -51,7 +52,7 @@
         };
     }
 
-    /// The kind of an event, as times are sorted by.
+    /// The kind of an event, by which [`ResourceUsage::took`] is sorted.
     pub(crate) fn kind(event: &Event) -> &'static str {
         match event {
             Event::Tick => "tick",
@@ -77,12 +78,12 @@
         }
     }
 
-    /// Counts an exchange; its bytes.
+    /// Counts a sync request and returns its size, bytes.
     pub(crate) fn sync(&mut self, request: &PeerRequest) -> usize {
         self.syncs += 1;
         let bytes = borsh::to_vec(request).map_or(usize::MAX, |frame| frame.len());
         self.sync_bytes += bytes as u64;
-        self.sync_most = self.sync_most.max(bytes);
+        self.max_sync_bytes = self.max_sync_bytes.max(bytes);
         bytes
     }
 
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -1,180 +1,215 @@
-//! What the users of the cluster do and hear.
+//! Users of the cluster: the requests they send, and the responses they receive.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 use worksshunt_core::controller::Event;
 use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_wire::JobId;
 
-use super::*;
+use crate::invariants::{JobQuery, MAX_SILENCE_MS};
+use crate::network::PendingRequest;
+use crate::{Cluster, CONTROLLERS};
+
+/// When users query all controllers after something new is known of a job, ms, see [`crate::Faults`].
+const RAPID_QUERY_TIMES_MS: [u64; 7] = [0, 1, 4, 9, 25, 70, 300];
+/// How long users wait for a response, ms (protocol).
+const RESPONSE_DEADLINE_MS: u64 = 2_000;
+/// How long users wait before they repeat queries that were not answered, ms.
+const RETRY_WAIT_MS: u64 = 3_000;
+
+/// Responses to users, and what they submitted.
+#[derive(Default)]
+pub(crate) struct Users {
+    /// Responses by slot, in the order of the requests.
+    responses: Vec<Option<HttpResponse>>,
+    /// Submissions as first sent, for repetitions.
+    submissions: BTreeMap<JobId, Vec<u8>>,
+}
+
+impl Users {
+    fn record_submission(&mut self, body: &[u8]) {
+        let job = serde_json::from_slice::<Value>(body).unwrap_or_default();
+        let id = job["Ref"].as_str().and_then(|id| id.parse().ok());
+        if let Some(id) = id {
+            self.submissions.entry(id).or_insert(body.to_vec());
+        }
+    }
+}
 
 impl Cluster {
-    /// Sends a user's request. Its answer will be in the slot returned; one sent to a controller that is
-    /// down gets none.
-    pub fn send(&mut self, node: usize, event: impl FnOnce(RequestId) -> Event) -> usize {
-        let slot = self.user_replies.len();
-        self.user_replies.push(None);
-        let request = self.request();
+    /// Sends a user's request. Its response will be in the slot returned; a request to a controller that is down
+    /// gets none.
+    pub fn send(&mut self, controller: usize, event: impl FnOnce(RequestId) -> Event) -> usize {
+        let slot = self.users.responses.len();
+        self.users.responses.push(None);
+        let request = self.pending_requests.next_id();
         let event = event(request);
         if let Event::Submit(_, body) = &event {
-            let text = serde_json::from_slice::<Value>(body).unwrap_or_default();
-            let id = text["Ref"].as_str().and_then(|id| id.parse().ok());
-            if let Some(id) = id {
-                self.bodies.entry(id).or_insert(body.clone());
-            }
+            self.users.record_submission(body);
         }
-        let question = self.invariants.asked(&event);
-        let Some(incarnation) = self.nodes[node].as_ref().map(|n| n.incarnation) else {
+        let query = self.invariants.request_sent(&event);
+        let Some(receiver) = self.current_run(controller) else {
             return slot;
         };
-        let user = PendingRequest::User(slot, question);
         self.pending_requests
-            .insert((node, incarnation, request), user);
-        self.dispatch(node, incarnation, event);
+            .insert(receiver, request, PendingRequest::User { slot, query });
+        self.dispatch(receiver, event);
         slot
     }
 
-    /// The answer in a slot, if there is one yet.
+    /// The response in a slot, if there is one yet.
     pub fn reply(&self, slot: usize) -> Option<&HttpResponse> {
-        self.user_replies[slot].as_ref()
+        self.users.responses[slot].as_ref()
     }
 
-    /// Sends a user's request and waits for its answer.
-    pub fn ask(&mut self, node: usize, event: impl FnOnce(RequestId) -> Event) -> HttpResponse {
-        assert!(self.nodes[node].is_some(), "node {node} is down");
-        let slot = self.send(node, event);
-        self.until("an answer", 3_000, |w| w.user_replies[slot].is_some());
-        self.user_replies[slot].clone().expect("an answer")
+    /// Sends a user's request and waits for the response.
+    ///
+    /// # Panics
+    ///
+    /// The controller is down, or did not respond within 3 s.
+    pub fn ask(
+        &mut self,
+        controller: usize,
+        event: impl FnOnce(RequestId) -> Event,
+    ) -> HttpResponse {
+        assert!(self.is_up(controller), "node {controller} is down");
+        let slot = self.send(controller, event);
+        self.until("an answer", 3_000, |cluster| cluster.reply(slot).is_some());
+        self.reply(slot).cloned().expect("an answer")
     }
 
     /// Asks for a job's state without waiting.
-    pub fn send_status(&mut self, node: usize, id: JobId) -> usize {
+    pub fn send_status(&mut self, controller: usize, id: JobId) -> usize {
         let text = id.to_string();
-        self.send(node, |request| Event::Status(request, text))
+        self.send(controller, |request| Event::Status(request, text))
     }
 
     /// Cancels a job without waiting.
-    pub fn send_cancel(&mut self, node: usize, id: JobId) -> usize {
+    pub fn send_cancel(&mut self, controller: usize, id: JobId) -> usize {
         let text = id.to_string();
-        self.send(node, |request| Event::Cancel(request, text))
+        self.send(controller, |request| Event::Cancel(request, text))
     }
 
     /// Submits a job without waiting.
-    pub fn send_submit(&mut self, node: usize, job: &Value) -> usize {
+    pub fn send_submit(&mut self, controller: usize, job: &Value) -> usize {
         let body = job.to_string().into_bytes();
-        self.send(node, |request| Event::Submit(request, body))
+        self.send(controller, |request| Event::Submit(request, body))
     }
 
     /// Submits a job.
-    pub fn submit(&mut self, node: usize, job: &Value) -> HttpResponse {
+    pub fn submit(&mut self, controller: usize, job: &Value) -> HttpResponse {
         let body = job.to_string().into_bytes();
-        self.ask(node, |request| Event::Submit(request, body))
+        self.ask(controller, |request| Event::Submit(request, body))
     }
 
     /// Submits all these jobs to each of these controllers at one moment.
-    pub fn submit_at_once(&mut self, nodes: &[usize], jobs: &[Value]) -> Vec<HttpResponse> {
-        let first = self.user_replies.len();
+    pub fn submit_at_once(&mut self, controllers: &[usize], jobs: &[Value]) -> Vec<HttpResponse> {
+        let first = self.users.responses.len();
         for job in jobs {
-            for node in nodes {
-                self.send_submit(*node, job);
+            for controller in controllers {
+                self.send_submit(*controller, job);
             }
         }
-        self.until("answers", 5_000, |w| {
-            w.user_replies[first..].iter().all(Option::is_some)
+        self.until("answers", 5_000, |cluster| {
+            let mut responses = cluster.users.responses[first..].iter();
+            responses.all(Option::is_some)
         });
-        self.user_replies[first..]
-            .iter()
-            .flatten()
-            .cloned()
-            .collect()
+        let responses = self.users.responses[first..].iter();
+        responses.flatten().cloned().collect()
     }
 
-    /// Asks a controller about jobs at one moment and counts those it answers with 200 at once or
-    /// soon after.
-    pub fn answered_questions(&mut self, node: usize, ids: &[u64]) -> BTreeSet<u64> {
-        let first = self.user_replies.len();
+    /// Asks a controller about jobs at one moment and returns those it answers with 200 within 2 s.
+    pub fn answered_questions(&mut self, controller: usize, ids: &[u64]) -> BTreeSet<u64> {
+        let first = self.users.responses.len();
         for id in ids {
-            self.send_status(node, JobId(*id));
+            self.send_status(controller, JobId(*id));
         }
-        self.run(2_000);
-        let replies = self.user_replies[first..].iter().zip(ids);
-        let answered =
-            |reply: &Option<HttpResponse>| reply.as_ref().is_some_and(|r| r.status == 200);
-        replies
-            .filter(|(reply, _)| answered(reply))
+        self.run(RESPONSE_DEADLINE_MS);
+        let slots = first..first + ids.len();
+        slots
+            .zip(ids)
+            .filter(|(slot, _)| self.is_served(*slot))
             .map(|(_, id)| *id)
             .collect()
     }
 
-    /// A job's state as a controller tells it.
-    pub fn state(&mut self, node: usize, id: u64) -> (u16, String) {
+    /// Whether the response in a slot has the status 200.
+    fn is_served(&self, slot: usize) -> bool {
+        self.reply(slot)
+            .is_some_and(|response| response.status == 200)
+    }
+
+    /// A job's state according to a controller, with the response's status.
+    ///
+    /// # Panics
+    ///
+    /// The controller does not respond.
+    pub fn state(&mut self, controller: usize, id: u64) -> (u16, String) {
         let text = JobId(id).to_string();
-        let reply = self.ask(node, |request| Event::Status(request, text));
-        let body: Value = serde_json::from_str(&reply.body).expect("JSON");
+        let response = self.ask(controller, |request| Event::Status(request, text));
+        let body: Value = serde_json::from_str(&response.body).expect("JSON");
         let state = body["Estado"].as_str().unwrap_or_default().to_owned();
-        (reply.status, state)
+        (response.status, state)
     }
 
     /// Whether a controller calls itself healthy.
-    pub fn healthy(&mut self, node: usize) -> bool {
-        self.ask(node, Event::Health).status == 200
+    pub fn healthy(&mut self, controller: usize) -> bool {
+        self.ask(controller, Event::Health).status == 200
     }
 
     /// Cancels a job.
-    pub fn cancel(&mut self, node: usize, id: u64) -> HttpResponse {
+    pub fn cancel(&mut self, controller: usize, id: u64) -> HttpResponse {
         let text = JobId(id).to_string();
-        self.ask(node, |request| Event::Cancel(request, text))
+        self.ask(controller, |request| Event::Cancel(request, text))
     }
 
-    pub(super) fn user_answered(&mut self, slot: usize, question: &JobQuery, reply: HttpResponse) {
-        let new = self.invariants.answered(self.now, question, &reply);
-        self.user_replies[slot] = Some(reply);
-        if let (true, true, Some(id)) = (new, self.faults.rapid_status_queries, question.id) {
-            for ms in [0, 1, 4, 9, 25, 70, 300] {
+    pub(crate) fn user_answered(&mut self, slot: usize, query: &JobQuery, response: HttpResponse) {
+        let is_news = self
+            .invariants
+            .response_received(self.now, query, &response);
+        self.users.responses[slot] = Some(response);
+        if let (true, true, Some(id)) = (is_news, self.faults.rapid_status_queries, query.id) {
+            for ms in RAPID_QUERY_TIMES_MS {
                 self.schedule(ms, move |cluster| cluster.query_rapidly(id));
             }
         }
     }
 
     /// Users ask all controllers about a job, and repeat its submission.
-    pub(super) fn query_rapidly(&mut self, id: JobId) {
-        for node in 0..3 {
-            self.record_effect("close look");
-            self.send_status(node, id);
-            if let Some(body) = self.bodies.get(&id).cloned() {
-                self.send(node, |request| Event::Submit(request, body));
+    fn query_rapidly(&mut self, id: JobId) {
+        for controller in 0..CONTROLLERS {
+            self.record_effect("rapid status query");
+            self.send_status(controller, id);
+            if let Some(body) = self.users.submissions.get(&id).cloned() {
+                self.send(controller, |request| Event::Submit(request, body));
             }
         }
     }
 
-    pub(super) fn query_all_accepted(&mut self) {
-        let begun = self.now;
-        let mut left: BTreeSet<(JobId, usize)> = BTreeSet::new();
-        for id in self.invariants.accepted() {
-            left.extend((0..3).map(|node| (id, node)));
+    /// Asks all controllers about all accepted jobs until every query is answered, or finds the invariant violated
+    /// that accepted jobs are known.
+    pub(crate) fn query_all_accepted(&mut self) {
+        let began_at = self.now;
+        let mut unanswered: BTreeSet<(JobId, usize)> = BTreeSet::new();
+        for id in self.invariants.accepted_jobs() {
+            unanswered.extend((0..CONTROLLERS).map(|controller| (id, controller)));
         }
-        while !left.is_empty() {
-            if self.now >= begun + SILENT_MOST_MS {
-                self.invariants
-                    .broke("forgotten", &format!("no answer: {left:?}"));
+        while !unanswered.is_empty() {
+            if self.now >= began_at + MAX_SILENCE_MS {
+                let text = format!("no answer: {unanswered:?}");
+                self.invariants.record_violation("forgotten", &text);
                 return;
             }
-            let sent: Vec<(JobId, usize, usize)> = left
+            let slots: Vec<usize> = unanswered
                 .iter()
-                .map(|(id, node)| (*id, *node))
-                .collect::<Vec<_>>()
-                .into_iter()
-                .map(|(id, node)| (id, node, self.send_status(node, id)))
+                .map(|(id, controller)| self.send_status(*controller, *id))
                 .collect();
-            self.run(2_000);
-            for (id, node, slot) in sent {
-                if self.reply(slot).is_some_and(|reply| reply.status == 200) {
-                    left.remove(&(id, node));
-                }
-            }
-            if !left.is_empty() {
-                self.run(3_000);
+            self.run(RESPONSE_DEADLINE_MS);
+            let mut slots = slots.into_iter();
+            unanswered.retain(|_| slots.next().is_some_and(|slot| !self.is_served(slot)));
+            if !unanswered.is_empty() {
+                self.run(RETRY_WAIT_MS);
             }
         }
     }
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -1,23 +1,35 @@
-//! The machines of the cluster and their workers.
+//! The machines of the cluster and their workers: leases, tasks and the commands that workers execute.
+//!
+//! Each worker takes a step every [`WORKER_STEP_MS`] ms. The cluster owns them in `workers`, by machine.
 
 use std::collections::BTreeMap;
 
-use worksshunt_core::job_api::HttpResponse;
 use worksshunt_core::machines::DirectCommands;
 use worksshunt_wire::user::JobKind;
-use worksshunt_wire::worker::{
-    Command, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState, TaskStatus,
-};
+use worksshunt_wire::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId, TaskId};
 
-use super::*;
+use crate::events::SimulationEvent;
+use crate::job_audit::{JobAudit, ObservedTask};
+use crate::{Cluster, CONTROLLERS, HEARTBEAT_INTERVAL_MS, LEASE_MS};
 
+/// Interval of a worker's steps, ms.
+const WORKER_STEP_MS: u64 = 250;
+/// Tasks that a machine runs at a time.
+const TASKS_PER_MACHINE: usize = 4;
+/// Run times of tasks differ by their index modulo this, see [`Cluster::run_spread_ms`].
+const RUN_SPREAD_GROUP: u32 = 8;
+/// A user who cancels at the moment a job ends does so within so many ms: the heartbeat that reports the end takes a
+/// few ms to become known.
+const CANCEL_AT_COMPLETION_MS: u64 = 30;
+
+/// A task on a machine.
 #[derive(Debug, Clone)]
-pub(super) struct Task {
-    pub(super) task: TaskId,
-    pub(super) state: TaskState,
-    pub(super) reason: Option<ExitReason>,
-    pub(super) ends_at: u64,
+pub(crate) struct Task {
+    pub(crate) task: TaskId,
+    pub(crate) state: TaskState,
+    pub(crate) reason: Option<ExitReason>,
+    pub(crate) ends_at: u64,
 }
 
 /// A machine and its worker.
@@ -27,210 +39,229 @@
     pub zone: String,
     /// Whether its machine is a spot one.
     pub spot: bool,
-    pub(super) incarnation: u64,
-    pub(super) sequence: u64,
-    pub(super) fencing_token: Epoch,
-    pub(super) tasks: BTreeMap<Attempt, Task>,
-    pub(super) controller: usize,
-    pub(super) last_answered_at: u64,
-    /// Number of the report that waits for its answer.
-    pub(super) heartbeat_in_flight: Option<u64>,
-    pub(super) next_heartbeat_at: u64,
-    /// Whether it stands still.
+    pub(crate) incarnation: u64,
+    pub(crate) sequence: u64,
+    pub(crate) fencing_token: Epoch,
+    pub(crate) tasks: BTreeMap<Attempt, Task>,
+    pub(crate) controller: usize,
+    /// When the last heartbeat was sent that got a response, ms.
+    pub(crate) last_answered_at: u64,
+    /// Sequence number of the heartbeat that waits for its response.
+    pub(crate) heartbeat_in_flight: Option<u64>,
+    pub(crate) next_heartbeat_at: u64,
+    /// Whether it hangs.
     pub hung: bool,
-    pub(super) up_at: u64,
-    pub(super) rented_at: u64,
+    /// When the machine has booted, ms.
+    pub(crate) up_at: u64,
+    pub(crate) rented_at: u64,
+}
+
+/// What one step changed on a machine.
+#[derive(Default)]
+struct TaskChanges {
+    started: Vec<TaskId>,
+    completed: Vec<TaskId>,
+    any: bool,
+}
+
+impl Worker {
+    /// A worker that has not sent anything, on a machine that boots until `up_at`.
+    pub(crate) fn new(zone: &str, spot: bool, rented_at: u64, up_at: u64) -> Worker {
+        Worker {
+            zone: zone.to_owned(),
+            spot,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: Epoch(0),
+            tasks: BTreeMap::new(),
+            controller: 0,
+            last_answered_at: up_at,
+            heartbeat_in_flight: None,
+            next_heartbeat_at: up_at,
+            hung: false,
+            up_at,
+            rented_at,
+        }
+    }
+
+    /// Ends all tasks and begins a new incarnation if the lease has expired.
+    fn expire_lease(&mut self, now: u64) {
+        if now > self.last_answered_at + LEASE_MS {
+            self.tasks.clear();
+            self.incarnation += 1;
+            self.sequence = 0;
+            self.last_answered_at = now;
+            self.heartbeat_in_flight = None;
+        }
+    }
+
+    /// Its next heartbeat, with the next sequence number.
+    pub(crate) fn next_heartbeat(&mut self, id: &MachineId) -> Heartbeat {
+        self.sequence += 1;
+        let status = |(attempt, task): (&Attempt, &Task)| TaskStatus {
+            task: task.task,
+            attempt: *attempt,
+            state: task.state,
+            reason: task.reason,
+            saved: None,
+        };
+        Heartbeat {
+            machine: id.clone(),
+            addr: "10.1.0.1:9000".into(),
+            machine_type: "m4".into(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            incarnation: Incarnation(self.incarnation),
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            notice_s: None,
+            tasks: self.tasks.iter().map(status).collect(),
+        }
+    }
+
+    pub(crate) fn execute(&mut self, command: &Command) {
+        match command {
+            Command::Launch { task, attempt } => self.launch(*task, *attempt),
+            Command::Halt { attempt, .. } => self.halt(*attempt),
+            Command::Reap { attempt, .. } => self.reap(*attempt),
+        }
+    }
+
+    fn launch(&mut self, task: TaskId, attempt: Attempt) {
+        let tasks = self.tasks.values();
+        let on_machine = tasks.filter(|task| task.state != TaskState::Ended).count();
+        let is_full = on_machine >= TASKS_PER_MACHINE;
+        let state = if is_full {
+            TaskState::Ended
+        } else {
+            TaskState::Fetching
+        };
+        self.tasks.entry(attempt).or_insert(Task {
+            task,
+            state,
+            reason: is_full.then_some(ExitReason::NoRoom),
+            ends_at: 0,
+        });
+    }
+
+    fn halt(&mut self, attempt: Attempt) {
+        let task = self.tasks.get_mut(&attempt);
+        if let Some(task) = task.filter(|task| task.state != TaskState::Ended) {
+            task.state = TaskState::Ended;
+            task.reason = Some(ExitReason::Stopped);
+        }
+    }
+
+    fn reap(&mut self, attempt: Attempt) {
+        let task = self.tasks.get(&attempt);
+        if task.is_some_and(|task| task.state == TaskState::Ended) {
+            self.tasks.remove(&attempt);
+        }
+    }
 }
 
 impl Cluster {
-    pub(super) fn step_worker(&mut self, id: &MachineId) {
+    pub(crate) fn step_worker(&mut self, id: &MachineId) {
         let now = self.now;
-        self.schedule_at(now + 250, SimulationEvent::WorkerStep(id.clone()));
-        let Some(worker) = self.workers.get_mut(id).filter(|w| !w.hung) else {
+        self.schedule_at(
+            now + WORKER_STEP_MS,
+            SimulationEvent::WorkerStep(id.clone()),
+        );
+        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.hung) else {
             return;
         };
-        if now > worker.last_answered_at + LEASE_MS {
-            worker.tasks.clear();
-            worker.incarnation += 1;
-            worker.sequence = 0;
-            worker.last_answered_at = now;
-            worker.heartbeat_in_flight = None;
+        worker.expire_lease(now);
+        let changes = self.advance_tasks(id);
+        self.heartbeat_if_due(id, changes.any);
+        self.record_starts(id, changes.started);
+        for task in changes.completed {
+            self.record_completion(task);
         }
-        let mut changed = false;
-        let mut started = Vec::new();
-        let mut completed = Vec::new();
+    }
+
+    /// Starts tasks that have been fetched and ends those whose time is over.
+    fn advance_tasks(&mut self, id: &MachineId) -> TaskChanges {
+        let mut changes = TaskChanges::default();
+        let now = self.now;
+        let (faults, jobs) = (&self.faults, &self.invariants.jobs);
+        let is_faulty = faults.faulty_machines.contains(id);
+        let Some(worker) = self.workers.get_mut(id) else {
+            return changes;
+        };
         for task in worker.tasks.values_mut() {
+            let job = task.task.job;
             if task.state == TaskState::Fetching {
                 task.state = TaskState::Running;
-                let longer = u64::from(task.task.index % 8) * self.run_spread_ms;
-                task.ends_at = now + self.task_run_ms + longer;
-                started.push(task.task);
-                changed = true;
+                let spread_ms = u64::from(task.task.index % RUN_SPREAD_GROUP) * self.run_spread_ms;
+                task.ends_at = now + self.task_run_ms + spread_ms;
+                changes.started.push(task.task);
+                changes.any = true;
             } else if task.state == TaskState::Running && now >= task.ends_at {
-                let job = self.invariants.jobs.get(&task.task.job);
-                let is_service = job.is_some_and(|job| job.kind == JobKind::Service);
-                if is_service
-                    && !self.faults.ending_services.contains(&task.task.job)
-                    && !self.faults.faulty_machines.contains(id)
-                {
+                let spec = jobs.get(&job);
+                let is_service = spec.is_some_and(|spec| spec.kind == JobKind::Service);
+                if is_service && !faults.ending_services.contains(&job) && !is_faulty {
                     continue;
                 }
-                let fails = self.faults.failing_jobs.contains(&task.task.job)
-                    || self.faults.faulty_machines.contains(id);
+                let has_failed = is_faulty || faults.failing_jobs.contains(&job);
                 task.state = TaskState::Ended;
-                task.reason = Some(if fails {
+                task.reason = Some(if has_failed {
                     ExitReason::Error
                 } else {
                     ExitReason::Done
                 });
-                if !fails {
-                    completed.push(task.task);
+                if !has_failed {
+                    changes.completed.push(task.task);
                 }
-                changed = true;
+                changes.any = true;
             }
         }
-        if changed {
+        changes
+    }
+
+    /// Sends a heartbeat if it is time, or at once after a change.
+    fn heartbeat_if_due(&mut self, id: &MachineId, has_changed: bool) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        if has_changed {
             worker.next_heartbeat_at = worker.next_heartbeat_at.min(now);
         }
         if worker.heartbeat_in_flight.is_none() && now >= worker.next_heartbeat_at {
             worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
-            let node = worker.controller;
-            let heartbeat = Self::heartbeat(id, worker);
+            let heartbeat = worker.next_heartbeat(id);
             worker.heartbeat_in_flight = Some(heartbeat.sequence);
-            let (incarnation, sequence) = (worker.incarnation, heartbeat.sequence);
-            let gives_up = SimulationEvent::HeartbeatDeadline(id.clone(), incarnation, sequence);
-            self.schedule_at(now + HEARTBEAT_DEADLINE_MS, gives_up);
-            if self.faults.heartbeat_copies_for_next_leader {
-                self.kept_copies.push(heartbeat.clone());
-            }
-            for after in self.faults.heartbeat_copies_after_ms.clone() {
-                for node in 0..3 {
-                    let copy = SimulationEvent::CopyArrives(node, heartbeat.clone());
-                    self.schedule_at(now + after, copy);
-                }
-            }
-            let what = SimulationEvent::HeartbeatArrives(node, id.clone(), heartbeat, now);
-            let slow_ms = self.faults.slow_heartbeats_ms.get(id).copied();
-            let arrives = self.arrival_time(Link::Worker(node)) + slow_ms.unwrap_or_default();
-            self.schedule_at(arrives, what);
+            let controller = worker.controller;
+            self.send_heartbeat(controller, heartbeat);
         }
+    }
+
+    /// Has the invariants judge the starts of tasks on a machine.
+    fn record_starts(&mut self, id: &MachineId, started: Vec<TaskId>) {
+        let now = self.now;
         if !started.is_empty() {
             let mut invariants = std::mem::take(&mut self.invariants);
             let audit = self.job_audit_with(id, &started);
             for task in &started {
-                invariants.started(now, *task, id, &audit);
+                invariants.task_started(now, *task, id, &audit);
             }
             self.job_audit = Some(audit);
             self.invariants = invariants;
         }
         let started = started.into_iter().map(|task| (now, task, id.clone()));
         self.task_starts.extend(started);
-        for task in completed {
-            self.invariants.completed(task);
-            if self.invariants.all_done(task.job)
-                && self.rng.f64() < self.faults.cancel_at_completion
-            {
-                self.record_effect("cancel at end");
-                let node = self.rng.usize(0..3);
-                // The answer to the report that brings the end takes a few ms to become known.
-                let ms = self.rng.u64(0..30);
-                self.schedule(ms, move |cluster| {
-                    cluster.send_cancel(node, task.job);
-                });
-            }
-        }
-    }
-
-    pub(super) fn heartbeat(id: &MachineId, worker: &mut Worker) -> Heartbeat {
-        worker.sequence += 1;
-        Heartbeat {
-            machine: id.clone(),
-            addr: "10.1.0.1:9000".into(),
-            machine_type: "m4".into(),
-            zone: worker.zone.clone(),
-            spot: worker.spot,
-            incarnation: Incarnation(worker.incarnation),
-            sequence: worker.sequence,
-            fencing_token: worker.fencing_token,
-            notice_s: None,
-            tasks: worker
-                .tasks
-                .iter()
-                .map(|(attempt, task)| TaskStatus {
-                    task: task.task,
-                    attempt: *attempt,
-                    state: task.state,
-                    reason: task.reason,
-                    saved: None,
-                })
-                .collect(),
-        }
     }
 
-    /// Whether a worker still waits for the answer to that report.
-    pub(super) fn awaits_response(&self, id: &MachineId, incarnation: u64, sequence: u64) -> bool {
-        let waits = |worker: &Worker| {
-            worker.incarnation == incarnation && worker.heartbeat_in_flight == Some(sequence)
-        };
-        self.workers.get(id).is_some_and(waits)
-    }
-
-    pub(super) fn next_node(&mut self, id: &MachineId) {
-        let now = self.now;
-        if let Some(worker) = self.workers.get_mut(id) {
-            worker.controller = (worker.controller + 1) % 3;
-            worker.heartbeat_in_flight = None;
-            worker.next_heartbeat_at = now + 1_000;
-        }
-    }
-
-    pub(super) fn heartbeat_answered(
-        &mut self,
-        id: &MachineId,
-        incarnation: u64,
-        sequence: u64,
-        sent: u64,
-        reply: &HttpResponse,
-    ) {
-        if let Ok(answer) = serde_json::from_str::<HeartbeatResponse>(&reply.body) {
-            self.record_launches(id, &answer.commands);
-        }
-        let now = self.now;
-        if !self.awaits_response(id, incarnation, sequence) {
-            return;
-        }
-        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.hung) else {
-            return;
-        };
-        if self.faults.unreachable_machines.contains(id) {
-            // The answer is lost; the worker gives up on it after a while.
-            worker.heartbeat_in_flight = None;
-            self.record_effect("lost answer");
-            return;
-        }
-        worker.heartbeat_in_flight = None;
-        match reply.status {
-            200 => {
-                let answer: HeartbeatResponse = serde_json::from_str(&reply.body).expect("JSON");
-                if answer.fencing_token < worker.fencing_token {
-                    return;
-                }
-                if answer.fencing_token > worker.fencing_token {
-                    worker.fencing_token = answer.fencing_token;
-                    worker.next_heartbeat_at = now + 500;
-                }
-                worker.last_answered_at = worker.last_answered_at.max(sent);
-                for command in &answer.commands {
-                    Self::execute(worker, command);
-                }
-            }
-            421 => {
-                let to: Redirect = serde_json::from_str(&reply.body).expect("JSON");
-                let name = to.report_to.expect("a node").0;
-                worker.controller = name[1..].parse().expect("a number");
-                worker.next_heartbeat_at = now;
-            }
-            _ => self.next_node(id),
+    /// Notes that a task has completed. Users may cancel its job at that moment.
+    fn record_completion(&mut self, task: TaskId) {
+        self.invariants.completed(task);
+        if self.invariants.all_done(task.job) && self.rng.f64() < self.faults.cancel_at_completion {
+            self.record_effect("cancel at completion");
+            let controller = self.rng.usize(0..CONTROLLERS);
+            let wait_ms = self.rng.u64(0..CANCEL_AT_COMPLETION_MS);
+            self.schedule(wait_ms, move |cluster| {
+                cluster.send_cancel(controller, task.job);
+            });
         }
     }
 
@@ -254,7 +285,7 @@
     }
 
     /// Checks that no attempt's number is used for another task or on another machine.
-    pub(super) fn record_launches(&mut self, id: &MachineId, commands: &[Command]) {
+    pub(crate) fn record_launches(&mut self, id: &MachineId, commands: &[Command]) {
         self.usage.commands(commands);
         for command in commands {
             let Command::Launch { task, attempt } = command else {
@@ -264,67 +295,49 @@
             let first = self.launched.entry(*attempt).or_insert(launch.clone());
             if *first != launch {
                 let text = format!("attempt {attempt} of {first:?} used again for {launch:?}");
-                self.invariants.broke("attempts", &text);
+                self.invariants.record_violation("attempts", &text);
             }
         }
     }
 
-    pub(super) fn execute_commands(&mut self, orders: &DirectCommands) -> Option<Heartbeat> {
-        self.record_launches(&orders.machine, &orders.batch.commands);
-        if self.faults.unreachable_machines.contains(&orders.machine) {
-            return None;
-        }
-        let worker = self.workers.get_mut(&orders.machine)?;
-        if worker.hung {
+    /// Has a worker execute direct commands, if it can be reached; its heartbeat after them.
+    pub(crate) fn execute_commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
+        let (id, batch) = (&commands.machine, &commands.batch);
+        self.record_launches(id, &batch.commands);
+        if self.faults.unreachable_machines.contains(id) {
             return None;
         }
-        let (fencing_token, incarnation) = (orders.batch.fencing_token, orders.batch.incarnation.0);
-        if fencing_token >= worker.fencing_token && incarnation == worker.incarnation {
-            worker.fencing_token = fencing_token;
-            for command in &orders.batch.commands {
-                Self::execute(worker, command);
+        let worker = self.workers.get_mut(id).filter(|worker| !worker.hung)?;
+        let is_current = batch.fencing_token >= worker.fencing_token
+            && batch.incarnation.0 == worker.incarnation;
+        if is_current {
+            worker.fencing_token = batch.fencing_token;
+            for command in &batch.commands {
+                worker.execute(command);
             }
         }
-        Some(Self::heartbeat(&orders.machine, worker))
+        Some(worker.next_heartbeat(id))
     }
 
-    pub(super) fn execute(worker: &mut Worker, command: &Command) {
-        match command {
-            Command::Launch { task, attempt } => {
-                let full = worker
-                    .tasks
-                    .values()
-                    .filter(|t| t.state != TaskState::Ended)
-                    .count()
-                    >= 4;
-                worker.tasks.entry(*attempt).or_insert(Task {
-                    task: *task,
-                    state: if full {
-                        TaskState::Ended
-                    } else {
-                        TaskState::Fetching
-                    },
-                    reason: full.then_some(ExitReason::NoRoom),
-                    ends_at: 0,
-                });
+    /// A machine hangs for so long.
+    pub fn hang(&mut self, id: &MachineId, ms: u64) {
+        let set = |cluster: &mut Cluster, id: &MachineId, is_hung: bool| {
+            if let Some(worker) = cluster.workers.get_mut(id) {
+                worker.hung = is_hung;
             }
-            Command::Halt { attempt, .. } => {
-                if let Some(task) = worker.tasks.get_mut(attempt) {
-                    if task.state != TaskState::Ended {
-                        task.state = TaskState::Ended;
-                        task.reason = Some(ExitReason::Stopped);
-                    }
-                }
-            }
-            Command::Reap { attempt, .. } => {
-                if worker
-                    .tasks
-                    .get(attempt)
-                    .is_some_and(|t| t.state == TaskState::Ended)
-                {
-                    worker.tasks.remove(attempt);
-                }
-            }
-        }
+        };
+        set(self, id, true);
+        let id = id.clone();
+        self.schedule(ms, move |cluster| set(cluster, &id, false));
+    }
+
+    /// Puts a task on a machine without any controller's command.
+    ///
+    /// # Panics
+    ///
+    /// There is no such machine.
+    pub fn inject_task(&mut self, id: &MachineId, task: TaskId, attempt: u64) {
+        let worker = self.workers.get_mut(id).expect("a worker");
+        worker.launch(task, Attempt(attempt));
     }
 }
