--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -9,7 +9,7 @@
 fn an_outage_longer_than_a_lease_then_slow_answers_and_lost_ones() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     users.ask_for(&mut cluster, 20);
     let lost = |w: &Cluster| {
         w.workers
@@ -18,15 +18,15 @@
             .count()
     };
     assert_eq!(lost(&cluster), 0, "leases outlive the outage");
-    cluster.faults.key_value_store_down = false;
-    cluster.faults.key_value_store_slow_ms = 600;
-    cluster.faults.late_writes = Some(LateWrites {
+    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.slow_responses_ms = 600;
+    cluster.faults.key_value.late_writes = Some(LateWrites {
         share: 0.2,
         after_ms: (0, 3_000),
     });
     users.ask_for(&mut cluster, 20);
-    cluster.faults.key_value_store_slow_ms = 0;
-    cluster.faults.late_writes = None;
+    cluster.faults.key_value.slow_responses_ms = 0;
+    cluster.faults.key_value.late_writes = None;
     assert!(cluster.effects("late write") > 5, "answers were lost");
     assert!(users.served > 0 && users.refused > 0);
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -11,7 +11,7 @@
 fn half_of_the_machines_are_cut_off_and_back_in_the_same_second() {
     let mut cluster = full_deployment(40_000);
     let mut users = Users::default();
-    cluster.faults.heartbeat_copies_after_ms = vec![9_000, 30_000];
+    cluster.faults.heartbeats.copies_after_ms = vec![9_000, 30_000];
     cluster.run(3_000);
     cluster.faults.partitioned_zone = Some(ZonePartition {
         zone: "b".into(),
@@ -20,7 +20,7 @@
     users.ask_for(&mut cluster, 22);
     cluster.faults.partitioned_zone = None;
     users.ask_for(&mut cluster, 20);
-    cluster.faults.heartbeat_copies_after_ms.clear();
+    cluster.faults.heartbeats.copies_after_ms.clear();
     assert!(
         cluster.effects("heartbeat copy") > 50_000,
         "late copies of all reports came"
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -16,14 +16,14 @@
             let moment = format!("{slow_ms} slower, cancelled after {cancel_ms}");
             let mut cluster = busy(5, 40_000);
             cluster.faults.rapid_status_queries = true;
-            cluster.faults.key_value_store_slow_ms = slow_ms;
+            cluster.faults.key_value.slow_responses_ms = slow_ms;
             cluster.run(cancel_ms);
             for id in 1..=3 {
                 cluster.send_cancel(id as usize % 3, JobId(id));
             }
             cluster.send_submit(1, &job(7, 2));
             cluster.run(9_000);
-            cluster.faults.key_value_store_slow_ms = 0;
+            cluster.faults.key_value.slow_responses_ms = 0;
             for id in 1..=3 {
                 cluster.send_cancel(id as usize % 3, JobId(id));
             }
@@ -41,7 +41,7 @@
     for away_ms in (12_000..24_000).step_by(800) {
         let moment = format!("away for {away_ms}");
         let mut cluster = busy(5, 30_000);
-        cluster.faults.heartbeat_copies_after_ms = vec![away_ms + 2_000];
+        cluster.faults.heartbeats.copies_after_ms = vec![away_ms + 2_000];
         cluster.run(3_000);
         let hung = cluster.task_starts[0].2.clone();
         cluster.hang(&hung, away_ms - 2_000);
@@ -98,21 +98,21 @@
         let leader = cluster.leader();
         let node = others(leader)[step as usize % 2];
         cluster.schedule(300, move |w| {
-            w.faults.refused_by_key_value_store.insert(leader);
+            w.faults.key_value.refuses.insert(leader);
         });
         cluster.schedule(cancel_ms, move |w| {
             for id in 1..=4 {
                 w.send_cancel(node, JobId(id));
             }
         });
-        cluster.schedule(1_300, |w| w.faults.key_value_store_down = true);
+        cluster.schedule(1_300, |w| w.faults.key_value.down = true);
         cluster.run(33_000 + 1_300);
         assert!(
             cluster.invariants.any_cancelled() && cluster.effects("refused") > 0,
             "{moment}"
         );
-        cluster.faults.key_value_store_down = false;
-        cluster.faults.refused_by_key_value_store.clear();
+        cluster.faults.key_value.down = false;
+        cluster.faults.key_value.refuses.clear();
         cluster.run(35_000);
         settle(&mut cluster, &moment);
     }
@@ -136,7 +136,7 @@
                         cluster.faults.unreachable_machines.insert(id);
                     }
                     "mute" => {
-                        cluster.faults.silent_machines.insert(id);
+                        cluster.faults.heartbeats.lost_from.insert(id);
                     }
                     _ => cluster.hang(&id, 12_000),
                 }
@@ -153,7 +153,7 @@
             cluster.run(7_000);
             assert!(cluster.invariants.any_cancelled(), "{moment}");
             cluster.faults.unreachable_machines.clear();
-            cluster.faults.silent_machines.clear();
+            cluster.faults.heartbeats.lost_from.clear();
             cluster.run(30_000);
             settle(&mut cluster, &moment);
             assert!(cluster.all_done(2, 8), "{moment}");
@@ -199,8 +199,8 @@
                 let leader = cluster.leader();
                 cluster.restart(leader, 200 + 450 * (change % 4));
                 if outage_ms > 0 && change % 3 == 1 {
-                    cluster.schedule(600, |w| w.faults.key_value_store_down = true);
-                    cluster.schedule(600 + outage_ms, |w| w.faults.key_value_store_down = false);
+                    cluster.schedule(600, |w| w.faults.key_value.down = true);
+                    cluster.schedule(600 + outage_ms, |w| w.faults.key_value.down = false);
                 }
                 let node = others(leader)[0];
                 cluster.send_cancel(node, JobId(1 + change % 2));
@@ -246,7 +246,7 @@
         cluster.task_run_ms = 6_000;
         cluster.faults.rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.3;
-        cluster.faults.late_writes = Some(LateWrites {
+        cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.3,
             after_ms: (2_000, 12_000),
         });
@@ -277,7 +277,7 @@
         let moment = format!("cancelled after {cancel_ms}");
         let mut cluster = busy(6, 100_000);
         let leader = cluster.leader();
-        cluster.faults.cut_from_key_value_store.insert(leader);
+        cluster.faults.key_value.unreachable_from.insert(leader);
         cluster.faults.cut_from_peers.insert(leader);
         cluster.run(cancel_ms);
         let node = others(leader)[0];
@@ -307,7 +307,7 @@
         cluster.capacity = 3;
         cluster.task_run_ms = 4_000;
         cluster.link_delay_ms = 60;
-        cluster.faults.key_value_store_slow_ms = slow_ms;
+        cluster.faults.key_value.slow_responses_ms = slow_ms;
         for id in 1..=24 {
             let mut job = job(id, 6);
             job["Turno"] = json!(["low", "normal", "urgent"][id as usize % 3]);
@@ -360,7 +360,7 @@
         cluster.submit(1, &red(2, 8));
         let leader = cluster.leader();
         cluster.restart(leader, 150 * seed);
-        cluster.faults.late_writes = Some(LateWrites {
+        cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.3,
             after_ms: (0, 3_000),
         });
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
@@ -14,21 +14,21 @@
             let moment = format!("outage {outage_ms}, cancelled after {cancel_ms}");
             let mut cluster = busy(6, 120_000);
             let leader = cluster.leader();
-            cluster.faults.refused_by_key_value_store.insert(leader);
+            cluster.faults.key_value.refuses.insert(leader);
             cluster.run(cancel_ms);
             for id in 1..=4 {
                 cluster.send_cancel(others(leader)[id as usize % 2], JobId(id));
             }
             cluster.run(2_400 - cancel_ms);
-            cluster.faults.key_value_store_down = true;
-            cluster.schedule(12_000, |w| w.faults.refused_by_key_value_store.clear());
+            cluster.faults.key_value.down = true;
+            cluster.schedule(12_000, |w| w.faults.key_value.refuses.clear());
             cluster.run(outage_ms);
             assert!(
                 cluster.invariants.any_cancelled(),
                 "{moment}: none was confirmed"
             );
             assert!(cluster.effects("refused") > 0, "{moment}");
-            cluster.faults.key_value_store_down = false;
+            cluster.faults.key_value.down = false;
             cluster.run(40_000);
             settle(&mut cluster, &moment);
         }
@@ -41,7 +41,7 @@
 fn a_controller_whose_watch_is_never_answered_stops_renewing_leases() {
     for after_ms in [0, 700, 5_000] {
         let mut cluster = busy(6, 200_000);
-        cluster.faults.without_watch_responses = (0..3).collect();
+        cluster.faults.key_value.no_watch_responses = (0..3).collect();
         cluster.run(after_ms);
         let second = others(cluster.leader())[0];
         for id in 1..=4 {
@@ -95,7 +95,7 @@
         cluster.seed(seed);
         cluster.faults.rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.3;
-        cluster.faults.late_writes = Some(LateWrites {
+        cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.35,
             after_ms: (0, 0),
         });
@@ -255,7 +255,7 @@
             cluster.list_lag_ms = 6_000;
             cluster.task_run_ms = 20_000;
             cluster.submit(0, &long_job(1, 16));
-            cluster.faults.late_writes = Some(LateWrites {
+            cluster.faults.key_value.late_writes = Some(LateWrites {
                 share: 0.4,
                 after_ms: (2_000, 12_000),
             });
@@ -279,7 +279,7 @@
             let moment = format!("hung {hung}, the leader ends after {crash_ms}");
             let mut cluster = busy(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
-            cluster.faults.heartbeat_copies_for_next_leader = true;
+            cluster.faults.heartbeats.copies_for_next_leader = true;
             cluster.run(2_500);
             if hung {
                 let id = cluster.task_starts[0].2.clone();
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -15,7 +15,7 @@
         let mut cluster = busy(4, 12_000);
         cluster.submit(1, &long_job(9, 12));
         let held = cluster.task_starts[0].2.clone();
-        cluster.faults.hold_heartbeats.insert(held.clone());
+        cluster.faults.heartbeats.held_from.insert(held.clone());
         cluster.run(4_000);
         let leader = cluster.leader();
         cluster.restart(leader, 400);
@@ -23,7 +23,7 @@
         assert_ne!(cluster.epoch(), 1, "{moment}");
         assert!(cluster.release_heartbeats(&[0, 1, 2]) > 0, "{moment}");
         cluster.run(3_000);
-        cluster.faults.hold_heartbeats.clear();
+        cluster.faults.heartbeats.held_from.clear();
         cluster.run(15_000);
         settle(&mut cluster, &moment);
         assert!(cluster.all_done(9, 12));
@@ -44,7 +44,7 @@
                         cluster.faults.unreachable_machines.insert(id.clone());
                     }
                     "mute" => {
-                        cluster.faults.silent_machines.insert(id.clone());
+                        cluster.faults.heartbeats.lost_from.insert(id.clone());
                     }
                     _ => cluster.hang(id, 13_000),
                 }
@@ -57,7 +57,7 @@
             cluster.run(14_000);
             assert!(cluster.epoch() > epoch, "{moment}");
             cluster.faults.unreachable_machines.clear();
-            cluster.faults.silent_machines.clear();
+            cluster.faults.heartbeats.lost_from.clear();
             cluster.run(20_000);
             settle(&mut cluster, &moment);
         }
@@ -71,7 +71,7 @@
         let moment = format!("copies after {after_ms}");
         let mut cluster = busy(4, 9_000);
         cluster.submit(0, &long_job(9, 30));
-        cluster.faults.heartbeat_copies_after_ms = vec![after_ms, after_ms + 900];
+        cluster.faults.heartbeats.copies_after_ms = vec![after_ms, after_ms + 900];
         let lost = cluster.task_starts[0].2.clone();
         // Its lease runs out, so that its next session has other attempts at the same tasks.
         cluster.hang(&lost, 18_000);
@@ -154,13 +154,13 @@
     let mut cluster = ready();
     cluster.task_run_ms = 3_000;
     cluster.capacity = 1;
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     cluster.machine("a", true, 0);
     let mut spread = long_job(1, 6);
     spread["Spread"] = json!(true);
     cluster.submit(0, &spread);
     cluster.until("the first half", 30_000, |w| w.task_starts.len() >= 3);
-    cluster.faults.cloud_down = false;
+    cluster.faults.cloud.down = false;
     cluster.until("all tasks", 90_000, |w| w.all_done(1, 6));
     settle(&mut cluster, "spread");
 }
@@ -171,12 +171,12 @@
     for mute_ms in (3_000..30_000).step_by(1_800) {
         let moment = format!("mute for {mute_ms}");
         let mut cluster = busy(5, 30_000);
-        cluster.faults.silent_machines = cluster.workers.keys().cloned().collect();
+        cluster.faults.heartbeats.lost_from = cluster.workers.keys().cloned().collect();
         cluster.send_cancel(0, JobId(1));
         cluster.submit(1, &long_job(9, 8));
         cluster.run(mute_ms);
         assert!(cluster.effects("lost heartbeat") > 0, "{moment}");
-        cluster.faults.silent_machines.clear();
+        cluster.faults.heartbeats.lost_from.clear();
         cluster.run(30_000);
         settle(&mut cluster, &moment);
         assert!(cluster.all_done(9, 8), "{moment}");
@@ -194,8 +194,8 @@
         cluster.task_run_ms = 30_000;
         let id = cluster.machine("a", true, 0);
         cluster.run(6_000);
-        cluster.faults.cloud_down = true;
-        cluster.faults.hold_heartbeats.insert(id.clone());
+        cluster.faults.cloud.down = true;
+        cluster.faults.heartbeats.held_from.insert(id.clone());
         cluster.run(release_ms);
         assert!(cluster.release_heartbeats(&[0, 1, 2]) > 0, "{moment}");
         for job in 1..=6 {
@@ -203,10 +203,10 @@
             cluster.run(1_300);
         }
         // By the time at which the lease is taken to be over there is another machine.
-        cluster.faults.cloud_down = false;
+        cluster.faults.cloud.down = false;
         cluster.run(22_000);
         incarnations += cluster.worker_incarnation(&id);
-        cluster.faults.hold_heartbeats.clear();
+        cluster.faults.heartbeats.held_from.clear();
         cluster.run(5_000);
         settle(&mut cluster, &moment);
     }
--- a/crates/worksshunt-core/tests/scenarios/faults.rs
+++ b/crates/worksshunt-core/tests/scenarios/faults.rs
@@ -82,7 +82,7 @@
 fn late_copies_of_reports_change_nothing() {
     let mut cluster = ready();
     cluster.task_run_ms = 9_000;
-    cluster.faults.heartbeat_copies_after_ms = vec![700, 6_000, 17_000, 40_000];
+    cluster.faults.heartbeats.copies_after_ms = vec![700, 6_000, 17_000, 40_000];
     cluster.submit(0, &job(1, 40));
     cluster.until("tasks", 30_000, |w| w.running().len() > 8);
     let hung = cluster.task_starts[0].2.clone();
@@ -112,7 +112,7 @@
 fn a_late_copy_is_no_sign_of_life() {
     let mut cluster = ready();
     cluster.task_run_ms = 60_000;
-    cluster.faults.heartbeat_copies_after_ms = vec![3_000, 9_000, 15_000, 21_000];
+    cluster.faults.heartbeats.copies_after_ms = vec![3_000, 9_000, 15_000, 21_000];
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |w| w.running().len() == 8);
     let dead = cluster.task_starts[0].2.clone();
@@ -169,13 +169,13 @@
     cluster.until("tasks", 30_000, |w| w.running().len() == 24);
     cluster.run(3_000);
     let (leader, epoch) = (cluster.leader(), cluster.epoch());
-    cluster.faults.cut_from_key_value_store.insert(leader);
+    cluster.faults.key_value.unreachable_from.insert(leader);
     cluster.faults.cut_from_peers.insert(leader);
     cluster.run(7_000);
     assert!(!cluster.healthy(leader), "users should not be sent there");
     cluster.until("another leader", 10_000, |w| w.leader() != leader);
     cluster.run(20_000);
-    cluster.faults.cut_from_key_value_store.clear();
+    cluster.faults.key_value.unreachable_from.clear();
     cluster.faults.cut_from_peers.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 24));
     assert_eq!(cluster.task_starts.len(), 24, "no lease ran out");
@@ -275,10 +275,10 @@
     cluster.task_run_ms = 30_000;
     cluster.submit(0, &long_job(1, 12));
     cluster.until("tasks", 30_000, |w| w.running().len() == 12);
-    cluster.faults.cut_from_key_value_store = (0..3).collect();
+    cluster.faults.key_value.unreachable_from = (0..3).collect();
     cluster.faults.cut_from_peers = (0..3).collect();
     cluster.run(30_000);
-    cluster.faults.cut_from_key_value_store.clear();
+    cluster.faults.key_value.unreachable_from.clear();
     cluster.faults.cut_from_peers.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 12));
     cluster.run(3_000);
@@ -295,7 +295,7 @@
         cluster.machine("a", true, 0);
     }
     cluster.run(10_000);
-    cluster.faults.slow_writes_ms = 1_200;
+    cluster.faults.key_value.slow_writes_ms = 1_200;
     let mut slowest = 0;
     for id in 1..=12 {
         let asked = cluster.now;
@@ -345,11 +345,11 @@
     cluster.until("tasks", 30_000, |w| w.running().len() == 16);
     for round in 0..4 {
         let leader = cluster.leader();
-        cluster.faults.hold_writes.insert(leader);
+        cluster.faults.key_value.hold_writes.insert(leader);
         cluster.run(300);
         cluster.crash(leader);
         cluster.run(200);
-        cluster.faults.hold_writes.clear();
+        cluster.faults.key_value.hold_writes.clear();
         cluster.start(leader);
         cluster.run(400);
         // In the middle of the election that follows, another goes, or all; and late copies of what
@@ -377,11 +377,11 @@
     let other = (cluster.leader() + 1) % 3;
     cluster.crash(other);
     cluster.run(8_000);
-    cluster.faults.hold_writes.insert(other);
+    cluster.faults.key_value.hold_writes.insert(other);
     cluster.start(other);
     cluster.run(400);
     cluster.crash(other);
-    cluster.faults.hold_writes.clear();
+    cluster.faults.key_value.hold_writes.clear();
     cluster.start(other);
     cluster.until("its epoch", 3_000, |w| {
         let members = &w.stored("c/epoch").expect("an epoch")["members"];
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -146,7 +146,7 @@
 #[test]
 fn a_task_on_two_machines_is_found_also_when_one_hangs() {
     let (mut cluster, ids) = with_machines(2, "a", true);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     cluster.submit(0, &long_job(1, 1));
     cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
@@ -160,7 +160,7 @@
 #[test]
 fn a_team_over_its_limit_is_found_also_on_hung_machines() {
     let (mut cluster, ids) = with_machines(3, "a", true);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     let mut red = long_job(1, 9);
     red["Cuadrilla"] = json!("red");
     cluster.submit(0, &red);
@@ -180,7 +180,7 @@
 fn a_task_in_the_wrong_place_is_found() {
     let wrong = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
         let (mut cluster, ids) = with_machines(2, zone, spot);
-        cluster.faults.cloud_down = true;
+        cluster.faults.cloud.down = true;
         let mut odd = long_job(1, 4);
         odd[field] = value;
         cluster.submit(0, &odd);
@@ -201,7 +201,7 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_found_once_its_time_is_over_and_its_start_at_once() {
     let (mut cluster, ids) = with_machines(1, "a", true);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 2));
     cluster.inject_task(&ids[0], task(1, 0), 7);
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -51,7 +51,7 @@
     cluster.until("a pause between reports", 5_000, |c| {
         !c.awaits_heartbeat_response(&machine)
     });
-    cluster.faults.slow_heartbeats_ms.extend([slow]);
+    cluster.faults.heartbeats.slow_ms.extend([slow]);
     cluster.until("a report under way", 5_000, |c| {
         c.awaits_heartbeat_response(&machine)
     });
@@ -64,12 +64,12 @@
     cluster.until("an answer", 4_000, |c| {
         !c.awaits_heartbeat_response(&machine)
     });
-    cluster.faults.slow_heartbeats_ms.clear();
+    cluster.faults.heartbeats.slow_ms.clear();
 }
 
 /// Nothing passes between the machine and controllers any more.
 fn cut_off(cluster: &mut Cluster, machine: &MachineId) {
-    cluster.faults.silent_machines.insert(machine.clone());
+    cluster.faults.heartbeats.lost_from.insert(machine.clone());
     cluster.faults.unreachable_machines.insert(machine.clone());
 }
 
@@ -145,9 +145,9 @@
 #[test]
 fn copies_of_an_overtaken_report_do_not_keep_the_tasks_of_a_dead_machine() {
     let (mut cluster, mut doomed) = two_machines();
-    cluster.faults.heartbeat_copies_after_ms = (4..120).map(|half| half * 500).collect();
+    cluster.faults.heartbeats.copies_after_ms = (4..120).map(|half| half * 500).collect();
     order_overtakes_report(&mut cluster, &mut doomed);
-    cluster.faults.heartbeat_copies_after_ms.clear();
+    cluster.faults.heartbeats.copies_after_ms.clear();
     // It is still listed, so nothing but its lease tells that its tasks are gone.
     cluster.hang(&doomed.machine, 120_000);
     goes_on_elsewhere(&mut cluster, &doomed, 20_000);
--- a/crates/worksshunt-core/tests/scenarios/ordinary.rs
+++ b/crates/worksshunt-core/tests/scenarios/ordinary.rs
@@ -68,11 +68,11 @@
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
     cluster.until("machines", 30_000, |w| !w.workers.is_empty());
-    cluster.faults.hold_writes.insert(leader);
+    cluster.faults.key_value.hold_writes.insert(leader);
     cluster.run(8_000);
     cluster.crash(leader);
     cluster.until("another leader", 20_000, |w| w.leader() != leader);
-    cluster.faults.hold_writes.clear();
+    cluster.faults.key_value.hold_writes.clear();
     let replies = cluster.release_writes();
     assert!(!replies.is_empty(), "something was held back");
     for reply in replies {
@@ -89,7 +89,7 @@
     cluster.submit(0, &job(1, 8));
     cluster.until("tasks", 30_000, |w| !w.running().is_empty());
     let leader = cluster.leader();
-    cluster.faults.cut_from_key_value_store.insert(leader);
+    cluster.faults.key_value.unreachable_from.insert(leader);
     cluster.run(7_000);
     let heartbeat = json!({"Estiba": "i-000000", "Addr": "10.1.0.1:1", "Modelo": "m4", "Patio": "a",
         "Prestados": true, "Jornada": 9, "Folio": 1, "Vara": 0, "Piezas": []});
@@ -102,7 +102,7 @@
     }
     let reply = cluster.submit(leader, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
-    cluster.faults.cut_from_key_value_store.clear();
+    cluster.faults.key_value.unreachable_from.clear();
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
     cluster.check();
 }
@@ -112,13 +112,13 @@
 #[test]
 fn only_a_controller_that_lost_the_state_service_alone_is_unhealthy() {
     let mut cluster = ready();
-    cluster.faults.cut_from_key_value_store.insert(1);
+    cluster.faults.key_value.unreachable_from.insert(1);
     cluster.run(4_500);
     assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true, false, true]);
-    cluster.faults.cut_from_key_value_store.clear();
+    cluster.faults.key_value.unreachable_from.clear();
     cluster.run(5_000);
     assert!(cluster.healthy(1));
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     cluster.run(40_000);
     assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true; 3]);
 }
@@ -129,11 +129,11 @@
     cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |w| w.running().len() == 8);
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     cluster.run(15_000);
     let reply = cluster.submit(1, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
-    cluster.faults.key_value_store_down = false;
+    cluster.faults.key_value.down = false;
     cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
     assert_eq!(cluster.task_starts.len(), 8, "no lease ran out");
     cluster.check();
@@ -195,13 +195,13 @@
     cluster.submit(0, &job(1, 2));
     cluster.until("tasks", 30_000, |w| w.running().len() == 2);
     cluster.run(6_000);
-    cluster.faults.hold_writes = (0..3).collect();
+    cluster.faults.key_value.hold_writes = (0..3).collect();
     cluster.until("all tasks", 30_000, |w| w.all_done(1, 2));
     cluster.run(2_000);
     for node in 0..3 {
         assert_ne!(cluster.state(node, 1).1, "done");
     }
-    cluster.faults.hold_writes.clear();
+    cluster.faults.key_value.hold_writes.clear();
     cluster.run(4_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     cluster.check();
@@ -214,11 +214,11 @@
     cluster.submit(0, &job(1, 3));
     cluster.until("tasks", 30_000, |w| w.running().len() == 3);
     cluster.run(6_000);
-    cluster.faults.hold_writes = (0..3).collect();
+    cluster.faults.key_value.hold_writes = (0..3).collect();
     cluster.until("all tasks", 30_000, |w| w.all_done(1, 3));
     cluster.run(4_000);
     (0..3).for_each(|node| cluster.crash(node));
-    cluster.faults.hold_writes.clear();
+    cluster.faults.key_value.hold_writes.clear();
     cluster.run(5_000);
     (0..3).for_each(|node| cluster.start(node));
     cluster.run(20_000);
@@ -343,7 +343,7 @@
 #[test]
 fn tasks_on_machines_decide_the_zone_before_tasks_that_are_done() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     cluster.task_run_ms = 20_000;
     cluster.machine("b", true, 0);
     let mut bound = long_job(1, 6);
@@ -362,7 +362,7 @@
         job: JobId(1),
         index: 5,
     });
-    cluster.faults.cloud_down = false;
+    cluster.faults.cloud.down = false;
     cluster.until("its end", 60_000, |w| w.keys("j/").is_empty());
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/outage.rs
@@ -33,9 +33,9 @@
 }
 
 fn outage(cluster: &mut Cluster, ms: u64) {
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     cluster.run(ms);
-    cluster.faults.key_value_store_down = false;
+    cluster.faults.key_value.down = false;
 }
 
 fn starts(cluster: &Cluster) -> usize {
@@ -62,13 +62,13 @@
 #[test]
 fn tasks_outlive_an_outage_that_ends_with_a_restart_of_all_controllers() {
     let mut cluster = busy();
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     cluster.run(LONG_OUTAGE_MS - 6_000);
     for node in 0..3 {
         cluster.restart(node, 3_000);
     }
     cluster.run(6_000);
-    cluster.faults.key_value_store_down = false;
+    cluster.faults.key_value.down = false;
     cluster.run(10_000);
     assert_eq!(starts(&cluster), 8, "none started a second time");
     settle(&mut cluster, "after the outage");
@@ -89,7 +89,7 @@
 fn a_controller_that_alone_is_refused_gives_its_workers_up() {
     let mut cluster = busy();
     let alone = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    cluster.faults.refused_by_key_value_store.insert(alone);
+    cluster.faults.key_value.refuses.insert(alone);
     cluster.run(LEASE_AND_AUTHORITY_MS);
     assert_eq!(cluster.reporting_to(alone), 0);
     assert_eq!(starts(&cluster), 8, "none started a second time");
@@ -103,12 +103,12 @@
     let mut cluster = busy();
     let former = (0..3).find(|n| *n != cluster.leader()).expect("another");
     let others: Vec<usize> = (0..3).filter(|n| *n != former).collect();
-    cluster.faults.refused_by_key_value_store.insert(former);
+    cluster.faults.key_value.refuses.insert(former);
     cluster.faults.cut_from_peers.insert(former);
     // Its workers report to nobody else.
     cluster.faults.cut_from_workers.extend(&others);
     cluster.run(5_000 + moment);
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     cluster.faults.cut_from_peers.clear();
     if peers_restart {
         for node in others {
@@ -116,7 +116,7 @@
         }
     }
     cluster.run(LEASE_AND_AUTHORITY_MS);
-    cluster.faults.key_value_store_down = false;
+    cluster.faults.key_value.down = false;
     cluster.run(3_000);
     let what = format!("asked after {moment} ms, peers restart: {peers_restart}");
     settle(&mut cluster, &what);
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -180,7 +180,7 @@
 #[test]
 fn work_is_done_in_time_where_there_are_no_spot_machines() {
     let mut cluster = ready();
-    cluster.faults.no_spot = true;
+    cluster.faults.cloud.no_spot = true;
     cluster.submit(0, &service(1, 4));
     cluster.until("the service", 30_000, |w| w.running().len() == 4);
     cluster.task_run_ms = 40_000;
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -248,7 +248,7 @@
         largest > SMALL_LIMITS.value_bytes,
         "{largest} bytes are no test of the limit"
     );
-    cluster.faults.key_value_limits = Some(SMALL_LIMITS);
+    cluster.faults.key_value.limits = Some(SMALL_LIMITS);
     for node in 0..3 {
         if announced {
             let kb = SMALL_LIMITS.value_bytes as f64 / 1_024.0;
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -227,7 +227,7 @@
 fn the_stored_catalogue_serves_while_the_cloud_is_down() {
     for known in [true, false] {
         let mut cluster = Cluster::new();
-        cluster.faults.cloud_down = true;
+        cluster.faults.cloud.down = true;
         if known {
             cluster.put("t/catalog", stored("t/catalog"));
         }
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -14,7 +14,7 @@
 use crate::events::{ControllerRun, SimulationEvent};
 use crate::fixtures::catalog;
 use crate::links::Link;
-use crate::workers::Worker;
+use crate::worker::Worker;
 use crate::Cluster;
 
 /// What the cloud remembers beside the machines themselves.
@@ -33,7 +33,7 @@
     }
 
     fn cloud_response(&mut self, request: &CloudRequest) -> CloudResponse {
-        if self.faults.cloud_down || !self.cloud_rate_allows(request) {
+        if self.faults.cloud.down || !self.cloud_rate_allows(request) {
             return CloudResponse::NoAnswer;
         }
         match request {
@@ -48,7 +48,7 @@
         if let Some(provisioned) = self.cloud.provisioned.get(&request.request_name) {
             return CloudResponse::Machines(provisioned.clone());
         }
-        if request.spot && self.faults.no_spot {
+        if request.spot && self.faults.cloud.no_spot {
             return CloudResponse::NoCapacity;
         }
         let free = self.capacity.saturating_sub(self.workers.len());
--- a/crates/worksshunt-simulation/src/faults.rs
+++ b/crates/worksshunt-simulation/src/faults.rs
@@ -36,62 +36,98 @@
     pub controllers: BTreeSet<usize>,
 }
 
+/// Faults of the key-value store and of controllers' connections to it.
+#[derive(Debug, Default)]
+pub struct KeyValueFaults {
+    /// It is down for all.
+    pub down: bool,
+    /// Controllers whose requests never reach it.
+    pub unreachable_from: BTreeSet<usize>,
+    /// Controllers whose requests it refuses, while their watches wait.
+    pub refuses: BTreeSet<usize>,
+    /// Controllers whose watches are never answered while everything else is.
+    pub no_watch_responses: BTreeSet<usize>,
+    /// Controllers whose transactions are held back until released.
+    pub hold_writes: BTreeSet<usize>,
+    /// Every second transaction takes so long to be carried out.
+    pub slow_writes_ms: u64,
+    /// Transactions without a response.
+    pub late_writes: Option<LateWrites>,
+    /// Every response takes so much longer.
+    pub slow_responses_ms: u64,
+    /// Limits on transactions; none: unlimited.
+    pub limits: Option<KeyValueLimits>,
+}
+
+impl KeyValueFaults {
+    /// Whether there is no fault that would excuse a job that waits.
+    fn none(&self) -> bool {
+        !self.down
+            && self.unreachable_from.is_empty()
+            && self.refuses.is_empty()
+            && self.no_watch_responses.is_empty()
+            && self.hold_writes.is_empty()
+            && self.slow_writes_ms == 0
+            && self.late_writes.is_none()
+            && self.slow_responses_ms == 0
+            && self.limits.is_none()
+    }
+}
+
+/// Faults of the cloud.
+#[derive(Debug, Default)]
+pub struct CloudFaults {
+    /// It does not respond.
+    pub down: bool,
+    /// It has no spot machines.
+    pub no_spot: bool,
+}
+
+/// Faults of workers' heartbeats. Everything else from and to the machines is as it was.
+#[derive(Debug, Default)]
+pub struct HeartbeatFaults {
+    /// Machines whose heartbeats take so much longer to arrive, ms.
+    pub slow_ms: BTreeMap<MachineId, u64>,
+    /// Machines whose heartbeats reach no controller, while direct commands reach the machines.
+    pub lost_from: BTreeSet<MachineId>,
+    /// Machines whose heartbeats are held back until released.
+    pub held_from: BTreeSet<MachineId>,
+    /// Every heartbeat is delivered once more after each of these times, to every controller.
+    pub copies_after_ms: Vec<u64>,
+    /// Copies of all heartbeats are kept, and reach every controller when the next leader begins.
+    pub copies_for_next_leader: bool,
+}
+
 /// How the cluster departs from a quiet day.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub struct Faults {
-    /// The key-value store is down for all.
-    pub key_value_store_down: bool,
-    /// Controllers whose requests never reach the key-value store.
-    pub cut_from_key_value_store: BTreeSet<usize>,
+    /// Faults of the key-value store.
+    pub key_value: KeyValueFaults,
+    /// Faults of the cloud.
+    pub cloud: CloudFaults,
+    /// Faults of heartbeats.
+    pub heartbeats: HeartbeatFaults,
     /// Controllers that no worker reaches, nor they any worker.
     pub cut_from_workers: BTreeSet<usize>,
-    /// Controllers whose transactions are kept back until released.
-    pub hold_writes: BTreeSet<usize>,
-    /// Every second transaction takes so long to be carried out.
-    pub slow_writes_ms: u64,
+    /// Controllers that no other controller reaches, nor they any.
+    pub cut_from_peers: BTreeSet<usize>,
+    /// A zone cut off from the rest.
+    pub partitioned_zone: Option<ZonePartition>,
     /// Messages between controllers and machines that take much longer than others.
     pub slow_links: Option<SlowLinks>,
-    /// Machines whose heartbeats take so much longer to arrive, ms; everything else from and to them does not.
-    pub slow_heartbeats_ms: BTreeMap<MachineId, u64>,
     /// Controllers whose messages from and to machines are held back, and until when. They arrive then, in any
     /// order, whether or not their senders have given up on them.
     pub held_until: BTreeMap<usize, u64>,
-    /// Direct commands are kept back until released, and time out.
+    /// Machines whose heartbeats arrive while responses and commands do not reach them.
+    pub unreachable_machines: BTreeSet<MachineId>,
+    /// Direct commands are held back until released, and time out.
     pub hold_commands: bool,
     /// Jobs whose tasks fail on every machine.
     pub failing_jobs: BTreeSet<JobId>,
     /// Machines on which every task fails.
     pub faulty_machines: BTreeSet<MachineId>,
-    /// The cloud does not answer.
-    pub cloud_down: bool,
-    /// Controllers that no other controller reaches, nor they any.
-    pub cut_from_peers: BTreeSet<usize>,
-    /// Machines whose heartbeats arrive while responses and commands do not reach them.
-    pub unreachable_machines: BTreeSet<MachineId>,
-    /// The cloud has no spot machines.
-    pub no_spot: bool,
-    /// Limits of the key-value store on transactions; none: unlimited.
-    pub key_value_limits: Option<KeyValueLimits>,
     /// Services whose replicas end by themselves, as other tasks do.
     pub ending_services: BTreeSet<JobId>,
-    /// Every heartbeat is delivered once more after each of these times, to every controller.
-    pub heartbeat_copies_after_ms: Vec<u64>,
-    /// Copies of all heartbeats are kept, and reach every controller when the next leader begins.
-    pub heartbeat_copies_for_next_leader: bool,
-    /// Controllers whose requests the key-value store refuses, while their watches wait.
-    pub refused_by_key_value_store: BTreeSet<usize>,
-    /// Transactions without an answer.
-    pub late_writes: Option<LateWrites>,
-    /// Every answer of the key-value store takes so much longer.
-    pub key_value_store_slow_ms: u64,
-    /// Controllers whose watches are never answered while everything else is.
-    pub without_watch_responses: BTreeSet<usize>,
-    /// Machines that reach no controller, while direct commands reach them.
-    pub silent_machines: BTreeSet<MachineId>,
-    /// Machines whose heartbeats are kept back until they are released.
-    pub hold_heartbeats: BTreeSet<MachineId>,
-    /// A zone cut off from the rest.
-    pub partitioned_zone: Option<ZonePartition>,
     /// Users ask all controllers within milliseconds after a job was accepted or is over, and repeat its
     /// submission.
     pub rapid_status_queries: bool,
@@ -102,26 +138,15 @@
 impl Faults {
     /// Whether there is no fault that would excuse a job that waits.
     pub(crate) fn none(&self) -> bool {
-        let sets = [
-            &self.cut_from_key_value_store,
-            &self.cut_from_workers,
-            &self.hold_writes,
-            &self.cut_from_peers,
-            &self.refused_by_key_value_store,
-            &self.without_watch_responses,
-        ];
-        sets.iter().all(|set| set.is_empty())
+        self.key_value.none()
+            && !self.cloud.down
+            && !self.cloud.no_spot
+            && self.heartbeats.slow_ms.is_empty()
+            && self.cut_from_workers.is_empty()
+            && self.cut_from_peers.is_empty()
+            && self.partitioned_zone.is_none()
             && self.slow_links.is_none()
-            && self.slow_heartbeats_ms.is_empty()
             && self.held_until.is_empty()
-            && !self.key_value_store_down
             && !self.hold_commands
-            && !self.cloud_down
-            && !self.no_spot
-            && self.slow_writes_ms == 0
-            && self.key_value_store_slow_ms == 0
-            && self.late_writes.is_none()
-            && self.partitioned_zone.is_none()
-            && self.key_value_limits.is_none()
     }
 }
--- a/crates/worksshunt-simulation/src/heartbeats.rs
+++ b/crates/worksshunt-simulation/src/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::events::{ControllerRun, SentHeartbeat, SimulationEvent};
 use crate::links::Link;
 use crate::network::PendingRequest;
-use crate::workers::Worker;
+use crate::worker::Worker;
 use crate::{Cluster, CONTROLLERS, HEARTBEAT_DEADLINE_MS, INSPECTION_INTERVAL_MS};
 
 /// When a worker whose leader has changed sends its next heartbeat, ms.
@@ -32,13 +32,13 @@
             sequence: heartbeat.sequence,
             sent_at: now,
         };
-        let slow_ms = self.faults.slow_heartbeats_ms.get(&sent.machine).copied();
+        let slow_ms = self.faults.heartbeats.slow_ms.get(&sent.machine).copied();
         let deadline = SimulationEvent::HeartbeatDeadline(sent);
         self.schedule_at(now + HEARTBEAT_DEADLINE_MS, deadline);
-        if self.faults.heartbeat_copies_for_next_leader {
+        if self.faults.heartbeats.copies_for_next_leader {
             self.copies_for_next_leader.push(heartbeat.clone());
         }
-        for after_ms in self.faults.heartbeat_copies_after_ms.clone() {
+        for after_ms in self.faults.heartbeats.copies_after_ms.clone() {
             self.schedule_copies(now + after_ms, &heartbeat);
         }
         let arrives_at = self.arrival_time(Link::Worker(controller)) + slow_ms.unwrap_or_default();
@@ -78,11 +78,11 @@
 
     pub(crate) fn heartbeat_arrives(&mut self, to: usize, heartbeat: Heartbeat, sent_at: u64) {
         let id = heartbeat.machine.clone();
-        if self.faults.hold_heartbeats.contains(&id) {
+        if self.faults.heartbeats.held_from.contains(&id) {
             self.held_heartbeats.push(heartbeat);
             return;
         }
-        if self.faults.silent_machines.contains(&id) || !self.is_linked(&id, to) {
+        if self.faults.heartbeats.lost_from.contains(&id) || !self.is_linked(&id, to) {
             self.record_effect("lost heartbeat");
             return;
         }
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -8,7 +8,7 @@
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
 use crate::job_audit::ObservedTask;
-use crate::workers::{Task, Worker};
+use crate::worker::{Task, Worker};
 use crate::{Cluster, LEASE_MS};
 
 impl Cluster {
--- a/crates/worksshunt-simulation/src/key_value_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_service.rs
@@ -47,25 +47,25 @@
             self.usage.write(write);
         }
         if self.is_slow_write(&caller, &request) {
-            let due_at = self.now + self.faults.slow_writes_ms;
+            let due_at = self.now + self.faults.key_value.slow_writes_ms;
             let arrival = SimulationEvent::KeyValueRequestArrives { caller, request };
             self.schedule_at(due_at, arrival);
             return;
         }
         let controller = caller.run.index;
         let is_write = matches!(request, KvRequest::CompareAndSwap(_));
-        if is_write && self.faults.hold_writes.contains(&controller) {
+        if is_write && self.faults.key_value.hold_writes.contains(&controller) {
             self.key_value.held_writes.push(request);
             let gives_up_at = self.now + KV_DEADLINE_MS;
             self.answer_key_value(gives_up_at, caller, KvResponse::NoAnswer);
             return;
         }
-        let is_cut = self.faults.cut_from_key_value_store.contains(&controller);
+        let is_cut = self.faults.key_value.unreachable_from.contains(&controller);
         if is_cut || self.is_in_partitioned_zone(controller) {
             self.leave_unanswered(caller);
             return;
         }
-        let is_refused = self.faults.refused_by_key_value_store.contains(&controller);
+        let is_refused = self.faults.key_value.refuses.contains(&controller);
         if is_refused {
             self.record_effect("refused");
         } else if self.is_late_write(&request) {
@@ -77,7 +77,7 @@
 
     /// Whether a transaction is carried out later than it arrives, but in time for its caller.
     fn is_slow_write(&mut self, caller: &KeyValueCaller, request: &KvRequest) -> bool {
-        let slow_ms = self.faults.slow_writes_ms;
+        let slow_ms = self.faults.key_value.slow_writes_ms;
         let can_be_slow = slow_ms > 0
             && matches!(request, KvRequest::CompareAndSwap(_))
             && self.now + slow_ms < caller.deadline_at;
@@ -89,11 +89,12 @@
 
     /// Whether a transaction gets no response and is carried out late. Schedules it in that case.
     fn is_late_write(&mut self, request: &KvRequest) -> bool {
-        let (KvRequest::CompareAndSwap(write), Some(late)) = (request, self.faults.late_writes)
+        let (KvRequest::CompareAndSwap(write), Some(late)) =
+            (request, self.faults.key_value.late_writes)
         else {
             return false;
         };
-        if self.faults.key_value_store_down || self.rng.f64() >= late.share {
+        if self.faults.key_value.down || self.rng.f64() >= late.share {
             return false;
         }
         let (min_ms, max_ms) = late.after_ms;
@@ -109,27 +110,25 @@
         request: KvRequest,
         is_refused: bool,
     ) {
-        let response = if self.faults.key_value_store_down
-            || is_refused
-            || !self.key_value_rate_allows(&request)
-        {
-            KvResponse::Refused
-        } else if let KvRequest::Watch(prefix, since, wait_ms @ 1..) = request {
-            self.key_value.watches.push(Watch {
-                caller,
-                prefix,
-                since,
-                wait_ends_at: self.now + wait_ms,
-            });
-            self.wake_watches();
-            return;
-        } else if self.is_too_large(&request) {
-            self.too_large += 1;
-            KvResponse::TooLarge
-        } else {
-            self.key_value.store.apply(self.now, &request)
-        };
-        let arrives_at = self.arrival_time(Link::Other) + self.faults.key_value_store_slow_ms;
+        let response =
+            if self.faults.key_value.down || is_refused || !self.key_value_rate_allows(&request) {
+                KvResponse::Refused
+            } else if let KvRequest::Watch(prefix, since, wait_ms @ 1..) = request {
+                self.key_value.watches.push(Watch {
+                    caller,
+                    prefix,
+                    since,
+                    wait_ends_at: self.now + wait_ms,
+                });
+                self.wake_watches();
+                return;
+            } else if self.is_too_large(&request) {
+                self.too_large += 1;
+                KvResponse::TooLarge
+            } else {
+                self.key_value.store.apply(self.now, &request)
+            };
+        let arrives_at = self.arrival_time(Link::Other) + self.faults.key_value.slow_responses_ms;
         if arrives_at > caller.deadline_at {
             // The caller has given up on it by then.
             self.leave_unanswered(caller);
@@ -140,7 +139,7 @@
     }
 
     fn is_too_large(&self, request: &KvRequest) -> bool {
-        match (request, self.faults.key_value_limits) {
+        match (request, self.faults.key_value.limits) {
             (KvRequest::CompareAndSwap(write), Some(limits)) => exceeds(write, limits),
             _ => false,
         }
@@ -192,7 +191,8 @@
                 self.key_value.watches.push(watch);
                 continue;
             };
-            let arrives_at = self.arrival_time(Link::Other) + self.faults.key_value_store_slow_ms;
+            let arrives_at =
+                self.arrival_time(Link::Other) + self.faults.key_value.slow_responses_ms;
             self.answer_key_value(arrives_at, watch.caller, response);
         }
     }
@@ -200,18 +200,18 @@
     /// Whether a watch of a controller is answered.
     fn watch_responses_reach(&self, controller: usize) -> bool {
         let faults = &self.faults;
-        !faults.key_value_store_down
-            && !faults.refused_by_key_value_store.contains(&controller)
-            && !faults.cut_from_key_value_store.contains(&controller)
-            && !faults.without_watch_responses.contains(&controller)
+        !faults.key_value.down
+            && !faults.key_value.refuses.contains(&controller)
+            && !faults.key_value.unreachable_from.contains(&controller)
+            && !faults.key_value.no_watch_responses.contains(&controller)
             && !self.is_in_partitioned_zone(controller)
     }
 
     pub(crate) fn renew_leases_after_outage(&mut self) {
-        if self.key_value.was_down && !self.faults.key_value_store_down {
+        if self.key_value.was_down && !self.faults.key_value.down {
             self.key_value.store.renew_all_leases(self.now);
         }
-        self.key_value.was_down = self.faults.key_value_store_down;
+        self.key_value.was_down = self.faults.key_value.down;
     }
 
     pub(crate) fn late_write_arrives(&mut self, write: CompareAndSwap) {
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -25,6 +25,7 @@
 mod resource_usage;
 mod users;
 mod verdict;
+mod worker;
 mod workers;
 
 use std::collections::BTreeMap;
@@ -37,12 +38,14 @@
 
 pub use digest::{DayDigest, TrafficDigest};
 pub use failure::Failure;
-pub use faults::{Faults, KeyValueLimits, LateWrites, ZonePartition};
+pub use faults::{
+    CloudFaults, Faults, HeartbeatFaults, KeyValueFaults, KeyValueLimits, LateWrites, ZonePartition,
+};
 pub use fixtures::{job, large_settings, long_job, service, settings};
 pub use key_value_store::Store;
 pub use links::SlowLinks;
 pub use resource_usage::ResourceUsage;
-pub use workers::Worker;
+pub use worker::Worker;
 
 use cloud::CloudRecords;
 use controllers::Controllers;
--- a/crates/worksshunt-simulation/src/random_day/faults.rs
+++ b/crates/worksshunt-simulation/src/random_day/faults.rs
@@ -77,9 +77,9 @@
     match number {
         3 | 4 => refuse_leader(cluster, rng, draw.duration_ms),
         5 => {
-            cluster.faults.key_value_store_down = true;
+            cluster.faults.key_value.down = true;
             end_after(cluster, draw.duration_ms, |faults| {
-                faults.key_value_store_down = false;
+                faults.key_value.down = false;
             });
         }
         8 => {
@@ -88,22 +88,22 @@
                 false => (2_000, 12_000),
             };
             let share = 0.3;
-            cluster.faults.late_writes = Some(LateWrites { share, after_ms });
+            cluster.faults.key_value.late_writes = Some(LateWrites { share, after_ms });
             end_after(cluster, draw.duration_ms, |faults| {
-                faults.late_writes = None;
+                faults.key_value.late_writes = None;
             });
         }
         9 => {
-            cluster.faults.key_value_store_slow_ms = rng.ms(100..1_700);
+            cluster.faults.key_value.slow_responses_ms = rng.ms(100..1_700);
             end_after(cluster, draw.duration_ms, |faults| {
-                faults.key_value_store_slow_ms = 0;
+                faults.key_value.slow_responses_ms = 0;
             });
         }
         _ => {
             let controller = draw.controller;
-            cluster.faults.hold_writes.insert(controller);
+            cluster.faults.key_value.hold_writes.insert(controller);
             cluster.schedule(draw.duration_ms / 4, move |cluster| {
-                cluster.faults.hold_writes.remove(&controller);
+                cluster.faults.key_value.hold_writes.remove(&controller);
                 cluster.release_writes();
             });
         }
@@ -113,13 +113,13 @@
 fn network_fault(cluster: &mut Cluster, rng: &mut DayRng, draw: &Draw, number: u32) {
     match number {
         10 => {
-            cluster.faults.heartbeat_copies_after_ms =
+            cluster.faults.heartbeats.copies_after_ms =
                 vec![rng.ms(100..3_000), rng.ms(3_000..30_000)];
             end_after(cluster, draw.duration_ms, |faults| {
-                faults.heartbeat_copies_after_ms.clear();
+                faults.heartbeats.copies_after_ms.clear();
             });
         }
-        11 => cluster.faults.heartbeat_copies_for_next_leader ^= true,
+        11 => cluster.faults.heartbeats.copies_for_next_leader ^= true,
         12 => {
             cluster.faults.hold_commands = true;
             cluster.schedule(draw.duration_ms / 3, |cluster| {
@@ -165,15 +165,15 @@
             });
         }
         17 => {
-            cluster.faults.silent_machines.insert(id.clone());
+            cluster.faults.heartbeats.lost_from.insert(id.clone());
             end_after(cluster, duration_ms, move |faults| {
-                faults.silent_machines.remove(&id);
+                faults.heartbeats.lost_from.remove(&id);
             });
         }
         18 => {
-            cluster.faults.hold_heartbeats.insert(id.clone());
+            cluster.faults.heartbeats.held_from.insert(id.clone());
             cluster.schedule(duration_ms, move |cluster| {
-                cluster.faults.hold_heartbeats.remove(&id);
+                cluster.faults.heartbeats.held_from.remove(&id);
                 cluster.release_heartbeats(&[0, 1, 2]);
             });
         }
@@ -193,10 +193,10 @@
 /// The leader reaches neither the key-value store nor its peers.
 fn cut_off_leader(cluster: &mut Cluster, duration_ms: u64) {
     let leader = cluster.leader();
-    cluster.faults.cut_from_key_value_store.insert(leader);
+    cluster.faults.key_value.unreachable_from.insert(leader);
     cluster.faults.cut_from_peers.insert(leader);
     end_after(cluster, duration_ms, move |faults| {
-        faults.cut_from_key_value_store.remove(&leader);
+        faults.key_value.unreachable_from.remove(&leader);
         faults.cut_from_peers.remove(&leader);
     });
 }
@@ -204,14 +204,13 @@
 /// The key-value store refuses the leader, and in half of the cases is down for all soon after.
 fn refuse_leader(cluster: &mut Cluster, rng: &mut DayRng, duration_ms: u64) {
     let leader = cluster.leader();
-    cluster.faults.refused_by_key_value_store.insert(leader);
+    cluster.faults.key_value.refuses.insert(leader);
     end_after(cluster, duration_ms, move |faults| {
-        faults.refused_by_key_value_store.remove(&leader);
+        faults.key_value.refuses.remove(&leader);
     });
     if rng.0.bool() {
         let wait_ms = rng.ms(0..2_500);
-        let set =
-            |is_down| move |cluster: &mut Cluster| cluster.faults.key_value_store_down = is_down;
+        let set = |is_down| move |cluster: &mut Cluster| cluster.faults.key_value.down = is_down;
         cluster.schedule(wait_ms, set(true));
         cluster.schedule(wait_ms + duration_ms, set(false));
     }
@@ -257,7 +256,8 @@
     let slow_ms = rng.ms(300..3_900);
     cluster
         .faults
-        .slow_heartbeats_ms
+        .heartbeats
+        .slow_ms
         .insert(id.clone(), slow_ms);
     for job in cluster.jobs_on(&id).into_iter().take(2) {
         let controller = rng.controller();
@@ -269,13 +269,13 @@
     let cut_off = id.clone();
     let slow_for_ms = rng.ms(2_000..8_000);
     end_after(cluster, slow_for_ms, move |faults| {
-        faults.slow_heartbeats_ms.remove(&cut_off);
-        faults.silent_machines.insert(cut_off.clone());
+        faults.heartbeats.slow_ms.remove(&cut_off);
+        faults.heartbeats.lost_from.insert(cut_off.clone());
         faults.unreachable_machines.insert(cut_off);
     });
     let ends_after_ms = slow_for_ms + rng.ms(15_000..22_000);
     end_after(cluster, ends_after_ms, move |faults| {
-        faults.silent_machines.remove(&id);
+        faults.heartbeats.lost_from.remove(&id);
         faults.unreachable_machines.remove(&id);
     });
 }
--- a/crates/worksshunt-simulation/src/verdict.rs
+++ b/crates/worksshunt-simulation/src/verdict.rs
@@ -7,7 +7,7 @@
 use crate::events::SimulationEvent;
 use crate::invariants::{FreeCapacity, WaitingCheck};
 use crate::job_audit::JobAudit;
-use crate::workers::{Task, Worker};
+use crate::worker::{Task, Worker};
 use crate::{Cluster, Failure, Faults, CONTROLLERS, INSPECTION_INTERVAL_MS, MACHINE_CPUS};
 
 /// Interval of the checks for jobs that wait beside free capacity, ms.
@@ -66,8 +66,8 @@
         let faults = &self.faults;
         let disturbed = [
             &faults.unreachable_machines,
-            &faults.silent_machines,
-            &faults.hold_heartbeats,
+            &faults.heartbeats.lost_from,
+            &faults.heartbeats.held_from,
             &faults.faulty_machines,
         ];
         self.now >= worker.up_at
