--- a/crates/worksshunt-search/src/digest.rs
+++ b/crates/worksshunt-search/src/digest.rs
@@ -6,7 +6,7 @@
 
 use crate::seeds::SeedRange;
 
-/// Plays the days of all seeds on every processor and gives their digests, by seed.
+/// Plays the days of all seeds on every processor and returns their digests, by seed.
 pub fn of_days(seeds: &SeedRange) -> Vec<(u64, DayDigest)> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let next = Mutex::new(seeds.from..seeds.to);
@@ -14,7 +14,7 @@
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some(seed) = take(&next) {
+                while let Some(seed) = next_seed(&next) {
                     let digest = random_day::digest(seed);
                     lock(&digests).push((seed, digest));
                 }
@@ -26,11 +26,11 @@
     digests
 }
 
-fn take(seeds: &Mutex<std::ops::Range<u64>>) -> Option<u64> {
+fn next_seed(seeds: &Mutex<std::ops::Range<u64>>) -> Option<u64> {
     lock(seeds).next()
 }
 
-/// What a mutex guards, also after another thread has panicked: each access leaves it whole.
+/// Locks a mutex, also after another thread has panicked: each access leaves the value consistent.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/worksshunt-search/src/main.rs
+++ b/crates/worksshunt-search/src/main.rs
@@ -1,8 +1,8 @@
-//! Tests the search for broken rules: how many seeds of random days it takes to find each of a list of faults. Also
-//! takes digests of random days, by which two versions of the program are compared.
+//! Measures the search for violated invariants: how many seeds of random days it takes to find each of a list of
+//! mutations. Also prints digests of random days, by which two versions of the program are compared.
 //!
-//! Each fault is a mutation, a few lines of the sources replaced, which is applied to a scratch copy. The days are those of
-//! `worksshunt_simulation::random_day`.
+//! A mutation replaces a few lines of the sources in a scratch copy. The days are those of
+//! `worksshunt_simulation::random_day`. This file has the arguments and the exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,9 +12,10 @@
 mod digest;
 mod mutation;
 mod scratch;
+mod search;
 mod seeds;
 
-use mutation::{Mutation, MutationError};
+use mutation::MutationError;
 use scratch::{Scratch, ScratchError};
 use seeds::SeedRange;
 
@@ -23,9 +24,6 @@
 /// Exit code: arguments or the list of mutations are wrong.
 const WRONG_ARGUMENTS: u8 = 2;
 
-/// Seeds by which starts lie apart, so that they share none.
-const START_DISTANCE: u64 = 1_000_000;
-
 #[derive(Parser)]
 #[command(version, about, args_conflicts_with_subcommands = true)]
 struct Arguments {
@@ -88,26 +86,26 @@
             return ExitCode::SUCCESS;
         }
     };
-    let result = match (&arguments.command, &arguments.search) {
-        (Some(Command::Digest { seeds }), _) => {
-            print_digests(seeds);
-            Ok(())
+    match (&arguments.command, &arguments.search) {
+        (Some(Command::Digest { seeds }), _) => print_digests(seeds),
+        (None, Some(search)) => {
+            if let Err(error) = print_table(search) {
+                eprintln!("error: {error}");
+                return ExitCode::from(exit_code(&error));
+            }
         }
-        (None, Some(search)) => run(search),
         (None, None) => {
             eprintln!("error: neither a command nor --scratch is given");
             return ExitCode::from(WRONG_ARGUMENTS);
         }
-    };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("error: {error}");
-            ExitCode::from(match error {
-                SearchError::Mutation(_) => WRONG_ARGUMENTS,
-                SearchError::Scratch(_) => FAILED,
-            })
-        }
+    }
+    ExitCode::SUCCESS
+}
+
+fn exit_code(error: &SearchError) -> u8 {
+    match error {
+        SearchError::Mutation(_) => WRONG_ARGUMENTS,
+        SearchError::Scratch(_) => FAILED,
     }
 }
 
@@ -117,61 +115,15 @@
     }
 }
 
-fn run(arguments: &SearchArguments) -> Result<(), SearchError> {
+/// Searches for the chosen mutations and prints a row for each.
+fn print_table(arguments: &SearchArguments) -> Result<(), SearchError> {
     let list = mutation::read_list(&arguments.list)?;
     let chosen = mutation::choose(&list, &arguments.names)?;
     let scratch = Scratch::new(&arguments.sources, &arguments.scratch)?;
-    println!("| mutation | found | seeds to the first finding, by start | rule | s |");
-    println!("| --- | --- | --- | --- | --- |");
+    println!("{}", search::TABLE_HEADER);
     for mutation in chosen {
-        let row = search(mutation, &scratch, arguments)?;
-        println!("{row}");
+        let result = search::run(mutation, &scratch, &arguments.seeds, arguments.starts)?;
+        println!("{result}");
     }
     Ok(())
 }
-
-/// Searches for a mutation from every start, and gives its row of the table.
-fn search(
-    mutation: &Mutation,
-    scratch: &Scratch,
-    arguments: &SearchArguments,
-) -> Result<String, SearchError> {
-    let original = scratch.read(&mutation.file)?;
-    let mutated = mutation.apply(&original)?;
-    scratch.write(&mutation.file, &mutated)?;
-    let searched = search_built(scratch, arguments);
-    scratch.write(&mutation.file, &original)?;
-    let (findings, seconds) = searched?;
-    let found = findings.iter().flatten().count();
-    let counts: Vec<String> = findings
-        .iter()
-        .map(|finding| match finding {
-            Some(finding) => finding.seeds.to_string(),
-            None => "–".to_owned(),
-        })
-        .collect();
-    let rule = findings.iter().flatten().next();
-    Ok(format!(
-        "| {} | {found} of {} | {} | {} | {seconds:.0} |",
-        mutation.name,
-        findings.len(),
-        counts.join(", "),
-        rule.map_or("–", |finding| &finding.rule),
-    ))
-}
-
-/// Builds the scratch copy as it is and searches from every start. Also gives the seconds that the searches took.
-fn search_built(
-    scratch: &Scratch,
-    arguments: &SearchArguments,
-) -> Result<(Vec<Option<scratch::Finding>>, f64), ScratchError> {
-    let test = scratch.build()?;
-    let began = std::time::Instant::now();
-    let findings = (0..arguments.starts)
-        .map(|start| {
-            let seeds = arguments.seeds.later(start * START_DISTANCE);
-            scratch.first_finding(&test, &seeds)
-        })
-        .collect::<Result<_, _>>()?;
-    Ok((findings, began.elapsed().as_secs_f64()))
-}
--- a/crates/worksshunt-search/src/mutation.rs
+++ b/crates/worksshunt-search/src/mutation.rs
@@ -1,22 +1,22 @@
-//! Mutations: faults put into the sources on purpose.
+//! Mutations: faults put into the sources on purpose, and the list of them.
 
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
 
-/// One fault.
+/// One mutation of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mutation {
     /// Its name.
     pub name: String,
-    /// What is wrong with it, for a reader.
+    /// What is wrong with the mutated sources, for a reader.
     pub fault: String,
     /// The file it changes, from the root of the repository.
     pub file: PathBuf,
-    /// The text that it replaces, which stands there once.
+    /// The text that it replaces, which occurs once in the file.
     pub from: String,
-    /// What stands there instead.
+    /// The replacement.
     pub to: String,
 }
 
@@ -30,25 +30,42 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MutationError {
     /// The list cannot be read.
-    #[error("{0}: {1}")]
-    List(PathBuf, String),
+    #[error("{path}: {source}")]
+    ListUnreadable {
+        /// The list.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The list is no TOML of the expected form.
+    #[error("{path}: {}", source.message())]
+    ListMalformed {
+        /// The list.
+        path: PathBuf,
+        /// Why.
+        source: toml::de::Error,
+    },
     /// No mutation of the list has that name.
     #[error("no mutation is called {0}")]
     Unknown(String),
-    /// The text to replace is not there once.
+    /// The text to replace does not occur exactly once.
     #[error("{name}: its text stands {times} times in {file}")]
     NotOnce {
         /// The mutation.
         name: String,
         /// Its file.
         file: PathBuf,
-        /// How often its text stands there.
+        /// How often its text occurs.
         times: usize,
     },
 }
 
 impl Mutation {
-    /// The file's text with the fault in it.
+    /// The file's text with the mutation applied.
+    ///
+    /// # Errors
+    ///
+    /// The text to replace does not occur exactly once.
     pub fn apply(&self, text: &str) -> Result<String, MutationError> {
         let times = text.matches(&self.from).count();
         if times != 1 {
@@ -63,14 +80,27 @@
 }
 
 /// Reads a list of mutations (TOML).
+///
+/// # Errors
+///
+/// The file cannot be read, or is not such a list.
 pub fn read_list(path: &Path) -> Result<Vec<Mutation>, MutationError> {
-    let wrong = |error: String| MutationError::List(path.to_owned(), error);
-    let text = std::fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
-    let list: List = toml::from_str(&text).map_err(|error| wrong(error.message().to_owned()))?;
+    let text = std::fs::read_to_string(path).map_err(|source| MutationError::ListUnreadable {
+        path: path.to_owned(),
+        source,
+    })?;
+    let list: List = toml::from_str(&text).map_err(|source| MutationError::ListMalformed {
+        path: path.to_owned(),
+        source,
+    })?;
     Ok(list.mutation)
 }
 
 /// The mutations with these names, or all if there is no name.
+///
+/// # Errors
+///
+/// No mutation of the list has one of the names.
 pub fn choose<'a>(
     list: &'a [Mutation],
     names: &[String],
--- a/crates/worksshunt-search/src/scratch.rs
+++ b/crates/worksshunt-search/src/scratch.rs
@@ -1,4 +1,6 @@
-//! A scratch copy of the sources, built and searched.
+//! A scratch copy of the sources: mutated, built, and run on seeds until a day fails.
+//!
+//! The search owns one for the whole run, so builds after the first are incremental.
 
 use std::fs;
 use std::io::{Error, ErrorKind};
@@ -9,17 +11,26 @@
 
 use crate::seeds::SeedRange;
 
-/// What of the sources is copied.
+/// Files and folders of the sources that are copied.
 const COPIED: [&str; 3] = ["Cargo.toml", "Cargo.lock", "crates"];
-/// How the test begins a line about a day that broke a rule.
+/// What precedes the seed and the failure in a line that the test prints about a day that failed.
 const FINDING: &str = "finding: seed ";
+/// The test that plays random days, and the variables that choose the seeds and end it at the first finding.
+const RANDOM_DAYS_TEST: &str = "mixed::days_of_mixed_troubles";
+const SEEDS_VARIABLE: &str = "SCENARIOS_MIXED";
+const FIRST_ONLY_VARIABLE: &str = "SCENARIOS_FIRST";
 
-/// Why a scratch copy cannot be searched.
+/// Why a scratch copy cannot be made, built or searched.
 #[derive(Debug, thiserror::Error)]
 pub enum ScratchError {
     /// A file could not be read or written.
-    #[error("{0}: {1}")]
-    File(PathBuf, Error),
+    #[error("{path}: {source}")]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: Error,
+    },
     /// Cargo could not be run.
     #[error("cargo: {0}")]
     Cargo(Error),
@@ -31,16 +42,16 @@
     NoVerdict(String),
 }
 
-/// The first day that broke a rule.
+/// The first day that violated an invariant.
 #[derive(Debug, Clone)]
 pub struct Finding {
-    /// How many seeds were played for it, itself included.
+    /// How many seeds it took, itself included.
     pub seeds: u64,
-    /// The rule.
+    /// The rule that was violated.
     pub rule: String,
 }
 
-/// What cargo says of something it has built.
+/// Cargo's message about something it has built.
 #[derive(Deserialize)]
 struct Artifact {
     /// The program, if it is one.
@@ -52,14 +63,21 @@
     folder: PathBuf,
 }
 
+/// Turns an I/O error about a file or folder into a [`ScratchError`].
+fn file_error(path: &Path) -> impl Fn(Error) -> ScratchError + '_ {
+    |source| ScratchError::File {
+        path: path.to_owned(),
+        source,
+    }
+}
+
 fn copy(from: &Path, to: &Path) -> Result<(), ScratchError> {
-    let wrong = |error| ScratchError::File(from.to_owned(), error);
     if !from.is_dir() {
-        return fs::copy(from, to).map(drop).map_err(wrong);
+        return fs::copy(from, to).map(drop).map_err(file_error(from));
     }
-    fs::create_dir_all(to).map_err(wrong)?;
-    for entry in fs::read_dir(from).map_err(wrong)? {
-        let name = entry.map_err(wrong)?.file_name();
+    fs::create_dir_all(to).map_err(file_error(from))?;
+    for entry in fs::read_dir(from).map_err(file_error(from))? {
+        let name = entry.map_err(file_error(from))?.file_name();
         copy(&from.join(&name), &to.join(&name))?;
     }
     Ok(())
@@ -67,9 +85,12 @@
 
 impl Scratch {
     /// Copies the sources to a folder.
+    ///
+    /// # Errors
+    ///
+    /// A file or folder cannot be read or written.
     pub fn new(sources: &Path, folder: &Path) -> Result<Scratch, ScratchError> {
-        let made = fs::create_dir_all(folder);
-        made.map_err(|error| ScratchError::File(folder.to_owned(), error))?;
+        fs::create_dir_all(folder).map_err(file_error(folder))?;
         for name in COPIED {
             copy(&sources.join(name), &folder.join(name))?;
         }
@@ -79,18 +100,30 @@
     }
 
     /// A file's text.
+    ///
+    /// # Errors
+    ///
+    /// It cannot be read.
     pub fn read(&self, file: &Path) -> Result<String, ScratchError> {
         let path = self.folder.join(file);
-        fs::read_to_string(&path).map_err(|error| ScratchError::File(path, error))
+        fs::read_to_string(&path).map_err(file_error(&path))
     }
 
     /// Replaces a file's text.
+    ///
+    /// # Errors
+    ///
+    /// It cannot be written.
     pub fn write(&self, file: &Path, text: &str) -> Result<(), ScratchError> {
         let path = self.folder.join(file);
-        fs::write(&path, text).map_err(|error| ScratchError::File(path, error))
+        fs::write(&path, text).map_err(file_error(&path))
     }
 
-    /// Builds the scenarios and gives the path of their program.
+    /// Builds the scenarios and returns the path of their program.
+    ///
+    /// # Errors
+    ///
+    /// Cargo cannot be run, or the copy does not compile.
     pub fn build(&self) -> Result<PathBuf, ScratchError> {
         let arguments = "test --release --locked -p worksshunt-core --test scenarios --no-run";
         let output = Command::new("cargo")
@@ -112,40 +145,58 @@
         }
     }
 
-    /// Plays these seeds until one breaks a rule.
+    /// Plays the days of these seeds until one fails; none if all pass.
+    ///
+    /// # Errors
+    ///
+    /// The program cannot be run, or ends without a verdict.
     pub fn first_finding(
         &self,
-        test: &Path,
+        program: &Path,
         seeds: &SeedRange,
     ) -> Result<Option<Finding>, ScratchError> {
-        let output = Command::new(test)
-            .args(["mixed::days_of_mixed_troubles", "--exact", "--nocapture"])
-            .env("SCENARIOS_MIXED", format!("{}..{}", seeds.from, seeds.to))
-            .env("SCENARIOS_FIRST", "1")
+        let output = Command::new(program)
+            .args([RANDOM_DAYS_TEST, "--exact", "--nocapture"])
+            .env(SEEDS_VARIABLE, format!("{}..{}", seeds.from, seeds.to))
+            .env(FIRST_ONLY_VARIABLE, "1")
             .current_dir(&self.folder)
             .output()
             .map_err(ScratchError::Cargo)?;
         let text = String::from_utf8_lossy(&output.stdout);
-        let findings = text.lines().filter_map(|line| {
-            let (seed, what) = line.strip_prefix(FINDING)?.split_once(": ")?;
-            Some((seed.parse::<u64>().ok()?, what.to_owned()))
-        });
-        match (output.status.success(), findings.min()) {
+        let failed_day = text.lines().filter_map(FailedDay::parse).min();
+        match (output.status.success(), failed_day) {
             (true, None) => Ok(None),
-            (false, Some((seed, rule))) => Ok(Some(Finding {
-                seeds: seed - seeds.from + 1,
-                rule: rule_of(&rule),
+            (false, Some(day)) => Ok(Some(Finding {
+                seeds: day.seed - seeds.from + 1,
+                rule: rule_of(&day.failure),
             })),
             _ => Err(ScratchError::NoVerdict(last_line(&output.stderr))),
         }
     }
 }
 
-/// The rule that a day's failure names first, or how it begins.
-fn rule_of(what: &str) -> String {
-    let named = what.split_once("[\"").map(|(_, named)| named);
+/// A day that failed, as the test prints it. Ordered by seed.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct FailedDay {
+    seed: u64,
+    failure: String,
+}
+
+impl FailedDay {
+    fn parse(line: &str) -> Option<FailedDay> {
+        let (seed, failure) = line.strip_prefix(FINDING)?.split_once(": ")?;
+        Some(FailedDay {
+            seed: seed.parse().ok()?,
+            failure: failure.to_owned(),
+        })
+    }
+}
+
+/// The rule that a day's failure names first, or the failure itself if it names none.
+fn rule_of(failure: &str) -> String {
+    let named = failure.split_once("[\"").map(|(_, named)| named);
     let rule = named.and_then(|named| named.split_once(':'));
-    rule.map_or(what, |(rule, _)| rule).replace('|', "/")
+    rule.map_or(failure, |(rule, _)| rule).replace('|', "/")
 }
 
 fn last_line(bytes: &[u8]) -> String {
--- a/crates/worksshunt-search/src/seeds.rs
+++ b/crates/worksshunt-search/src/seeds.rs
@@ -1,4 +1,4 @@
-//! Ranges of seeds.
+//! Ranges of seeds, as arguments name them.
 
 use std::str::FromStr;
 
@@ -23,7 +23,7 @@
 }
 
 impl SeedRange {
-    /// The same number of seeds, so much later.
+    /// As many seeds, moved up by so many.
     pub fn later(&self, by: u64) -> SeedRange {
         SeedRange {
             from: self.from + by,
