--- a/crates/worksshunt-core/tests/scale/ends.rs
+++ b/crates/worksshunt-core/tests/scale/completions.rs
@@ -8,7 +8,7 @@
 
 // Guards against jobs that are all done and not called so, because their ends have a fifth of the limit only.
 #[test]
-fn jobs_end_as_fast_as_they_come_in() {
+fn jobs_end_as_fast_as_they_are_submitted() {
     let mut cluster = Cluster::large(1_000);
     cluster.boot_ms = 2_000;
     cluster.task_run_ms = 8_000;
--- a/crates/worksshunt-core/tests/scale/fixtures.rs
+++ b/crates/worksshunt-core/tests/scale/fixtures.rs
@@ -40,12 +40,12 @@
     cluster.boot_ms = 2_000;
     cluster.run(2_000);
     submit_jobs(&mut cluster, 1..=JOBS_AT_ONCE + 8);
-    let full = |w: &Cluster| w.running().len() >= TASKS_AT_ONCE - JOB_TASKS as usize;
+    let full = |cluster: &Cluster| cluster.running().len() >= TASKS_AT_ONCE - JOB_TASKS as usize;
     cluster.until("a full fleet", 90_000, full);
     cluster
 }
 
-/// Users who ask about all jobs in turn, at all controllers in turn.
+/// Users who query all jobs in turn, at all controllers in turn.
 #[derive(Default)]
 pub struct Users {
     asked: u64,
@@ -62,10 +62,10 @@
         for _ in 0..seconds {
             for _ in 0..QUESTIONS_PER_S {
                 self.asked += 1;
-                let node = (self.asked % 3) as usize;
-                let life = cluster.controller_incarnation(node);
-                let slot = cluster.send_status(node, JobId(1 + self.asked % JOBS_AT_ONCE));
-                self.open.push((cluster.now, node, life, slot));
+                let controller = (self.asked % 3) as usize;
+                let life = cluster.controller_incarnation(controller);
+                let slot = cluster.send_status(controller, JobId(1 + self.asked % JOBS_AT_ONCE));
+                self.open.push((cluster.now, controller, life, slot));
             }
             cluster.run(1_000);
             self.judge(cluster);
@@ -74,7 +74,7 @@
 
     fn judge(&mut self, cluster: &Cluster) {
         let (served, refused) = (&mut self.served, &mut self.refused);
-        self.open.retain(|(sent, node, life, slot)| {
+        self.open.retain(|(sent, controller, life, slot)| {
             if let Some(reply) = cluster.reply(*slot) {
                 match reply.status {
                     200 => *served += 1,
@@ -86,7 +86,7 @@
                 }
                 return false;
             }
-            let ended = life.is_none() || cluster.controller_incarnation(*node) != *life;
+            let ended = life.is_none() || cluster.controller_incarnation(*controller) != *life;
             let late = cluster.now > sent + USER_DEADLINE_MS;
             assert!(
                 ended || !late,
@@ -99,8 +99,8 @@
 
 /// Lets the day go on until all jobs are done, and judges it.
 pub fn finish(cluster: &mut Cluster, jobs: std::ops::RangeInclusive<u64>, most_ms: u64) {
-    cluster.until("all jobs", most_ms, |w| {
-        jobs.clone().all(|id| w.all_done(id, JOB_TASKS))
+    cluster.until("all jobs", most_ms, |cluster| {
+        jobs.clone().all(|id| cluster.all_done(id, JOB_TASKS))
     });
     cluster.run(3_000);
     cluster.check();
--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,4 +1,4 @@
-//! The state service away, slow and refusing, with thousands of machines to keep.
+//! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
 
 use worksshunt_core::time::TokenBucket;
 use worksshunt_simulation::{Cluster, LateWrites};
@@ -6,15 +6,16 @@
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
 
 #[test]
-fn an_outage_longer_than_a_lease_then_slow_answers_and_lost_ones() {
+fn an_outage_longer_than_a_lease_then_slow_and_lost_responses() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     cluster.faults.key_value.down = true;
     users.ask_for(&mut cluster, 20);
-    let lost = |w: &Cluster| {
-        w.workers
+    let lost = |cluster: &Cluster| {
+        cluster
+            .workers
             .keys()
-            .filter(|id| w.worker_incarnation(id) > 1)
+            .filter(|id| cluster.worker_incarnation(id) > 1)
             .count()
     };
     assert_eq!(lost(&cluster), 0, "leases outlive the outage");
@@ -34,7 +35,7 @@
 
 // Less than a fifth of what the settings name: what is sent within the shares of the limit is too much.
 #[test]
-fn a_state_service_that_answers_429_to_much_of_what_is_sent() {
+fn a_key_value_store_that_answers_429_to_many_requests() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
     let full = cluster.state_rates.clone();
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_leader_changes_amid_thousands_of_ends_and_hundreds_of_cancellations() {
+fn the_leader_changes_amid_thousands_of_completions_and_hundreds_of_cancellations() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
     cluster.run(22_000);
--- a/crates/worksshunt-core/tests/scale/main.rs
+++ b/crates/worksshunt-core/tests/scale/main.rs
@@ -1,7 +1,7 @@
 //! Scenarios of four thousand machines on virtual time, with all rules judged. Each takes 5 to 20 s of one
 //! processor, so they are few.
 
-mod ends;
+mod completions;
 mod fixtures;
 mod key_value_store;
 mod loss;
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -9,20 +9,24 @@
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE, MACHINES, TASKS_AT_ONCE};
 
 #[test]
-fn one_controller_takes_all_machines_and_gives_them_back() {
+fn one_controller_takes_over_all_machines_and_hands_them_back() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     let begun = cluster.task_starts.len();
     let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
     let left = (cluster.leader() + 1) % 3;
-    let others: Vec<usize> = (0..3).filter(|node| *node != left).collect();
-    others.iter().for_each(|node| cluster.crash(*node));
+    let others: Vec<usize> = (0..3).filter(|controller| *controller != left).collect();
+    others
+        .iter()
+        .for_each(|controller| cluster.crash(*controller));
     users.ask_for(&mut cluster, 15);
     assert!(
         cluster.reporting_to(left) >= MACHINES * 9 / 10,
         "all report to it"
     );
-    others.iter().for_each(|node| cluster.start(*node));
+    others
+        .iter()
+        .for_each(|controller| cluster.start(*controller));
     users.ask_for(&mut cluster, 20);
     let again = cluster.task_starts[begun..]
         .iter()
@@ -43,22 +47,22 @@
 const VANISHED: usize = 40;
 
 #[test]
-fn all_controllers_restart_and_order_little_more_than_is_needed() {
+fn all_controllers_restart_and_send_few_more_commands_than_needed() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     for id in ORPHANED_JOBS {
         cluster.send_cancel(0, JobId(id));
     }
-    let cancelled = |w: &Cluster| {
+    let cancelled = |cluster: &Cluster| {
         ORPHANED_JOBS
             .iter()
-            .all(|id| w.stored(&format!("f/{}", JobId(*id))).is_some())
+            .all(|id| cluster.stored(&format!("f/{}", JobId(*id))).is_some())
     };
     while !cancelled(&cluster) {
         cluster.run(1);
     }
     // No controller has told a worker yet.
-    (0..3).for_each(|node| cluster.crash(node));
+    (0..3).for_each(|controller| cluster.crash(controller));
     let orphaned = |task: &TaskId| ORPHANED_JOBS.contains(&task.job.0);
     let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
     let orphans = running.iter().filter(|task| orphaned(task)).count();
@@ -82,13 +86,13 @@
     users.ask_for(&mut cluster, 5);
     cluster.usage.reset();
     let begun = cluster.task_starts.len();
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     users.ask_for(&mut cluster, 20);
     let again = cluster.task_starts[begun..]
         .iter()
         .filter(|(_, task, _)| kept.contains(task));
     assert_eq!(again.count(), 0, "work under way is kept");
-    // Each stop is told with the answer to a report and straight to the worker, whichever arrives.
+    // Each halt is sent in the response to a heartbeat and directly to the worker, whichever arrives.
     let halts = cluster.usage.halts as usize;
     assert!(
         halts <= orphans * 2,
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -41,7 +41,9 @@
         "within the rates of state service and cloud"
     );
     // Kept for half a boot time, then 40 requests of 100 at most.
-    cluster.until("an empty fleet", 30_000, |w| w.workers.is_empty());
+    cluster.until("an empty fleet", 30_000, |cluster| {
+        cluster.workers.is_empty()
+    });
     assert_eq!(users.refused, 0);
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -1,4 +1,4 @@
-//! Faults of controllers, the state service and users that come together.
+//! Faults of controllers, the key-value store and users that come together.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
@@ -10,7 +10,7 @@
 
 // Guards against answers that come after their sender has given up, taken for none.
 #[test]
-fn the_state_service_answers_slowly_while_users_cancel_and_ask() {
+fn the_key_value_store_responds_slowly_while_users_cancel_and_query() {
     for slow_ms in [350, 900, 1_400, 1_600] {
         for cancel_ms in [0, 450, 2_000] {
             let moment = format!("{slow_ms} slower, cancelled after {cancel_ms}");
@@ -37,7 +37,7 @@
 
 // Guards against a fleet whose leases have all run out, taken for one that still runs, or the reverse.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn all_controllers_are_down_for_longer_than_a_lease() {
     for away_ms in (12_000..24_000).step_by(800) {
         let moment = format!("away for {away_ms}");
         let mut cluster = busy(5, 30_000);
@@ -45,9 +45,9 @@
         cluster.run(3_000);
         let hung = cluster.task_starts[0].2.clone();
         cluster.hang(&hung, away_ms - 2_000);
-        (0..3).for_each(|node| cluster.crash(node));
+        (0..3).for_each(|controller| cluster.crash(controller));
         cluster.run(away_ms);
-        (0..3).for_each(|node| cluster.start(node));
+        (0..3).for_each(|controller| cluster.start(controller));
         cluster.run(20_000);
         assert!(cluster.effects("heartbeat copy") > 0, "{moment}");
         settle(&mut cluster, &moment);
@@ -55,9 +55,9 @@
     }
 }
 
-// Guards against former lives, and against work that two take for theirs.
+// Guards against former incarnations, and against work that two take for theirs.
 #[test]
-fn controllers_hand_over_and_back_all_end_and_one_returns() {
+fn leadership_changes_twice_then_all_controllers_crash_and_one_returns() {
     for back_ms in [40, 130, 300, 700, 1_100, 2_500, 5_000] {
         for alone in 0..3 {
             let moment = format!("{alone} back after {back_ms}");
@@ -74,7 +74,7 @@
             );
             cluster.send_cancel(alone, JobId(1));
             cluster.run(back_ms);
-            (0..3).for_each(|node| cluster.crash(node));
+            (0..3).for_each(|controller| cluster.crash(controller));
             cluster.run(back_ms);
             cluster.start(alone);
             cluster.run(9_000);
@@ -96,16 +96,16 @@
         let moment = format!("cancelled {cancel_ms} around it");
         let mut cluster = busy(6, 120_000);
         let leader = cluster.leader();
-        let node = others(leader)[step as usize % 2];
-        cluster.schedule(300, move |w| {
-            w.faults.key_value.refuses.insert(leader);
+        let controller = others(leader)[step as usize % 2];
+        cluster.schedule(300, move |cluster| {
+            cluster.faults.key_value.refuses.insert(leader);
         });
-        cluster.schedule(cancel_ms, move |w| {
+        cluster.schedule(cancel_ms, move |cluster| {
             for id in 1..=4 {
-                w.send_cancel(node, JobId(id));
+                cluster.send_cancel(controller, JobId(id));
             }
         });
-        cluster.schedule(1_300, |w| w.faults.key_value.down = true);
+        cluster.schedule(1_300, |cluster| cluster.faults.key_value.down = true);
         cluster.run(33_000 + 1_300);
         assert!(
             cluster.invariants.any_cancelled() && cluster.effects("refused") > 0,
@@ -120,14 +120,14 @@
 
 // Guards against a team's use that a new leader counts too low before it has heard every owner.
 #[test]
-fn a_team_is_at_its_limit_when_the_leader_changes_and_machines_cannot_be_asked() {
+fn a_team_is_at_its_limit_when_the_leader_changes_and_machines_are_unreachable() {
     for how in ["deaf", "mute", "hung"] {
         for cancel_ms in (0..6_000).step_by(600) {
             let moment = format!("{how}, cancelled after {cancel_ms}");
             let mut cluster = ready_with_boots_of(50.0);
             cluster.task_run_ms = 40_000;
             cluster.submit(0, &red(1, 8));
-            cluster.until("tasks", 30_000, |w| w.running().len() == 8);
+            cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
             cluster.submit(1, &red(2, 8));
             cluster.run(1_000);
             for id in machines_of(&cluster, 1) {
@@ -144,9 +144,9 @@
             cluster.run(500);
             let leader = cluster.leader();
             cluster.crash(leader);
-            let node = others(leader)[0];
-            cluster.schedule(cancel_ms, move |w| {
-                w.send_cancel(node, JobId(1));
+            let controller = others(leader)[0];
+            cluster.schedule(cancel_ms, move |cluster| {
+                cluster.send_cancel(controller, JobId(1));
             });
             cluster.run(6_500);
             cluster.start(leader);
@@ -173,8 +173,8 @@
         for id in 1..=6 {
             cluster.send_submit(id as usize % 3, &job(id, 2 + id as u32 % 2));
         }
-        cluster.until("a task's end", 30_000, |w| {
-            (1..=6).any(|id| w.all_done(id, 1))
+        cluster.until("a task's end", 30_000, |cluster| {
+            (1..=6).any(|id| cluster.all_done(id, 1))
         });
         cluster.run(crash_ms);
         let leader = cluster.leader();
@@ -199,12 +199,14 @@
                 let leader = cluster.leader();
                 cluster.restart(leader, 200 + 450 * (change % 4));
                 if outage_ms > 0 && change % 3 == 1 {
-                    cluster.schedule(600, |w| w.faults.key_value.down = true);
-                    cluster.schedule(600 + outage_ms, |w| w.faults.key_value.down = false);
+                    cluster.schedule(600, |cluster| cluster.faults.key_value.down = true);
+                    cluster.schedule(600 + outage_ms, |cluster| {
+                        cluster.faults.key_value.down = false
+                    });
                 }
-                let node = others(leader)[0];
-                cluster.send_cancel(node, JobId(1 + change % 2));
-                cluster.send_submit(node, &job(20 + change, 3));
+                let controller = others(leader)[0];
+                cluster.send_cancel(controller, JobId(1 + change % 2));
+                cluster.send_submit(controller, &job(20 + change, 3));
                 cluster.run(every_ms);
             }
             cluster.run(10_000);
@@ -220,7 +222,7 @@
 
 // Guards against a job that is called cancelled and done, with nothing else going on.
 #[test]
-fn requests_meet_the_end_of_a_jobs_last_task() {
+fn requests_arrive_as_a_jobs_last_task_ends() {
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -239,7 +241,7 @@
 
 // Guards against a write that was given up and undoes newer ones of the same controller.
 #[test]
-fn transactions_without_an_answer_are_carried_out_after_newer_ones() {
+fn unanswered_transactions_are_applied_after_newer_ones() {
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -253,8 +255,8 @@
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 5));
             if id % 4 == 0 {
-                cluster.schedule(200 * seed, move |w| {
-                    w.send_cancel(id as usize % 3, JobId(id));
+                cluster.schedule(200 * seed, move |cluster| {
+                    cluster.send_cancel(id as usize % 3, JobId(id));
                 });
             }
             cluster.run(400);
@@ -280,14 +282,14 @@
         cluster.faults.key_value.unreachable_from.insert(leader);
         cluster.faults.cut_from_peers.insert(leader);
         cluster.run(cancel_ms);
-        let node = others(leader)[0];
+        let controller = others(leader)[0];
         for id in 1..=6 {
-            cluster.send_cancel(node, JobId(id));
+            cluster.send_cancel(controller, JobId(id));
             cluster.send_status(leader, JobId(id));
         }
         cluster.run(6_000);
         for id in 1..=6 {
-            cluster.send_cancel(node, JobId(id));
+            cluster.send_cancel(controller, JobId(id));
             cluster.send_status(leader, JobId(id));
         }
         cluster.run(30_000);
@@ -300,7 +302,7 @@
 
 // Guards against work that waits for ever beside other work, and links that are taken for dead.
 #[test]
-fn there_is_more_work_than_room_over_slow_links() {
+fn jobs_exceed_the_capacity_over_slow_links() {
     for slow_ms in [0, 300, 800] {
         let moment = format!("{slow_ms} slower");
         let mut cluster = ready();
@@ -315,28 +317,30 @@
             cluster.run(300);
         }
         cluster.send_cancel(1, JobId(3));
-        cluster.until("a full fleet", 30_000, |w| w.running().len() >= 10);
+        cluster.until("a full fleet", 30_000, |cluster| {
+            cluster.running().len() >= 10
+        });
         settle(&mut cluster, &moment);
     }
 }
 
 // Guards against a controller that wakes in the middle of what it had decided long ago, and acts on it.
 #[test]
-fn a_controller_stands_still_beyond_a_lease_and_goes_on_where_it_stopped() {
+fn a_controller_pauses_for_longer_than_a_lease_and_resumes_where_it_stopped() {
     for still_ms in [1_500, 5_000, 12_000, 19_000, 27_000] {
         for step in 0..6 {
             let moment = format!("still for {still_ms} from step {step}");
             let mut cluster = busy(4, 25_000);
-            let node = (cluster.leader() + step as usize) % 3;
-            cluster.submit(others(node)[0], &red(8, 8));
-            cluster.submit(others(node)[0], &long_job(9, 8));
+            let controller = (cluster.leader() + step as usize) % 3;
+            cluster.submit(others(controller)[0], &red(8, 8));
+            cluster.submit(others(controller)[0], &long_job(9, 8));
             cluster.run(step * 13);
-            cluster.pause(node, still_ms);
+            cluster.pause(controller, still_ms);
             cluster.run(700);
             for id in [1, 8] {
-                cluster.send_cancel(others(node)[0], JobId(id));
+                cluster.send_cancel(others(controller)[0], JobId(id));
             }
-            cluster.submit(others(node)[0], &red(10, 8));
+            cluster.submit(others(controller)[0], &red(10, 8));
             cluster.run(still_ms);
             assert_eq!(cluster.effects("pause"), 1, "{moment}");
             cluster.run(22_000);
@@ -349,9 +353,9 @@
     }
 }
 
-// Guards against refusals that hit an accepted job because a node knows too little yet.
+// Guards against an accepted job that is rejected because a controller has not read it yet.
 #[test]
-fn bad_input_is_refused_under_troubles_and_never_hits_an_accepted_job() {
+fn bad_input_is_rejected_under_faults_and_never_affects_an_accepted_job() {
     for seed in 1..=6 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -366,7 +370,7 @@
         });
         let mut replies = Vec::new();
         for round in 0..40 {
-            let node = (round + seed as usize) % 3;
+            let controller = (round + seed as usize) % 3;
             for id in [1, 2] {
                 // The same id with what lacks a field, has a wrong one, or can never run.
                 let mut lacks = job(id, 3);
@@ -376,7 +380,7 @@
                 let mut never = job(id, 3);
                 never["Cores"] = json!(64.0);
                 for odd in [lacks, wrong, never] {
-                    cluster.send_submit(node, &odd);
+                    cluster.send_submit(controller, &odd);
                 }
             }
             // And what nobody has submitted.
@@ -384,12 +388,12 @@
             lacks.as_object_mut().expect("an object").remove("RamGb");
             let mut never = job(51, 1);
             never["Cuadrilla"] = json!("nobody");
-            replies.push((400, cluster.send_submit(node, &lacks)));
-            replies.push((422, cluster.send_submit(node, &never)));
-            replies.push((404, cluster.send_status(node, JobId(60))));
-            replies.push((404, cluster.send_cancel(node, JobId(61))));
+            replies.push((400, cluster.send_submit(controller, &lacks)));
+            replies.push((422, cluster.send_submit(controller, &never)));
+            replies.push((404, cluster.send_status(controller, JobId(60))));
+            replies.push((404, cluster.send_cancel(controller, JobId(61))));
             let bytes = b"{\"Ref\": ".to_vec();
-            replies.push((400, cluster.send(node, |r| Event::Submit(r, bytes))));
+            replies.push((400, cluster.send(controller, |r| Event::Submit(r, bytes))));
             cluster.run(230);
         }
         cluster.run(5_000);
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -7,9 +7,9 @@
 use super::{busy, machines_of, others, red, settle};
 use crate::{long_job, ready, ready_with_boots_of};
 
-// Guards against a former epoch's words that reach a leader which has acted already.
+// Guards against a heartbeat of a former epoch that reaches a leader which has acted already.
 #[test]
-fn a_report_is_held_back_until_a_new_leader_has_acted() {
+fn a_heartbeat_is_held_back_until_a_new_leader_has_acted() {
     for release_ms in (0..10_000).step_by(500) {
         let moment = format!("released after {release_ms}");
         let mut cluster = busy(4, 12_000);
@@ -32,7 +32,7 @@
 
 // Guards against machines that a new leader takes for empty, or for dead before their lease is over.
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached() {
+fn the_leader_crashes_while_machines_with_long_tasks_are_unreachable() {
     for how in ["deaf", "mute", "hung"] {
         for crash_ms in (0..16_000).step_by(1_600) {
             let moment = format!("{how}, the leader ends after {crash_ms}");
@@ -66,7 +66,7 @@
 
 // Guards against copies that are taken for news: of an earlier report, session or attempt.
 #[test]
-fn old_reports_arrive_after_newer_ones() {
+fn old_heartbeats_arrive_after_newer_ones() {
     for after_ms in [200, 1_300, 4_000, 9_000, 15_500, 17_500, 26_000] {
         let moment = format!("copies after {after_ms}");
         let mut cluster = busy(4, 9_000);
@@ -87,7 +87,7 @@
 
 // Guards against commands that are carried out when nobody reckons with them any more.
 #[test]
-fn a_command_is_held_up_for_seconds_and_the_machine_goes_on() {
+fn a_command_is_delayed_for_seconds_and_the_machine_goes_on() {
     for release_ms in (200..14_000).step_by(600) {
         let moment = format!("released after {release_ms}");
         let mut cluster = ready_with_boots_of(50.0);
@@ -129,7 +129,7 @@
         cluster.submit(0, &bound(1, "Patio", json!("b")));
         cluster.submit(1, &bound(2, "SamePlace", json!(true)));
         cluster.submit(2, &bound(3, "Spread", json!(true)));
-        cluster.until("tasks", 40_000, |w| w.running().len() >= 12);
+        cluster.until("tasks", 40_000, |cluster| cluster.running().len() >= 12);
         cluster.run(loss_ms);
         let lost: Vec<_> = (1..=3)
             .map(|id| machines_of(&cluster, id)[0].clone())
@@ -148,9 +148,9 @@
 }
 
 // Guards against machines rented over and over in a zone where the job that waits may not run, because its own
-// has none and is refused just then (found by days of mixed troubles: the cloud was never asked again in time).
+// has none and is refused just then (found by days of mixed faults: the cloud was never asked again in time).
 #[test]
-fn no_machine_is_rented_in_a_zone_that_may_have_no_more_of_the_tasks_that_wait() {
+fn no_machine_is_provisioned_in_a_zone_that_may_run_no_more_of_the_waiting_tasks() {
     let mut cluster = ready();
     cluster.task_run_ms = 3_000;
     cluster.capacity = 1;
@@ -159,9 +159,11 @@
     let mut spread = long_job(1, 6);
     spread["Spread"] = json!(true);
     cluster.submit(0, &spread);
-    cluster.until("the first half", 30_000, |w| w.task_starts.len() >= 3);
+    cluster.until("the first half", 30_000, |cluster| {
+        cluster.task_starts.len() >= 3
+    });
     cluster.faults.cloud.down = false;
-    cluster.until("all tasks", 90_000, |w| w.all_done(1, 6));
+    cluster.until("all tasks", 90_000, |cluster| cluster.all_done(1, 6));
     settle(&mut cluster, "spread");
 }
 
@@ -183,10 +185,10 @@
     }
 }
 
-// Guards against a lease that is reckoned from the last report although the worker, heard through direct
-// orders only, is in a later session, whose lease began with it (found by a day of mixed troubles).
+// Guards against a lease that is reckoned from the last heartbeat although the worker, heard through direct
+// commands only, is in a later incarnation, whose lease began with it (found by a day of mixed faults).
 #[test]
-fn a_machine_whose_reports_are_lost_begins_another_session_and_answers_orders() {
+fn a_machine_whose_heartbeats_are_lost_begins_another_incarnation_and_answers_commands() {
     let mut incarnations = 0;
     for release_ms in (7_000..17_000).step_by(250) {
         let moment = format!("a report arrives after {release_ms}");
@@ -227,15 +229,15 @@
             cluster.run(9_000);
             cluster.submit(0, &long_job(1, 12));
             cluster.submit(1, &red(2, 8));
-            cluster.until("tasks", 30_000, |w| w.running().len() == 20);
+            cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 20);
             cluster.faults.partitioned_zone = Some(ZonePartition {
                 zone: "b".to_owned(),
                 controllers: [inside].into(),
             });
             cluster.run(2_000);
-            let node = others(inside)[0];
-            cluster.send_cancel(node, JobId(2));
-            cluster.submit(node, &red(3, 8));
+            let controller = others(inside)[0];
+            cluster.send_cancel(controller, JobId(2));
+            cluster.submit(controller, &red(3, 8));
             cluster.run(cut_ms);
             assert!(cluster.effects("lost heartbeat") > 0, "{moment}");
             cluster.faults.partitioned_zone = None;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -1,11 +1,11 @@
 //! Faults that come together, one scenario for each.
 //!
-//! Troubles meet at a moment, so each scenario is told over a sweep of moments, with fixed seeds. Each asserts
-//! that its troubles took effect. `docs/combined-faults.md` says what the code relies on in each.
+//! Faults interact at particular moments, so each scenario is played over a sweep of moments, with fixed seeds. Each asserts
+//! that its faults took effect. `docs/combined-faults.md` says what the code relies on in each.
 
 mod controllers;
-mod first;
 mod machines;
+mod requested;
 
 use serde_json::{json, Value};
 use worksshunt_wire::{JobId, MachineId};
@@ -35,18 +35,18 @@
         cluster.submit(id as usize % 3, &long_job(id, 4));
     }
     let tasks = jobs as usize * 4;
-    cluster.until("tasks", 30_000, |w| w.running().len() == tasks);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == tasks);
     cluster.run(3_000);
 }
 
-/// All troubles are over: whatever was accepted gets done, and the day is judged.
+/// All faults are over: whatever was accepted gets done, and the day is judged.
 pub fn settle(cluster: &mut Cluster, moment: &str) {
     let ended = cluster.settle();
     ended.unwrap_or_else(|failure| panic!("{moment}: {failure}"));
 }
 
-fn others(node: usize) -> [usize; 2] {
-    [(node + 1) % 3, (node + 2) % 3]
+fn others(controller: usize) -> [usize; 2] {
+    [(controller + 1) % 3, (controller + 2) % 3]
 }
 
 fn machines_of(cluster: &Cluster, job: u64) -> Vec<MachineId> {
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/first.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -1,4 +1,4 @@
-//! The gap and the seven combinations of faults that the users named first.
+//! Combinations of faults that the users asked for first: a refused leader followed by an outage, and seven others.
 
 use worksshunt_wire::JobId;
 
@@ -8,7 +8,7 @@
 
 // Guards against a leader that goes on renewing leases of tasks whose cancellation it cannot know.
 #[test]
-fn the_gap_refused_leader_then_an_outage_longer_than_cancel() {
+fn the_leader_is_refused_then_an_outage_lasts_longer_than_the_cancel_time() {
     for outage_ms in [17_000, 24_000, 63_500] {
         for cancel_ms in (0..2_400).step_by(200) {
             let moment = format!("outage {outage_ms}, cancelled after {cancel_ms}");
@@ -21,7 +21,7 @@
             }
             cluster.run(2_400 - cancel_ms);
             cluster.faults.key_value.down = true;
-            cluster.schedule(12_000, |w| w.faults.key_value.refuses.clear());
+            cluster.schedule(12_000, |cluster| cluster.faults.key_value.refuses.clear());
             cluster.run(outage_ms);
             assert!(
                 cluster.invariants.any_cancelled(),
@@ -55,9 +55,9 @@
     }
 }
 
-// Guards against a node that answers from what it knew before another one's answer.
+// Guards against a controller that answers from what it knew before another one's answer.
 #[test]
-fn users_look_closely_after_every_answer() {
+fn users_query_rapidly_after_every_response() {
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -66,9 +66,9 @@
         for id in 1..=18 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
             if id % 3 == 0 {
-                let node = (id as usize + seed as usize) % 3;
-                cluster.schedule(5 * seed + id, move |w| {
-                    w.send_cancel(node, JobId(id));
+                let controller = (id as usize + seed as usize) % 3;
+                cluster.schedule(5 * seed + id, move |cluster| {
+                    cluster.send_cancel(controller, JobId(id));
                 });
             }
             cluster.run(37 * seed);
@@ -87,9 +87,9 @@
     }
 }
 
-// Guards against answers of the state service that are taken for refusals: what was written is there.
+// Guards against lost responses of the key-value store that are taken for refusals: the write was applied.
 #[test]
-fn only_the_answer_of_a_write_is_lost_while_others_read_it() {
+fn only_the_response_to_a_write_is_lost_while_others_read_it() {
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -101,10 +101,10 @@
         });
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
-            let node = (id as usize + 1) % 3;
+            let controller = (id as usize + 1) % 3;
             if id % 4 == 0 {
-                cluster.schedule(40 * seed, move |w| {
-                    w.send_cancel(node, JobId(id));
+                cluster.schedule(40 * seed, move |cluster| {
+                    cluster.send_cancel(controller, JobId(id));
                 });
             }
             cluster.run(300);
@@ -131,10 +131,12 @@
             cluster.task_run_ms = 60_000;
             cluster.submit(0, &red(1, 4));
             cluster.submit(1, &red(2, 4));
-            cluster.until("tasks", 30_000, |w| w.running().len() == 8);
+            cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
             cluster.submit(2, &red(3, 8));
             cluster.submit(2, &long_job(4, 12));
-            cluster.until("more tasks", 30_000, |w| w.running().len() == 20);
+            cluster.until("more tasks", 30_000, |cluster| {
+                cluster.running().len() == 20
+            });
             let leader = cluster.leader();
             for id in machines_of(&cluster, 1) {
                 cluster.hang(&id, 9_000);
@@ -148,9 +150,11 @@
             }
             cluster.run(crash_ms);
             let gone: Vec<usize> = (0..3).filter(|n| all || *n == leader).collect();
-            gone.iter().for_each(|node| cluster.crash(*node));
+            gone.iter()
+                .for_each(|controller| cluster.crash(*controller));
             cluster.run(300);
-            gone.iter().for_each(|node| cluster.start(*node));
+            gone.iter()
+                .for_each(|controller| cluster.start(*controller));
             let epoch = cluster.epoch();
             cluster.run(6_000);
             // Whoever got no answer asks again.
@@ -171,7 +175,7 @@
 }
 
 // Guards against a job that is cancelled while a new leader asks how others have ended (found by a day of mixed
-// troubles).
+// faults).
 #[test]
 fn jobs_are_cancelled_while_a_new_leader_reads_how_others_ended() {
     for cancel_ms in (0..300).step_by(4) {
@@ -182,7 +186,7 @@
         for id in 1..=4 {
             cluster.submit(0, &red(id, 2));
         }
-        cluster.until("tasks", 30_000, |w| w.running().len() == 8);
+        cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
         cluster.submit(2, &red(9, 8));
         // Room for what waits at the limit.
         for _ in 0..3 {
@@ -216,7 +220,7 @@
 
 // Guards against tasks that lose the one who was to stop them.
 #[test]
-fn jobs_are_cancelled_while_a_controllers_work_changes_hands() {
+fn jobs_are_cancelled_while_a_controllers_partition_is_handed_over() {
     for leads in [false, true] {
         for cancel_ms in (0..9_000).step_by(450) {
             let moment = format!("leader {leads}, cancelled after {cancel_ms}");
@@ -245,7 +249,7 @@
 
 // Guards against machines that nobody has heard of, with work that nobody knows of.
 #[test]
-fn new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() {
+fn new_machines_get_tasks_at_once_while_writes_lag_and_the_leader_crashes() {
     for seed in 1..=4 {
         for crash_ms in (1_200..6_000).step_by(300) {
             let moment = format!("seed {seed}, the leader ends after {crash_ms}");
@@ -273,7 +277,7 @@
 
 // Guards against a new leader's epoch that begins with what was true in another one.
 #[test]
-fn old_reports_reach_every_controller_as_a_new_leader_begins() {
+fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
     for hung in [false, true] {
         for crash_ms in (0..5_000).step_by(250) {
             let moment = format!("hung {hung}, the leader ends after {crash_ms}");
@@ -300,7 +304,7 @@
 
 // Guards against whatever a stream of small jobs wears out: shares of writes, memory of ends, look-ups.
 #[test]
-fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
+fn one_task_jobs_are_submitted_four_a_second_and_a_quarter_is_cancelled() {
     let mut cluster = ready();
     cluster.capacity = 20;
     cluster.task_run_ms = 3_000;
@@ -310,9 +314,9 @@
         cluster.send_submit(id as usize % 3, &job(id, 1));
         if id % 4 == 0 {
             let wait_ms = 30 + (id * 7_919) % 9_000;
-            let node = (id / 4) as usize % 3;
-            cluster.schedule(wait_ms, move |w| {
-                w.send_cancel(node, JobId(id));
+            let controller = (id / 4) as usize % 3;
+            cluster.schedule(wait_ms, move |cluster| {
+                cluster.send_cancel(controller, JobId(id));
             });
         }
         if id == 200 {
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -1,5 +1,5 @@
-//! The checker of the rules, shown to find each breach that it is there for: a deliberate one is played to
-//! it, and the same without the breach is let pass.
+//! The checker of the invariants finds each violation that it is there for: it is shown a deliberate one, and accepts
+//! the same without the violation.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_answer_to_a_question_from_before_may_be_older() {
+fn a_response_to_an_earlier_query_may_be_older() {
     let mut rules = rules();
     let early = status(&mut rules, 1);
     let question = submission(&mut rules, 1);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn what_was_said_of_a_jobs_end_must_not_change() {
+fn the_reported_end_of_a_job_must_not_change() {
     let done = || {
         let mut rules = accepted();
         rules.completed(task(1, 0));
@@ -135,7 +135,7 @@
     assert!(breaks(&rules, "went_back"), "its user did not cancel it");
 }
 
-/// A cluster with a machine that takes no orders of controllers, for what is smuggled onto it.
+/// A cluster with machines that controllers' commands do not reach; tests inject tasks into them.
 fn with_machines(count: usize, zone: &str, spot: bool) -> (Cluster, Vec<MachineId>) {
     let mut cluster = ready();
     let ids: Vec<MachineId> = (0..count).map(|_| cluster.machine(zone, spot, 0)).collect();
@@ -211,7 +211,7 @@
     cluster.inject_task(&ids[0], task(1, 1), 8);
     cluster.run(300);
     assert_eq!(cluster.invariants.starts_after_cancel, 1);
-    // The machine is deaf, so its lease ends the tasks; others are put there again.
+    // The machine is unreachable, so its lease ends the tasks; others are injected again.
     cluster.run(29_000);
     assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[0], task(1, 0), 9);
@@ -222,10 +222,10 @@
 }
 
 #[test]
-fn a_job_that_waits_beside_room_is_found() {
+fn a_job_that_waits_beside_free_capacity_is_found() {
     let mut cluster = ready();
     cluster.submit(0, &long_job(1, 4));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 4);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let spot = cluster.task_starts[0].2.clone();
     let stranger = job(9, 1).to_string().into_bytes();
     let question = cluster
@@ -235,7 +235,7 @@
     cluster
         .invariants
         .response_received(now, &question, &says("pending"));
-    // Accepted by the checker's lights, unknown to the controllers; there is always a machine for it.
+    // Accepted according to the checker, unknown to the controllers; there is always a machine for it.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
         cluster.submit(0, &job(id, 1));
@@ -246,12 +246,12 @@
     assert!(forgotten.is_err());
 }
 
-// A question that is never answered is told from one that is answered late.
+// A query that is never answered is distinguished from one that is answered late.
 #[test]
-fn a_job_that_is_never_answered_for_is_found() {
+fn a_job_whose_queries_are_never_answered_is_found() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 1));
-    cluster.until("its end", 60_000, |w| w.all_done(1, 1));
+    cluster.until("its end", 60_000, |cluster| cluster.all_done(1, 1));
     cluster.put("j/j-000001", json!({ "spec": "of another version" }));
     let found = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
     assert!(found.is_err());
--- a/crates/worksshunt-core/tests/scenarios/outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the state service that are longer than a lease.
+//! Outages of the key-value store that are longer than a lease.
 
 use worksshunt_core::epoch_confirmation::EpochConfirmation;
 use worksshunt_core::time::Time;
@@ -8,11 +8,11 @@
 use crate::combined_faults::{fill, settle};
 use worksshunt_simulation::Cluster;
 
-/// The lease of the scenarios' workers and the time for which an epoch that was confirmed last gives authority.
-const LEASE_AND_AUTHORITY_MS: u64 = 20_000;
+/// The lease of the scenarios' workers and the leader lease of an epoch that was confirmed last.
+const WORKER_AND_LEADER_LEASE_MS: u64 = 20_000;
 
 /// An outage that takes all tasks with it unless leases are renewed in the middle of it.
-const LONG_OUTAGE_MS: u64 = LEASE_AND_AUTHORITY_MS + 4_000;
+const LONG_OUTAGE_MS: u64 = WORKER_AND_LEADER_LEASE_MS + 4_000;
 
 /// What a cancellation has, seconds: so much that news of cancellations stays recent for longer than here any
 /// outage is older than a lease.
@@ -22,11 +22,13 @@
 fn busy() -> Cluster {
     let mut cluster = Cluster::new();
     cluster.nominal_boot_s = 50.0;
-    for node in 0..3 {
-        cluster.settings[node].facts.workers.cancel_s = CANCEL_S;
-        cluster.start(node);
+    for controller in 0..3 {
+        cluster.settings[controller].facts.workers.cancel_s = CANCEL_S;
+        cluster.start(controller);
     }
-    cluster.until("an epoch", 10_000, |w| w.stored("c/epoch").is_some());
+    cluster.until("an epoch", 10_000, |cluster| {
+        cluster.stored("c/epoch").is_some()
+    });
     cluster.run(3_000);
     fill(&mut cluster, 2, 120_000);
     cluster
@@ -64,8 +66,8 @@
     let mut cluster = busy();
     cluster.faults.key_value.down = true;
     cluster.run(LONG_OUTAGE_MS - 6_000);
-    for node in 0..3 {
-        cluster.restart(node, 3_000);
+    for controller in 0..3 {
+        cluster.restart(controller, 3_000);
     }
     cluster.run(6_000);
     cluster.faults.key_value.down = false;
@@ -76,7 +78,7 @@
 
 // A controller that does not answer may know a newer epoch, so silence confirms nothing.
 #[test]
-fn one_silent_controller_ends_the_authority_of_all() {
+fn one_controller_that_does_not_answer_lets_the_leases_of_all_expire() {
     let mut cluster = busy();
     cluster.faults.cut_from_peers.insert(2);
     outage(&mut cluster, LONG_OUTAGE_MS);
@@ -86,18 +88,18 @@
 
 // A controller that alone is refused must not keep its workers: the others go on without it.
 #[test]
-fn a_controller_that_alone_is_refused_gives_its_workers_up() {
+fn a_controller_that_alone_is_refused_releases_its_workers() {
     let mut cluster = busy();
     let alone = (0..3).find(|n| *n != cluster.leader()).expect("another");
     cluster.faults.key_value.refuses.insert(alone);
-    cluster.run(LEASE_AND_AUTHORITY_MS);
+    cluster.run(WORKER_AND_LEADER_LEASE_MS);
     assert_eq!(cluster.reporting_to(alone), 0);
     assert_eq!(starts(&cluster), 8, "none started a second time");
     settle(&mut cluster, "after the refusals");
 }
 
 /// One controller is refused and cut from its peers, which go on without it and draw their conclusions from
-/// its machines' silence. At some moment of that all of them lose the state service, and it can ask its peers
+/// its machines' silence. At some moment of that all of them lose the key-value store, and it can ask its peers
 /// again, which may have been restarted and have forgotten what they knew.
 fn a_former_owner_asks_again(moment: u64, peers_restart: bool) {
     let mut cluster = busy();
@@ -111,11 +113,11 @@
     cluster.faults.key_value.down = true;
     cluster.faults.cut_from_peers.clear();
     if peers_restart {
-        for node in others {
-            cluster.restart(node, 100);
+        for controller in others {
+            cluster.restart(controller, 100);
         }
     }
-    cluster.run(LEASE_AND_AUTHORITY_MS);
+    cluster.run(WORKER_AND_LEADER_LEASE_MS);
     cluster.faults.key_value.down = false;
     cluster.run(3_000);
     let what = format!("asked after {moment} ms, peers restart: {peers_restart}");
@@ -124,7 +126,7 @@
 
 // Guards against a former owner whose leases go on while the others have started its tasks elsewhere.
 #[test]
-fn peers_that_know_a_newer_epoch_do_not_bring_a_former_owner_back() {
+fn peers_that_know_a_newer_epoch_do_not_confirm_a_former_owner() {
     for moment in (0..24_000).step_by(1_500) {
         a_former_owner_asks_again(moment, false);
     }
@@ -132,7 +134,7 @@
 
 // The same with peers that have forgotten the newer epoch, and with it what they concluded from it.
 #[test]
-fn peers_that_have_forgotten_a_newer_epoch_bring_no_task_back_that_runs_elsewhere() {
+fn peers_that_have_forgotten_a_newer_epoch_revive_no_task_that_runs_elsewhere() {
     for moment in (0..24_000).step_by(1_500) {
         a_former_owner_asks_again(moment, true);
     }
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn a_poll_fails_by_a_newer_epoch_or_a_state_service_that_answers_others() {
+fn a_poll_fails_if_a_peer_knows_a_newer_epoch_or_reaches_the_key_value_store() {
     let reaches = |number| KnownEpoch {
         key_value_store_reachable: true,
         ..known(number, 4)
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn answers_to_an_earlier_poll_count_for_nothing() {
+fn responses_to_an_earlier_poll_are_ignored() {
     let (mut poll, first) = poll();
     poll.record_response(&name("n1"), &known(first, 4));
     let others = [name("n1"), name("n2")].into_iter().collect();
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -8,7 +8,7 @@
 
 use crate::{long_job, ready_with_boots_of};
 
-/// How long a report is under way, ms: less than workers wait for an answer.
+/// How long a heartbeat is under way, ms: less than workers wait for an answer.
 const REPORT_UNDER_WAY_MS: u64 = 1_500;
 
 /// A machine that is about to be cut off, with the jobs that have tasks there.
@@ -43,7 +43,7 @@
     doomed.expect("machines")
 }
 
-/// While a report of the machine is under way, an order to it is carried out and answered. The answer is the
+/// While a heartbeat of the machine is under way, a command to it is carried out and answered. The answer is the
 /// newer message and arrives first. The order stops the task of one of the jobs, whose user calls it off.
 fn order_overtakes_report(cluster: &mut Cluster, doomed: &mut Doomed) {
     let machine = doomed.machine.clone();
@@ -87,19 +87,19 @@
     assert_eq!(again, doomed.jobs, "what was there goes on elsewhere");
 }
 
-// The incident of issue 29: the answer to a direct order overtook a report. The report was answered and so renewed
+// The incident of issue 29: the answer to a direct command overtook a heartbeat. The heartbeat was answered and so renewed
 // the worker's lease, while the owner's account of that lease stayed where it was.
 #[test]
-fn a_report_overtaken_by_the_answer_to_an_order_renews_the_lease_on_both_sides() {
+fn a_heartbeat_overtaken_by_the_response_to_a_command_renews_the_lease_on_both_sides() {
     let (mut cluster, mut doomed) = two_machines();
     order_overtakes_report(&mut cluster, &mut doomed);
     cut_off(&mut cluster, &doomed.machine);
     goes_on_elsewhere(&mut cluster, &doomed, 30_000);
 }
 
-// The same twice in a row: each time the account fell back by another interval of reports.
+// The same twice in a row: each time the account fell back by another interval of heartbeats.
 #[test]
-fn reports_overtaken_one_after_the_other_renew_the_lease_on_both_sides() {
+fn heartbeats_overtaken_one_after_the_other_renew_the_lease_on_both_sides() {
     let (mut cluster, mut doomed) = two_machines();
     order_overtakes_report(&mut cluster, &mut doomed);
     order_overtakes_report(&mut cluster, &mut doomed);
@@ -143,7 +143,7 @@
 
 // The other side of the fix: what renews a lease must not keep a dead machine's tasks for as long as copies of it come.
 #[test]
-fn copies_of_an_overtaken_report_do_not_keep_the_tasks_of_a_dead_machine() {
+fn copies_of_an_overtaken_heartbeat_do_not_keep_the_tasks_of_a_dead_machine() {
     let (mut cluster, mut doomed) = two_machines();
     cluster.faults.heartbeats.copies_after_ms = (4..120).map(|half| half * 500).collect();
     order_overtakes_report(&mut cluster, &mut doomed);
--- a/crates/worksshunt-core/tests/scenarios/main.rs
+++ b/crates/worksshunt-core/tests/scenarios/main.rs
@@ -3,11 +3,11 @@
 mod combined_faults;
 mod faults;
 mod invariants;
+mod key_value_outage;
 mod leases;
 mod mixed;
-mod order;
 mod ordinary;
-mod outage;
+mod preemption;
 mod services;
 mod upgrade;
 
@@ -23,7 +23,9 @@
 fn ready_with_boots_of(ready_s: f64) -> Cluster {
     let mut cluster = Cluster::new();
     cluster.nominal_boot_s = ready_s;
-    cluster.until("an epoch", 5_000, |w| w.stored("c/epoch").is_some());
+    cluster.until("an epoch", 5_000, |cluster| {
+        cluster.stored("c/epoch").is_some()
+    });
     cluster.run(1_000);
     cluster
 }
--- a/crates/worksshunt-core/tests/scenarios/mixed.rs
+++ b/crates/worksshunt-core/tests/scenarios/mixed.rs
@@ -1,21 +1,21 @@
-//! Days of random troubles: no rule is broken on any of them.
+//! Days of random faults: no invariant is violated on any of them.
 //!
-//! Some are told each time. `SCENARIOS_MIXED=FROM..TO` has the test tell those seeds instead, for a search.
+//! Some are played in every run. With `SCENARIOS_MIXED=FROM..TO` the test plays those seeds instead, for a search.
 
 use std::ops::Range;
 
 use worksshunt_simulation::random_day;
 
-/// Days told in every run. The one of seed 1,000,031 breaks `ran_twice` with the fix of December 2026 taken out.
+/// Seeds played in every run. Seed 1,000,031 violates `ran_twice` with the fix of December 2026 taken out.
 const CI_SEEDS: Range<u64> = 1_000_001..1_000_161;
 
-/// Plays the day of a seed, and fails the test if a rule was broken or jobs did not end.
-fn tell(seed: u64) {
+/// Plays the day of a seed, and fails the test if an invariant was violated or jobs did not end.
+fn play(seed: u64) {
     let (_, ended) = random_day::play(seed, None);
     ended.unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
 }
 
-/// What a day that broke a rule, or did not end, failed with.
+/// The message with which a day failed.
 fn failure(payload: &(dyn std::any::Any + Send)) -> String {
     let text = payload.downcast_ref::<String>().cloned();
     let text = text.or_else(|| {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn days_of_mixed_troubles() {
+fn days_of_mixed_faults() {
     let seeds = match std::env::var("SCENARIOS_MIXED") {
         Ok(range) => {
             let (from, to) = range.split_once("..").expect("FROM..TO");
@@ -48,7 +48,7 @@
                 let Some(seed) = next.lock().expect("a lock").next() else {
                     break;
                 };
-                if let Err(payload) = std::panic::catch_unwind(|| tell(seed)) {
+                if let Err(payload) = std::panic::catch_unwind(|| play(seed)) {
                     println!("finding: seed {seed}: {}", failure(&*payload));
                     failed.lock().expect("a lock").push(seed);
                 }
--- a/crates/worksshunt-core/tests/scenarios/ordinary.rs
+++ b/crates/worksshunt-core/tests/scenarios/ordinary.rs
@@ -1,4 +1,4 @@
-//! What the service does day by day, and when controllers, machines or the state service fail.
+//! Ordinary operation, and failures of controllers, machines or the key-value store.
 
 use serde_json::json;
 use worksshunt_core::controller::{Event, KvResponse};
@@ -9,14 +9,14 @@
 use worksshunt_simulation::{job, Cluster};
 
 #[test]
-fn a_job_runs_to_its_end_and_every_controller_says_so() {
+fn a_job_runs_to_its_end_and_every_controller_reports_it() {
     let mut cluster = ready();
     assert_eq!(cluster.submit(0, &job(1, 6)).status, 201);
     assert_eq!(cluster.state(1, 1), (200, "pending".into()));
-    cluster.until("all tasks", 60_000, |w| w.all_done(1, 6));
+    cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 6));
     cluster.run(3_000);
-    for node in 0..3 {
-        assert_eq!(cluster.state(node, 1), (200, "done".into()));
+    for controller in 0..3 {
+        assert_eq!(cluster.state(controller, 1), (200, "done".into()));
     }
     assert_eq!(cluster.submit(2, &job(1, 6)).status, 200);
     assert_eq!(cluster.task_starts.len(), 6, "each task started once");
@@ -25,11 +25,13 @@
 }
 
 #[test]
-fn idle_machines_go_back() {
+fn idle_machines_are_released() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 3));
-    cluster.until("all tasks", 60_000, |w| w.all_done(1, 3));
-    cluster.until("an empty fleet", 90_000, |w| w.workers.is_empty());
+    cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 3));
+    cluster.until("an empty fleet", 90_000, |cluster| {
+        cluster.workers.is_empty()
+    });
     cluster.check();
 }
 
@@ -37,12 +39,12 @@
 fn no_task_runs_twice_when_the_leader_crashes() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 20));
-    cluster.until("tasks", 30_000, |w| w.running().len() > 4);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() > 4);
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(2_000);
     cluster.start(leader);
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 20));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 20));
     cluster.check();
     assert_eq!(cluster.task_starts.len(), 20, "nothing was started again");
 }
@@ -51,11 +53,11 @@
 fn jobs_survive_the_crash_of_all_controllers() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 12));
-    cluster.until("tasks", 30_000, |w| !w.running().is_empty());
-    (0..3).for_each(|node| cluster.crash(node));
+    cluster.until("tasks", 30_000, |cluster| !cluster.running().is_empty());
+    (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(5_000);
-    (0..3).for_each(|node| cluster.start(node));
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 12));
+    (0..3).for_each(|controller| cluster.start(controller));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 12));
     cluster.run(3_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     cluster.check();
@@ -67,11 +69,13 @@
     let mut cluster = ready();
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
-    cluster.until("machines", 30_000, |w| !w.workers.is_empty());
+    cluster.until("machines", 30_000, |cluster| !cluster.workers.is_empty());
     cluster.faults.key_value.hold_writes.insert(leader);
     cluster.run(8_000);
     cluster.crash(leader);
-    cluster.until("another leader", 20_000, |w| w.leader() != leader);
+    cluster.until("another leader", 20_000, |cluster| {
+        cluster.leader() != leader
+    });
     cluster.faults.key_value.hold_writes.clear();
     let replies = cluster.release_writes();
     assert!(!replies.is_empty(), "something was held back");
@@ -79,15 +83,15 @@
         assert!(matches!(reply, KvResponse::Conflict(_)), "{reply:?}");
     }
     cluster.start(leader);
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     cluster.check();
 }
 
 #[test]
-fn a_controller_cut_from_the_state_service_stops_by_itself() {
+fn a_controller_cut_off_from_the_key_value_store_stops_by_itself() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 8));
-    cluster.until("tasks", 30_000, |w| !w.running().is_empty());
+    cluster.until("tasks", 30_000, |cluster| !cluster.running().is_empty());
     let leader = cluster.leader();
     cluster.faults.key_value.unreachable_from.insert(leader);
     cluster.run(7_000);
@@ -103,14 +107,14 @@
     let reply = cluster.submit(leader, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
     cluster.faults.key_value.unreachable_from.clear();
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     cluster.check();
 }
 
 // Guards against users sent to the one controller that cannot serve them, and against all being
 // taken out of service by an outage that none of them can help.
 #[test]
-fn only_a_controller_that_lost_the_state_service_alone_is_unhealthy() {
+fn only_a_controller_that_alone_lost_the_key_value_store_is_unhealthy() {
     let mut cluster = ready();
     cluster.faults.key_value.unreachable_from.insert(1);
     cluster.run(4_500);
@@ -124,23 +128,23 @@
 }
 
 #[test]
-fn a_short_outage_of_the_state_service_costs_no_lease() {
+fn a_short_outage_of_the_key_value_store_costs_no_lease() {
     let mut cluster = ready();
     cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 8));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 8);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
     cluster.faults.key_value.down = true;
     cluster.run(15_000);
     let reply = cluster.submit(1, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
     cluster.faults.key_value.down = false;
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     assert_eq!(cluster.task_starts.len(), 8, "no lease ran out");
     cluster.check();
 }
 
 #[test]
-fn a_team_stays_within_its_limit_over_all_parts() {
+fn a_team_stays_within_its_limit_over_all_partitions() {
     let mut cluster = ready();
     let mut red = job(1, 40);
     red["Cuadrilla"] = json!("red");
@@ -159,9 +163,11 @@
 fn a_cancelled_job_is_gone_for_good() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 12));
-    cluster.until("tasks", 30_000, |w| w.running().len() > 3);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() > 3);
     assert!(cluster.cancel(1, 1).body.contains("aborted"));
-    cluster.until("none running", 6_000, |w| w.running().is_empty());
+    cluster.until("none running", 6_000, |cluster| {
+        cluster.running().is_empty()
+    });
     let started = cluster.task_starts.len();
     let leader = cluster.leader();
     cluster.crash(leader);
@@ -169,8 +175,8 @@
     cluster.start(leader);
     cluster.run(30_000);
     assert_eq!(cluster.task_starts.len(), started, "none starts after that");
-    for node in 0..3 {
-        assert_eq!(cluster.state(node, 1), (200, "aborted".into()));
+    for controller in 0..3 {
+        assert_eq!(cluster.state(controller, 1), (200, "aborted".into()));
     }
     assert_eq!(cluster.submit(0, &job(1, 12)).status, 200);
     cluster.check();
@@ -188,18 +194,18 @@
     cluster.check();
 }
 
-// Guards against telling a user what the store does not know yet.
+// Guards against reporting to a user what is not stored yet.
 #[test]
-fn a_job_is_called_done_only_when_that_is_durable() {
+fn a_job_is_reported_done_only_when_that_is_durable() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 2));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 2);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 2);
     cluster.run(6_000);
     cluster.faults.key_value.hold_writes = (0..3).collect();
-    cluster.until("all tasks", 30_000, |w| w.all_done(1, 2));
+    cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 2));
     cluster.run(2_000);
-    for node in 0..3 {
-        assert_ne!(cluster.state(node, 1).1, "done");
+    for controller in 0..3 {
+        assert_ne!(cluster.state(controller, 1).1, "done");
     }
     cluster.faults.key_value.hold_writes.clear();
     cluster.run(4_000);
@@ -207,20 +213,20 @@
     cluster.check();
 }
 
-// Guards against a worker that forgets a completion the store does not know yet.
+// Guards against a worker that forgets a completion that is not stored yet.
 #[test]
 fn a_completion_survives_a_crash_before_it_was_durable() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 3));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 3);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 3);
     cluster.run(6_000);
     cluster.faults.key_value.hold_writes = (0..3).collect();
-    cluster.until("all tasks", 30_000, |w| w.all_done(1, 3));
+    cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 3));
     cluster.run(4_000);
-    (0..3).for_each(|node| cluster.crash(node));
+    (0..3).for_each(|controller| cluster.crash(controller));
     cluster.faults.key_value.hold_writes.clear();
     cluster.run(5_000);
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(20_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     assert_eq!(cluster.task_starts.len(), 3, "no work was repeated");
@@ -229,15 +235,15 @@
 
 // Guards against an unanswered order that starts a task again after its attempt was forgotten.
 #[test]
-fn late_direct_orders_start_nothing_a_second_time() {
+fn late_direct_commands_start_nothing_a_second_time() {
     let mut cluster = ready();
     cluster.faults.hold_commands = true;
     cluster.submit(0, &job(1, 8));
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 8));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     cluster.run(5_000);
     cluster.submit(0, &job(2, 3));
     assert!(cluster.release_commands() > 0, "something was held back");
-    cluster.until("all tasks", 60_000, |w| w.all_done(2, 3));
+    cluster.until("all tasks", 60_000, |cluster| cluster.all_done(2, 3));
     cluster.run(10_000);
     assert_eq!(cluster.task_starts.len(), 11, "{:?}", cluster.task_starts);
     cluster.check();
@@ -248,11 +254,13 @@
     let mut cluster = ready();
     cluster.task_run_ms = 20_000;
     cluster.submit(0, &job(1, 4));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 4);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let machine = cluster.task_starts[0].2.clone();
     let hung_at = cluster.now;
     cluster.workers.get_mut(&machine).expect("a worker").hung = true;
-    cluster.until("a second start", 90_000, |w| w.task_starts.len() > 4);
+    cluster.until("a second start", 90_000, |cluster| {
+        cluster.task_starts.len() > 4
+    });
     assert!(
         cluster.now > hung_at + 16_000,
         "started before the lease was over"
@@ -260,17 +268,17 @@
     if let Some(worker) = cluster.workers.get_mut(&machine) {
         worker.hung = false;
     }
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 4));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 4));
     cluster.check();
 }
 
 // Guards against epochs in quick succession that put off the discovery of a dead machine each time.
 #[test]
-fn a_dead_machine_is_found_out_during_a_rolling_restart() {
+fn a_dead_machine_is_detected_during_a_rolling_restart() {
     let mut cluster = ready();
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 24));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 24);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 24);
     let leader = cluster.leader();
     let other = (leader + 1) % 3;
     // A machine that is the leader's with and without the controller that restarts.
@@ -300,18 +308,18 @@
     cluster.check();
 }
 
-// Guards against a controller that keeps machines whose workers it cannot hear.
+// Guards against a controller that keeps machines whose heartbeats do not reach it.
 #[test]
-fn a_controller_that_workers_do_not_reach_gives_up_its_machines() {
+fn a_controller_that_workers_do_not_reach_releases_its_machines() {
     let mut cluster = ready();
     cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 40));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 40);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 40);
     cluster.run(5_000);
     cluster.faults.cut_from_workers.insert(1);
     cluster.run(30_000);
     cluster.faults.cut_from_workers.clear();
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 40));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 40));
     assert_eq!(cluster.task_starts.len(), 40, "no lease ran out");
     cluster.check();
 }
@@ -332,14 +340,14 @@
     for job in [&together, &apart, &fixed] {
         assert_eq!(cluster.submit(0, job).status, 201);
     }
-    cluster.until("all tasks", 120_000, |w| {
-        w.all_done(1, 8) && w.all_done(2, 6) && w.all_done(3, 4)
+    cluster.until("all tasks", 120_000, |cluster| {
+        cluster.all_done(1, 8) && cluster.all_done(2, 6) && cluster.all_done(3, 4)
     });
     cluster.check();
 }
 
 // Guards against tasks in two zones at once, when the zone that an early task was done in becomes known only
-// after the others were put elsewhere (found by a day of mixed troubles).
+// after the others were put elsewhere (found by a day of mixed faults).
 #[test]
 fn tasks_on_machines_decide_the_zone_before_tasks_that_are_done() {
     let mut cluster = ready_with_boots_of(50.0);
@@ -349,21 +357,25 @@
     let mut bound = long_job(1, 6);
     bound["SamePlace"] = json!(true);
     cluster.submit(0, &bound);
-    cluster.until("a full machine", 20_000, |w| w.running().len() == 4);
-    (0..3).for_each(|node| cluster.crash(node));
+    cluster.until("a full machine", 20_000, |cluster| {
+        cluster.running().len() == 4
+    });
+    (0..3).for_each(|controller| cluster.crash(controller));
     let done = json!([["j-000001", [[5, 5]], { "a": 1 }]]);
     cluster.put("d/900", json!({ "v": 2, "done": done }));
     let other = cluster.machine("a", true, 0);
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(12_000);
     assert_eq!(cluster.launches_on(&other), 0);
-    cluster.until("the fifth task", 40_000, |w| w.task_starts.len() == 5);
+    cluster.until("the fifth task", 40_000, |cluster| {
+        cluster.task_starts.len() == 5
+    });
     cluster.invariants.completed(TaskId {
         job: JobId(1),
         index: 5,
     });
     cluster.faults.cloud.down = false;
-    cluster.until("its end", 60_000, |w| w.keys("j/").is_empty());
+    cluster.until("its end", 60_000, |cluster| cluster.keys("j/").is_empty());
     cluster.check();
 }
 
@@ -375,13 +387,15 @@
     let mut white = long_job(1, 40);
     white["Cuadrilla"] = json!("white");
     assert_eq!(cluster.submit(0, &white).status, 201);
-    cluster.until("all at once", 40_000, |w| w.running().len() == 40);
+    cluster.until("all at once", 40_000, |cluster| {
+        cluster.running().len() == 40
+    });
     // What has a limit keeps to it beside that.
     let mut red = long_job(2, 9);
     red["Cuadrilla"] = json!("red");
     cluster.submit(1, &red);
-    cluster.until("all tasks", 200_000, |w| {
-        w.all_done(1, 40) && w.all_done(2, 9)
+    cluster.until("all tasks", 200_000, |cluster| {
+        cluster.all_done(1, 40) && cluster.all_done(2, 9)
     });
     cluster.check();
 }
@@ -393,13 +407,15 @@
     cluster.capacity = 2;
     cluster.task_run_ms = 3_000;
     cluster.submit(0, &job(1, 400));
-    cluster.until("a full fleet", 40_000, |w| w.running().len() == 8);
+    cluster.until("a full fleet", 40_000, |cluster| {
+        cluster.running().len() == 8
+    });
     cluster.task_run_ms = 2_700;
     let mut wide = job(2, 1);
     wide["Cores"] = json!(4.0);
     wide["CalculoS"] = json!(3.0);
     cluster.submit(0, &wide);
-    cluster.until("the wide task", 90_000, |w| w.all_done(2, 1));
+    cluster.until("the wide task", 90_000, |cluster| cluster.all_done(2, 1));
     assert!(
         !cluster.all_done(1, 400),
         "the narrow ones were still coming"
@@ -409,14 +425,14 @@
 
 // Guards against a job that fails on every machine keeping the fleet from the others.
 #[test]
-fn a_job_that_always_fails_waits_ever_longer() {
+fn a_job_that_always_fails_is_retried_at_growing_intervals() {
     let mut cluster = ready();
     cluster.capacity = 1;
     cluster.task_run_ms = 1_000;
     cluster.faults.failing_jobs.insert(JobId(1));
     cluster.submit(0, &job(1, 1));
     cluster.submit(1, &job(2, 30));
-    cluster.until("the good job", 120_000, |w| w.all_done(2, 30));
+    cluster.until("the good job", 120_000, |cluster| cluster.all_done(2, 30));
     cluster.run(60_000);
     let tries = cluster
         .task_starts
@@ -429,7 +445,7 @@
 
 // Guards against a faulty machine that fails tasks quickly and so attracts ever more of them.
 #[test]
-fn a_faulty_machine_gets_no_more_work_and_goes_back() {
+fn a_faulty_machine_gets_no_more_tasks_and_is_released() {
     let mut cluster = ready_with_boots_of(50.0);
     cluster.task_run_ms = 2_000;
     let faulty = cluster.machine("a", true, 0);
@@ -439,30 +455,30 @@
     for id in 1..=20 {
         cluster.submit(0, &job(id, 3));
     }
-    cluster.until("all tasks", 90_000, |w| {
-        (1..=20).all(|id| w.all_done(id, 3))
+    cluster.until("all tasks", 90_000, |cluster| {
+        (1..=20).all(|id| cluster.all_done(id, 3))
     });
-    cluster.until("its return", 90_000, |w| {
-        w.released_machines.contains(&faulty)
+    cluster.until("its return", 90_000, |cluster| {
+        cluster.released_machines.contains(&faulty)
     });
     let failed = cluster.task_starts.iter().filter(|s| s.2 == faulty).count();
     assert!((3..=8).contains(&failed), "{failed} starts on it");
     cluster.check();
 }
 
-// Guards against a new leader that takes machines for silent because it has not heard of them.
+// Guards against a new leader that counts machines as silent because it has received no heartbeat yet.
 #[test]
 fn a_new_leader_keeps_machines_older_than_any_boot() {
     let mut cluster = ready();
     cluster.task_run_ms = 120_000;
     cluster.submit(0, &long_job(1, 40));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 40);
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 40);
     cluster.run(60_000);
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(10_000);
     cluster.start(leader);
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 40));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 40));
     assert_eq!(
         cluster.task_starts.len(),
         40,
@@ -476,11 +492,15 @@
     let mut cluster = ready();
     cluster.task_run_ms = 1_000;
     cluster.submit(0, &job(1, 100_000));
-    cluster.until("many tasks", 120_000, |w| w.task_starts.len() > 500);
+    cluster.until("many tasks", 120_000, |cluster| {
+        cluster.task_starts.len() > 500
+    });
     let mut urgent = job(2, 10);
     urgent["Turno"] = json!("urgent");
     cluster.submit(1, &urgent);
-    cluster.until("the urgent job too", 120_000, |w| w.all_done(2, 10));
+    cluster.until("the urgent job too", 120_000, |cluster| {
+        cluster.all_done(2, 10)
+    });
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(10_000);
@@ -493,33 +513,35 @@
         "it goes on under another leader"
     );
     assert_eq!(cluster.cancel(leader, 1).status, 200);
-    cluster.until("none running", 10_000, |w| w.running().is_empty());
+    cluster.until("none running", 10_000, |cluster| {
+        cluster.running().is_empty()
+    });
     cluster.check();
 }
 
-// Guards against a leader that forgets what it rented, and waits for the list, whenever a controller
+// Guards against a leader that forgets what it provisioned, and waits for the list, whenever a controller
 // joins or leaves.
 #[test]
-fn a_leader_goes_on_renting_when_another_controller_leaves() {
+fn a_leader_goes_on_provisioning_when_another_controller_leaves() {
     let mut cluster = ready();
     let leader = cluster.leader();
     cluster.list_lag_ms = 5_000;
     cluster.submit(leader, &long_job(1, 8));
-    cluster.until("machines", 10_000, |w| w.workers.len() == 2);
+    cluster.until("machines", 10_000, |cluster| cluster.workers.len() == 2);
     cluster.crash((leader + 1) % 3);
     cluster.run(6_000);
     let others = (leader + 2) % 3;
     cluster.submit(others, &long_job(2, 12));
-    cluster.until("more machines", 3_000, |w| w.workers.len() == 5);
+    cluster.until("more machines", 3_000, |cluster| cluster.workers.len() == 5);
     cluster.run(10_000);
     assert_eq!(cluster.workers.len(), 5, "and no more than that");
     cluster.check();
 }
 
 // Guards against a burst of submissions that takes as many changes as jobs, and against a job that is
-// taken in twice, by two controllers, coming back after its end.
+// admitted twice, by two controllers, and runs again after its end.
 #[test]
-fn a_burst_of_submissions_is_taken_in_together() {
+fn a_burst_of_submissions_is_admitted_in_batches() {
     let mut cluster = ready();
     let before = cluster.revision();
     let jobs: Vec<_> = (1..=40).map(|id| job(id, 1)).collect();
@@ -529,13 +551,13 @@
         "{replies:?}"
     );
     assert!(cluster.revision() - before < 30, "pages, not keys");
-    for node in 0..3 {
-        assert_eq!(cluster.state(node, 7), (200, "pending".into()));
-        assert_eq!(cluster.submit(node, &job(8, 1)).status, 200);
+    for controller in 0..3 {
+        assert_eq!(cluster.state(controller, 7), (200, "pending".into()));
+        assert_eq!(cluster.submit(controller, &job(8, 1)).status, 200);
     }
     assert!(cluster.cancel(2, 9).body.contains("aborted"));
-    cluster.until("all the others", 120_000, |w| {
-        (1..=40).all(|id| id == 9 || w.all_done(id, 1))
+    cluster.until("all the others", 120_000, |cluster| {
+        (1..=40).all(|id| id == 9 || cluster.all_done(id, 1))
     });
     cluster.run(5_000);
     for id in [1, 8, 40] {
@@ -548,7 +570,7 @@
 }
 
 #[test]
-fn bad_submissions_are_told_what_is_wrong() {
+fn bad_submissions_are_rejected_with_the_reason() {
     let mut cluster = ready();
     let change = |field: &str, value: serde_json::Value| {
         let mut job = job(7, 2);
@@ -597,19 +619,20 @@
 
 // Guards against numbers of attempts that a long epoch has in common with the next one.
 #[test]
-fn a_new_epoch_begins_when_the_numbers_for_attempts_are_used_up() {
+fn a_new_epoch_begins_when_the_attempt_numbers_are_used_up() {
     let mut cluster = Cluster::new();
     cluster.limit_attempts(16);
     cluster.run(4_000);
     let first = cluster.epoch();
-    let sessions_begun = |w: &Cluster| {
-        w.workers
+    let sessions_begun = |cluster: &Cluster| {
+        cluster
+            .workers
             .keys()
-            .filter(|id| w.worker_incarnation(id) > 1)
+            .filter(|id| cluster.worker_incarnation(id) > 1)
             .count()
     };
     cluster.submit(0, &job(1, 50));
-    cluster.until("all tasks", 120_000, |w| w.all_done(1, 50));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 50));
     assert_eq!(cluster.epoch(), first + 3, "16, 32 and 48 of 50 attempts");
     assert_eq!(cluster.task_starts.len(), 50, "each task started once");
     assert_eq!(sessions_begun(&cluster), 0, "no lease was lost");
--- a/crates/worksshunt-core/tests/scenarios/order.rs
+++ b/crates/worksshunt-core/tests/scenarios/preemption.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting work is served, and what may be stopped for it.
+//! The order in which waiting jobs are served, and what may be preempted for them.
 
 use serde_json::{json, Value};
 use worksshunt_wire::JobId;
@@ -19,10 +19,10 @@
     cluster.capacity = 1;
     cluster.task_run_ms = 10_000;
     cluster.submit(0, &due(1, 10.0, 60.0));
-    cluster.until("the first", 20_000, |w| w.running().len() == 4);
+    cluster.until("the first", 20_000, |cluster| cluster.running().len() == 4);
     cluster.submit(1, &waiting[0]);
     cluster.submit(2, &waiting[1]);
-    cluster.until("the next", 20_000, |w| w.task_starts.len() > 4);
+    cluster.until("the next", 20_000, |cluster| cluster.task_starts.len() > 4);
     cluster.task_starts[4].1.job
 }
 
@@ -34,18 +34,25 @@
     let mut low = long_job(1, tasks);
     low["Turno"] = json!("low");
     cluster.submit(0, &low);
-    cluster.until("a full fleet", 40_000, |w| w.running().len() == 12);
+    cluster.until("a full fleet", 40_000, |cluster| {
+        cluster.running().len() == 12
+    });
     cluster
 }
 
 #[test]
-fn urgent_work_stops_low_work() {
+fn urgent_jobs_preempt_low_ones() {
     let mut cluster = full_fleet(12);
     let mut urgent = long_job(2, 2);
     urgent["Turno"] = json!("urgent");
     cluster.submit(0, &urgent);
-    cluster.until("the urgent job", 10_000, |w| {
-        w.running().iter().filter(|t| t.job == JobId(2)).count() == 2
+    cluster.until("the urgent job", 10_000, |cluster| {
+        cluster
+            .running()
+            .iter()
+            .filter(|t| t.job == JobId(2))
+            .count()
+            == 2
     });
     cluster.run(20_000);
     let low = cluster
@@ -58,7 +65,7 @@
 }
 
 #[test]
-fn a_team_gets_its_guarantee_back_and_no_more() {
+fn a_team_reclaims_its_guarantee_and_no_more() {
     let mut cluster = full_fleet(12);
     let mut red = long_job(2, 8);
     red["Cuadrilla"] = json!("red");
@@ -80,13 +87,13 @@
 // Guards against urgent work that waits behind low work for as long as that is within its guarantee,
 // and against a guarantee that is not kept in time.
 #[test]
-fn a_guarantee_comes_before_urgent_work_only_when_it_presses() {
+fn a_guarantee_precedes_urgent_jobs_only_when_it_is_at_risk() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
         let within = json!({"kind": "guarantee", "within_s": 60.0, "share": 0.9});
         settings.facts.objectives = serde_json::from_value(json!([within])).expect("objectives");
     }
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     // Room for both teams' guarantees, 8 and 4 processors, and no more.
     cluster.capacity = 3;
     cluster.task_run_ms = 10_000;
@@ -100,7 +107,7 @@
     low["Cuadrilla"] = json!("red");
     low["Turno"] = json!("low");
     cluster.submit(0, &low);
-    let began = |w: &Cluster| w.task_starts.iter().any(|s| s.1.job == JobId(1));
+    let began = |cluster: &Cluster| cluster.task_starts.iter().any(|s| s.1.job == JobId(1));
     cluster.run(30_000);
     assert!(!began(&cluster), "urgent work comes first");
     cluster.run(32_000);
@@ -110,13 +117,13 @@
 
 // Guards against long jobs that wait for every shorter one that comes after them.
 #[test]
-fn among_equals_that_should_start_in_time_the_latest_start_decides() {
+fn among_jobs_of_one_class_with_an_objective_the_latest_start_time_decides() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
         let wait = json!({"kind": "wait", "class": "c", "within_s": 100.0, "share": 0.9});
         settings.facts.objectives = serde_json::from_value(json!([wait])).expect("objectives");
     }
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(3_000);
     let waiting = [due(2, 300.0, 400.0), due(3, 10.0, 150.0)];
     assert_eq!(
@@ -128,7 +135,7 @@
 }
 
 #[test]
-fn work_does_not_stop_its_equals() {
+fn jobs_do_not_preempt_jobs_of_the_same_priority() {
     let mut cluster = full_fleet(12);
     let mut same = long_job(2, 4);
     same["Turno"] = json!("low");
@@ -149,6 +156,6 @@
         JobId(3),
         "the other is late anyway"
     );
-    cluster.until("the last", 60_000, |w| w.all_done(2, 4));
+    cluster.until("the last", 60_000, |cluster| cluster.all_done(2, 4));
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -1,4 +1,4 @@
-//! Services: replicas that run until their job is called off.
+//! Services: replicas that run until their job is cancelled.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,9 @@
 /// A cluster in which every controller is known to understand services.
 fn ready() -> Cluster {
     let mut cluster = crate::ready();
-    let all = |w: &Cluster| {
-        w.stored("c/epoch")
+    let all = |cluster: &Cluster| {
+        cluster
+            .stored("c/epoch")
             .is_some_and(|e| e["standing"] == json!(true))
     };
     cluster.until("all to be known", 10_000, all);
@@ -25,7 +26,9 @@
     let mut cluster = ready();
     cluster.task_run_ms = 20_000;
     assert_eq!(cluster.submit(0, job).status, 201);
-    cluster.until("replicas", 30_000, |w| w.running().len() == replicas);
+    cluster.until("replicas", 30_000, |cluster| {
+        cluster.running().len() == replicas
+    });
     cluster
 }
 
@@ -36,18 +39,20 @@
 }
 
 #[test]
-fn a_service_runs_until_it_is_called_off() {
+fn a_service_runs_until_it_is_cancelled() {
     let mut cluster = serving(&service(1, 6), 6);
     cluster.run(60_000);
     assert_eq!(cluster.state(1, 1), (200, "running".into()));
     assert_eq!(cluster.task_starts.len(), 6, "replicas run on");
     let lost = busiest(&cluster);
     cluster.workers.remove(&lost);
-    cluster.until("all up again", 40_000, |w| w.running().len() == 6);
+    cluster.until("all up again", 40_000, |cluster| {
+        cluster.running().len() == 6
+    });
     let starts = cluster.task_starts.len();
-    (0..3).for_each(|node| cluster.crash(node));
+    (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(4_000);
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(30_000);
     assert_eq!(cluster.running().len(), 6);
     assert_eq!(
@@ -87,13 +92,15 @@
     assert!((5..25).contains(&starts), "{starts} starts in 90 s");
     assert!(cluster.keys("d/").is_empty() && cluster.keys("f/").is_empty());
     cluster.faults.ending_services.clear();
-    cluster.until("it to stay up", 25_000, |w| w.running().len() == 1);
+    cluster.until("it to stay up", 25_000, |cluster| {
+        cluster.running().len() == 1
+    });
     cluster.run(60_000);
     cluster.faults.ending_services.insert(JobId(1));
     cluster.run(1_000);
     cluster.faults.ending_services.clear();
-    cluster.until("no wait after it ran well", 4_000, |w| {
-        w.running().len() == 1
+    cluster.until("no wait after it ran well", 4_000, |cluster| {
+        cluster.running().len() == 1
     });
     cluster.check();
 }
@@ -104,32 +111,38 @@
     let mut cluster = serving(&service(1, 4), 4);
     let faulty = busiest(&cluster);
     cluster.faults.faulty_machines.insert(faulty);
-    cluster.until("failures", 30_000, |w| w.running().len() < 4);
-    cluster.until("replicas elsewhere", 30_000, |w| w.running().len() == 4);
+    cluster.until("failures", 30_000, |cluster| cluster.running().len() < 4);
+    cluster.until("replicas elsewhere", 30_000, |cluster| {
+        cluster.running().len() == 4
+    });
     cluster.check();
 }
 
 // Guards against a zone that is not known after a change of epochs, which kept every other replica of
 // a job spread over zones from coming back.
 #[test]
-fn a_spread_replica_comes_back_after_a_change_of_epochs() {
+fn a_spread_replica_runs_again_after_an_epoch_change() {
     let mut spread = service(1, 6);
     spread["Spread"] = json!(true);
     let mut cluster = serving(&spread, 6);
     let leader = cluster.leader();
     cluster.crash(leader);
-    cluster.until("another leader", 10_000, |w| w.leader() != leader);
+    cluster.until("another leader", 10_000, |cluster| {
+        cluster.leader() != leader
+    });
     cluster.start(leader);
     cluster.run(10_000);
     let lost = busiest(&cluster);
     cluster.workers.remove(&lost);
-    cluster.until("all up again", 60_000, |w| w.running().len() == 6);
+    cluster.until("all up again", 60_000, |cluster| {
+        cluster.running().len() == 6
+    });
     cluster.check();
 }
 
-// Guards against replicas that wait for other work to end, as tasks without such haste do.
+// Guards against replicas that wait for other tasks to end, as tasks of lower urgency do.
 #[test]
-fn a_replica_has_other_work_stopped_at_once() {
+fn a_replica_preempts_other_tasks_at_once() {
     for spread in [false, true] {
         let mut cluster = ready();
         cluster.task_run_ms = 60_000;
@@ -141,25 +154,34 @@
             low["Patio"] = json!(zone);
             cluster.submit(0, &low);
         }
-        cluster.until("a full fleet", 30_000, |w| w.running().len() == 8);
+        cluster.until("a full fleet", 30_000, |cluster| {
+            cluster.running().len() == 8
+        });
         let mut wanted = service(2, 2);
         wanted["Spread"] = json!(spread);
         cluster.submit(1, &wanted);
-        let up = |w: &Cluster| w.running().iter().filter(|t| t.job == JobId(2)).count() == 2;
+        let up = |cluster: &Cluster| {
+            cluster
+                .running()
+                .iter()
+                .filter(|t| t.job == JobId(2))
+                .count()
+                == 2
+        };
         cluster.until("both replicas", 2_000, up);
         cluster.check();
     }
 }
 
 // Guards against a service that comes, or whose machine dies, when the only machines it may use are full
-// of work that could run elsewhere, or have gone back because they were empty.
+// of tasks that could run elsewhere, or have been released because they were empty.
 #[test]
-fn room_is_kept_for_replicas_while_services_stand() {
+fn capacity_is_reserved_for_replicas_while_services_run() {
     let mut cluster = serving(&service(1, 4), 4);
     cluster.submit(1, &long_job(2, 12));
     cluster.run(60_000);
-    let ordinary = |w: &Cluster| -> BTreeSet<MachineId> {
-        let ordinary = w.workers.iter().filter(|(_, worker)| !worker.spot);
+    let ordinary = |cluster: &Cluster| -> BTreeSet<MachineId> {
+        let ordinary = cluster.workers.iter().filter(|(_, worker)| !worker.spot);
         ordinary.map(|(id, _)| id.clone()).collect()
     };
     for (_, task, machine) in &cluster.task_starts {
@@ -167,53 +189,68 @@
         assert_eq!(spot, task.job == JobId(2), "{task} on {machine}");
     }
     cluster.submit(2, &service(3, 4));
-    let up = |w: &Cluster| w.running().iter().filter(|t| t.job == JobId(3)).count() == 4;
+    let up = |cluster: &Cluster| {
+        cluster
+            .running()
+            .iter()
+            .filter(|t| t.job == JobId(3))
+            .count()
+            == 4
+    };
     cluster.until("replicas without a boot", 3_000, up);
     cluster.cancel(0, 1);
     cluster.cancel(0, 3);
-    cluster.until("nothing kept for nobody", 120_000, |w| w.workers.is_empty());
+    cluster.until("nothing kept for nobody", 120_000, |cluster| {
+        cluster.workers.is_empty()
+    });
     cluster.check();
 }
 
 // Guards against work that waits for ever for spot machines where there are none, be it beside ordinary ones
 // that are left to services, be it that none are rented for it.
 #[test]
-fn work_is_done_in_time_where_there_are_no_spot_machines() {
+fn jobs_are_done_in_time_where_there_are_no_spot_machines() {
     let mut cluster = ready();
     cluster.faults.cloud.no_spot = true;
     cluster.submit(0, &service(1, 4));
-    cluster.until("the service", 30_000, |w| w.running().len() == 4);
+    cluster.until("the service", 30_000, |cluster| {
+        cluster.running().len() == 4
+    });
     cluster.task_run_ms = 40_000;
     let mut pressed = long_job(2, 8);
     pressed["EntregaS"] = json!(200.0);
     cluster.submit(1, &pressed);
-    cluster.until("work with a deadline", 120_000, |w| w.all_done(2, 8));
+    cluster.until("work with a deadline", 120_000, |cluster| {
+        cluster.all_done(2, 8)
+    });
     cluster.cancel(0, 1);
-    cluster.until("nothing up", 120_000, |w| w.workers.is_empty());
+    cluster.until("nothing up", 120_000, |cluster| cluster.workers.is_empty());
     cluster.submit(1, &long_job(3, 24));
-    cluster.until("work without one", 200_000, |w| w.all_done(3, 24));
+    cluster.until("work without one", 200_000, |cluster| {
+        cluster.all_done(3, 24)
+    });
     cluster.check();
 }
 
 // Guards against the first service of all waiting for a machine to boot, where the settings say that it
 // must not.
 #[test]
-fn machines_stand_by_for_a_class_that_has_to_start_before_one_boots() {
+fn spare_machines_are_kept_for_a_class_that_has_to_start_before_one_boots() {
     let mut cluster = Cluster::new();
-    for node in 0..3 {
+    for controller in 0..3 {
         let wait = json!({"kind": "wait", "class": "till", "within_s": 2.0});
         let wait = serde_json::from_value(wait).expect("an objective");
-        cluster.settings[node].facts.objectives.push(wait);
-        cluster.start(node);
+        cluster.settings[controller].facts.objectives.push(wait);
+        cluster.start(controller);
     }
-    cluster.until("machines", 20_000, |w| w.workers.len() >= 2);
+    cluster.until("machines", 20_000, |cluster| cluster.workers.len() >= 2);
     assert!(cluster.workers.values().all(|worker| !worker.spot));
     cluster.run(60_000);
     let mut seen = job(1, 1);
     seen["Carril"] = json!("till");
     assert_eq!(cluster.submit(0, &seen).status, 201);
-    cluster.until("an array: nobody has to stand by", 120_000, |w| {
-        w.workers.is_empty()
+    cluster.until("an array: nobody has to stand by", 120_000, |cluster| {
+        cluster.workers.is_empty()
     });
     cluster.check();
 }
@@ -228,7 +265,7 @@
         crowd["Patio"] = json!(zone);
         cluster.submit(0, &crowd);
     }
-    cluster.until("the crowd", 60_000, |w| w.running().len() >= 96);
+    cluster.until("the crowd", 60_000, |cluster| cluster.running().len() >= 96);
     cluster
 }
 
@@ -248,20 +285,20 @@
         .find(|(_, task, _)| task.job == JobId(1));
     let dead = dead.expect("a replica").2.clone();
     cluster.workers.get_mut(&dead).expect("a worker").hung = true;
-    cluster.until("its return", 13_000, |w| {
-        w.released_machines.contains(&dead)
+    cluster.until("its return", 13_000, |cluster| {
+        cluster.released_machines.contains(&dead)
     });
-    cluster.until("all up again", 3_000, |w| replicas(w) == 4);
+    cluster.until("all up again", 3_000, |cluster| replicas(cluster) == 4);
     cluster.check();
 }
 
 // Guards against taking a zone that is cut off, or a controller that workers do not reach, for machines that
 // are dead, and giving them up.
 #[test]
-fn machines_that_fall_silent_together_are_not_given_up() {
+fn machines_whose_heartbeats_stop_together_are_not_counted_as_lost() {
     let mut cluster = service_in_a_crowd();
-    let busy = |w: &Cluster| -> Vec<MachineId> {
-        let all = w.workers.keys().filter(|id| w.busy(id));
+    let busy = |cluster: &Cluster| -> Vec<MachineId> {
+        let all = cluster.workers.keys().filter(|id| cluster.busy(id));
         all.cloned().collect()
     };
     let mut zone = busy(&cluster);
@@ -271,13 +308,14 @@
             cluster.workers.get_mut(id).expect("a worker").hung = hung;
         }
     };
-    let given_up =
-        |w: &Cluster, of: &[MachineId]| of.iter().any(|id| w.released_machines.contains(id));
+    let given_up = |cluster: &Cluster, of: &[MachineId]| {
+        of.iter().any(|id| cluster.released_machines.contains(id))
+    };
     hang(&mut cluster, true);
     cluster.run(15_000);
     assert!(!given_up(&cluster, &zone), "a zone");
     hang(&mut cluster, false);
-    cluster.until("all up again", 60_000, |w| replicas(w) == 4);
+    cluster.until("all up again", 60_000, |cluster| replicas(cluster) == 4);
     cluster.run(10_000);
     let busy = busy(&cluster);
     let other = (cluster.leader() + 1) % 3;
@@ -291,7 +329,7 @@
 }
 
 #[test]
-fn unservable_services_are_told_so() {
+fn services_that_can_never_run_are_rejected() {
     let mut cluster = ready();
     let mut many = service(1, 9);
     many["Cuadrilla"] = json!("red");
@@ -305,7 +343,7 @@
     let mut more = service(2, 1);
     more["Cuadrilla"] = json!("red");
     assert_eq!(cluster.submit(1, &more).status, 201, "accepted, and waits");
-    cluster.until("the limit", 30_000, |w| w.running().len() == 8);
+    cluster.until("the limit", 30_000, |cluster| cluster.running().len() == 8);
     cluster.run(5_000);
     assert_eq!(cluster.state(2, 2), (200, "pending".into()));
     let bad = [
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -134,11 +134,13 @@
 // Guards against a service in the store while a controller is left that would call it unknown and
 // stop its replicas.
 #[test]
-fn services_are_taken_in_once_every_controller_knows_them() {
+fn services_are_admitted_once_every_controller_supports_them() {
     let mut cluster = Cluster::new();
     cluster.crash(2);
     cluster.put("c/n/n2", json!({ "hold": 9_999, "reached": true }));
-    cluster.until("an epoch", 5_000, |w| w.stored("c/epoch").is_some());
+    cluster.until("an epoch", 5_000, |cluster| {
+        cluster.stored("c/epoch").is_some()
+    });
     cluster.run(5_000);
     let reply = cluster.submit(0, &service(1, 2));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
@@ -165,7 +167,7 @@
     cluster.start(2);
     cluster.run(6_000);
     assert_eq!(cluster.submit(0, &service(1, 2)).status, 201);
-    cluster.until("replicas", 40_000, |w| w.running().len() == 2);
+    cluster.until("replicas", 40_000, |cluster| cluster.running().len() == 2);
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(6_000);
@@ -175,9 +177,9 @@
         201,
         "one that is down was seen"
     );
-    (0..3).for_each(|node| cluster.crash(node));
+    (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(6_000);
-    (0..2).for_each(|node| cluster.start(node));
+    (0..2).for_each(|controller| cluster.start(controller));
     cluster.run(8_000);
     let reply = cluster.submit(0, &service(4, 1));
     assert_eq!(reply.status, 201, "the epoch remembers it");
@@ -196,7 +198,7 @@
 // Guards against services taken in after a production controller has come back: its epoch does not have the
 // field that says all understand them.
 #[test]
-fn going_back_takes_no_more_services_in() {
+fn a_rollback_admits_no_more_services() {
     let mut cluster = ready();
     cluster.run(3_000);
     assert_eq!(
@@ -228,7 +230,7 @@
 /// What production left, under [`SMALL_LIMITS`].
 fn left_by_production(announced: bool) -> Cluster {
     let mut cluster = Cluster::new();
-    (0..3).for_each(|node| cluster.crash(node));
+    (0..3).for_each(|controller| cluster.crash(controller));
     let mut largest = 0;
     for (key, value) in production_store() {
         // Controllers that are gone, and an end from later than the rest.
@@ -249,16 +251,16 @@
         "{largest} bytes are no test of the limit"
     );
     cluster.faults.key_value.limits = Some(SMALL_LIMITS);
-    for node in 0..3 {
+    for controller in 0..3 {
         if announced {
             let kb = SMALL_LIMITS.value_bytes as f64 / 1_024.0;
             let next = json!({ "value_kb": kb, "txn_ops": SMALL_LIMITS.changes });
             let next = serde_json::from_value(next).expect("limits");
-            cluster.settings[node].facts.state.next = Some(next);
+            cluster.settings[controller].facts.state.next = Some(next);
         }
-        cluster.start(node);
+        cluster.start(controller);
     }
-    cluster.until("an epoch of ours", 20_000, |w| w.epoch() > 2);
+    cluster.until("an epoch of ours", 20_000, |cluster| cluster.epoch() > 2);
     cluster
 }
 
@@ -266,7 +268,7 @@
     cluster.keys("j/").is_empty()
 }
 
-// Guards against jobs on a page that cannot be written again under the new limits, and against writes
+// Guards against jobs on a page that cannot be rewritten under the new limits, and against writes
 // that the announced limits do not admit.
 #[test]
 fn what_production_left_is_served_under_announced_limits() {
@@ -289,7 +291,7 @@
 // Guards against a write that is repeated unchanged for ever, or whose copies are mixed up with what is
 // written in its place, when limits fall that were not announced.
 #[test]
-fn limits_that_fall_without_a_word_are_found_out() {
+fn limits_lowered_without_notice_are_detected() {
     let mut cluster = left_by_production(false);
     cluster.capacity = 30;
     let more: Vec<Value> = (100..160).map(|id| job(id, 1)).collect();
@@ -308,22 +310,26 @@
 // Guards against a job of a later version that is called unknown, and whose tasks are stopped, by one that
 // cannot read it.
 #[test]
-fn a_job_that_cannot_be_read_is_left_alone() {
+fn a_job_that_cannot_be_read_is_left_unchanged() {
     let mut cluster = ready();
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 4));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 4);
-    (0..3).for_each(|node| cluster.crash(node));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
+    (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(2_000);
     let stored = cluster.stored("j/j-000001").expect("the job").clone();
     let mut odd = stored.clone();
     odd["spec"]["Oficio"] = json!("gang");
     cluster.put("j/j-000001", odd);
-    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(25_000);
     assert_eq!(cluster.running().len(), 4, "its tasks are let be");
-    for node in 0..3 {
-        assert_eq!(cluster.state(node, 1).0, 503, "neither known nor unknown");
+    for controller in 0..3 {
+        assert_eq!(
+            cluster.state(controller, 1).0,
+            503,
+            "neither known nor unknown"
+        );
     }
     assert_eq!(cluster.submit(0, &long_job(1, 4)).status, 503);
     assert_eq!(
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -69,7 +69,9 @@
     cluster.capacity = 2;
     cluster.task_run_ms = 3_000;
     cluster.submit(0, &job(1, 400));
-    cluster.until("a full fleet", 40_000, |w| w.running().len() == 8);
+    cluster.until("a full fleet", 40_000, |cluster| {
+        cluster.running().len() == 8
+    });
     cluster.task_run_ms = 2_700;
     let mut wide = job(2, 1);
     wide["Cores"] = json!(4.0);
@@ -138,7 +140,7 @@
 /// did not reach its machines. Two machines run what the attempts of the store say.
 fn with_the_store() -> Cluster {
     let mut cluster = Cluster::new();
-    (0..3).for_each(|node| cluster.crash(node));
+    (0..3).for_each(|controller| cluster.crash(controller));
     cluster.seed(5);
     cluster.task_run_ms = 25_000;
     for (key, text) in store() {
@@ -172,7 +174,7 @@
     cluster.inject_task(&first, task(7, 1), 67_108_868);
     cluster.inject_task(&second, task(1, 2), 67_108_866);
     cluster.inject_task(&second, task(2, 0), 67_108_867);
-    (0..2).for_each(|node| cluster.start(node));
+    (0..2).for_each(|controller| cluster.start(controller));
     cluster
 }
 
@@ -187,7 +189,7 @@
 #[test]
 fn controllers_understand_a_store_written_before() {
     let mut cluster = with_the_store();
-    cluster.until("an epoch", 20_000, |w| w.epoch() > 4);
+    cluster.until("an epoch", 20_000, |cluster| cluster.epoch() > 4);
     let epoch = cluster.stored("c/epoch").expect("an epoch").clone();
     assert_eq!(epoch["number"], json!(5));
     assert_eq!(epoch["standing"], json!(true));
@@ -197,17 +199,23 @@
     assert_eq!(epoch["unreached"], json!([other]));
     cluster.run(6_000);
     for (id, state) in [(5, "done"), (6, "aborted"), (7, "aborted")] {
-        for node in 0..2 {
-            assert_eq!(cluster.state(node, id), (200, state.into()), "job {id}");
+        for controller in 0..2 {
+            assert_eq!(
+                cluster.state(controller, id),
+                (200, state.into()),
+                "job {id}"
+            );
         }
     }
     assert_eq!(cluster.submit(1, &service(3, 1)).status, 201);
-    cluster.until("an end of the cancelled task", 20_000, |w| {
-        !w.running().contains(&task(7, 1))
+    cluster.until("an end of the cancelled task", 20_000, |cluster| {
+        !cluster.running().contains(&task(7, 1))
+    });
+    cluster.until("the claim to lapse", 20_000, |cluster| {
+        cluster.keys("k/").is_empty()
     });
-    cluster.until("the claim to lapse", 20_000, |w| w.keys("k/").is_empty());
-    cluster.until("all arrays over", 120_000, |w| {
-        w.keys("j/") == ["j/j-000002", "j/j-000003"]
+    cluster.until("all arrays over", 120_000, |cluster| {
+        cluster.keys("j/") == ["j/j-000002", "j/j-000003"]
     });
     for id in [1, 11, 12] {
         assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
--- a/crates/worksshunt-search/src/scratch.rs
+++ b/crates/worksshunt-search/src/scratch.rs
@@ -16,7 +16,7 @@
 /// What precedes the seed and the failure in a line that the test prints about a day that failed.
 const FINDING: &str = "finding: seed ";
 /// The test that plays random days, and the variables that choose the seeds and end it at the first finding.
-const RANDOM_DAYS_TEST: &str = "mixed::days_of_mixed_troubles";
+const RANDOM_DAYS_TEST: &str = "mixed::days_of_mixed_faults";
 const SEEDS_VARIABLE: &str = "SCENARIOS_MIXED";
 const FIRST_ONLY_VARIABLE: &str = "SCENARIOS_FIRST";
 
