--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -30,7 +30,7 @@
     users.ask_for(&mut cluster, 20);
     let again = cluster.task_starts[begun..]
         .iter()
-        .filter(|(_, task, _)| running.contains(task));
+        .filter(|start| running.contains(&start.task));
     assert_eq!(again.count(), 0, "nothing that ran was started again");
     let (most, dropped) = (cluster.usage.max_sync_bytes, cluster.usage.frames_dropped);
     assert!(
@@ -46,10 +46,12 @@
 /// Machines that vanish while no controller is there.
 const VANISHED: usize = 40;
 
-#[test]
-fn all_controllers_restart_and_send_few_more_commands_than_needed() {
-    let mut cluster = full_deployment(60_000);
-    let mut users = Users::default();
+fn orphaned(task: &TaskId) -> bool {
+    ORPHANED_JOBS.contains(&task.job.0)
+}
+
+/// Cancels jobs and crashes all controllers once that is stored, before any of them has informed a worker.
+fn cancel_and_crash(cluster: &mut Cluster) {
     for id in ORPHANED_JOBS {
         cluster.send_cancel(0, JobId(id));
     }
@@ -58,25 +60,29 @@
             .iter()
             .all(|id| cluster.stored(&format!("f/{}", JobId(*id))).is_some())
     };
-    while !cancelled(&cluster) {
+    while !cancelled(cluster) {
         cluster.run(1);
     }
-    // No controller has told a worker yet.
     (0..3).for_each(|controller| cluster.crash(controller));
-    let orphaned = |task: &TaskId| ORPHANED_JOBS.contains(&task.job.0);
-    let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
-    let orphans = running.iter().filter(|task| orphaned(task)).count();
-    assert!(orphans > 400, "{orphans} orphans");
-    let vanished: Vec<_> = cluster
-        .workers
-        .keys()
-        .rev()
-        .take(VANISHED)
-        .cloned()
-        .collect();
+}
+
+fn remove_machines(cluster: &mut Cluster) {
+    let ids = cluster.workers.keys().rev();
+    let vanished: Vec<_> = ids.take(VANISHED).cloned().collect();
     vanished
         .iter()
         .for_each(|id| drop(cluster.workers.remove(id)));
+}
+
+#[test]
+fn all_controllers_restart_and_send_few_more_commands_than_needed() {
+    let mut cluster = full_deployment(60_000);
+    let mut users = Users::default();
+    cancel_and_crash(&mut cluster);
+    let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
+    let orphans = running.iter().filter(|task| orphaned(task)).count();
+    assert!(orphans > 400, "{orphans} orphans");
+    remove_machines(&mut cluster);
     let kept: BTreeSet<TaskId> = cluster
         .running()
         .into_iter()
@@ -90,7 +96,7 @@
     users.ask_for(&mut cluster, 20);
     let again = cluster.task_starts[begun..]
         .iter()
-        .filter(|(_, task, _)| kept.contains(task));
+        .filter(|start| kept.contains(&start.task));
     assert_eq!(again.count(), 0, "work under way is kept");
     // Each halt is sent in the response to a heartbeat and directly to the worker, whichever arrives.
     let halts = cluster.usage.halts as usize;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -14,7 +14,7 @@
         let moment = format!("released after {release_ms}");
         let mut cluster = busy(4, 12_000);
         cluster.submit(1, &long_job(9, 12));
-        let held = cluster.task_starts[0].2.clone();
+        let held = cluster.task_starts[0].machine.clone();
         cluster.faults.heartbeats.held_from.insert(held.clone());
         cluster.run(4_000);
         let leader = cluster.leader();
@@ -72,7 +72,7 @@
         let mut cluster = busy(4, 9_000);
         cluster.submit(0, &long_job(9, 30));
         cluster.faults.heartbeats.copies_after_ms = vec![after_ms, after_ms + 900];
-        let lost = cluster.task_starts[0].2.clone();
+        let lost = cluster.task_starts[0].machine.clone();
         // Its lease runs out, so that its next session has other attempts at the same tasks.
         cluster.hang(&lost, 18_000);
         cluster.run(30_000);
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -6,6 +6,7 @@
 mod controllers;
 mod machines;
 mod requested;
+mod users;
 
 use serde_json::{json, Value};
 use worksshunt_wire::{JobId, MachineId};
@@ -53,8 +54,8 @@
     let mut ids: Vec<MachineId> = cluster
         .task_starts
         .iter()
-        .filter(|s| s.1.job == JobId(job))
-        .map(|s| s.2.clone())
+        .filter(|start| start.task.job == JobId(job))
+        .map(|start| start.machine.clone())
         .collect();
     ids.sort();
     ids.dedup();
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -286,7 +286,7 @@
             cluster.faults.heartbeats.copies_for_next_leader = true;
             cluster.run(2_500);
             if hung {
-                let id = cluster.task_starts[0].2.clone();
+                let id = cluster.task_starts[0].machine.clone();
                 cluster.hang(&id, 12_000);
             }
             cluster.run(crash_ms);
--- /dev/null
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -0,0 +1,306 @@
+//! Crashes, restarts and partitions of controllers, and changes of the leader and the epoch.
+
+use worksshunt_core::controller::KvResponse;
+
+use crate::{long_job, ready, ready_with_boots_of};
+use worksshunt_simulation::{job, Cluster};
+
+#[test]
+fn no_task_runs_twice_when_the_leader_crashes() {
+    let mut cluster = ready();
+    cluster.submit(0, &job(1, 20));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() > 4);
+    let leader = cluster.leader();
+    cluster.crash(leader);
+    cluster.run(2_000);
+    cluster.start(leader);
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 20));
+    cluster.check();
+    assert_eq!(cluster.task_starts.len(), 20, "nothing was started again");
+}
+
+#[test]
+fn jobs_survive_the_crash_of_all_controllers() {
+    let mut cluster = ready();
+    cluster.submit(0, &job(1, 12));
+    cluster.until("tasks", 30_000, |cluster| !cluster.running().is_empty());
+    (0..3).for_each(|controller| cluster.crash(controller));
+    cluster.run(5_000);
+    (0..3).for_each(|controller| cluster.start(controller));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 12));
+    cluster.run(3_000);
+    assert_eq!(cluster.state(0, 1), (200, "done".into()));
+    cluster.check();
+}
+
+// Guards against writes of a former epoch that are applied after the next one has begun.
+#[test]
+fn a_late_transaction_of_a_former_leader_is_refused() {
+    let mut cluster = ready();
+    cluster.submit(0, &job(1, 8));
+    let leader = cluster.leader();
+    cluster.until("machines", 30_000, |cluster| !cluster.workers.is_empty());
+    cluster.faults.key_value.hold_writes.insert(leader);
+    cluster.run(8_000);
+    cluster.crash(leader);
+    cluster.until("another leader", 20_000, |cluster| {
+        cluster.leader() != leader
+    });
+    cluster.faults.key_value.hold_writes.clear();
+    let replies = cluster.release_writes();
+    assert!(!replies.is_empty(), "something was held back");
+    for reply in replies {
+        assert!(matches!(reply, KvResponse::Conflict(_)), "{reply:?}");
+    }
+    cluster.start(leader);
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
+    cluster.check();
+}
+
+// Guards against a controller that keeps machines whose heartbeats do not reach it.
+#[test]
+fn a_controller_that_workers_do_not_reach_releases_its_machines() {
+    let mut cluster = ready();
+    cluster.task_run_ms = 60_000;
+    cluster.submit(0, &long_job(1, 40));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 40);
+    cluster.run(5_000);
+    cluster.faults.cut_from_workers.insert(1);
+    cluster.run(30_000);
+    cluster.faults.cut_from_workers.clear();
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 40));
+    assert_eq!(cluster.task_starts.len(), 40, "no lease ran out");
+    cluster.check();
+}
+
+// Guards against a controller that goes on commanding workers when only they are left to it, and against
+// users who are sent to it.
+#[test]
+fn a_controller_that_reaches_only_its_workers_releases_them() {
+    let mut cluster = ready();
+    cluster.task_run_ms = 60_000;
+    cluster.submit(0, &long_job(1, 24));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 24);
+    cluster.run(3_000);
+    let (leader, epoch) = (cluster.leader(), cluster.epoch());
+    cluster.faults.key_value.unreachable_from.insert(leader);
+    cluster.faults.cut_from_peers.insert(leader);
+    cluster.run(7_000);
+    assert!(!cluster.healthy(leader), "users should not be sent there");
+    cluster.until("another leader", 10_000, |cluster| {
+        cluster.leader() != leader
+    });
+    cluster.run(20_000);
+    cluster.faults.key_value.unreachable_from.clear();
+    cluster.faults.cut_from_peers.clear();
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 24));
+    assert_eq!(cluster.task_starts.len(), 24, "no lease ran out");
+    assert_eq!(
+        cluster.epoch(),
+        epoch + 2,
+        "one epoch without it, one with it again"
+    );
+    cluster.check();
+}
+
+#[test]
+fn nothing_is_lost_when_all_controllers_are_left_with_their_workers() {
+    let mut cluster = ready();
+    cluster.task_run_ms = 30_000;
+    cluster.submit(0, &long_job(1, 12));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 12);
+    cluster.faults.key_value.unreachable_from = (0..3).collect();
+    cluster.faults.cut_from_peers = (0..3).collect();
+    cluster.run(30_000);
+    cluster.faults.key_value.unreachable_from.clear();
+    cluster.faults.cut_from_peers.clear();
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 12));
+    cluster.run(3_000);
+    assert_eq!(cluster.state(2, 1), (200, "done".into()));
+    cluster.check();
+}
+
+// Guards against partitions that stay idle, and a leader that provisions nothing, for as long as connections
+// between controllers are refused.
+#[test]
+fn the_leader_takes_over_partitions_whose_owners_do_not_reach_it() {
+    let mut cluster = ready_with_boots_of(50.0);
+    cluster.task_run_ms = 30_000;
+    for _ in 0..9 {
+        cluster.machine("a", true, 0);
+    }
+    cluster.run(10_000);
+    let leader = cluster.leader();
+    cluster.faults.cut_from_peers = (0..3).filter(|controller| *controller != leader).collect();
+    cluster.crash(leader);
+    cluster.start(leader);
+    cluster.run(5_000);
+    cluster.submit(leader, &long_job(1, 36));
+    cluster.until("all at once", 25_000, |cluster| {
+        cluster.running().len() == 36
+    });
+    let epoch = cluster.epoch();
+    cluster.submit(leader, &long_job(2, 4));
+    cluster.until("another machine", 10_000, |cluster| {
+        cluster.workers.len() > 9
+    });
+    cluster.faults.cut_from_peers.clear();
+    cluster.run(20_000);
+    assert!(
+        (epoch + 1..=epoch + 2).contains(&cluster.epoch()),
+        "both are back"
+    );
+    cluster.until("all tasks", 60_000, |cluster| {
+        cluster.all_done(1, 36) && cluster.all_done(2, 4)
+    });
+    assert_eq!(cluster.task_starts.len(), 40, "nothing was lost on the way");
+    cluster.check();
+}
+
+// Guards against a new leader that counts machines as silent because it has received no heartbeat yet.
+#[test]
+fn a_new_leader_keeps_machines_older_than_any_boot() {
+    let mut cluster = ready();
+    cluster.task_run_ms = 120_000;
+    cluster.submit(0, &long_job(1, 40));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 40);
+    cluster.run(60_000);
+    let leader = cluster.leader();
+    cluster.crash(leader);
+    cluster.run(10_000);
+    cluster.start(leader);
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 40));
+    assert_eq!(
+        cluster.task_starts.len(),
+        40,
+        "no machine was taken from its tasks"
+    );
+    cluster.check();
+}
+
+// Guards against a leader that forgets what it provisioned, and waits for the list, whenever a controller
+// joins or leaves.
+#[test]
+fn a_leader_goes_on_provisioning_when_another_controller_leaves() {
+    let mut cluster = ready();
+    let leader = cluster.leader();
+    cluster.list_lag_ms = 5_000;
+    cluster.submit(leader, &long_job(1, 8));
+    cluster.until("machines", 10_000, |cluster| cluster.workers.len() == 2);
+    cluster.crash((leader + 1) % 3);
+    cluster.run(6_000);
+    let others = (leader + 2) % 3;
+    cluster.submit(others, &long_job(2, 12));
+    cluster.until("more machines", 3_000, |cluster| cluster.workers.len() == 5);
+    cluster.run(10_000);
+    assert_eq!(cluster.workers.len(), 5, "and no more than that");
+    cluster.check();
+}
+
+// Guards against former incarnations that are taken for present ones: leases still alive, names used again.
+#[test]
+fn controllers_restarted_within_a_moment_share_one_leader_and_repeat_no_number() {
+    let mut cluster = ready();
+    cluster.task_run_ms = 30_000;
+    cluster.submit(0, &long_job(1, 16));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 16);
+    for round in 0..4 {
+        let leader = cluster.leader();
+        cluster.faults.key_value.hold_writes.insert(leader);
+        cluster.run(300);
+        cluster.crash(leader);
+        cluster.run(200);
+        cluster.faults.key_value.hold_writes.clear();
+        cluster.start(leader);
+        cluster.run(400);
+        // In the middle of the election that follows, another goes, or all; and late copies of what
+        // the former incarnation had sent arrive.
+        cluster.crash((leader + 1) % 3);
+        cluster.start((leader + 1) % 3);
+        if round % 2 == 1 {
+            (0..3).for_each(|controller| cluster.crash(controller));
+            (0..3).for_each(|controller| cluster.start(controller));
+        }
+        cluster.release_writes();
+        cluster.run(7_000);
+        let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
+        assert_eq!(members.as_array().map(Vec::len), Some(3), "all are back");
+    }
+    cluster.until("all tasks", 200_000, |cluster| cluster.all_done(1, 16));
+    assert_eq!(cluster.task_starts.len(), 16, "no lease ran out");
+    cluster.check();
+}
+
+// Guards against a late write by which a former incarnation joins and which undoes that of the present one.
+#[test]
+fn a_late_message_of_a_former_incarnation_costs_no_epoch() {
+    let mut cluster = ready();
+    let other = (cluster.leader() + 1) % 3;
+    cluster.crash(other);
+    cluster.run(8_000);
+    cluster.faults.key_value.hold_writes.insert(other);
+    cluster.start(other);
+    cluster.run(400);
+    cluster.crash(other);
+    cluster.faults.key_value.hold_writes.clear();
+    cluster.start(other);
+    cluster.until("its epoch", 3_000, |cluster| {
+        let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
+        members.as_array().map(Vec::len) == Some(3)
+    });
+    let epoch = cluster.epoch();
+    assert!(
+        !cluster.release_writes().is_empty(),
+        "something was held back"
+    );
+    cluster.run(10_000);
+    assert_eq!(cluster.epoch(), epoch);
+}
+
+// Guards against records of former epochs that are never written anew while completions always come
+// first: the next epoch takes all that has ended since for work that may still be there, and at full
+// size its leader ran out of memory.
+#[test]
+fn records_of_former_epochs_go_while_tasks_complete() {
+    let mut cluster = Cluster::new();
+    for settings in &mut cluster.settings {
+        settings.facts.state.write_rps = 6.0;
+    }
+    (0..3).for_each(|controller| cluster.start(controller));
+    cluster.run(4_000);
+    cluster.task_run_ms = 2_000;
+    cluster.submit(0, &long_job(1, 4_000));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 40);
+    cluster.run(10_000);
+    (0..3).for_each(|controller| cluster.crash(controller));
+    (0..3).for_each(|controller| cluster.start(controller));
+    let former = format!("a/{}.", cluster.epoch());
+    let before = cluster.task_starts.len();
+    cluster.run(20_000);
+    assert_eq!(cluster.keys(&former), Vec::<String>::new());
+    assert!(cluster.task_starts.len() > before + 100, "tasks went on");
+    cluster.check();
+}
+
+// Guards against numbers of attempts that a long epoch has in common with the next one.
+#[test]
+fn a_new_epoch_begins_when_the_attempt_numbers_are_used_up() {
+    let mut cluster = Cluster::new();
+    cluster.limit_attempts(16);
+    cluster.run(4_000);
+    let first = cluster.epoch();
+    let sessions_begun = |cluster: &Cluster| {
+        cluster
+            .workers
+            .keys()
+            .filter(|id| cluster.worker_incarnation(id) > 1)
+            .count()
+    };
+    cluster.submit(0, &job(1, 50));
+    cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 50));
+    assert_eq!(cluster.epoch(), first + 3, "16, 32 and 48 of 50 attempts");
+    assert_eq!(cluster.task_starts.len(), 50, "each task started once");
+    assert_eq!(sessions_begun(&cluster), 0, "no lease was lost");
+    cluster.run(3_000);
+    cluster.check();
+}
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -226,7 +226,7 @@
     let mut cluster = ready();
     cluster.submit(0, &long_job(1, 4));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
-    let spot = cluster.task_starts[0].2.clone();
+    let spot = cluster.task_starts[0].machine.clone();
     let stranger = job(9, 1).to_string().into_bytes();
     let question = cluster
         .invariants
--- /dev/null
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -0,0 +1,229 @@
+//! The life of a job: submission, cancellation, its end, and jobs that cannot be accepted or never succeed.
+
+use serde_json::json;
+use worksshunt_core::controller::Event;
+use worksshunt_wire::JobId;
+
+use crate::ready;
+use worksshunt_simulation::job;
+
+#[test]
+fn a_job_runs_to_its_end_and_every_controller_reports_it() {
+    let mut cluster = ready();
+    assert_eq!(cluster.submit(0, &job(1, 6)).status, 201);
+    assert_eq!(cluster.state(1, 1), (200, "pending".into()));
+    cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 6));
+    cluster.run(3_000);
+    for controller in 0..3 {
+        assert_eq!(cluster.state(controller, 1), (200, "done".into()));
+    }
+    assert_eq!(cluster.submit(2, &job(1, 6)).status, 200);
+    assert_eq!(cluster.task_starts.len(), 6, "each task started once");
+    assert!(cluster.stored("j/j-000001").is_none());
+    cluster.check();
+}
+
+#[test]
+fn a_cancelled_job_is_gone_for_good() {
+    let mut cluster = ready();
+    cluster.submit(0, &job(1, 12));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() > 3);
+    assert!(cluster.cancel(1, 1).body.contains("aborted"));
+    cluster.until("none running", 6_000, |cluster| {
+        cluster.running().is_empty()
+    });
+    let started = cluster.task_starts.len();
+    let leader = cluster.leader();
+    cluster.crash(leader);
+    cluster.run(1_000);
+    cluster.start(leader);
+    cluster.run(30_000);
+    assert_eq!(cluster.task_starts.len(), started, "none starts after that");
+    for controller in 0..3 {
+        assert_eq!(cluster.state(controller, 1), (200, "aborted".into()));
+    }
+    assert_eq!(cluster.submit(0, &job(1, 12)).status, 200);
+    cluster.check();
+}
+
+#[test]
+fn a_cancellation_that_races_the_launch_wins() {
+    let mut cluster = ready();
+    cluster.machine("a", true, 0);
+    cluster.run(4_000);
+    cluster.submit(0, &job(1, 4));
+    cluster.cancel(2, 1);
+    cluster.run(20_000);
+    assert_eq!(cluster.running(), vec![]);
+    cluster.check();
+}
+
+// Guards against reporting to a user what is not stored yet.
+#[test]
+fn a_job_is_reported_done_only_when_that_is_durable() {
+    let mut cluster = ready();
+    cluster.submit(0, &job(1, 2));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 2);
+    cluster.run(6_000);
+    cluster.faults.key_value.hold_writes = (0..3).collect();
+    cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 2));
+    cluster.run(2_000);
+    for controller in 0..3 {
+        assert_ne!(cluster.state(controller, 1).1, "done");
+    }
+    cluster.faults.key_value.hold_writes.clear();
+    cluster.run(4_000);
+    assert_eq!(cluster.state(0, 1), (200, "done".into()));
+    cluster.check();
+}
+
+// Guards against a worker that forgets a completion that is not stored yet.
+#[test]
+fn a_completion_survives_a_crash_before_it_was_durable() {
+    let mut cluster = ready();
+    cluster.submit(0, &job(1, 3));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 3);
+    cluster.run(6_000);
+    cluster.faults.key_value.hold_writes = (0..3).collect();
+    cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 3));
+    cluster.run(4_000);
+    (0..3).for_each(|controller| cluster.crash(controller));
+    cluster.faults.key_value.hold_writes.clear();
+    cluster.run(5_000);
+    (0..3).for_each(|controller| cluster.start(controller));
+    cluster.run(20_000);
+    assert_eq!(cluster.state(0, 1), (200, "done".into()));
+    assert_eq!(cluster.task_starts.len(), 3, "no work was repeated");
+    cluster.check();
+}
+
+// Guards against a job that fails on every machine keeping the fleet from the others.
+#[test]
+fn a_job_that_always_fails_is_retried_at_growing_intervals() {
+    let mut cluster = ready();
+    cluster.capacity = 1;
+    cluster.task_run_ms = 1_000;
+    cluster.faults.failing_jobs.insert(JobId(1));
+    cluster.submit(0, &job(1, 1));
+    cluster.submit(1, &job(2, 30));
+    cluster.until("the good job", 120_000, |cluster| cluster.all_done(2, 30));
+    cluster.run(60_000);
+    let tries = cluster
+        .task_starts
+        .iter()
+        .filter(|start| start.task.job == JobId(1))
+        .count();
+    assert!((4..16).contains(&tries), "{tries} tries");
+    assert_eq!(cluster.state(0, 1).0, 200);
+}
+
+#[test]
+fn the_largest_job_runs_and_can_be_cancelled() {
+    let mut cluster = ready();
+    cluster.task_run_ms = 1_000;
+    cluster.submit(0, &job(1, 100_000));
+    cluster.until("many tasks", 120_000, |cluster| {
+        cluster.task_starts.len() > 500
+    });
+    let mut urgent = job(2, 10);
+    urgent["Turno"] = json!("urgent");
+    cluster.submit(1, &urgent);
+    cluster.until("the urgent job too", 120_000, |cluster| {
+        cluster.all_done(2, 10)
+    });
+    let leader = cluster.leader();
+    cluster.crash(leader);
+    cluster.run(10_000);
+    cluster.start(leader);
+    cluster.run(10_000);
+    let starts = cluster.task_starts.len();
+    cluster.run(5_000);
+    assert!(
+        cluster.task_starts.len() > starts,
+        "it goes on under another leader"
+    );
+    assert_eq!(cluster.cancel(leader, 1).status, 200);
+    cluster.until("none running", 10_000, |cluster| {
+        cluster.running().is_empty()
+    });
+    cluster.check();
+}
+
+// Guards against a burst of submissions that takes as many changes as jobs, and against a job that is
+// admitted twice, by two controllers, and runs again after its end.
+#[test]
+fn a_burst_of_submissions_is_admitted_in_batches() {
+    let mut cluster = ready();
+    let before = cluster.revision();
+    let jobs: Vec<_> = (1..=40).map(|id| job(id, 1)).collect();
+    let replies = cluster.submit_at_once(&[0, 1], &jobs);
+    assert!(
+        replies.iter().all(|r| matches!(r.status, 200 | 201)),
+        "{replies:?}"
+    );
+    assert!(cluster.revision() - before < 30, "pages, not keys");
+    for controller in 0..3 {
+        assert_eq!(cluster.state(controller, 7), (200, "pending".into()));
+        assert_eq!(cluster.submit(controller, &job(8, 1)).status, 200);
+    }
+    assert!(cluster.cancel(2, 9).body.contains("aborted"));
+    cluster.until("all the others", 120_000, |cluster| {
+        (1..=40).all(|id| id == 9 || cluster.all_done(id, 1))
+    });
+    cluster.run(5_000);
+    for id in [1, 8, 40] {
+        assert_eq!(cluster.state(1, id), (200, "done".into()));
+    }
+    assert_eq!(cluster.state(1, 9), (200, "aborted".into()));
+    assert_eq!(cluster.task_starts.len(), 39);
+    assert!(cluster.keys("j/").is_empty(), "{:?}", cluster.keys("j/"));
+    cluster.check();
+}
+
+#[test]
+fn bad_submissions_are_rejected_with_the_reason() {
+    let mut cluster = ready();
+    let change = |field: &str, value: serde_json::Value| {
+        let mut job = job(7, 2);
+        job[field] = value;
+        job
+    };
+    let malformed = [
+        json!([1]),
+        json!({}),
+        change("Ref", json!("job-7")),
+        change("Piezas", json!(0)),
+        change("Piezas", json!(100_001)),
+        change("Piezas", json!(1.5)),
+        change("Cores", json!(-1.0)),
+        change("Oficio", json!("gang")),
+        change("Spread", json!("no")),
+        change("Carril", json!("c".repeat(9_000))),
+    ];
+    for job in &malformed {
+        assert_eq!(cluster.submit(0, job).status, 400, "{job}");
+    }
+    let reply = cluster.ask(0, |request| Event::Submit(request, b"{not json".to_vec()));
+    assert_eq!(reply.status, 400);
+    let impossible = [
+        change("Cuadrilla", json!("green")),
+        change("Cores", json!(5.0)),
+        change("Modelos", json!(["m5"])),
+        change("Patio", json!("c")),
+        change("Cores", json!(101.0)),
+    ];
+    for job in &impossible {
+        assert_eq!(cluster.submit(0, job).status, 422, "{job}");
+    }
+    assert_eq!(cluster.state(0, 7).0, 404);
+    assert_eq!(cluster.cancel(0, 7).status, 404);
+    // A known job is answered with its state, whatever else the repeat says.
+    assert_eq!(cluster.submit(0, &job(7, 2)).status, 201);
+    assert_eq!(cluster.submit(1, &change("Piezas", json!(0))).status, 200);
+    assert_eq!(
+        cluster
+            .submit(2, &change("Cuadrilla", json!("green")))
+            .status,
+        200
+    );
+}
--- a/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -45,7 +45,7 @@
     cluster
         .task_starts
         .iter()
-        .filter(|s| ours(&s.1.job))
+        .filter(|start| ours(&start.task.job))
         .count()
 }
 
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -83,7 +83,7 @@
         cluster.invariants.violations
     );
     let again = &cluster.task_starts[started..];
-    let again: BTreeSet<JobId> = again.iter().map(|(_, task, _)| task.job).collect();
+    let again: BTreeSet<JobId> = again.iter().map(|start| start.task.job).collect();
     assert_eq!(again, doomed.jobs, "what was there goes on elsewhere");
 }
 
--- a/crates/worksshunt-core/tests/scenarios/main.rs
+++ b/crates/worksshunt-core/tests/scenarios/main.rs
@@ -1,13 +1,18 @@
 //! Short scenarios about whole deployments on virtual time.
 
 mod combined_faults;
-mod faults;
+mod controllers;
 mod invariants;
+mod jobs;
 mod key_value_outage;
+mod key_value_store;
 mod leases;
+mod machines;
+mod messages;
 mod mixed;
-mod ordinary;
+mod placement;
 mod preemption;
+mod service_capacity;
 mod services;
 mod upgrade;
 
--- a/crates/worksshunt-core/tests/scenarios/preemption.rs
+++ b/crates/worksshunt-core/tests/scenarios/preemption.rs
@@ -23,7 +23,7 @@
     cluster.submit(1, &waiting[0]);
     cluster.submit(2, &waiting[1]);
     cluster.until("the next", 20_000, |cluster| cluster.task_starts.len() > 4);
-    cluster.task_starts[4].1.job
+    cluster.task_starts[4].task.job
 }
 
 /// A full fleet of two machines, run by team blue (guarantee 8) at low priority.
@@ -107,7 +107,12 @@
     low["Cuadrilla"] = json!("red");
     low["Turno"] = json!("low");
     cluster.submit(0, &low);
-    let began = |cluster: &Cluster| cluster.task_starts.iter().any(|s| s.1.job == JobId(1));
+    let began = |cluster: &Cluster| {
+        cluster
+            .task_starts
+            .iter()
+            .any(|start| start.task.job == JobId(1))
+    };
     cluster.run(30_000);
     assert!(!began(&cluster), "urgent work comes first");
     cluster.run(32_000);
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -1,15 +1,13 @@
 //! Services: replicas that run until their job is cancelled.
 
-use std::collections::BTreeSet;
-
 use serde_json::json;
 use worksshunt_wire::{JobId, MachineId};
 
 use crate::long_job;
-use worksshunt_simulation::{job, service, Cluster};
+use worksshunt_simulation::{service, Cluster};
 
 /// A cluster in which every controller is known to understand services.
-fn ready() -> Cluster {
+pub fn ready() -> Cluster {
     let mut cluster = crate::ready();
     let all = |cluster: &Cluster| {
         cluster
@@ -22,7 +20,7 @@
 }
 
 /// A cluster in which a service has all its replicas up.
-fn serving(job: &serde_json::Value, replicas: usize) -> Cluster {
+pub fn serving(job: &serde_json::Value, replicas: usize) -> Cluster {
     let mut cluster = ready();
     cluster.task_run_ms = 20_000;
     assert_eq!(cluster.submit(0, job).status, 201);
@@ -32,10 +30,10 @@
     cluster
 }
 
-/// The machine with most tasks on it.
-fn busiest(cluster: &Cluster) -> MachineId {
+/// The machine on which a task started last.
+fn last_started_on(cluster: &Cluster) -> MachineId {
     let last = cluster.task_starts.last().expect("a start");
-    last.2.clone()
+    last.machine.clone()
 }
 
 #[test]
@@ -44,7 +42,7 @@
     cluster.run(60_000);
     assert_eq!(cluster.state(1, 1), (200, "running".into()));
     assert_eq!(cluster.task_starts.len(), 6, "replicas run on");
-    let lost = busiest(&cluster);
+    let lost = last_started_on(&cluster);
     cluster.workers.remove(&lost);
     cluster.until("all up again", 40_000, |cluster| {
         cluster.running().len() == 6
@@ -109,7 +107,7 @@
 #[test]
 fn one_faulty_machine_does_not_keep_a_service_down() {
     let mut cluster = serving(&service(1, 4), 4);
-    let faulty = busiest(&cluster);
+    let faulty = last_started_on(&cluster);
     cluster.faults.faulty_machines.insert(faulty);
     cluster.until("failures", 30_000, |cluster| cluster.running().len() < 4);
     cluster.until("replicas elsewhere", 30_000, |cluster| {
@@ -132,7 +130,7 @@
     });
     cluster.start(leader);
     cluster.run(10_000);
-    let lost = busiest(&cluster);
+    let lost = last_started_on(&cluster);
     cluster.workers.remove(&lost);
     cluster.until("all up again", 60_000, |cluster| {
         cluster.running().len() == 6
@@ -140,121 +138,6 @@
     cluster.check();
 }
 
-// Guards against replicas that wait for other tasks to end, as tasks of lower urgency do.
-#[test]
-fn a_replica_preempts_other_tasks_at_once() {
-    for spread in [false, true] {
-        let mut cluster = ready();
-        cluster.task_run_ms = 60_000;
-        cluster.capacity = 2;
-        for (id, zone) in [(1, "a"), (3, "b")] {
-            let mut low = long_job(id, 4);
-            low["Turno"] = json!("low");
-            low["Prestados"] = json!(false);
-            low["Patio"] = json!(zone);
-            cluster.submit(0, &low);
-        }
-        cluster.until("a full fleet", 30_000, |cluster| {
-            cluster.running().len() == 8
-        });
-        let mut wanted = service(2, 2);
-        wanted["Spread"] = json!(spread);
-        cluster.submit(1, &wanted);
-        let up = |cluster: &Cluster| {
-            cluster
-                .running()
-                .iter()
-                .filter(|t| t.job == JobId(2))
-                .count()
-                == 2
-        };
-        cluster.until("both replicas", 2_000, up);
-        cluster.check();
-    }
-}
-
-// Guards against a service that comes, or whose machine dies, when the only machines it may use are full
-// of tasks that could run elsewhere, or have been released because they were empty.
-#[test]
-fn capacity_is_reserved_for_replicas_while_services_run() {
-    let mut cluster = serving(&service(1, 4), 4);
-    cluster.submit(1, &long_job(2, 12));
-    cluster.run(60_000);
-    let ordinary = |cluster: &Cluster| -> BTreeSet<MachineId> {
-        let ordinary = cluster.workers.iter().filter(|(_, worker)| !worker.spot);
-        ordinary.map(|(id, _)| id.clone()).collect()
-    };
-    for (_, task, machine) in &cluster.task_starts {
-        let spot = !ordinary(&cluster).contains(machine);
-        assert_eq!(spot, task.job == JobId(2), "{task} on {machine}");
-    }
-    cluster.submit(2, &service(3, 4));
-    let up = |cluster: &Cluster| {
-        cluster
-            .running()
-            .iter()
-            .filter(|t| t.job == JobId(3))
-            .count()
-            == 4
-    };
-    cluster.until("replicas without a boot", 3_000, up);
-    cluster.cancel(0, 1);
-    cluster.cancel(0, 3);
-    cluster.until("nothing kept for nobody", 120_000, |cluster| {
-        cluster.workers.is_empty()
-    });
-    cluster.check();
-}
-
-// Guards against work that waits for ever for spot machines where there are none, be it beside ordinary ones
-// that are left to services, be it that none are rented for it.
-#[test]
-fn jobs_are_done_in_time_where_there_are_no_spot_machines() {
-    let mut cluster = ready();
-    cluster.faults.cloud.no_spot = true;
-    cluster.submit(0, &service(1, 4));
-    cluster.until("the service", 30_000, |cluster| {
-        cluster.running().len() == 4
-    });
-    cluster.task_run_ms = 40_000;
-    let mut pressed = long_job(2, 8);
-    pressed["EntregaS"] = json!(200.0);
-    cluster.submit(1, &pressed);
-    cluster.until("work with a deadline", 120_000, |cluster| {
-        cluster.all_done(2, 8)
-    });
-    cluster.cancel(0, 1);
-    cluster.until("nothing up", 120_000, |cluster| cluster.workers.is_empty());
-    cluster.submit(1, &long_job(3, 24));
-    cluster.until("work without one", 200_000, |cluster| {
-        cluster.all_done(3, 24)
-    });
-    cluster.check();
-}
-
-// Guards against the first service of all waiting for a machine to boot, where the settings say that it
-// must not.
-#[test]
-fn spare_machines_are_kept_for_a_class_that_has_to_start_before_one_boots() {
-    let mut cluster = Cluster::new();
-    for controller in 0..3 {
-        let wait = json!({"kind": "wait", "class": "till", "within_s": 2.0});
-        let wait = serde_json::from_value(wait).expect("an objective");
-        cluster.settings[controller].facts.objectives.push(wait);
-        cluster.start(controller);
-    }
-    cluster.until("machines", 20_000, |cluster| cluster.workers.len() >= 2);
-    assert!(cluster.workers.values().all(|worker| !worker.spot));
-    cluster.run(60_000);
-    let mut seen = job(1, 1);
-    seen["Carril"] = json!("till");
-    assert_eq!(cluster.submit(0, &seen).status, 201);
-    cluster.until("an array: nobody has to stand by", 120_000, |cluster| {
-        cluster.workers.is_empty()
-    });
-    cluster.check();
-}
-
 /// A service of four replicas among some 13 machines in each zone.
 fn service_in_a_crowd() -> Cluster {
     let mut cluster = serving(&service(1, 4), 4);
@@ -282,8 +165,8 @@
     let dead = cluster
         .task_starts
         .iter()
-        .find(|(_, task, _)| task.job == JobId(1));
-    let dead = dead.expect("a replica").2.clone();
+        .find(|start| start.task.job == JobId(1));
+    let dead = dead.expect("a replica").machine.clone();
     cluster.workers.get_mut(&dead).expect("a worker").hung = true;
     cluster.until("its return", 13_000, |cluster| {
         cluster.released_machines.contains(&dead)
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -182,7 +182,7 @@
     cluster
         .task_starts
         .iter()
-        .filter(|start| start.1 == task)
+        .filter(|start| start.task == task)
         .count()
 }
 
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -61,7 +61,7 @@
     pub fn launches_on(&self, id: &MachineId) -> usize {
         self.launched
             .values()
-            .filter(|launch| launch.1 == *id)
+            .filter(|launch| launch.machine == *id)
             .count()
     }
 
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -34,7 +34,7 @@
 use worksshunt_core::time::TokenBucket;
 use worksshunt_wire::settings::Settings;
 use worksshunt_wire::worker::Heartbeat;
-use worksshunt_wire::{Attempt, MachineId, TaskId};
+use worksshunt_wire::{Attempt, MachineId};
 
 pub use digest::{DayDigest, TrafficDigest};
 pub use failure::Failure;
@@ -46,6 +46,7 @@
 pub use links::SlowLinks;
 pub use resource_usage::ResourceUsage;
 pub use worker::Worker;
+pub use workers::TaskStart;
 
 use cloud::CloudRecords;
 use controllers::Controllers;
@@ -55,6 +56,7 @@
 use key_value_service::KeyValueService;
 use network::PendingRequests;
 use users::Users;
+use workers::Launch;
 
 /// Controllers of a cluster.
 const CONTROLLERS: usize = 3;
@@ -130,12 +132,12 @@
     pub usage: ResourceUsage,
     /// Transactions that the key-value store found too large.
     pub too_large: usize,
-    /// Every start of a task: when, which, where.
-    pub task_starts: Vec<(u64, TaskId, MachineId)>,
+    /// Every start of a task.
+    pub task_starts: Vec<TaskStart>,
     /// Machines returned to the cloud.
     pub released_machines: Vec<MachineId>,
-    /// Every attempt launched, with its task and machine.
-    launched: BTreeMap<Attempt, (TaskId, MachineId)>,
+    /// Every attempt launched.
+    launched: BTreeMap<Attempt, Launch>,
     /// The receiver of each direct command request.
     commands_sent_to: Vec<MachineId>,
     /// A digest of all messages that controllers send and receive, if it is wanted.
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -19,6 +19,24 @@
 /// few ms to become known.
 const CANCEL_AT_COMPLETION_MS: u64 = 30;
 
+/// A start of a task on a machine.
+#[derive(Debug, Clone)]
+pub struct TaskStart {
+    /// When, ms since the cluster's start.
+    pub at: u64,
+    /// The task.
+    pub task: TaskId,
+    /// Its machine.
+    pub machine: MachineId,
+}
+
+/// What an attempt is launched for, and where.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct Launch {
+    task: TaskId,
+    pub(crate) machine: MachineId,
+}
+
 /// What one step changed on a machine.
 #[derive(Default)]
 struct TaskChanges {
@@ -115,8 +133,12 @@
             self.job_audit = Some(audit);
             self.invariants = invariants;
         }
-        let started = started.into_iter().map(|task| (now, task, id.clone()));
-        self.task_starts.extend(started);
+        self.task_starts
+            .extend(started.into_iter().map(|task| TaskStart {
+                at: now,
+                task,
+                machine: id.clone(),
+            }));
     }
 
     /// Notes that a task has completed. Users may cancel its job at that moment.
@@ -158,7 +180,10 @@
             let Command::Launch { task, attempt } = command else {
                 continue;
             };
-            let launch = (*task, id.clone());
+            let launch = Launch {
+                task: *task,
+                machine: id.clone(),
+            };
             let first = self.launched.entry(*attempt).or_insert(launch.clone());
             if *first != launch {
                 let text = format!("attempt {attempt} of {first:?} used again for {launch:?}");
