--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,7 +1,7 @@
 //! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
 
 use worksshunt_core::time::TokenBucket;
-use worksshunt_simulation::{Cluster, LateWrites};
+use worksshunt_simulation::{Cluster, KeyValueRates, LateWrites};
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
 
@@ -38,14 +38,17 @@
 fn a_key_value_store_that_answers_429_to_many_requests() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
-    let full = cluster.state_rates.clone();
-    cluster.state_rates = Some((TokenBucket::new(60.0, 60.0), TokenBucket::new(10.0, 10.0)));
+    let full = cluster.key_value_rates.clone();
+    cluster.key_value_rates = Some(KeyValueRates {
+        requests: TokenBucket::new(60.0, 60.0),
+        changes: TokenBucket::new(10.0, 10.0),
+    });
     users.ask_for(&mut cluster, 45);
     assert!(
         cluster.usage.refused > 100,
         "{} refused",
         cluster.usage.refused
     );
-    cluster.state_rates = full;
+    cluster.key_value_rates = full;
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
 }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -89,7 +89,7 @@
     }
 }
 
-// Guards against a team's use that a new leader counts too low before it has heard every owner.
+// Guards against a team's use that a new leader counts too low before every owner has sent its status.
 #[test]
 fn a_team_is_at_its_limit_when_the_leader_changes_and_machines_are_unreachable() {
     for how in ["deaf", "mute", "hung"] {
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -167,7 +167,7 @@
     settle(&mut cluster, "spread");
 }
 
-// Guards against tasks that go on, or go to machines that nothing is heard of.
+// Guards against tasks that go on, or are placed on machines whose heartbeats do not arrive.
 #[test]
 fn workers_reach_no_controller_while_direct_commands_reach_them() {
     for mute_ms in (3_000..30_000).step_by(1_800) {
@@ -185,7 +185,7 @@
     }
 }
 
-// Guards against a lease that is reckoned from the last heartbeat although the worker, heard through direct
+// Guards against a lease that is computed from the last heartbeat although the worker, reached by direct
 // commands only, is in a later incarnation, whose lease began with it (found by a day of mixed faults).
 #[test]
 fn a_machine_whose_heartbeats_are_lost_begins_another_incarnation_and_answers_commands() {
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -247,7 +247,7 @@
     }
 }
 
-// Guards against machines that nobody has heard of, with work that nobody knows of.
+// Guards against machines unknown to all controllers, with tasks unknown to all.
 #[test]
 fn new_machines_get_tasks_at_once_while_writes_lag_and_the_leader_crashes() {
     for seed in 1..=4 {
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -73,7 +73,7 @@
 }
 
 // Guards against a machine long returned that is taken for capacity again, by its old owner or by one
-// that never heard of it.
+// that never owned it.
 #[test]
 fn a_heartbeat_copy_from_a_released_machine_revives_nothing() {
     let mut cluster = ready();
@@ -145,7 +145,7 @@
         let reply = cluster.ask(0, |request| Event::Heartbeat(request, bytes));
         assert_eq!(reply.status, 400, "{body}");
     }
-    // An unknown type of machine, with a task that nobody gave it: heard, and not used.
+    // An unknown type of machine, with a task that nobody launched: the heartbeat is accepted, the machine not used.
     let mut stranger = good.clone();
     stranger["Modelo"] = json!("m9");
     stranger["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
--- a/crates/worksshunt-core/tests/scenarios/placement.rs
+++ b/crates/worksshunt-core/tests/scenarios/placement.rs
@@ -141,7 +141,7 @@
 }
 
 // Guards against wide tasks that their own team's narrow ones keep out: whenever one of those ends, the
-// limit has room for another of them only.
+// limit admits only another of them.
 #[test]
 fn a_wide_job_gets_done_beside_narrow_ones_of_its_team() {
     let mut cluster = ready();
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -158,7 +158,7 @@
 }
 
 // Guards against replicas that are down until the lease of their dead machine is over, though the cloud
-// could have told sooner that it is gone.
+// could have reported sooner that it is gone.
 #[test]
 fn a_service_is_up_again_before_the_lease_of_its_dead_machine_ends() {
     let mut cluster = service_in_a_crowd();
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -98,7 +98,7 @@
     fn machine_list(&self) -> Vec<MachineList> {
         let workers = self.workers.iter();
         let machines: Vec<ListedMachine> = workers
-            .filter(|(_, worker)| self.now >= worker.rented_at + self.list_lag_ms)
+            .filter(|(_, worker)| self.now >= worker.provisioned_at + self.list_lag_ms)
             .map(|(id, worker)| self.listed_machine(id, worker))
             .collect();
         let page = |machines: &[ListedMachine]| MachineList {
@@ -127,7 +127,7 @@
             } else {
                 ListedState::Starting
             },
-            age_s: (self.now - worker.rented_at) as f64 / 1_000.0,
+            age_s: (self.now - worker.provisioned_at) as f64 / 1_000.0,
         }
     }
 
--- a/crates/worksshunt-simulation/src/invariants/tasks.rs
+++ b/crates/worksshunt-simulation/src/invariants/tasks.rs
@@ -19,7 +19,7 @@
     pub cpus: f64,
 }
 
-/// What a check for waiting jobs looks at.
+/// The input of a check for waiting jobs.
 #[derive(Debug)]
 pub struct WaitingCheck<'a> {
     /// The time of the check, ms.
--- a/crates/worksshunt-simulation/src/job_audit.rs
+++ b/crates/worksshunt-simulation/src/job_audit.rs
@@ -31,7 +31,7 @@
 }
 
 /// What is on machines at one moment. What starts in the same moment is added; what ends in it is not
-/// taken out, since no controller can have heard of that yet.
+/// taken out, since no controller can have been informed of that yet.
 #[derive(Debug, Default)]
 pub struct JobAudit {
     at: u64,
--- a/crates/worksshunt-simulation/src/key_value_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_service.rs
@@ -2,7 +2,7 @@
 
 use worksshunt_core::constants::key_value::KV_DEADLINE_MS;
 use worksshunt_core::controller::{Event, KvRequest, KvResponse};
-use worksshunt_core::time::Time;
+use worksshunt_core::time::{Time, TokenBucket};
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
 use worksshunt_wire::Revision;
 
@@ -17,6 +17,15 @@
 /// One of so many transactions is slow while transactions are.
 const SLOW_WRITE_EVERY: u64 = 2;
 
+/// What the key-value store admits; it answers 429 to more.
+#[derive(Debug, Clone)]
+pub struct KeyValueRates {
+    /// Requests.
+    pub requests: TokenBucket,
+    /// Keys changed by transactions.
+    pub changes: TokenBucket,
+}
+
 /// A watch that waits for changes.
 struct Watch {
     caller: KeyValueCaller,
@@ -158,7 +167,7 @@
 
     /// Whether the key-value store's rates admit a request; otherwise it answers 429.
     fn key_value_rate_allows(&mut self, request: &KvRequest) -> bool {
-        let Some((requests, changes)) = &mut self.state_rates else {
+        let Some(KeyValueRates { requests, changes }) = &mut self.key_value_rates else {
             return true;
         };
         let now = Time(self.now);
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -42,6 +42,7 @@
     CloudFaults, Faults, HeartbeatFaults, KeyValueFaults, KeyValueLimits, LateWrites, ZonePartition,
 };
 pub use fixtures::{job, large_settings, long_job, service, settings};
+pub use key_value_service::KeyValueRates;
 pub use key_value_store::Store;
 pub use links::SlowLinks;
 pub use resource_usage::ResourceUsage;
@@ -88,8 +89,8 @@
     /// Machines rented, booted or not.
     pub workers: BTreeMap<MachineId, Worker>,
 
-    /// Rates of the key-value store, requests and changes a second; none: unlimited.
-    pub state_rates: Option<(TokenBucket, TokenBucket)>,
+    /// Rates of the key-value store; none: unlimited.
+    pub key_value_rates: Option<KeyValueRates>,
     /// Rate of the cloud, calls a second; none: unlimited.
     pub cloud_rate: Option<TokenBucket>,
     /// Machines boot at multiples of so many ms, so that thousands of workers act at few moments.
@@ -178,7 +179,7 @@
             key_value: KeyValueService::default(),
             cloud: CloudRecords::default(),
             workers: BTreeMap::new(),
-            state_rates: None,
+            key_value_rates: None,
             cloud_rate: None,
             worker_step_ms: 1,
             capacity: 10,
@@ -213,7 +214,10 @@
         let mut cluster = Cluster::with_settings(|name| large_settings(name, machines));
         let facts = &cluster.settings[0].facts;
         let bucket = |rate: f64| TokenBucket::new(rate, rate);
-        cluster.state_rates = Some((bucket(facts.state.rps), bucket(facts.state.write_rps)));
+        cluster.key_value_rates = Some(KeyValueRates {
+            requests: bucket(facts.state.rps),
+            changes: bucket(facts.state.write_rps),
+        });
         cluster.cloud_rate = Some(TokenBucket::new(facts.cloud.rps, facts.cloud.rps * 2.0));
         cluster.worker_step_ms = 250;
         cluster.capacity = machines;
--- a/crates/worksshunt-simulation/src/verdict.rs
+++ b/crates/worksshunt-simulation/src/verdict.rs
@@ -111,7 +111,7 @@
         let violations = &self.invariants.violations;
         match violations.is_empty() {
             true => Ok(()),
-            false => Err(Failure::RulesBroken(violations.clone())),
+            false => Err(Failure::InvariantsViolated(violations.clone())),
         }
     }
 
--- a/crates/worksshunt-simulation/src/worker.rs
+++ b/crates/worksshunt-simulation/src/worker.rs
@@ -42,12 +42,12 @@
     pub hung: bool,
     /// When the machine has booted, ms.
     pub(crate) up_at: u64,
-    pub(crate) rented_at: u64,
+    pub(crate) provisioned_at: u64,
 }
 
 impl Worker {
     /// A worker that has not sent anything, on a machine that boots until `up_at`.
-    pub(crate) fn new(zone: &str, spot: bool, rented_at: u64, up_at: u64) -> Worker {
+    pub(crate) fn new(zone: &str, spot: bool, provisioned_at: u64, up_at: u64) -> Worker {
         Worker {
             zone: zone.to_owned(),
             spot,
@@ -61,7 +61,7 @@
             next_heartbeat_at: up_at,
             hung: false,
             up_at,
-            rented_at,
+            provisioned_at,
         }
     }
 
