--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,32 +1,33 @@
-//! The state service away, slow and refusing, with thousands of machines to keep.
+//! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
 
 use worksshunt_core::time::TokenBucket;
-use worksshunt_simulation::{Cluster, LateWrites};
+use worksshunt_simulation::{Cluster, KeyValueRates, LateWrites};
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
 
 #[test]
-fn an_outage_longer_than_a_lease_then_slow_answers_and_lost_ones() {
+fn an_outage_longer_than_a_lease_then_slow_and_lost_responses() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
-    cluster.faults.key_value_store_down = true;
+    cluster.faults.key_value.down = true;
     users.ask_for(&mut cluster, 20);
-    let lost = |w: &Cluster| {
-        w.workers
+    let lost = |cluster: &Cluster| {
+        cluster
+            .workers
             .keys()
-            .filter(|id| w.worker_incarnation(id) > 1)
+            .filter(|id| cluster.worker_incarnation(id) > 1)
             .count()
     };
     assert_eq!(lost(&cluster), 0, "leases outlive the outage");
-    cluster.faults.key_value_store_down = false;
-    cluster.faults.key_value_store_slow_ms = 600;
-    cluster.faults.late_writes = Some(LateWrites {
+    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.slow_responses_ms = 600;
+    cluster.faults.key_value.late_writes = Some(LateWrites {
         share: 0.2,
         after_ms: (0, 3_000),
     });
     users.ask_for(&mut cluster, 20);
-    cluster.faults.key_value_store_slow_ms = 0;
-    cluster.faults.late_writes = None;
+    cluster.faults.key_value.slow_responses_ms = 0;
+    cluster.faults.key_value.late_writes = None;
     assert!(cluster.effects("late write") > 5, "answers were lost");
     assert!(users.served > 0 && users.refused > 0);
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
@@ -34,17 +35,20 @@
 
 // Less than a fifth of what the settings name: what is sent within the shares of the limit is too much.
 #[test]
-fn a_state_service_that_answers_429_to_much_of_what_is_sent() {
+fn a_key_value_store_that_answers_429_to_many_requests() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
-    let full = cluster.state_rates.clone();
-    cluster.state_rates = Some((TokenBucket::new(60.0, 60.0), TokenBucket::new(10.0, 10.0)));
+    let full = cluster.key_value_rates.clone();
+    cluster.key_value_rates = Some(KeyValueRates {
+        requests: TokenBucket::new(60.0, 60.0),
+        changes: TokenBucket::new(10.0, 10.0),
+    });
     users.ask_for(&mut cluster, 45);
     assert!(
         cluster.usage.refused > 100,
         "{} refused",
         cluster.usage.refused
     );
-    cluster.state_rates = full;
+    cluster.key_value_rates = full;
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
 }
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use worksshunt_simulation::ZonePartition;
 use worksshunt_wire::JobId;
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
@@ -10,15 +11,18 @@
 fn half_of_the_machines_are_cut_off_and_back_in_the_same_second() {
     let mut cluster = full_deployment(40_000);
     let mut users = Users::default();
-    cluster.faults.heartbeat_copies_after_ms = vec![9_000, 30_000];
+    cluster.faults.heartbeats.copies_after_ms = vec![9_000, 30_000];
     cluster.run(3_000);
-    cluster.faults.partitioned_zone = Some(("b".into(), BTreeSet::new()));
+    cluster.faults.partitioned_zone = Some(ZonePartition {
+        zone: "b".into(),
+        controllers: BTreeSet::new(),
+    });
     users.ask_for(&mut cluster, 22);
     cluster.faults.partitioned_zone = None;
     users.ask_for(&mut cluster, 20);
-    cluster.faults.heartbeat_copies_after_ms.clear();
+    cluster.faults.heartbeats.copies_after_ms.clear();
     assert!(
-        cluster.effects("copy") > 50_000,
+        cluster.effects("heartbeat copy") > 50_000,
         "late copies of all reports came"
     );
     assert_eq!(users.refused, 0);
@@ -26,7 +30,7 @@
 }
 
 #[test]
-fn a_leader_changes_amid_thousands_of_ends_and_hundreds_of_cancellations() {
+fn the_leader_changes_amid_thousands_of_completions_and_hundreds_of_cancellations() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
     cluster.run(22_000);
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -1,5 +1,5 @@
-//! The checker of the rules, shown to find each breach that it is there for: a deliberate one is played to
-//! it, and the same without the breach is let pass.
+//! The checker of the invariants finds each violation that it is there for: it is shown a deliberate one, and accepts
+//! the same without the violation.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
@@ -12,23 +12,23 @@
 
 fn rules() -> Invariants {
     let mut rules = Invariants::default();
-    rules.keep(&settings(0));
+    rules.set_limits(&settings(0));
     rules
 }
 
 fn submission(rules: &mut Invariants, id: u64) -> JobQuery {
     let body = job(id, 1).to_string().into_bytes();
-    rules.asked(&Event::Submit(RequestId(1), body))
+    rules.request_sent(&Event::Submit(RequestId(1), body))
 }
 
 fn status(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.asked(&Event::Status(RequestId(1), id))
+    rules.request_sent(&Event::Status(RequestId(1), id))
 }
 
 fn withdrawal(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.asked(&Event::Cancel(RequestId(1), id))
+    rules.request_sent(&Event::Cancel(RequestId(1), id))
 }
 
 fn says(state: &str) -> HttpResponse {
@@ -48,12 +48,12 @@
 fn accepted() -> Invariants {
     let mut rules = rules();
     let question = submission(&mut rules, 1);
-    rules.answered(0, &question, &says("pending"));
+    rules.response_received(0, &question, &says("pending"));
     rules
 }
 
 fn breaks(rules: &Invariants, rule: &str) -> bool {
-    rules.broken.iter().any(|text| text.starts_with(rule))
+    rules.violations.iter().any(|text| text.starts_with(rule))
 }
 
 #[test]
@@ -61,38 +61,38 @@
     let mut rules = accepted();
     let before = status(&mut rules, 1);
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &HttpResponse::retry_later("busy"));
-    rules.answered(2, &before, &says("pending"));
-    assert!(rules.broken.is_empty());
+    rules.response_received(1, &question, &HttpResponse::retry_later("busy"));
+    rules.response_received(2, &before, &says("pending"));
+    assert!(rules.violations.is_empty());
     let question = status(&mut rules, 1);
-    rules.answered(3, &question, &none());
+    rules.response_received(3, &question, &none());
     assert!(breaks(&rules, "forgotten"));
     for status in [400, 422] {
         let mut rules = accepted();
         let question = submission(&mut rules, 1);
-        rules.answered(1, &question, &HttpResponse::error(status, "no"));
+        rules.response_received(1, &question, &HttpResponse::error(status, "no"));
         assert!(breaks(&rules, "forgotten"), "{status}");
     }
 }
 
 #[test]
-fn an_answer_to_a_question_from_before_may_be_older() {
+fn a_response_to_an_earlier_query_may_be_older() {
     let mut rules = rules();
     let early = status(&mut rules, 1);
     let question = submission(&mut rules, 1);
-    rules.answered(1, &question, &says("pending"));
-    rules.answered(2, &early, &none());
-    assert!(rules.broken.is_empty(), "asked before it was accepted");
+    rules.response_received(1, &question, &says("pending"));
+    rules.response_received(2, &early, &none());
+    assert!(rules.violations.is_empty(), "asked before it was accepted");
 }
 
 #[test]
 fn a_job_that_nobody_submitted_must_be_unknown() {
     let mut rules = rules();
     let question = status(&mut rules, 2);
-    rules.answered(0, &question, &none());
-    assert!(rules.broken.is_empty());
+    rules.response_received(0, &question, &none());
+    assert!(rules.violations.is_empty());
     let question = status(&mut rules, 2);
-    rules.answered(1, &question, &says("pending"));
+    rules.response_received(1, &question, &says("pending"));
     assert!(breaks(&rules, "invented"));
 }
 
@@ -100,42 +100,42 @@
 fn a_job_is_done_only_after_its_last_task() {
     let mut rules = accepted();
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &says("done"));
+    rules.response_received(1, &question, &says("done"));
     assert!(breaks(&rules, "not_done"));
     let mut rules = accepted();
     rules.completed(task(1, 0));
     let question = status(&mut rules, 1);
-    rules.answered(1, &question, &says("done"));
-    assert!(rules.broken.is_empty());
+    rules.response_received(1, &question, &says("done"));
+    assert!(rules.violations.is_empty());
 }
 
 #[test]
-fn what_was_said_of_a_jobs_end_must_not_change() {
+fn the_reported_end_of_a_job_must_not_change() {
     let done = || {
         let mut rules = accepted();
         rules.completed(task(1, 0));
         let early = status(&mut rules, 1);
         let question = status(&mut rules, 1);
-        rules.answered(1, &question, &says("done"));
-        rules.answered(2, &early, &says("running"));
-        assert!(rules.broken.is_empty(), "asked before it was done");
+        rules.response_received(1, &question, &says("done"));
+        rules.response_received(2, &early, &says("running"));
+        assert!(rules.violations.is_empty(), "asked before it was done");
         rules
     };
     let mut rules = done();
     let question = status(&mut rules, 1);
-    rules.answered(3, &question, &says("running"));
+    rules.response_received(3, &question, &says("running"));
     assert!(breaks(&rules, "went_back"));
     let mut rules = done();
     let question = withdrawal(&mut rules, 1);
-    rules.answered(3, &question, &says("aborted"));
+    rules.response_received(3, &question, &says("aborted"));
     assert!(breaks(&rules, "went_back"));
     let mut rules = accepted();
     let question = status(&mut rules, 1);
-    rules.answered(3, &question, &says("aborted"));
+    rules.response_received(3, &question, &says("aborted"));
     assert!(breaks(&rules, "went_back"), "its user did not cancel it");
 }
 
-/// A cluster with a machine that takes no orders of controllers, for what is smuggled onto it.
+/// A cluster with machines that controllers' commands do not reach; tests inject tasks into them.
 fn with_machines(count: usize, zone: &str, spot: bool) -> (Cluster, Vec<MachineId>) {
     let mut cluster = ready();
     let ids: Vec<MachineId> = (0..count).map(|_| cluster.machine(zone, spot, 0)).collect();
@@ -146,12 +146,12 @@
 #[test]
 fn a_task_on_two_machines_is_found_also_when_one_hangs() {
     let (mut cluster, ids) = with_machines(2, "a", true);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     cluster.submit(0, &long_job(1, 1));
     cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
     cluster.hang(&ids[0], 20_000);
-    assert!(cluster.invariants.broken.is_empty());
+    assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[1], task(1, 0), 8);
     cluster.run(300);
     assert!(breaks(&cluster.invariants, "ran_twice"));
@@ -160,7 +160,7 @@
 #[test]
 fn a_team_over_its_limit_is_found_also_on_hung_machines() {
     let (mut cluster, ids) = with_machines(3, "a", true);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     let mut red = long_job(1, 9);
     red["Cuadrilla"] = json!("red");
     cluster.submit(0, &red);
@@ -170,7 +170,7 @@
     }
     cluster.run(300);
     cluster.hang(&ids[0], 20_000);
-    assert!(cluster.invariants.broken.is_empty());
+    assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[2], task(1, 8), 80);
     cluster.run(300);
     assert!(breaks(&cluster.invariants, "quota"));
@@ -180,7 +180,7 @@
 fn a_task_in_the_wrong_place_is_found() {
     let wrong = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
         let (mut cluster, ids) = with_machines(2, zone, spot);
-        cluster.faults.cloud_down = true;
+        cluster.faults.cloud.down = true;
         let mut odd = long_job(1, 4);
         odd[field] = value;
         cluster.submit(0, &odd);
@@ -201,7 +201,7 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_found_once_its_time_is_over_and_its_start_at_once() {
     let (mut cluster, ids) = with_machines(1, "a", true);
-    cluster.faults.cloud_down = true;
+    cluster.faults.cloud.down = true;
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 2));
     cluster.inject_task(&ids[0], task(1, 0), 7);
@@ -211,9 +211,9 @@
     cluster.inject_task(&ids[0], task(1, 1), 8);
     cluster.run(300);
     assert_eq!(cluster.invariants.starts_after_cancel, 1);
-    // The machine is deaf, so its lease ends the tasks; others are put there again.
+    // The machine is unreachable, so its lease ends the tasks; others are injected again.
     cluster.run(29_000);
-    assert!(cluster.invariants.broken.is_empty());
+    assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[0], task(1, 0), 9);
     cluster.run(300);
     cluster.hang(&ids[0], 3_000);
@@ -222,20 +222,20 @@
 }
 
 #[test]
-fn a_job_that_waits_beside_room_is_found() {
+fn a_job_that_waits_beside_free_capacity_is_found() {
     let mut cluster = ready();
     cluster.submit(0, &long_job(1, 4));
-    cluster.until("tasks", 30_000, |w| w.running().len() == 4);
-    let spot = cluster.task_starts[0].2.clone();
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
+    let spot = cluster.task_starts[0].machine.clone();
     let stranger = job(9, 1).to_string().into_bytes();
     let question = cluster
         .invariants
-        .asked(&Event::Submit(RequestId(0), stranger));
+        .request_sent(&Event::Submit(RequestId(0), stranger));
     let now = cluster.now;
     cluster
         .invariants
-        .answered(now, &question, &says("pending"));
-    // Accepted by the checker's lights, unknown to the controllers; there is always a machine for it.
+        .response_received(now, &question, &says("pending"));
+    // Accepted according to the checker, unknown to the controllers; there is always a machine for it.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
         cluster.submit(0, &job(id, 1));
@@ -246,12 +246,12 @@
     assert!(forgotten.is_err());
 }
 
-// A question that is never answered is told from one that is answered late.
+// A query that is never answered is distinguished from one that is answered late.
 #[test]
-fn a_job_that_is_never_answered_for_is_found() {
+fn a_job_whose_queries_are_never_answered_is_found() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 1));
-    cluster.until("its end", 60_000, |w| w.all_done(1, 1));
+    cluster.until("its end", 60_000, |cluster| cluster.all_done(1, 1));
     cluster.put("j/j-000001", json!({ "spec": "of another version" }));
     let found = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
     assert!(found.is_err());
--- a/crates/worksshunt-core/tests/scenarios/main.rs
+++ b/crates/worksshunt-core/tests/scenarios/main.rs
@@ -1,13 +1,18 @@
 //! Short scenarios about whole deployments on virtual time.
 
 mod combined_faults;
-mod faults;
+mod controllers;
 mod invariants;
+mod jobs;
+mod key_value_outage;
+mod key_value_store;
 mod leases;
+mod machines;
+mod messages;
 mod mixed;
-mod order;
-mod ordinary;
-mod outage;
+mod placement;
+mod preemption;
+mod service_capacity;
 mod services;
 mod upgrade;
 
@@ -23,7 +28,9 @@
 fn ready_with_boots_of(ready_s: f64) -> Cluster {
     let mut cluster = Cluster::new();
     cluster.nominal_boot_s = ready_s;
-    cluster.until("an epoch", 5_000, |w| w.stored("c/epoch").is_some());
+    cluster.until("an epoch", 5_000, |cluster| {
+        cluster.stored("c/epoch").is_some()
+    });
     cluster.run(1_000);
     cluster
 }
