--- a/crates/worksshunt-measure/src/main.rs
+++ b/crates/worksshunt-measure/src/main.rs
@@ -1,8 +1,10 @@
-//! Measures how the work of a controller grows with the fleet, on the simulated cluster, and plots it.
+//! The program `worksshunt-measure`: measures how the work of a controller grows with the fleet, on the simulated
+//! cluster, and plots it; runs real controllers, and upgrades of them, on the loopback interface. This module owns the
+//! command line, the errors and the exit codes.
 
-use std::fs;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use std::{fs, io};
 
 use clap::{Parser, Subcommand};
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -21,9 +23,11 @@
 
 /// Exit code: a file could not be read or written, or a stage of an upgrade failed.
 const FAILED: u8 = 1;
-/// Exit code: the arguments are wrong, as the command line's parser has it too.
+/// Exit code: the arguments are wrong, the same as the command-line parser's.
 const WRONG_ARGUMENTS: u8 = 2;
-/// Workers of an upgrade if it is not said.
+/// Sockets for each worker in a controller's settings by default.
+const DEFAULT_SOCKETS_PER_MACHINE: usize = 3;
+/// Workers of an upgrade by default.
 const DEFAULT_UPGRADE_MACHINES: usize = 60;
 
 #[derive(Parser)]
@@ -35,39 +39,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays days of fleets of several sizes and writes what was measured.
+    /// Runs a workload on simulated fleets of several sizes and writes the measurements.
     Run {
         /// Sizes of the fleet.
         #[arg(long, value_delimiter = ',', default_values_t = [250, 500, 1_000, 2_000, 4_000, 6_000])]
         machines: Vec<usize>,
-        /// Days of each size.
+        /// Runs of each size.
         #[arg(long, default_value_t = 3)]
         runs: usize,
-        /// What these sources are called in the report.
+        /// Name of this version in the report.
         #[arg(long)]
         label: String,
         /// The file of results (JSON).
         #[arg(long)]
         out: PathBuf,
     },
-    /// Plays three real controllers on the loopback interface, with stand-ins of everything around them.
+    /// Runs three real controllers on the loopback interface, with stand-ins of everything around them.
     Loopback {
         /// Workers.
         #[arg(long, default_value_t = 1_000)]
         machines: usize,
-        /// Sockets that each controller is told it may have; three for each worker if it is not given.
+        /// Sockets in each controller's settings; three for each worker if it is not given.
         #[arg(long)]
         sockets: Option<usize>,
         /// The program.
         #[arg(long, default_value = "target/release/worksshunt")]
         binary: PathBuf,
-        /// Where settings and logs go.
+        /// Folder for settings and logs.
         #[arg(long)]
         folder: PathBuf,
     },
-    /// Plays an upgrade of three real controllers, one after the other, with failovers, and the rollback.
+    /// Runs an upgrade of three real controllers, one after the other, with failovers, and the rollback.
     Upgrade {
-        /// The program that is put in.
+        /// The program that is upgraded to.
         #[arg(long, default_value = "target/release/worksshunt")]
         program: PathBuf,
         /// The program that runs before, and again after the rollback.
@@ -76,13 +80,13 @@
         /// Workers.
         #[arg(long, default_value_t = DEFAULT_UPGRADE_MACHINES)]
         machines: usize,
-        /// Where settings and logs go.
+        /// Folder for settings and logs.
         #[arg(long)]
         folder: PathBuf,
     },
-    /// Makes a report (HTML) of files of results.
+    /// Writes a report (HTML) of files of results.
     Report {
-        /// Files of results, the version before first.
+        /// Files of results, the earlier version first.
         #[arg(required = true)]
         results: Vec<PathBuf>,
         /// The report.
@@ -91,18 +95,18 @@
     },
 }
 
-/// Why there is no result.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum MeasureError {
     /// A file could not be read or written.
     #[error("{0}: {1}")]
-    File(PathBuf, std::io::Error),
-    /// A file of results is not one.
+    File(PathBuf, io::Error),
+    /// A file is not a file of results.
     #[error("{0}: {1}")]
     Results(PathBuf, serde_json::Error),
-    /// A plot could not be drawn.
+    /// A plot could not be drawn, or the report not be put together.
     #[error("cannot plot: {0}")]
-    Plot(String),
+    Plot(Box<dyn std::error::Error>),
     /// The arguments are wrong.
     #[error(transparent)]
     Usage(#[from] UsageError),
@@ -123,24 +127,35 @@
 fn measure(machines: &[usize], runs: usize, label: String) -> Series {
     let mut series = Series {
         label,
-        days: Vec::new(),
+        runs: Vec::new(),
     };
     for size in machines {
         for run in 1..=runs {
             eprintln!("{size} machines, run {run} of {runs}");
-            series.days.push(workload::play(*size));
+            series.runs.push(workload::run(*size));
         }
     }
     series
 }
 
-fn read(path: &PathBuf) -> Result<Series, MeasureError> {
-    let text = fs::read_to_string(path).map_err(|e| MeasureError::File(path.clone(), e))?;
-    serde_json::from_str(&text).map_err(|e| MeasureError::Results(path.clone(), e))
+fn read(path: &Path) -> Result<Series, MeasureError> {
+    let text = fs::read_to_string(path).map_err(|e| MeasureError::File(path.to_owned(), e))?;
+    serde_json::from_str(&text).map_err(|e| MeasureError::Results(path.to_owned(), e))
 }
 
-fn write(path: &PathBuf, text: &str) -> Result<(), MeasureError> {
-    fs::write(path, text).map_err(|e| MeasureError::File(path.clone(), e))
+fn write(path: &Path, text: &str) -> Result<(), MeasureError> {
+    fs::write(path, text).map_err(|e| MeasureError::File(path.to_owned(), e))
+}
+
+fn write_measurements(series: &Series, out: &Path) -> Result<(), MeasureError> {
+    let text = serde_json::to_string_pretty(series)
+        .map_err(|e| MeasureError::Results(out.to_owned(), e))?;
+    write(out, &text)
+}
+
+fn write_report(results: &[PathBuf], out: &Path) -> Result<(), MeasureError> {
+    let all = results.iter().map(|path| read(path));
+    write(out, &report::html(&all.collect::<Result<Vec<_>, _>>()?)?)
 }
 
 fn run(command: Command) -> Result<(), MeasureError> {
@@ -150,18 +165,16 @@
             runs,
             label,
             out,
-        } => {
-            let series = measure(&machines, runs, label);
-            let text = serde_json::to_string_pretty(&series)
-                .map_err(|e| MeasureError::Results(out.clone(), e))?;
-            write(&out, &text)
-        }
+        } => write_measurements(&measure(&machines, runs, label), &out),
         Command::Loopback {
             machines,
             sockets,
             binary,
             folder,
-        } => loopback::run(&binary, folder, machines, sockets.unwrap_or(machines * 3)),
+        } => {
+            let sockets = sockets.unwrap_or(machines * DEFAULT_SOCKETS_PER_MACHINE);
+            loopback::run(&binary, folder, machines, sockets)
+        }
         Command::Upgrade {
             program,
             second_program,
@@ -174,22 +187,20 @@
             };
             upgrade::run(&programs, folder, machines)
         }
-        Command::Report { results, out } => {
-            let all = results.iter().map(read).collect::<Result<Vec<_>, _>>()?;
-            write(&out, &report::html(&all)?)
-        }
+        Command::Report { results, out } => write_report(&results, &out),
     }
 }
 
-/// What the command line's parser has to say of wrong arguments, on one line: all before the first empty line.
+/// The command-line parser's message on one line: all before the first empty line.
 fn one_line(error: &clap::Error) -> String {
     let text = error.to_string();
-    let said = text.lines().map(str::trim);
-    let said: Vec<&str> = said.take_while(|line| !line.is_empty()).collect();
-    said.join(" ")
+    let lines = text.lines().map(str::trim);
+    let message: Vec<&str> = lines.take_while(|line| !line.is_empty()).collect();
+    message.join(" ")
 }
 
-fn refuse(error: &clap::Error) -> ExitCode {
+/// Prints help or version and exits with 0 if the arguments ask for them; else prints what is wrong.
+fn exit_unparsed(error: &clap::Error) -> ExitCode {
     if !error.use_stderr() {
         error.exit();
     }
@@ -200,7 +211,7 @@
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
-        Err(error) => return refuse(&error),
+        Err(error) => return exit_unparsed(&error),
     };
     match run(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/worksshunt-measure/src/plot.rs
+++ b/crates/worksshunt-measure/src/plot.rs
@@ -1,32 +1,44 @@
-//! Draws a measurement over the size of the fleet.
+//! Draws a measurement over the size of the fleet. It owns no state; `report` calls it.
 
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, Circle, Color, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement,
+    SVGBackend, SeriesLabelPosition, WHITE,
+};
 
 use crate::series::Series;
 use crate::MeasureError;
 
 /// Size of a plot, pixels.
 const SIZE: (u32, u32) = (520, 300);
-/// Width of the lines' labels beside the axes, pixels.
+/// Width of the labels beside the vertical axis, pixels.
 const LABEL_AREA: u32 = 60;
-/// Room above the highest value.
-const HEADROOM: f64 = 1.1;
+/// End of the vertical axis, as a multiple of the largest value.
+const VALUE_HEADROOM: f64 = 1.1;
+/// End of the horizontal axis, as a multiple of the largest fleet.
+const MACHINES_HEADROOM: f64 = 1.02;
 
-/// A plot (SVG) of one measurement, one line for each version, with a bar from the least to the most.
+/// A plot (SVG) of one measurement, one line for each version, with a bar from the smallest to the largest value.
+///
+/// # Errors
+/// The plot cannot be drawn.
 pub fn svg(all: &[Series], name: &str) -> Result<String, MeasureError> {
     let mut text = String::new();
-    draw(all, name, &mut text).map_err(|error| MeasureError::Plot(error.to_string()))?;
+    draw(all, name, &mut text).map_err(MeasureError::Plot)?;
     Ok(text)
 }
 
 fn draw(all: &[Series], name: &str, text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
     let spreads = all.iter().flat_map(|series| series.spreads(name));
-    let (mut machines, mut most) = (1.0_f64, 0.0_f64);
+    let (mut max_machines, mut max_value) = (1.0_f64, 0.0_f64);
     for spread in spreads {
-        machines = machines.max(spread.machines as f64);
-        most = most.max(spread.most);
+        max_machines = max_machines.max(spread.machines as f64);
+        max_value = max_value.max(spread.max);
     }
-    let top = if most > 0.0 { most * HEADROOM } else { 1.0 };
+    let top = if max_value > 0.0 {
+        max_value * VALUE_HEADROOM
+    } else {
+        1.0
+    };
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -34,7 +46,7 @@
         .margin(8)
         .x_label_area_size(LABEL_AREA / 2)
         .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..machines * 1.02, 0.0..top)?;
+        .build_cartesian_2d(0.0..max_machines * MACHINES_HEADROOM, 0.0..top)?;
     chart.configure_mesh().x_desc("machines").draw()?;
     for (index, series) in all.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
@@ -47,7 +59,7 @@
         chart.draw_series(medians.map(|point| Circle::new(point, 3, color.filled())))?;
         let bars = spreads.iter().map(|s| {
             let x = s.machines as f64;
-            PathElement::new([(x, s.least), (x, s.most)], color)
+            PathElement::new([(x, s.min), (x, s.max)], color)
         });
         chart.draw_series(bars)?;
     }
--- a/crates/worksshunt-measure/src/report.rs
+++ b/crates/worksshunt-measure/src/report.rs
@@ -1,4 +1,4 @@
-//! The report: a plot and a table for each measurement.
+//! The report (HTML): a plot and a table for each measurement. It owns no state; the command `report` calls it.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -7,6 +7,7 @@
 use crate::series::{Series, Spread};
 use crate::MeasureError;
 
+/// All before the first measurement.
 const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">\
 <title>How a controller's work grows with the fleet</title><style>\
 body{font-family:sans-serif;margin:2em;max-width:72em}section{display:inline-block;margin:0 1em 1.5em 0;vertical-align:top}\
@@ -15,7 +16,7 @@
 <p>Simulated cluster on virtual time: the times are those that the decisions really took, without network. Medians, in brackets \
 the least and the most of all runs; growth is the power of the fleet's size from the smallest to the largest.</p>";
 
-/// Escapes what is special in HTML.
+/// Escapes the special characters of HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
@@ -24,15 +25,12 @@
 
 fn cell(spread: &Spread) -> String {
     let Spread {
-        least,
-        median,
-        most,
-        ..
+        min, median, max, ..
     } = spread;
-    if least == most {
+    if min == max {
         format!("{median:.3}")
     } else {
-        format!("{median:.3} ({least:.3} to {most:.3})")
+        format!("{median:.3} ({min:.3} to {max:.3})")
     }
 }
 
@@ -48,7 +46,7 @@
         .collect();
     let growth = series
         .growth(name)
-        .map_or("none".to_owned(), |power| format!("{power:.2}"));
+        .map_or("none".to_owned(), |exponent| format!("{exponent:.2}"));
     format!(
         "<table><tr><th>{}</th>{sizes}<th>growth</th></tr><tr><td></td>{values}<td>{growth}</td></tr></table>",
         escape(&series.label)
@@ -56,6 +54,9 @@
 }
 
 /// The whole report, with its plots inside.
+///
+/// # Errors
+/// A plot cannot be drawn.
 pub fn html(all: &[Series]) -> Result<String, MeasureError> {
     let names: BTreeSet<&String> = all.iter().flat_map(Series::names).collect();
     let mut page = HEAD.to_owned();
@@ -64,7 +65,7 @@
         let tables: String = all.iter().map(|series| table(series, name)).collect();
         let title = escape(name);
         let written = write!(page, "<section><h2>{title}</h2>{plot}{tables}</section>");
-        written.map_err(|error| MeasureError::Plot(error.to_string()))?;
+        written.map_err(|error| MeasureError::Plot(error.into()))?;
     }
     page.push_str("</body></html>\n");
     Ok(page)
--- a/crates/worksshunt-measure/src/report/tests.rs
+++ b/crates/worksshunt-measure/src/report/tests.rs
@@ -1,17 +1,17 @@
 //! Tests of `report`.
 
 use super::*;
-use crate::series::Day;
+use crate::series::Run;
 
 #[test]
 fn each_measurement_has_a_plot_with_all_versions_and_a_table() {
     let series = |label: &str, value: f64| Series {
         label: label.into(),
-        days: [(250, value), (500, value * 2.0)]
+        runs: [(250, value), (500, value * 2.0)]
             .map(|(machines, value)| {
-                let mut day = Day::new(machines);
-                day.put("tick: <longest>, ms", value);
-                day
+                let mut run = Run::new(machines);
+                run.record("tick: <longest>, ms", value);
+                run
             })
             .into(),
     };
--- a/crates/worksshunt-measure/src/series.rs
+++ b/crates/worksshunt-measure/src/series.rs
@@ -1,67 +1,69 @@
-//! What was measured, by size of the fleet.
+//! Measurements by size of the fleet, as the files of results hold them. `workload` fills them in, `report` and `plot`
+//! read them; the field names in the files stay as they are.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// One day of a fleet.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Day {
-    /// Machines.
+/// The measurements of one run of the workload.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Run {
+    /// Size of the fleet.
     pub machines: usize,
-    /// What was measured, by its name.
+    /// The measurements by their names, which say the units.
     pub values: BTreeMap<String, f64>,
 }
 
-impl Day {
-    /// Nothing is measured yet.
-    pub fn new(machines: usize) -> Day {
-        Day {
+impl Run {
+    /// A run without measurements.
+    pub fn new(machines: usize) -> Run {
+        Run {
             machines,
             values: BTreeMap::new(),
         }
     }
 
-    /// Notes a measurement.
-    pub fn put(&mut self, name: &str, value: f64) {
+    /// Records a measurement.
+    pub fn record(&mut self, name: &str, value: f64) {
         self.values.insert(name.to_owned(), value);
     }
 }
 
-/// All days of one version.
-#[derive(Debug, Clone, Serialize, Deserialize)]
+/// All runs of one version.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// What the version is called.
+    /// Name of the version.
     pub label: String,
-    /// Its days.
-    pub days: Vec<Day>,
+    /// Its runs.
+    #[serde(rename = "days")]
+    pub runs: Vec<Run>,
 }
 
-/// Several runs of one size.
+/// A measurement over all runs of one size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// Machines.
+    /// Size of the fleet.
     pub machines: usize,
-    /// The least value.
-    pub least: f64,
+    /// The smallest value.
+    pub min: f64,
     /// The median.
     pub median: f64,
-    /// The most.
-    pub most: f64,
+    /// The largest value.
+    pub max: f64,
 }
 
 impl Series {
-    /// Names of all that was measured.
+    /// Names of all measurements.
     pub fn names(&self) -> BTreeSet<&String> {
-        self.days.iter().flat_map(|day| day.values.keys()).collect()
+        self.runs.iter().flat_map(|run| run.values.keys()).collect()
     }
 
     /// A measurement by size, the smallest fleet first.
     pub fn spreads(&self, name: &str) -> Vec<Spread> {
         let mut by_size: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-        for day in &self.days {
-            if let Some(value) = day.values.get(name) {
-                by_size.entry(day.machines).or_default().push(*value);
+        for run in &self.runs {
+            if let Some(value) = run.values.get(name) {
+                by_size.entry(run.machines).or_default().push(*value);
             }
         }
         by_size
@@ -70,22 +72,22 @@
                 values.sort_by(f64::total_cmp);
                 Some(Spread {
                     machines,
-                    least: *values.first()?,
+                    min: *values.first()?,
                     median: values[values.len() / 2],
-                    most: *values.last()?,
+                    max: *values.last()?,
                 })
             })
             .collect()
     }
 
-    /// How a measurement grows: the power of the fleet's size from a first to a last size; none where one of the
-    /// two is not positive.
+    /// How a measurement grows: the exponent of the fleet's size between the smallest and the largest size; none if a
+    /// median of the two is not positive, or there is one size only.
     pub fn growth(&self, name: &str) -> Option<f64> {
         let spreads = self.spreads(name);
         let (first, last) = (spreads.first()?, spreads.last()?);
-        let positive = first.median > 0.0 && last.median > 0.0 && last.machines > first.machines;
+        let is_defined = first.median > 0.0 && last.median > 0.0 && last.machines > first.machines;
         let ratio = last.machines as f64 / first.machines as f64;
-        positive.then(|| (last.median / first.median).ln() / ratio.ln())
+        is_defined.then(|| (last.median / first.median).ln() / ratio.ln())
     }
 }
 
--- a/crates/worksshunt-measure/src/tests.rs
+++ b/crates/worksshunt-measure/src/tests.rs
@@ -21,9 +21,9 @@
 #[test]
 fn a_number_that_is_none_is_refused_on_one_line() {
     let upgrade = ["upgrade", "--folder", "f", "--second-program", "p"];
-    let told = refused(&[&upgrade[..], &["--machines", "x"]].concat());
-    assert!(told.starts_with("error: invalid value 'x'"), "{told}");
-    assert_eq!(told.lines().count(), 1);
+    let message = refused(&[&upgrade[..], &["--machines", "x"]].concat());
+    assert!(message.starts_with("error: invalid value 'x'"), "{message}");
+    assert_eq!(message.lines().count(), 1);
 }
 
 #[test]
