--- a/crates/worksshunt-measure/src/loopback/cloud.rs
+++ b/crates/worksshunt-measure/src/loopback/cloud.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the cloud: machines that are workers in this process, each with an address of its own.
+//! Stand-in of the cloud provider, over HTTP on the loopback interface. It owns the machines, which are workers in this
+//! process, each with an address of its own; the controllers send it requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,7 +7,7 @@
 use std::time::Instant;
 
 use http_types::Method;
-use serde_json::json;
+use serde_json::{json, Value};
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_net::server::Incoming;
 use worksshunt_net::Executor;
@@ -16,35 +17,46 @@
 use worksshunt_wire::MachineId;
 
 use super::observer::Observer;
+use super::surroundings::Plan;
 use super::worker::{self, Worker};
-use super::{malformed, query, Handled, Plan, TASKS_EACH};
+use super::{malformed, query, Handled, TASKS_PER_MACHINE};
 
 /// Machines in one page of the list (protocol).
 const PAGE: usize = 500;
+/// The only machine type.
+pub const MACHINE_TYPE: &str = "m4";
+
+/// A machine that is provisioned.
+pub struct Machine {
+    /// Its worker.
+    pub worker: Rc<Worker>,
+    provisioned_at: Instant,
+}
 
 /// The cloud and its machines.
 pub struct Cloud {
     plan: Rc<Plan>,
     executor: Rc<Executor>,
     observer: Rc<Observer>,
-    made: Cell<usize>,
-    /// Machines that are there, with their workers and the moment of their rental.
-    pub machines: RefCell<BTreeMap<MachineId, (Rc<Worker>, Instant)>>,
+    /// How many machines were ever provisioned.
+    provisioned: Cell<usize>,
+    /// Machines that exist.
+    pub machines: RefCell<BTreeMap<MachineId, Machine>>,
 }
 
 impl Cloud {
-    /// A cloud with as many machines as the plan says.
+    /// A cloud that provisions at most as many machines as the plan says.
     pub fn new(plan: Rc<Plan>, executor: Rc<Executor>, observer: Rc<Observer>) -> Rc<Cloud> {
         Rc::new(Cloud {
             plan,
             executor,
             observer,
-            made: Cell::new(0),
+            provisioned: Cell::new(0),
             machines: RefCell::new(BTreeMap::new()),
         })
     }
 
-    fn rent(&self, request: &ProvisionRequest) -> HttpResponse {
+    fn provision(&self, request: &ProvisionRequest) -> HttpResponse {
         let free = self
             .plan
             .machines
@@ -55,13 +67,15 @@
         }
         let mut machines = Vec::new();
         for _ in 0..count {
-            let number = self.made.get();
-            self.made.set(number + 1);
+            let number = self.provisioned.get();
+            self.provisioned.set(number + 1);
             let id = MachineId(format!("i-{number:06}"));
             let worker = Worker::new(id.clone(), number, request);
-            self.machines
-                .borrow_mut()
-                .insert(id.clone(), (Rc::clone(&worker), Instant::now()));
+            let machine = Machine {
+                worker: Rc::clone(&worker),
+                provisioned_at: Instant::now(),
+            };
+            self.machines.borrow_mut().insert(id.clone(), machine);
             let (plan, observer) = (Rc::clone(&self.plan), Rc::clone(&self.observer));
             let running = worker::run(worker, plan, observer, Rc::clone(&self.executor));
             self.executor.spawn(running).detach();
@@ -70,10 +84,10 @@
         HttpResponse::json(200, &MachineIds { machines })
     }
 
-    fn give_back(&self, names: &MachineIds) -> HttpResponse {
-        for id in &names.machines {
-            if let Some((worker, _)) = self.machines.borrow_mut().remove(id) {
-                worker.end(&self.observer);
+    fn terminate(&self, request: &MachineIds) -> HttpResponse {
+        for id in &request.machines {
+            if let Some(machine) = self.machines.borrow_mut().remove(id) {
+                machine.worker.terminate(&self.observer);
             }
         }
         HttpResponse::json(200, &())
@@ -81,16 +95,17 @@
 
     fn list(&self, since: &str) -> HttpResponse {
         let all = self.machines.borrow();
-        let listed = |(id, (worker, rented)): (&MachineId, &(Rc<Worker>, Instant))| ListedMachine {
+        let listed = |(id, machine): (&MachineId, &Machine)| ListedMachine {
             id: id.clone(),
-            machine_type: "m4".into(),
-            zone: worker.zone.clone(),
-            spot: worker.spot,
-            state: match worker.is_up() {
-                true => ListedState::Running,
-                false => ListedState::Starting,
+            machine_type: MACHINE_TYPE.into(),
+            zone: machine.worker.zone.clone(),
+            spot: machine.worker.spot,
+            state: if machine.worker.is_booted() {
+                ListedState::Running
+            } else {
+                ListedState::Starting
             },
-            age_s: rented.elapsed().as_secs_f64(),
+            age_s: machine.provisioned_at.elapsed().as_secs_f64(),
         };
         let after = all.iter().filter(|(id, _)| id.0.as_str() > since);
         let mut machines: Vec<ListedMachine> = after.take(PAGE + 1).map(listed).collect();
@@ -104,19 +119,14 @@
         Box::pin(async move {
             let body = incoming.body.as_deref().unwrap_or_default();
             match (incoming.method, incoming.path.as_str()) {
-                (Method::Get, "/catalog") => HttpResponse::json(
-                    200,
-                    &json!({"Modelos": [{"Name": "m4", "Cores": TASKS_EACH, "Gpus": 0, "RamGb": 16,
-                        "Rate": 1.0, "LowPrice": 0.4, "ReadyS": 25.0, "PullGbPerS": 1.0,
-                        "Patios": ["a", "b"]}]}),
-                ),
+                (Method::Get, "/catalog") => HttpResponse::json(200, &catalog()),
                 (Method::Get, "/machines") => self.list(query(&incoming, "Since").unwrap_or("")),
                 (Method::Post, "/machines") => match serde_json::from_slice(body) {
-                    Ok(request) => self.rent(&request),
+                    Ok(request) => self.provision(&request),
                     Err(_) => malformed(),
                 },
                 (Method::Post, "/machines/return") => match serde_json::from_slice(body) {
-                    Ok(names) => self.give_back(&names),
+                    Ok(request) => self.terminate(&request),
                     Err(_) => malformed(),
                 },
                 _ => malformed(),
@@ -124,3 +134,10 @@
         })
     }
 }
+
+fn catalog() -> Value {
+    json!({"Modelos": [{
+        "Name": MACHINE_TYPE, "Cores": TASKS_PER_MACHINE, "Gpus": 0, "RamGb": 16, "Rate": 1.0,
+        "LowPrice": 0.4, "ReadyS": 25.0, "PullGbPerS": 1.0, "Patios": ["a", "b"],
+    }]})
+}
--- a/crates/worksshunt-measure/src/loopback/controllers.rs
+++ b/crates/worksshunt-measure/src/loopback/controllers.rs
@@ -1,4 +1,5 @@
-//! The real controllers: their settings, and their processes, each with a program of its own.
+//! The real controllers: writes their settings, and owns their processes, each with a program of its own. The commands
+//! `loopback` and `upgrade` start and kill them.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -8,18 +9,26 @@
 use worksshunt_simulation::large_settings;
 
 use super::process::Usage;
-use super::{address, CANCEL_S, CLOUD_PORT, CONTROLLERS_PORT, LEASE, REPORT, STATE_PORT};
+use super::surroundings::{
+    address, CLOUD_PORT, CONTROLLERS_PORT, HEARTBEAT_INTERVAL, KV_STORE_PORT, WORKER_LEASE,
+};
 use crate::MeasureError;
 
 /// How many controllers there are.
 pub const CONTROLLERS: usize = 3;
+/// How long after a cancellation tasks may still run, seconds.
+const CANCEL_S: f64 = 46.5;
+/// Distance of a controller's port for its peers from the one for users and workers.
+const PEER_PORT_OFFSET: u16 = 10;
 
 struct Controller {
+    /// What its next start runs.
     program: PathBuf,
+    /// Its process from a start to the next kill.
     child: Option<Child>,
 }
 
-/// The controllers; those that still run end with it.
+/// The controllers; dropping it kills those that still run.
 pub struct Controllers {
     folder: PathBuf,
     all: Vec<Controller>,
@@ -27,6 +36,9 @@
 
 impl Controllers {
     /// Controllers that all run this program, none of them started; writes their settings.
+    ///
+    /// # Errors
+    /// The folder or a file of settings cannot be written.
     pub fn new(
         folder: PathBuf,
         program: &Path,
@@ -45,12 +57,15 @@
         })
     }
 
-    /// Which program a controller runs from its next start on.
+    /// Sets the program that a controller runs from its next start on.
     pub fn set_program(&mut self, node: usize, program: &Path) {
         self.all[node].program = program.to_owned();
     }
 
     /// Starts a controller; its log is appended to.
+    ///
+    /// # Errors
+    /// The log cannot be opened, or the program cannot be run.
     pub fn start(&mut self, node: usize) -> Result<(), MeasureError> {
         let log = self.folder.join(format!("n{node}.log"));
         let file = File::options().create(true).append(true).open(&log);
@@ -68,7 +83,7 @@
         Ok(())
     }
 
-    /// Ends a controller at once, without a word to it.
+    /// Kills a controller's process (SIGKILL), without a shutdown.
     pub fn kill(&mut self, node: usize) {
         if let Some(mut child) = self.all[node].child.take() {
             let _ = child.kill();
@@ -81,13 +96,13 @@
         self.all[node].child.is_some()
     }
 
-    /// What each uses; nothing for those that do not run.
+    /// Resource usage of each; zero for those that do not run.
     pub fn usage(&self) -> Vec<Usage> {
-        let of = |child: &Child| Usage::of(child.id());
-        let children = self.all.iter().map(|controller| controller.child.as_ref());
-        children
-            .map(|child| child.map_or(Usage::default(), of))
-            .collect()
+        let usage = |controller: &Controller| {
+            let child = controller.child.as_ref();
+            child.map_or_else(Usage::default, |child| Usage::of(child.id()))
+        };
+        self.all.iter().map(usage).collect()
     }
 }
 
@@ -102,15 +117,15 @@
     for node in 0..CONTROLLERS {
         let mut settings = large_settings(node, machines);
         settings.client_listen = address(port(node)).to_string();
-        settings.internal_addr = address(port(node) + 10).to_string();
+        settings.internal_addr = address(port(node) + PEER_PORT_OFFSET).to_string();
         for peer in &mut settings.known {
             let other: usize = peer.host_name.0[1..].parse().unwrap_or(0);
-            peer.endpoint = address(port(other) + 10).to_string();
+            peer.endpoint = address(port(other) + PEER_PORT_OFFSET).to_string();
         }
-        settings.services.state = address(STATE_PORT).to_string();
+        settings.services.state = address(KV_STORE_PORT).to_string();
         settings.services.cloud = address(CLOUD_PORT).to_string();
-        settings.facts.workers.report_s = REPORT.as_secs_f64();
-        settings.facts.workers.lease_s = LEASE.as_secs_f64();
+        settings.facts.workers.report_s = HEARTBEAT_INTERVAL.as_secs_f64();
+        settings.facts.workers.lease_s = WORKER_LEASE.as_secs_f64();
         settings.facts.workers.cancel_s = CANCEL_S;
         settings.facts.limits.sockets = sockets;
         let path = folder.join(format!("n{node}.json"));
--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the state service, over HTTP on the loopback interface.
+//! Stand-in of the key-value store, over HTTP on the loopback interface. It owns the records; the controllers send it
+//! requests, and the measurements read the epoch from it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,8 +18,11 @@
 
 use super::{malformed, query, Handled};
 
-/// How often a watch looks for changes.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a watch checks for changes.
+const WATCH_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Records in one page of a listing if the request does not limit them.
+const DEFAULT_PAGE: u64 = 1_000;
 
 /// Name of the leader in a record of an epoch.
 fn leader_of(epoch: &Value) -> Option<String> {
@@ -26,38 +30,43 @@
     name.as_str().map(str::to_owned)
 }
 
-/// What the state service keeps.
-pub struct StateService {
+/// The key-value store.
+pub struct KeyValueStore {
     store: RefCell<Store>,
-    started: Instant,
+    /// The zero of the store's time.
+    started_at: Instant,
 }
 
-impl StateService {
-    /// An empty one.
-    pub fn new() -> Rc<StateService> {
-        Rc::new(StateService {
+impl KeyValueStore {
+    /// A store without records.
+    pub fn new() -> Rc<KeyValueStore> {
+        Rc::new(KeyValueStore {
             store: RefCell::new(Store::default()),
-            started: Instant::now(),
+            started_at: Instant::now(),
         })
     }
 
-    fn apply(&self, op: &KvRequest) -> KvResponse {
-        let now = self.started.elapsed().as_millis() as u64;
-        self.store.borrow_mut().apply(now, op)
+    fn apply(&self, request: &KvRequest) -> KvResponse {
+        let now_ms = self.started_at.elapsed().as_millis() as u64;
+        self.store.borrow_mut().apply(now_ms, request)
     }
 
-    /// Name of the leader in the stored epoch, if there is an epoch. Only that field is read, so that records
-    /// of any version will do.
-    pub fn leader(&self) -> Option<String> {
+    fn epoch(&self) -> Option<Value> {
         match self.apply(&KvRequest::Get(EPOCH.to_owned())) {
-            KvResponse::Found(pair) => leader_of(&pair.value),
+            KvResponse::Found(pair) => Some(pair.value),
             _ => None,
         }
     }
 
-    fn answer(&self, op: &KvRequest) -> HttpResponse {
-        let revision = |this: &StateService| Revision(this.store.borrow().revision());
-        match self.apply(op) {
+    /// Name of the leader in the stored epoch, if there is an epoch. Only that field is read, so that the record
+    /// may be of any version.
+    pub fn leader(&self) -> Option<String> {
+        leader_of(&self.epoch()?)
+    }
+
+    /// Executes a request and encodes the response.
+    fn respond(&self, request: &KvRequest) -> HttpResponse {
+        match self.apply(request) {
             KvResponse::LeaseGranted(lease) => HttpResponse::json(200, &Lease { lease }),
             KvResponse::LeaseRenewed => HttpResponse::json(200, &()),
             KvResponse::Found(pair) => HttpResponse::json(200, &pair),
@@ -67,10 +76,10 @@
             KvResponse::Missing => HttpResponse::json(
                 404,
                 &StoreRevision {
-                    revision: revision(self),
+                    revision: Revision(self.store.borrow().revision()),
                 },
             ),
-            KvResponse::NoSuchLease if matches!(op, KvRequest::RenewLease(_)) => {
+            KvResponse::NoSuchLease if matches!(request, KvRequest::RenewLease(_)) => {
                 HttpResponse::error(404, "no such lease")
             }
             KvResponse::NoSuchLease => HttpResponse::error(400, "no such lease"),
@@ -78,15 +87,15 @@
         }
     }
 
-    fn list(&self, prefix: &str, since: Option<&str>, most: usize) -> HttpResponse {
+    fn list(&self, prefix: &str, since: Option<&str>, limit: usize) -> HttpResponse {
         let KvResponse::Listing(all) = self.apply(&KvRequest::List(prefix.to_owned())) else {
             return HttpResponse::retry_later("not executed");
         };
         let after = |key: &str| since.is_none_or(|since| key > since);
         let mut pairs = all.pairs;
         pairs.retain(|pair| after(&pair.key));
-        let more = pairs.len() > most;
-        pairs.truncate(most);
+        let more = pairs.len() > limit;
+        pairs.truncate(limit);
         let page = Listing {
             pairs,
             more,
@@ -95,17 +104,40 @@
         HttpResponse::json(200, &page)
     }
 
-    async fn follow(&self, prefix: &str, since: u64, wait: Duration) -> HttpResponse {
-        let ends = Instant::now() + wait;
-        let op = KvRequest::Watch(prefix.to_owned(), Revision(since), 0);
+    async fn watch(&self, prefix: &str, since: u64, timeout: Duration) -> HttpResponse {
+        let deadline = Instant::now() + timeout;
+        let request = KvRequest::Watch(prefix.to_owned(), Revision(since), 0);
         loop {
-            match self.apply(&op) {
+            match self.apply(&request) {
                 KvResponse::WatchResponse(changes)
-                    if changes.events.is_empty() && Instant::now() < ends => {}
+                    if changes.events.is_empty() && Instant::now() < deadline => {}
                 KvResponse::WatchResponse(changes) => return HttpResponse::json(200, &changes),
                 _ => return HttpResponse::retry_later("not executed"),
             }
-            Timer::after(LOOK).await;
+            Timer::after(WATCH_INTERVAL).await;
+        }
+    }
+
+    fn compare_and_swap(&self, body: &[u8]) -> HttpResponse {
+        match serde_json::from_slice::<CompareAndSwap>(body) {
+            Ok(request) => self.respond(&KvRequest::CompareAndSwap(request)),
+            Err(_) => malformed(),
+        }
+    }
+
+    fn get(&self, path: &str) -> HttpResponse {
+        match path.strip_prefix("kv/") {
+            Some(key) => self.respond(&KvRequest::Get(key.to_owned())),
+            None => malformed(),
+        }
+    }
+
+    fn renew_lease(&self, path: &str) -> HttpResponse {
+        let lease = path.strip_prefix("holds/");
+        let lease = lease.and_then(|rest| rest.strip_suffix("/renew"));
+        match lease.and_then(|lease| lease.parse().ok()) {
+            Some(lease) => self.respond(&KvRequest::RenewLease(lease)),
+            None => malformed(),
         }
     }
 
@@ -113,38 +145,24 @@
     pub fn handle(self: Rc<Self>, incoming: Incoming) -> Handled {
         Box::pin(async move {
             let number = |name| query(&incoming, name).and_then(|text| text.parse().ok());
-            let starts = query(&incoming, "Starts").unwrap_or_default();
+            let prefix = query(&incoming, "Starts").unwrap_or_default();
             let path = incoming.path.trim_start_matches('/');
             match (incoming.method, path) {
                 (Method::Get, "kv") => {
-                    let since = query(&incoming, "Since");
-                    self.list(starts, since, number("Most").unwrap_or(1_000) as usize)
+                    let limit = number("Most").unwrap_or(DEFAULT_PAGE) as usize;
+                    self.list(prefix, query(&incoming, "Since"), limit)
                 }
                 (Method::Get, "follow") => {
-                    let wait = Duration::from_millis(number("WaitMs").unwrap_or(0));
-                    self.follow(starts, number("Since").unwrap_or(0), wait)
-                        .await
+                    let timeout = Duration::from_millis(number("WaitMs").unwrap_or(0));
+                    let since = number("Since").unwrap_or(0);
+                    self.watch(prefix, since, timeout).await
                 }
-                (Method::Post, "holds") => self.answer(&KvRequest::GrantLease),
+                (Method::Post, "holds") => self.respond(&KvRequest::GrantLease),
                 (Method::Post, "txn") => {
-                    let body = incoming.body.as_deref().unwrap_or_default();
-                    match serde_json::from_slice::<CompareAndSwap>(body) {
-                        Ok(txn) => self.answer(&KvRequest::CompareAndSwap(txn)),
-                        Err(_) => malformed(),
-                    }
-                }
-                (Method::Get, path) => match path.strip_prefix("kv/") {
-                    Some(key) => self.answer(&KvRequest::Get(key.to_owned())),
-                    None => malformed(),
-                },
-                (_, path) => {
-                    let lease = path.strip_prefix("holds/");
-                    let lease = lease.and_then(|rest| rest.strip_suffix("/renew"));
-                    match lease.and_then(|lease| lease.parse().ok()) {
-                        Some(lease) => self.answer(&KvRequest::RenewLease(lease)),
-                        None => malformed(),
-                    }
+                    self.compare_and_swap(incoming.body.as_deref().unwrap_or_default())
                 }
+                (Method::Get, path) => self.get(path),
+                (_, path) => self.renew_lease(path),
             }
         })
     }
--- a/crates/worksshunt-measure/src/loopback/key_value_store/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `state`.
+//! Tests of `key_value_store`.
 
 use serde_json::json;
 
@@ -13,6 +13,6 @@
 }
 
 #[test]
-fn a_state_service_without_an_epoch_names_no_leader() {
-    assert_eq!(StateService::new().leader(), None);
+fn a_store_without_an_epoch_names_no_leader() {
+    assert_eq!(KeyValueStore::new().leader(), None);
 }
--- a/crates/worksshunt-measure/src/loopback/observer.rs
+++ b/crates/worksshunt-measure/src/loopback/observer.rs
@@ -1,4 +1,5 @@
-//! What runs on the workers, as somebody sees it who knows nothing of the controllers.
+//! Observes what runs on the workers, independently of the controllers. It owns the history of every task; the workers
+//! record starts and ends, and the measurements read them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +7,7 @@
 
 use worksshunt_wire::TaskId;
 
-/// What has happened to one task.
+/// History of one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskHistory {
     /// When it started first.
@@ -17,10 +18,10 @@
     pub completions: usize,
 }
 
-/// Counts of what has happened to tasks.
+/// What was observed of all tasks.
 #[derive(Debug, Default, Clone)]
-pub struct Seen {
-    /// Tasks on workers now, and on how many.
+pub struct Observations {
+    /// Tasks that run now, each with the number of workers that run it.
     pub running: BTreeMap<TaskId, usize>,
     /// Tasks that completed.
     pub completed: BTreeSet<TaskId>,
@@ -28,49 +29,52 @@
     pub histories: BTreeMap<TaskId, TaskHistory>,
     /// Starts of tasks.
     pub starts: usize,
-    /// Starts of a task that was on another worker.
-    pub ran_twice: usize,
+    /// Starts of a task while another worker ran it.
+    pub concurrent_starts: usize,
 }
 
 /// The observer.
 #[derive(Debug, Default)]
-pub struct Observer(RefCell<Seen>);
+pub struct Observer(RefCell<Observations>);
 
 impl Observer {
-    /// What was seen.
-    pub fn seen(&self) -> std::cell::Ref<'_, Seen> {
+    /// What was observed so far.
+    pub fn observations(&self) -> std::cell::Ref<'_, Observations> {
         self.0.borrow()
     }
 
-    /// A task starts on a worker.
+    /// Records that a task starts on a worker.
     pub fn started(&self, task: TaskId) {
-        let mut seen = self.0.borrow_mut();
-        seen.starts += 1;
-        let history = seen.histories.entry(task).or_insert_with(|| TaskHistory {
-            first_start: Instant::now(),
-            starts: 0,
-            completions: 0,
-        });
+        let mut observations = self.0.borrow_mut();
+        observations.starts += 1;
+        let history = observations
+            .histories
+            .entry(task)
+            .or_insert_with(|| TaskHistory {
+                first_start: Instant::now(),
+                starts: 0,
+                completions: 0,
+            });
         history.starts += 1;
-        let on = seen.running.entry(task).or_default();
-        *on += 1;
-        if *on > 1 {
-            seen.ran_twice += 1;
+        let copies = observations.running.entry(task).or_default();
+        *copies += 1;
+        if *copies > 1 {
+            observations.concurrent_starts += 1;
         }
     }
 
-    /// A task is on its worker no more.
+    /// Records that a task has ended on its worker.
     pub fn ended(&self, task: TaskId, completed: bool) {
-        let mut seen = self.0.borrow_mut();
-        if let Some(on) = seen.running.get_mut(&task) {
-            *on -= 1;
-            if *on == 0 {
-                seen.running.remove(&task);
+        let mut observations = self.0.borrow_mut();
+        if let Some(copies) = observations.running.get_mut(&task) {
+            *copies -= 1;
+            if *copies == 0 {
+                observations.running.remove(&task);
             }
         }
         if completed {
-            seen.completed.insert(task);
-            if let Some(history) = seen.histories.get_mut(&task) {
+            observations.completed.insert(task);
+            if let Some(history) = observations.histories.get_mut(&task) {
                 history.completions += 1;
             }
         }
--- a/crates/worksshunt-measure/src/loopback/observer/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/observer/tests.rs
@@ -13,7 +13,7 @@
 fn each_start_and_completion_of_a_task_is_counted() {
     let observer = Observer::default();
     observer.started(TASK);
-    let first_start = observer.seen().histories[&TASK].first_start;
+    let first_start = observer.observations().histories[&TASK].first_start;
     observer.ended(TASK, false);
     observer.started(TASK);
     observer.ended(TASK, true);
@@ -22,6 +22,6 @@
         starts: 2,
         completions: 1,
     };
-    assert_eq!(observer.seen().histories[&TASK], expected);
-    assert_eq!(observer.seen().ran_twice, 0);
+    assert_eq!(observer.observations().histories[&TASK], expected);
+    assert_eq!(observer.observations().concurrent_starts, 0);
 }
--- a/crates/worksshunt-measure/src/loopback/process.rs
+++ b/crates/worksshunt-measure/src/loopback/process.rs
@@ -1,12 +1,12 @@
-//! What a process uses, by the kernel's word.
+//! Resource usage of a process, read from `/proc`. It owns no state; `controllers` calls it.
 
 use std::fs;
 use std::time::Duration;
 
-/// Clock ticks of the kernel's processor times in a second.
+/// Ticks per second of the kernel's processor times.
 const TICKS_PER_S: f64 = 100.0;
 
-/// What a process uses.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
     /// Resident memory, MB.
@@ -19,13 +19,13 @@
     pub processor_s: f64,
 }
 
-/// A number behind a name in the text of `/proc/PID/status`.
+/// The number after a name in the text of `/proc/PID/status`.
 fn status_number(text: &str, name: &str) -> Option<f64> {
     let line = text.lines().find(|line| line.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Ticks of user and system time in the text of `/proc/PID/stat`, counted behind the name in brackets.
+/// Ticks of user and system time in the text of `/proc/PID/stat`, counted from the end of the name in parentheses.
 fn processor_ticks(text: &str) -> Option<f64> {
     let fields: Vec<&str> = text.rsplit(')').next()?.split_whitespace().collect();
     let user: f64 = fields.get(11)?.parse().ok()?;
@@ -34,7 +34,7 @@
 }
 
 impl Usage {
-    /// Of the process of that id; nothing if there is none.
+    /// Usage of the process of that id; zero if there is none.
     pub fn of(pid: u32) -> Usage {
         let read =
             |name: &str| fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
@@ -48,12 +48,12 @@
         }
     }
 
-    /// What it says, with the processor's share since an earlier moment.
-    pub fn told_since(&self, before: &Usage, over: Duration) -> String {
-        let share = (self.processor_s - before.processor_s) / over.as_secs_f64();
+    /// Describes it, with the processors used on average since an earlier reading that long ago.
+    pub fn describe_since(&self, earlier: &Usage, elapsed: Duration) -> String {
+        let processors = (self.processor_s - earlier.processor_s) / elapsed.as_secs_f64();
         format!(
             "memory {:.1} MB, {} open files, {} threads, {:.2} of a processor",
-            self.memory_mb, self.files, self.threads, share
+            self.memory_mb, self.files, self.threads, processors
         )
     }
 }
--- /dev/null
+++ b/crates/worksshunt-measure/src/loopback/users.rs
@@ -0,0 +1,39 @@
+//! Stand-in of the users: submits jobs to controllers and polls them. It owns no state; the measurements call it.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use http_types::Method;
+use serde_json::{json, Value};
+use worksshunt_net::client::HttpClient;
+use worksshunt_simulation::job;
+
+/// How long a user waits for the response to a submission (protocol).
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a user waits for the response to a poll (protocol).
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// A job of the team that has no limit, with the run time in seconds that its owner estimates for a task.
+pub fn unlimited_job(id: u64, tasks: u32, estimate_s: f64) -> Value {
+    let mut request = job(id, tasks);
+    request["Cuadrilla"] = json!("white");
+    request["CalculoS"] = json!(estimate_s);
+    request
+}
+
+/// Submits a job to a controller once; whether it was accepted.
+pub async fn submit(controller: SocketAddr, request: &Value) -> bool {
+    let client = HttpClient::new(controller, 1);
+    let body = Some(request.to_string());
+    let call = client.call(Method::Post, "/v2/runs", body, SUBMIT_TIMEOUT);
+    matches!(call.await, Ok((200 | 201, _)))
+}
+
+/// Gets a path from a controller: status and body, none without a response in time.
+pub async fn poll(controller: SocketAddr, path: &str) -> Option<(u16, Vec<u8>)> {
+    let client = HttpClient::new(controller, 1);
+    client
+        .call(Method::Get, path, None, POLL_TIMEOUT)
+        .await
+        .ok()
+}
--- a/crates/worksshunt-measure/src/loopback/verdict.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges a stage of an upgrade by what its users and an observer of the workers saw.
+//! Judges a stage of an upgrade by what its users and an observer of the workers saw. It owns no state; `upgrade` calls it at the end of each stage.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 
 /// How long after the first attempt to submit a job its last task may start.
 pub const START_BOUND: Duration = Duration::from_secs(40);
-/// How long after the last task of a stage every controller must call all its jobs done.
+/// How long after the last task of a stage every controller must answer that all its jobs are done.
 pub const DONE_BOUND: Duration = Duration::from_secs(30);
 
 /// A job that was submitted.
@@ -21,7 +21,7 @@
     /// Number of its tasks.
     pub tasks: u32,
     /// When its user first tried to submit it.
-    pub begun: Instant,
+    pub begun_at: Instant,
     /// Whether a controller accepted it.
     pub accepted: bool,
 }
@@ -38,11 +38,11 @@
         (0..self.tasks).map(move |index| all.get(&TaskId { job, index }))
     }
 
-    /// How long after the first attempt to submit it its last task started; none if one did not.
-    pub fn started_after(&self, all: &Histories) -> Option<Duration> {
+    /// Time from the first attempt to submit it to the start of its last task; none while one has not started.
+    pub fn time_to_last_start(&self, all: &Histories) -> Option<Duration> {
         let starts = self
             .histories(all)
-            .map(|task| Some(task?.first_start.saturating_duration_since(self.begun)));
+            .map(|task| Some(task?.first_start.saturating_duration_since(self.begun_at)));
         starts.collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 
@@ -71,7 +71,7 @@
     /// No controller of the build that the stage asks for came to lead.
     #[error("no controller of the {0} build came to lead")]
     LeaderOfOtherBuild(&'static str),
-    /// The stage needs a controller that there is not.
+    /// No controller runs the build that the stage replaces.
     #[error("no controller of the {0} build to replace")]
     NothingToReplace(&'static str),
     /// A controller that was started did not become ready for requests.
@@ -92,40 +92,52 @@
     /// Tasks started or completed more than once.
     #[error("{0} tasks ran more than once")]
     Repeated(usize),
-    /// Controllers did not call completed jobs done.
+    /// Controllers did not answer that completed jobs are done.
     #[error("{0} answers not done {n} s after the last task", n = DONE_BOUND.as_secs())]
     NotAnsweredDone(usize),
 }
 
-/// What came of asking every running controller about every completed job.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+/// A controller and a job that it is asked about.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ControllerJob {
+    /// Number of the controller.
+    pub node: usize,
+    /// The job.
+    pub job: JobId,
+}
+
+/// The result of asking every running controller about every completed job.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DoneAnswers {
-    /// How long after the last task the last answer was that the job is done.
+    /// Time from the last task to the last answer that a job is done.
     pub longest: Duration,
-    /// Pairs of controller and job without that answer in time.
-    pub missing: usize,
+    /// The pairs without that answer in time.
+    pub missing: Vec<ControllerJob>,
 }
 
 /// What was measured of the jobs of a stage.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Measured {
-    /// Jobs that users tried to submit, and those that were accepted.
-    pub tried: usize,
+    /// Jobs that users tried to submit.
+    pub submitted: usize,
+    /// Those of them that a controller accepted.
     pub accepted: usize,
-    /// Accepted jobs all tasks of which started, those that did so in time, and those that completed.
+    /// Accepted jobs all tasks of which started.
     pub started: usize,
+    /// Accepted jobs all tasks of which started within [`START_BOUND`].
     pub started_in_time: usize,
+    /// Accepted jobs all tasks of which completed.
     pub completed: usize,
-    /// The longest time from a submission to the job's last start.
+    /// The longest time from a submission to the start of the job's last task.
     pub longest_start: Duration,
     /// Tasks of this stage and of those before it that started or completed more than once.
-    pub repeated: usize,
-    /// What the controllers say of completed jobs of this stage and of those before it.
+    pub repeated_tasks: usize,
+    /// The controllers' answers about completed jobs of this stage and of those before it.
     pub done: DoneAnswers,
 }
 
 impl Measured {
-    /// Of the jobs from that index on; repetitions and answers count for the earlier ones too.
+    /// Measures the jobs from that index on; repeated tasks and answers count for the earlier ones too.
     pub fn of(
         jobs: &[Submission],
         first: usize,
@@ -136,31 +148,31 @@
         let accepted: Vec<&Submission> = stage.iter().filter(|job| job.accepted).collect();
         let starts = accepted
             .iter()
-            .filter_map(|job| job.started_after(histories));
+            .filter_map(|job| job.time_to_last_start(histories));
         let starts: Vec<Duration> = starts.collect();
         let completed = accepted.iter().filter(|job| job.is_completed(histories));
         Measured {
-            tried: stage.len(),
+            submitted: stage.len(),
             accepted: accepted.len(),
             started: starts.len(),
             started_in_time: starts.iter().filter(|after| **after <= START_BOUND).count(),
             completed: completed.count(),
             longest_start: starts.iter().copied().max().unwrap_or_default(),
-            repeated: jobs.iter().map(|job| job.repeated_tasks(histories)).sum(),
+            repeated_tasks: jobs.iter().map(|job| job.repeated_tasks(histories)).sum(),
             done,
         }
     }
 
-    /// What the stage fell short of; nothing if it passed.
+    /// What the jobs of the stage fell short of; nothing if they passed.
     pub fn shortfalls(&self) -> Vec<Shortfall> {
         let some = |count: usize| (count > 0).then_some(count);
         let all = [
-            some(self.tried - self.accepted).map(Shortfall::NotAccepted),
+            some(self.submitted - self.accepted).map(Shortfall::NotAccepted),
             some(self.accepted - self.started).map(Shortfall::NotStarted),
             some(self.started - self.started_in_time).map(Shortfall::StartedLate),
             some(self.accepted - self.completed).map(Shortfall::NotCompleted),
-            some(self.repeated).map(Shortfall::Repeated),
-            some(self.done.missing).map(Shortfall::NotAnsweredDone),
+            some(self.repeated_tasks).map(Shortfall::Repeated),
+            some(self.done.missing.len()).map(Shortfall::NotAnsweredDone),
         ];
         all.into_iter().flatten().collect()
     }
@@ -172,7 +184,7 @@
             f,
             "jobs {} submitted, {} accepted, {} started, {} completed; longest start {:.1} s, \
              all answered done after {:.1} s",
-            self.tried,
+            self.submitted,
             self.accepted,
             self.started,
             self.completed,
@@ -182,13 +194,13 @@
     }
 }
 
-/// The verdict in words.
-pub fn told(shortfalls: &[Shortfall]) -> String {
+/// The verdict on a stage, for its line.
+pub fn describe(shortfalls: &[Shortfall]) -> String {
     if shortfalls.is_empty() {
         return "pass".to_owned();
     }
-    let told: Vec<String> = shortfalls.iter().map(Shortfall::to_string).collect();
-    format!("FAIL: {}", told.join(", "))
+    let reasons: Vec<String> = shortfalls.iter().map(Shortfall::to_string).collect();
+    format!("FAIL: {}", reasons.join(", "))
 }
 
 #[cfg(test)]
--- a/crates/worksshunt-measure/src/loopback/verdict/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict/tests.rs
@@ -4,20 +4,20 @@
 
 const TASKS: u32 = 2;
 
-/// A job submitted at that moment.
-fn job(id: u64, begun: Instant, accepted: bool) -> Submission {
+/// A job submitted at that time.
+fn job(id: u64, begun_at: Instant, accepted: bool) -> Submission {
     Submission {
         job: JobId(id),
         tasks: TASKS,
-        begun,
+        begun_at,
         accepted,
     }
 }
 
-/// All tasks of a job, started once that long after the moment and completed so often.
-fn ran(id: u64, begun: Instant, after_s: u64, completions: usize) -> Histories {
+/// All tasks of a job, started once that long after its submission and completed so often.
+fn ran(id: u64, begun_at: Instant, after_s: u64, completions: usize) -> Histories {
     let history = TaskHistory {
-        first_start: begun + Duration::from_secs(after_s),
+        first_start: begun_at + Duration::from_secs(after_s),
         starts: 1,
         completions,
     };
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_job_that_nobody_accepted_is_told_and_need_not_run() {
+fn a_job_that_nobody_accepted_is_reported_and_need_not_run() {
     let now = Instant::now();
     let jobs = [job(1, now, false)];
     assert_eq!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_job_with_a_task_that_did_not_start_is_told() {
+fn a_job_with_a_task_that_did_not_start_is_reported() {
     let now = Instant::now();
     let mut histories = ran(1, now, 3, 1);
     histories.pop_last();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_late_start_is_told() {
+fn a_late_start_is_reported() {
     let now = Instant::now();
     let histories = ran(1, now, START_BOUND.as_secs() + 1, 1);
     let expected = [Shortfall::StartedLate(1)];
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_job_that_does_not_complete_is_told() {
+fn a_job_that_does_not_complete_is_reported() {
     let now = Instant::now();
     let histories = ran(1, now, 3, 0);
     let expected = [Shortfall::NotCompleted(1)];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_second_start_or_completion_is_told_for_earlier_stages_too() {
+fn a_second_start_or_completion_is_reported_for_earlier_stages_too() {
     let now = Instant::now();
     let jobs = [job(1, now, true), job(2, now, true)];
     let mut histories = ran(1, now, 3, 2);
@@ -94,22 +94,31 @@
     assert_eq!(judged(&jobs, 1, &histories), [Shortfall::Repeated(1)]);
 }
 
+fn pairs(pairs: &[(usize, u64)]) -> Vec<ControllerJob> {
+    let pair = |(node, job): &(usize, u64)| ControllerJob {
+        node: *node,
+        job: JobId(*job),
+    };
+    pairs.iter().map(pair).collect()
+}
+
 #[test]
-fn answers_that_are_missing_are_told() {
+fn answers_that_are_missing_are_reported() {
+    let missing = pairs(&[(0, 1), (2, 1), (0, 2)]);
     let done = DoneAnswers {
         longest: Duration::from_secs(2),
-        missing: 3,
+        missing,
     };
     let measured = Measured::of(&[], 0, &Histories::new(), done);
     assert_eq!(measured.shortfalls(), [Shortfall::NotAnsweredDone(3)]);
 }
 
 #[test]
-fn the_verdict_is_told_on_one_line() {
-    assert_eq!(told(&[]), "pass");
-    let short = [Shortfall::NotReady(1), Shortfall::NotAnsweredDone(2)];
+fn the_verdict_is_one_line() {
+    assert_eq!(describe(&[]), "pass");
+    let shortfalls = [Shortfall::NotReady(1), Shortfall::NotAnsweredDone(2)];
     assert_eq!(
-        told(&short),
+        describe(&shortfalls),
         "FAIL: n1 was not ready for requests in 40 s, 2 answers not done 30 s after the last task"
     );
 }
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -1,333 +1,206 @@
-//! Stand-in of a worker, by the protocol: reports, tokens, leases and direct orders.
+//! Stand-in of a worker, by the protocol: heartbeats, fencing tokens, leases and direct commands. It owns the worker's
+//! tasks and what it knows of the controllers; the cloud creates it and runs it.
 
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use http_types::Method;
 use worksshunt_core::job_api::HttpResponse;
-use worksshunt_net::client::HttpClient;
 use worksshunt_net::server::{self, Incoming};
-use worksshunt_net::{within, Executor};
+use worksshunt_net::Executor;
 use worksshunt_wire::cloud::ProvisionRequest;
-use worksshunt_wire::worker::{
-    Command, CommandBatch, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState,
-    TaskStatus,
-};
-use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId, TaskId};
+use worksshunt_wire::worker::{CommandBatch, Heartbeat};
+use worksshunt_wire::{Epoch, Incarnation, MachineId};
 
+use super::cloud::MACHINE_TYPE;
+use super::controllers::CONTROLLERS;
 use super::observer::Observer;
-use super::{malformed, Handled, Plan, TASKS_EACH};
+use super::surroundings::Plan;
+use super::{malformed, Handled};
 
-/// How long a worker waits for an answer, and before it tries the next controller (protocol).
-const ANSWER: Duration = Duration::from_secs(4);
-const NEXT: Duration = Duration::from_secs(1);
-/// Least time between reports (protocol).
-const BETWEEN: Duration = Duration::from_millis(500);
-/// Port of every worker; each has an address of its own.
-const PORT: u16 = 19_000;
+mod heartbeats;
+mod tasks;
 
-struct Task {
-    task: TaskId,
-    reason: Option<ExitReason>,
-    ends: Instant,
-}
+use tasks::Tasks;
 
-struct Inside {
-    session: u64,
-    seq: u64,
-    token: Epoch,
-    tasks: BTreeMap<Attempt, Task>,
-    /// When the last report that was answered was sent.
-    renewed: Instant,
+/// Port of every worker; each has an address of its own.
+const PORT: u16 = 19_000;
+/// Connections that a worker accepts at once.
+const MAX_CONNECTIONS: usize = 8;
+/// Values of one byte of a worker's address.
+const OCTET_VALUES: usize = 250;
+
+/// What changes while a worker runs.
+struct WorkerState {
+    incarnation: Incarnation,
+    /// Sequence number of the last heartbeat in this incarnation.
+    sequence: u64,
+    fencing_token: Epoch,
+    tasks: Tasks,
+    /// When the last heartbeat that was answered was sent.
+    lease_renewed_at: Instant,
 }
 
 /// A worker.
 pub struct Worker {
     id: MachineId,
-    addr: SocketAddr,
+    address: SocketAddr,
     /// Its machine's zone.
     pub zone: String,
     /// Whether its machine is a spot one.
     pub spot: bool,
-    inside: RefCell<Inside>,
-    up: Cell<bool>,
-    ended: Cell<bool>,
-    /// The controller that answered it last, and how often one did.
-    pub node: Cell<usize>,
-    pub answered: Cell<u64>,
-    changed: (Sender<()>, Receiver<()>),
+    state: RefCell<WorkerState>,
+    booted: Cell<bool>,
+    terminated: Cell<bool>,
+    /// Number of the controller that gets its heartbeats.
+    pub controller: Cell<usize>,
+    /// How many of its heartbeats were answered.
+    pub answered_heartbeats: Cell<u64>,
+    /// Asks for a heartbeat before the interval is over.
+    wake: (Sender<()>, Receiver<()>),
+}
+
+/// The address of the worker with that number.
+fn worker_address(number: usize) -> SocketAddr {
+    let octet = |n: usize| u8::try_from(n % OCTET_VALUES + 1).unwrap_or(1);
+    let ip = [
+        127,
+        octet(number / (OCTET_VALUES * OCTET_VALUES)),
+        octet(number / OCTET_VALUES),
+        octet(number),
+    ];
+    (ip, PORT).into()
 }
 
 impl Worker {
     /// The worker of the machine of that number.
     pub fn new(id: MachineId, number: usize, request: &ProvisionRequest) -> Rc<Worker> {
-        let octet = |n: usize| u8::try_from(n % 250 + 1).unwrap_or(1);
-        let ip = [
-            127,
-            octet(number / 62_500),
-            octet(number / 250),
-            octet(number),
-        ];
         Rc::new(Worker {
             id,
-            addr: (ip, PORT).into(),
+            address: worker_address(number),
             zone: request.zone.clone(),
             spot: request.spot,
-            inside: RefCell::new(Inside {
-                session: 1,
-                seq: 0,
-                token: Epoch(0),
-                tasks: BTreeMap::new(),
-                renewed: Instant::now(),
+            state: RefCell::new(WorkerState {
+                incarnation: Incarnation(1),
+                sequence: 0,
+                fencing_token: Epoch(0),
+                tasks: Tasks::default(),
+                lease_renewed_at: Instant::now(),
             }),
-            up: Cell::new(false),
-            ended: Cell::new(false),
-            node: Cell::new(number % 3),
-            answered: Cell::new(0),
-            changed: async_channel::bounded(1),
+            booted: Cell::new(false),
+            terminated: Cell::new(false),
+            controller: Cell::new(number % CONTROLLERS),
+            answered_heartbeats: Cell::new(0),
+            wake: async_channel::bounded(1),
         })
     }
 
-    /// Whether it has booted.
-    pub fn is_up(&self) -> bool {
-        self.up.get()
+    /// Whether its machine has booted.
+    pub fn is_booted(&self) -> bool {
+        self.booted.get()
     }
 
-    /// Its machine is gone.
-    pub fn end(&self, observer: &Observer) {
-        self.ended.set(true);
-        self.kill_all(observer);
-        let _ = self.changed.0.try_send(());
+    /// Terminates its machine, and all tasks with it.
+    pub fn terminate(&self, observer: &Observer) {
+        self.terminated.set(true);
+        self.state.borrow_mut().tasks.clear(observer);
+        self.request_heartbeat();
     }
 
-    fn kill_all(&self, observer: &Observer) {
-        for task in std::mem::take(&mut self.inside.borrow_mut().tasks).into_values() {
-            if task.reason.is_none() {
-                observer.ended(task.task, false);
-            }
-        }
+    /// Ends the wait for the next heartbeat. If one is requested already, the request is not repeated.
+    fn request_heartbeat(&self) {
+        let _ = self.wake.0.try_send(());
     }
 
-    fn report(&self) -> Heartbeat {
-        let mut inside = self.inside.borrow_mut();
-        inside.seq += 1;
-        let tasks = inside.tasks.iter().map(|(attempt, task)| TaskStatus {
-            task: task.task,
-            attempt: *attempt,
-            state: match task.reason {
-                None => TaskState::Running,
-                Some(_) => TaskState::Ended,
-            },
-            reason: task.reason,
-            saved: None,
-        });
+    fn heartbeat(&self) -> Heartbeat {
+        let mut state = self.state.borrow_mut();
+        state.sequence += 1;
         Heartbeat {
-            tasks: tasks.collect(),
+            tasks: state.tasks.statuses(),
             machine: self.id.clone(),
-            addr: self.addr.to_string(),
-            machine_type: "m4".into(),
+            addr: self.address.to_string(),
+            machine_type: MACHINE_TYPE.into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: Incarnation(inside.session),
-            sequence: inside.seq,
-            fencing_token: inside.token,
+            incarnation: state.incarnation,
+            sequence: state.sequence,
+            fencing_token: state.fencing_token,
             notice_s: None,
         }
     }
 
-    fn execute(&self, command: &Command, plan: &Plan, observer: &Observer) {
-        let mut inside = self.inside.borrow_mut();
-        match command {
-            Command::Launch { task, attempt } => {
-                let on = inside.tasks.values().filter(|t| t.reason.is_none());
-                let full = on.count() >= TASKS_EACH;
-                inside.tasks.entry(*attempt).or_insert_with(|| {
-                    if !full {
-                        observer.started(*task);
-                    }
-                    Task {
-                        task: *task,
-                        reason: full.then_some(ExitReason::NoRoom),
-                        ends: Instant::now() + plan.run,
-                    }
-                });
-            }
-            Command::Halt { attempt, .. } => {
-                if let Some(task) = inside.tasks.get_mut(attempt) {
-                    if task.reason.is_none() {
-                        task.reason = Some(ExitReason::Stopped);
-                        observer.ended(task.task, false);
-                    }
-                }
-            }
-            Command::Reap { attempt, .. } => {
-                let ended = inside
-                    .tasks
-                    .get(attempt)
-                    .is_some_and(|t| t.reason.is_some());
-                if ended {
-                    inside.tasks.remove(attempt);
-                }
-            }
-        }
-    }
-
-    /// What time brings about: a lease that has run out, tasks that complete.
-    fn pass_time(&self, plan: &Plan, observer: &Observer) {
+    /// Lets a lease expire, which begins another incarnation, and tasks complete.
+    fn advance(&self, plan: &Plan, observer: &Observer) {
         let now = Instant::now();
-        if now > self.inside.borrow().renewed + plan.lease {
-            self.kill_all(observer);
-            let mut inside = self.inside.borrow_mut();
-            inside.session += 1;
-            inside.seq = 0;
-            inside.renewed = now;
-        }
-        for task in self.inside.borrow_mut().tasks.values_mut() {
-            if task.reason.is_none() && now >= task.ends {
-                task.reason = Some(ExitReason::Done);
-                observer.ended(task.task, true);
-            }
+        let mut state = self.state.borrow_mut();
+        if now > state.lease_renewed_at + plan.lease {
+            state.tasks.clear(observer);
+            state.incarnation.0 += 1;
+            state.sequence = 0;
+            state.lease_renewed_at = now;
         }
+        state.tasks.complete_due(now, observer);
     }
 
-    /// How long until a task completes.
-    fn next_end(&self) -> Option<Duration> {
-        let inside = self.inside.borrow();
-        let running = inside.tasks.values().filter(|t| t.reason.is_none());
-        let next = running.map(|task| task.ends).min()?;
-        Some(next.saturating_duration_since(Instant::now()))
-    }
-
-    /// Takes in the answer to a report; how long to wait with the next one, if that is settled.
-    fn answer(
+    /// Executes direct commands if they are for this incarnation and not from an earlier epoch.
+    fn handle_commands(
         &self,
-        sent: Instant,
-        session: u64,
-        answer: (u16, &[u8]),
+        incoming: &Incoming,
         plan: &Plan,
         observer: &Observer,
-    ) -> Option<Duration> {
-        match answer {
-            (200, body) => {
-                let answer: HeartbeatResponse = serde_json::from_slice(body).ok()?;
-                {
-                    let mut inside = self.inside.borrow_mut();
-                    if inside.session != session || answer.fencing_token < inside.token {
-                        return None;
-                    }
-                    inside.token = answer.fencing_token;
-                    inside.renewed = inside.renewed.max(sent);
-                }
-                self.answered.set(self.answered.get() + 1);
-                for command in &answer.commands {
-                    self.execute(command, plan, observer);
-                }
-                None
-            }
-            (421, body) => {
-                let to = serde_json::from_slice::<Redirect>(body).ok();
-                let name = to.and_then(|to| to.report_to).map(|name| name.0);
-                let named = plan
-                    .nodes
-                    .iter()
-                    .position(|(n, _)| Some(n) == name.as_ref());
-                match named.filter(|node| *node != self.node.get()) {
-                    Some(node) => {
-                        self.node.set(node);
-                        Some(Duration::ZERO)
-                    }
-                    None => Some(self.next_node(plan)),
-                }
-            }
-            _ => Some(self.next_node(plan)),
-        }
-    }
-
-    fn next_node(&self, plan: &Plan) -> Duration {
-        self.node.set((self.node.get() + 1) % plan.nodes.len());
-        NEXT
-    }
-
-    fn orders(&self, incoming: &Incoming, plan: &Plan, observer: &Observer) -> HttpResponse {
+    ) -> HttpResponse {
         let body = incoming.body.as_deref().unwrap_or_default();
-        let Ok(orders) = serde_json::from_slice::<CommandBatch>(body) else {
+        let Ok(batch) = serde_json::from_slice::<CommandBatch>(body) else {
             return malformed();
         };
-        let matches = {
-            let inside = self.inside.borrow();
-            orders.fencing_token >= inside.token && orders.incarnation.0 == inside.session
+        let is_accepted = {
+            let state = self.state.borrow();
+            batch.fencing_token >= state.fencing_token && batch.incarnation == state.incarnation
         };
-        if matches {
-            self.inside.borrow_mut().token = orders.fencing_token;
-            for command in &orders.commands {
-                self.execute(command, plan, observer);
+        if is_accepted {
+            let mut state = self.state.borrow_mut();
+            state.fencing_token = batch.fencing_token;
+            for command in &batch.commands {
+                state.tasks.execute(command, plan, observer);
             }
-            let _ = self.changed.0.try_send(());
+            self.request_heartbeat();
         }
-        HttpResponse::json(if matches { 200 } else { 409 }, &self.report())
+        HttpResponse::json(if is_accepted { 200 } else { 409 }, &self.heartbeat())
     }
 }
 
-/// Boots a worker and lets it work until its machine is gone.
+/// Boots a worker and runs it until its machine is terminated.
 pub async fn run(
     worker: Rc<Worker>,
     plan: Rc<Plan>,
     observer: Rc<Observer>,
     executor: Rc<Executor>,
 ) {
-    Timer::after(plan.boot).await;
-    let Ok(listener) = Async::<TcpListener>::bind(worker.addr) else {
+    Timer::after(plan.boot_time).await;
+    let Ok(listener) = Async::<TcpListener>::bind(worker.address) else {
         return eprintln!("no socket for {}", worker.id);
     };
     let handler: server::Handler = {
         let (worker, plan, observer) = (Rc::clone(&worker), Rc::clone(&plan), Rc::clone(&observer));
         Rc::new(move |incoming| -> Handled {
-            let reply = worker.orders(&incoming, &plan, &observer);
-            Box::pin(async move { reply })
+            let response = worker.handle_commands(&incoming, &plan, &observer);
+            Box::pin(async move { response })
         })
     };
-    let serving = server::serve(Rc::clone(&executor), listener, 8, plan.lease, handler);
-    let serving = executor.spawn(serving);
-    worker.up.set(true);
-    worker.inside.borrow_mut().renewed = Instant::now();
-    let mut client = (
-        worker.node.get(),
-        HttpClient::new(plan.nodes[worker.node.get()].1, 1),
+    let lease = plan.lease;
+    let serving = server::serve(
+        Rc::clone(&executor),
+        listener,
+        MAX_CONNECTIONS,
+        lease,
+        handler,
     );
-    while !worker.ended.get() {
-        if client.0 != worker.node.get() {
-            client = (
-                worker.node.get(),
-                HttpClient::new(plan.nodes[worker.node.get()].1, 1),
-            );
-        }
-        worker.pass_time(&plan, &observer);
-        let sent = Instant::now();
-        let report = worker.report();
-        let session = report.incarnation.0;
-        let body = serde_json::to_string(&report).unwrap_or_default();
-        let answer = client
-            .1
-            .call(Method::Post, "/checkin", Some(body), ANSWER)
-            .await;
-        let wait = match &answer {
-            Ok((status, body)) => {
-                let answer = (*status, body.as_slice());
-                worker.answer(sent, session, answer, &plan, &observer)
-            }
-            Err(_) => Some(worker.next_node(&plan)),
-        };
-        let wait = wait.unwrap_or_else(|| {
-            let ends = worker.next_end().unwrap_or(plan.report);
-            ends.clamp(BETWEEN, plan.report)
-        });
-        let _ = within(wait, worker.changed.1.recv()).await;
-        Timer::at((sent + BETWEEN).min(Instant::now() + wait)).await;
-    }
+    let serving = executor.spawn(serving);
+    worker.booted.set(true);
+    worker.state.borrow_mut().lease_renewed_at = Instant::now();
+    worker.send_heartbeats(&plan, &observer).await;
     serving.cancel().await;
 }
--- a/crates/worksshunt-measure/src/main.rs
+++ b/crates/worksshunt-measure/src/main.rs
@@ -15,7 +15,9 @@
 mod series;
 mod workload;
 
-use loopback::upgrade::{self, Programs, UsageError};
+use loopback::measurement;
+use loopback::upgrade;
+use loopback::upgrade::arguments::{Programs, UsageError};
 use series::Series;
 
 #[global_allocator]
@@ -173,7 +175,7 @@
             folder,
         } => {
             let sockets = sockets.unwrap_or(machines * DEFAULT_SOCKETS_PER_MACHINE);
-            loopback::run(&binary, folder, machines, sockets)
+            measurement::run(&binary, folder, machines, sockets)
         }
         Command::Upgrade {
             program,
--- a/crates/worksshunt-measure/src/tests.rs
+++ b/crates/worksshunt-measure/src/tests.rs
@@ -43,7 +43,7 @@
         panic!("was refused");
     };
     assert_eq!(program, PathBuf::from("target/release/worksshunt"));
-    assert!(machines >= upgrade::LEAST_MACHINES);
+    assert!(machines >= upgrade::arguments::MIN_MACHINES);
 }
 
 #[test]
