--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -30,6 +30,15 @@
     name.as_str().map(str::to_owned)
 }
 
+/// Names of the members in a record of an epoch; those without a name are left out.
+fn members_of(epoch: &Value) -> Vec<String> {
+    let members = epoch.get("members").and_then(Value::as_array);
+    let names = members.into_iter().flatten().map(|member| &member["name"]);
+    names
+        .filter_map(|name| Some(name.as_str()?.to_owned()))
+        .collect()
+}
+
 /// The key-value store.
 pub struct KeyValueStore {
     store: RefCell<Store>,
@@ -64,6 +73,12 @@
         leader_of(&self.epoch()?)
     }
 
+    /// Names of the members in the stored epoch; none if there is no epoch. Like the leader's, these are the only
+    /// fields that are read.
+    pub fn members(&self) -> Vec<String> {
+        self.epoch().as_ref().map(members_of).unwrap_or_default()
+    }
+
     /// Executes a request and encodes the response.
     fn respond(&self, request: &KvRequest) -> HttpResponse {
         match self.apply(request) {
--- a/crates/worksshunt-measure/src/loopback/upgrade.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade.rs
@@ -10,7 +10,7 @@
 use super::controllers::{Controllers, CONTROLLERS};
 use super::surroundings::Surroundings;
 use super::users::poll;
-use super::verdict::{self, Measured, Shortfall, Submission, START_BOUND};
+use super::verdict::{self, Measured, Shortfall, Submission, MEMBERSHIP_BOUND, START_BOUND};
 use super::wait::{wait_until, POLL_INTERVAL};
 use crate::MeasureError;
 
@@ -82,6 +82,16 @@
         self.controllers.is_started(node).then_some(node)
     }
 
+    /// Running controllers that the stored epoch does not name as members.
+    fn non_members(&self) -> Vec<usize> {
+        let members = self.surroundings.store.members();
+        let members: Vec<usize> = members
+            .iter()
+            .filter_map(|name| self.node_named(name))
+            .collect();
+        verdict::non_members(&self.running_nodes(), &members)
+    }
+
     /// Kills a controller, submits a job meanwhile, and waits for the next leader if it led.
     async fn kill(&mut self, node: usize) -> Result<(), Shortfall> {
         let was_leader = self.leader() == Some(node);
@@ -146,6 +156,12 @@
         self.replace(node, to).await
     }
 
+    /// What the running controllers fall short of at the end of a stage: a leader, and membership of all.
+    async fn check_epoch(&self) -> Vec<Shortfall> {
+        wait_until(MEMBERSHIP_BOUND, || self.non_members().is_empty()).await;
+        verdict::epoch_shortfalls(self.leader(), self.non_members())
+    }
+
     async fn run_stage(&mut self, stage: Stage) -> Result<StageResult, MeasureError> {
         let first = self.jobs.len();
         self.submit_before().await;
@@ -163,8 +179,8 @@
         self.wait_for_jobs(first, timeout, Submission::is_completed)
             .await;
         let done = self.poll_until_done().await;
-        if shortfalls.is_empty() && self.leader().is_none() {
-            shortfalls.push(Shortfall::NoLeader);
+        if shortfalls.is_empty() {
+            shortfalls.extend(self.check_epoch().await);
         }
         let measured = {
             let observations = self.surroundings.observer.observations();
--- a/crates/worksshunt-measure/src/loopback/verdict.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict.rs
@@ -1,6 +1,7 @@
-//! Judges a stage of an upgrade by what its users and an observer of the workers saw. It owns no state; `upgrade` calls it at the end of each stage.
+//! Judges a stage of an upgrade by what its users, an observer of the workers and the stored epoch show. It owns no
+//! state; `upgrade` calls it at the end of each stage.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::{Duration, Instant};
 
@@ -12,6 +13,8 @@
 pub const START_BOUND: Duration = Duration::from_secs(40);
 /// How long after the last task of a stage every controller must answer that all its jobs are done.
 pub const DONE_BOUND: Duration = Duration::from_secs(30);
+/// How long after that the epoch must name every running controller as a member.
+pub const MEMBERSHIP_BOUND: Duration = Duration::from_secs(10);
 
 /// A job that was submitted.
 #[derive(Debug, Clone, Copy)]
@@ -93,8 +96,13 @@
     #[error("{0} tasks ran more than once")]
     Repeated(usize),
     /// Controllers did not answer that completed jobs are done.
-    #[error("{0} answers not done {n} s after the last task", n = DONE_BOUND.as_secs())]
-    NotAnsweredDone(usize),
+    #[error("{missing} answers not done {n} s after the last task ({counts})",
+        missing = .0.len(), n = DONE_BOUND.as_secs(), counts = counts_by_controller(.0))]
+    NotAnsweredDone(Vec<ControllerJob>),
+    /// The epoch does not name running controllers as members.
+    #[error("{count} running controllers not members of the epoch ({names})",
+        count = .0.len(), names = controller_names(.0))]
+    NotMembers(Vec<usize>),
 }
 
 /// A controller and a job that it is asked about.
@@ -106,6 +114,39 @@
     pub job: JobId,
 }
 
+fn controller_names(nodes: &[usize]) -> String {
+    let names: Vec<String> = nodes.iter().map(|node| format!("n{node}")).collect();
+    names.join(", ")
+}
+
+/// How many pairs each controller has, by controller.
+fn counts_by_controller(pairs: &[ControllerJob]) -> String {
+    let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
+    for pair in pairs {
+        *counts.entry(pair.node).or_default() += 1;
+    }
+    let counts: Vec<String> = counts
+        .iter()
+        .map(|(node, count)| format!("n{node}: {count}"))
+        .collect();
+    counts.join(", ")
+}
+
+/// Running controllers that are not among the members, in the order given.
+pub fn non_members(running: &[usize], members: &[usize]) -> Vec<usize> {
+    let members: BTreeSet<&usize> = members.iter().collect();
+    let missing = running.iter().filter(|node| !members.contains(node));
+    missing.copied().collect()
+}
+
+/// What the stored epoch falls short of: a leader that runs, and membership of all running controllers.
+/// That a controller answers `/healthz` shows neither.
+pub fn epoch_shortfalls(leader: Option<usize>, non_members: Vec<usize>) -> Vec<Shortfall> {
+    let no_leader = leader.is_none().then_some(Shortfall::NoLeader);
+    let not_members = (!non_members.is_empty()).then_some(Shortfall::NotMembers(non_members));
+    no_leader.into_iter().chain(not_members).collect()
+}
+
 /// The result of asking every running controller about every completed job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DoneAnswers {
@@ -172,7 +213,8 @@
             some(self.started - self.started_in_time).map(Shortfall::StartedLate),
             some(self.accepted - self.completed).map(Shortfall::NotCompleted),
             some(self.repeated_tasks).map(Shortfall::Repeated),
-            some(self.done.missing.len()).map(Shortfall::NotAnsweredDone),
+            (!self.done.missing.is_empty())
+                .then(|| Shortfall::NotAnsweredDone(self.done.missing.clone())),
         ];
         all.into_iter().flatten().collect()
     }
--- a/crates/worksshunt-measure/src/loopback/verdict/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict/tests.rs
@@ -107,18 +107,56 @@
     let missing = pairs(&[(0, 1), (2, 1), (0, 2)]);
     let done = DoneAnswers {
         longest: Duration::from_secs(2),
-        missing,
+        missing: missing.clone(),
     };
     let measured = Measured::of(&[], 0, &Histories::new(), done);
-    assert_eq!(measured.shortfalls(), [Shortfall::NotAnsweredDone(3)]);
+    assert_eq!(measured.shortfalls(), [Shortfall::NotAnsweredDone(missing)]);
+}
+
+#[test]
+fn missing_answers_name_their_controllers_with_how_many_each_owes() {
+    let missing = Shortfall::NotAnsweredDone(pairs(&[(2, 1), (0, 1), (0, 2)]));
+    assert_eq!(
+        missing.to_string(),
+        "3 answers not done 30 s after the last task (n0: 2, n2: 1)"
+    );
+}
+
+#[test]
+fn running_controllers_that_the_epoch_does_not_name_are_found() {
+    assert!(non_members(&[0, 1, 2], &[2, 1, 0]).is_empty());
+    assert_eq!(non_members(&[0, 1, 2], &[1]), [0, 2]);
+    assert_eq!(non_members(&[0, 1, 2], &[]), [0, 1, 2]);
+    // A killed controller may still be named.
+    assert!(non_members(&[0, 2], &[0, 1, 2]).is_empty());
+    assert!(non_members(&[], &[]).is_empty());
+}
+
+#[test]
+fn an_epoch_needs_a_leader_and_all_running_controllers() {
+    assert_eq!(epoch_shortfalls(Some(1), vec![]), []);
+    assert_eq!(epoch_shortfalls(None, vec![]), [Shortfall::NoLeader]);
+    let non_members = vec![0, 2];
+    let expected = [Shortfall::NotMembers(non_members.clone())];
+    assert_eq!(epoch_shortfalls(Some(1), non_members.clone()), expected);
+    let expected = [
+        Shortfall::NoLeader,
+        Shortfall::NotMembers(non_members.clone()),
+    ];
+    assert_eq!(epoch_shortfalls(None, non_members), expected);
 }
 
 #[test]
 fn the_verdict_is_one_line() {
     assert_eq!(describe(&[]), "pass");
-    let shortfalls = [Shortfall::NotReady(1), Shortfall::NotAnsweredDone(2)];
+    let shortfalls = [
+        Shortfall::NotReady(1),
+        Shortfall::NotMembers(vec![0, 1]),
+        Shortfall::NotAnsweredDone(pairs(&[(1, 3), (1, 4)])),
+    ];
     assert_eq!(
         describe(&shortfalls),
-        "FAIL: n1 was not ready for requests in 40 s, 2 answers not done 30 s after the last task"
+        "FAIL: n1 was not ready for requests in 40 s, 2 running controllers not members of the epoch (n0, n1), \
+         2 answers not done 30 s after the last task (n1: 2)"
     );
 }
