--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -11,6 +11,7 @@
 use crate::constants::timers::UNREADABLE_RECORDS_RETRY_MS;
 use crate::fleet::Fleet;
 use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
+use crate::machines::EpochStart;
 use crate::membership::MemberState;
 use crate::placement::owner;
 use crate::records::{self, AttemptRecord, UnknownForm, RECORDS};
@@ -228,9 +229,12 @@
         let on: Vec<AttemptRecord> = pages.iter().flat_map(|(_, on)| on.clone()).collect();
         self.partition.begin_epoch(
             now,
-            (epoch.number, me),
-            &on,
-            &self.job_cache,
+            &EpochStart {
+                epoch: epoch.number,
+                controller: me,
+                records: &on,
+                job_cache: &self.job_cache,
+            },
             |machine| owner(machine, &names) == Some(me),
             |machine| owner(machine, &before) == Some(me),
         );
--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -1,4 +1,8 @@
-//! Direct orders to workers, and what became of them.
+//! Direct commands to workers and their outcomes.
+//!
+//! The controller takes the next commands from [`Partition::next_direct_commands`], sends them to the workers and
+//! passes the outcome of each batch to [`Partition::direct_commands_answered`]. At most one batch to a worker is in
+//! flight.
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::worker::{Command, CommandBatch, Heartbeat};
@@ -7,110 +11,110 @@
 use crate::constants::workers::{DIRECT_COMMAND_BACKOFF_MS, PROBE_INTERVAL_MS};
 use crate::time::Time;
 
-use super::machine::{AttemptState, Reachability, TrackedAttempt};
-use super::Partition;
+use super::attempt::{AttemptState, TrackedAttempt};
+use super::heartbeats::MessageKind;
+use super::machine::Machine;
+use super::partition::Partition;
 
-/// What became of direct orders.
+/// Outcome of direct commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectCommandsOutcome {
-    /// The worker answered, with its report after them.
+    /// The worker answered, with its status after them.
     Answered(Heartbeat),
-    /// They never left.
+    /// They were never sent.
     NotSent,
-    /// No answer: they may be carried out at any time.
+    /// No answer: they may take effect at any time.
     NoAnswer,
 }
 
-/// Direct orders to a worker, to be sent by the service.
+/// Direct commands to a worker, to be sent by the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectCommands {
     /// The machine.
     pub machine: MachineId,
     /// Its worker's address.
     pub address: String,
-    /// The orders.
+    /// The commands.
     pub batch: CommandBatch,
 }
 
 impl Partition {
-    /// Launches, stops and probes that can go straight to workers now, for at most so many machines. Only
-    /// with authority. What finds no place goes with the answer to the machine's next report.
+    /// Launches, stops and probes that can be sent directly to workers now, for at most `max_machines` machines. Only
+    /// while this controller may act. What is not sent this way goes with the response to the machine's next heartbeat.
     pub fn next_direct_commands(
         &mut self,
         now: Time,
         token: Epoch,
-        most: usize,
+        max_machines: usize,
     ) -> Vec<DirectCommands> {
-        let mut all = Vec::new();
-        while self
-            .deferred_commands
-            .first()
-            .is_some_and(|(at, _)| *at <= now)
-        {
+        let is_due = |(due_at, _): &(Time, MachineId)| *due_at <= now;
+        while self.deferred_commands.first().is_some_and(is_due) {
             self.pending_commands
                 .extend(self.deferred_commands.pop_first().map(|(_, id)| id));
         }
-        while all.len() < most {
+        let mut batches = Vec::new();
+        while batches.len() < max_machines {
             let Some(id) = self.pending_commands.pop_first() else {
                 break;
             };
-            let Some(machine) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            let Some(info) = &machine.info else { continue };
-            if machine.lost
-                || now.since(machine.lease.last_message_at) > self.timeouts.missed_heartbeats_ms
-            {
-                // The next report of it puts it back here.
-                continue;
-            }
-            if machine.commands_in_flight {
-                // So does what becomes of the orders under way.
-                continue;
-            }
-            if now < machine.commands_not_before {
-                self.deferred_commands
-                    .insert((machine.commands_not_before, id));
-                continue;
-            }
-            let incarnation = machine.lease.newest_message.0;
-            let probe = matches!(machine.reachability, Reachability::Suspect { .. });
-            let notice = machine.reclaim_at.is_some();
-            let commands: Vec<Command> = machine
-                .attempts
-                .iter_mut()
-                .filter_map(|(attempt, tracked)| order(*attempt, tracked, incarnation, notice, now))
-                .collect();
-            if commands.is_empty() && !probe {
-                continue;
-            }
-            let renewed_ago_ms = now.since(machine.lease.renewed_at);
-            for command in &commands {
-                tracing::debug!(machine = %id, %token, ?incarnation, renewed_ago_ms, %command, "direct order");
-            }
-            machine.commands_in_flight = true;
-            if probe {
-                machine.commands_not_before = now + PROBE_INTERVAL_MS;
-            }
-            all.push(DirectCommands {
-                machine: id.clone(),
-                address: info.command_address.clone(),
-                batch: CommandBatch {
-                    fencing_token: token,
-                    incarnation,
-                    commands,
-                },
-            });
+            batches.extend(self.direct_commands_for(id, token, now));
+        }
+        batches
+    }
+
+    /// The direct commands that can be sent to a machine now, if any.
+    fn direct_commands_for(
+        &mut self,
+        id: MachineId,
+        token: Epoch,
+        now: Time,
+    ) -> Option<DirectCommands> {
+        let machine = self.machines.get_mut(&id)?;
+        let address = machine.info.as_ref()?.command_address.clone();
+        if machine.is_lost || machine.misses_heartbeats(now, self.timeouts) {
+            // Its next heartbeat makes it pending again.
+            return None;
         }
-        all
+        if machine.commands.is_in_flight {
+            // So does the outcome of the commands in flight.
+            return None;
+        }
+        if now < machine.commands.not_before {
+            self.deferred_commands
+                .insert((machine.commands.not_before, id));
+            return None;
+        }
+        let incarnation = machine.lease.newest_message.incarnation;
+        let commands = machine.take_direct_commands(incarnation, now);
+        let is_probe = machine.reachability.is_suspect();
+        if commands.is_empty() && !is_probe {
+            return None;
+        }
+        let renewed_ago_ms = now.since(machine.lease.renewed_at);
+        for command in &commands {
+            tracing::debug!(machine = %id, %token, ?incarnation, renewed_ago_ms, %command, "command sent directly");
+        }
+        machine.commands.is_in_flight = true;
+        if is_probe {
+            machine.commands.not_before = now + PROBE_INTERVAL_MS;
+        }
+        Some(DirectCommands {
+            machine: id,
+            address,
+            batch: CommandBatch {
+                fencing_token: token,
+                incarnation,
+                commands,
+            },
+        })
     }
 
-    /// Direct orders were answered, or not.
+    /// Direct commands were answered, or not.
     pub fn direct_commands_answered(
         &mut self,
         now: Time,
         sent: &DirectCommands,
-        reply: &DirectCommandsOutcome,
+        outcome: &DirectCommandsOutcome,
         epoch: Epoch,
         catalog: &Catalog,
     ) {
@@ -118,31 +122,33 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.commands_in_flight = false;
+        machine.commands.is_in_flight = false;
         self.pending_commands.insert(id.clone());
-        // Whatever was answered, or never left, cannot take effect later.
-        let after = match reply {
+        match outcome {
             DirectCommandsOutcome::Answered(heartbeat) => {
-                if heartbeat.incarnation >= machine.lease.newest_message.0 {
-                    machine.set_reachability(Reachability::Confirmed);
+                if heartbeat.incarnation >= machine.lease.newest_message.incarnation {
+                    machine.reachability.confirm();
                 }
-                machine.commands_not_before = now;
-                self.apply_message(now, heartbeat, epoch, catalog, true);
-                AttemptState::Launched
+                machine.commands.not_before = now;
+                self.apply_message(now, heartbeat, epoch, catalog, MessageKind::CommandResponse);
+                self.settle_launches(sent, AttemptState::Launched);
             }
             DirectCommandsOutcome::NotSent => {
-                machine.commands_not_before = now + DIRECT_COMMAND_BACKOFF_MS;
-                AttemptState::Recorded
+                machine.commands.not_before = now + DIRECT_COMMAND_BACKOFF_MS;
+                self.settle_launches(sent, AttemptState::Recorded);
             }
             DirectCommandsOutcome::NoAnswer => {
-                machine.set_reachability(Reachability::Suspect { since: now });
-                machine.commands_not_before = now + PROBE_INTERVAL_MS;
+                machine.reachability.suspect(now);
+                machine.commands.not_before = now + PROBE_INTERVAL_MS;
                 self.end_unlaunched(id, now);
                 self.refresh_summary(id, now);
-                return;
             }
-        };
-        let Some(machine) = self.machines.get_mut(id) else {
+        }
+    }
+
+    /// Commands that were answered or never sent cannot take effect later: their launches are in the state `next`.
+    fn settle_launches(&mut self, sent: &DirectCommands, next: AttemptState) {
+        let Some(machine) = self.machines.get_mut(&sent.machine) else {
             return;
         };
         for command in &sent.batch.commands {
@@ -151,45 +157,57 @@
             };
             machine.unreaped.remove(attempt);
             if let Some(tracked) = machine.attempts.get_mut(attempt) {
-                tracked.direct_launch_unanswered = false;
+                tracked.has_unanswered_launch = false;
                 if tracked.state == AttemptState::DirectlyLaunched {
-                    tracked.advance(after);
+                    tracked.advance(next);
                 }
             }
         }
     }
 }
 
-/// The order that an attempt calls for, if any.
-fn order(
-    attempt: Attempt,
-    tracked: &mut TrackedAttempt,
-    incarnation: Incarnation,
-    notice: bool,
-    now: Time,
-) -> Option<Command> {
-    let task = tracked.task;
-    let launch = tracked.state == AttemptState::Recorded
-        && tracked.stop_grace_s.is_none()
-        && !notice
-        && tracked.incarnation == incarnation;
-    if launch {
-        tracked.advance(AttemptState::DirectlyLaunched);
-        tracked.direct_launch_unanswered = true;
-        tracked.placed_at = now;
-        return Some(Command::Launch { task, attempt });
-    }
-    match (tracked.stop_grace_s, tracked.state) {
-        (Some(grace_s), AttemptState::Fetching | AttemptState::Running(_))
-            if !tracked.stop_sent =>
-        {
-            tracked.stop_sent = true;
-            Some(Command::Halt {
-                task,
-                attempt,
-                grace_s,
+impl Machine {
+    /// The direct commands that the attempts call for; they count as sent from now on.
+    fn take_direct_commands(&mut self, incarnation: Incarnation, now: Time) -> Vec<Command> {
+        let has_reclaim_notice = self.has_reclaim_notice();
+        self.attempts
+            .iter_mut()
+            .filter_map(|(attempt, tracked)| {
+                if tracked.incarnation == incarnation && tracked.is_launchable(has_reclaim_notice) {
+                    Some(tracked.launch_directly(*attempt, now))
+                } else {
+                    tracked.stop_directly(*attempt)
+                }
             })
+            .collect()
+    }
+}
+
+impl TrackedAttempt {
+    fn launch_directly(&mut self, attempt: Attempt, now: Time) -> Command {
+        self.advance(AttemptState::DirectlyLaunched);
+        self.has_unanswered_launch = true;
+        self.placed_at = now;
+        Command::Launch {
+            task: self.task,
+            attempt,
+        }
+    }
+
+    /// The stop to be sent, if one is requested, was not sent yet and the task has been seen on the machine.
+    fn stop_directly(&mut self, attempt: Attempt) -> Option<Command> {
+        if !matches!(
+            self.state,
+            AttemptState::Fetching | AttemptState::Running(_)
+        ) {
+            return None;
         }
-        _ => None,
+        let stop = self.stop.as_mut().filter(|stop| !stop.is_sent)?;
+        stop.is_sent = true;
+        Some(Command::Halt {
+            task: self.task,
+            attempt,
+            grace_s: stop.grace_s,
+        })
     }
 }
--- /dev/null
+++ b/crates/worksshunt-core/src/machines/fixtures.rs
@@ -0,0 +1,38 @@
+//! Partitions for the tests of this module.
+
+use serde_json::json;
+use worksshunt_wire::settings::Workers;
+use worksshunt_wire::MachineId;
+
+use crate::placement::Parameters;
+use crate::time::Time;
+
+use super::machine::Machine;
+use super::partition::Partition;
+use super::sequence_number::SequenceNumber;
+
+/// The settings of the workers in these tests.
+pub(super) fn workers() -> Workers {
+    Workers {
+        report_s: 5.0,
+        lease_s: 26.5,
+        cancel_s: 46.5,
+    }
+}
+
+/// A partition with so many machines that never sent a heartbeat.
+pub(super) fn partition(machines: usize) -> Partition {
+    let limits = json!({"rps": 500.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 20});
+    let limits = serde_json::from_value(limits).expect("limits");
+    let mut partition = Partition::new(Parameters::default(), &workers(), &limits);
+    for n in 0..machines {
+        let machine = Machine::new(Time(0), Time(0), SequenceNumber::NONE);
+        partition.machines.insert(machine_id(n), machine);
+    }
+    partition
+}
+
+/// The name of the n-th machine.
+pub(super) fn machine_id(n: usize) -> MachineId {
+    MachineId(format!("i-{n:06}"))
+}
--- a/crates/worksshunt-core/src/machines/heartbeats.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats.rs
@@ -1,72 +1,64 @@
-//! What workers say, and what they are told.
+//! Messages of workers and what they change.
+//!
+//! The controller calls [`Partition::process_heartbeat`] for every heartbeat of a machine of the partition, and
+//! [`commands`](super::commands) calls [`Partition::apply_message`] for responses to direct commands. Both update the
+//! machine and its attempts; what a heartbeat is answered with is in [`heartbeat_response`](super::heartbeat_response).
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeSet;
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::peer::AttemptOutcome;
 use worksshunt_wire::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId};
 
-use crate::constants::workers::{HEARTBEAT_HISTORY_ENTRIES, HEARTBEAT_HISTORY_MS};
 use crate::placement::{Outcome, Speed};
-use crate::resources::Resources;
 use crate::time::Time;
 
-use super::machine::{AttemptState, Machine, MachineInfo, Reachability};
-use super::worker_lease::{Arrival, SequenceNumber};
-use super::Partition;
+use super::attempt::{AttemptState, TrackedAttempt};
+use super::machine::{Machine, MachineInfo, MachineTimeouts};
+use super::partition::Partition;
+use super::sequence_number::SequenceNumber;
+use super::worker_lease::Arrival;
 
-/// The newest report seen of machines that are not in the part (any more), so that a late copy is
-/// known for one whenever it comes.
-#[derive(Debug, Default)]
-pub(super) struct HeartbeatHistory {
-    newest_by_machine: BTreeMap<MachineId, SequenceNumber>,
-    /// When each was first noted, the earliest first.
-    order: VecDeque<(Time, MachineId)>,
-}
-
-impl HeartbeatHistory {
-    pub fn record(&mut self, id: &MachineId, newest: SequenceNumber, now: Time) {
-        match self.newest_by_machine.get_mut(id) {
-            Some(before) => *before = newest.max(*before),
-            None => {
-                self.newest_by_machine.insert(id.clone(), newest);
-                self.order.push_back((now, id.clone()));
-                self.forget_oldest(now);
-            }
-        }
-    }
-
-    /// Forgets what was noted first, if there are many and no copy of its reports can come any more.
-    fn forget_oldest(&mut self, now: Time) {
-        let old = |(noted, _): &(Time, MachineId)| now.since(*noted) >= HEARTBEAT_HISTORY_MS;
-        while self.order.len() > HEARTBEAT_HISTORY_ENTRIES && self.order.front().is_some_and(old) {
-            if let Some((_, oldest)) = self.order.pop_front() {
-                self.newest_by_machine.remove(&oldest);
-            }
-        }
-    }
-
-    pub fn newest_message(&self, id: &MachineId) -> SequenceNumber {
-        self.newest_by_machine
-            .get(id)
-            .copied()
-            .unwrap_or((Incarnation(0), 0))
-    }
-}
-
-/// What becomes of a report.
+/// What is done with a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// The lease counts as renewed, so the report may be answered, with these commands.
+    /// The lease counts as renewed, so the heartbeat may be answered, with these commands.
     Accepted(Vec<Command>),
     /// It was not counted, so an answer must not renew the lease.
     Rejected,
 }
 
+/// How a worker's message came.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum MessageKind {
+    /// A heartbeat, whose response renews the worker's lease.
+    Heartbeat,
+    /// The response to direct commands: it renews no lease, but proves that the worker is reached.
+    CommandResponse,
+}
+
+/// What the status of a listed task means for its attempt.
+enum StatusEffect {
+    /// Its state may have advanced.
+    Advanced,
+    /// It has completed; known for the first time.
+    Completed,
+    /// It has ended without completion.
+    Ended(AttemptOutcome),
+}
+
+/// What it means for an attempt that a message does not list it.
+enum UnlistedEffect {
+    Unchanged,
+    /// Its launch did not arrive and is sent again.
+    Relaunch,
+    Gone(AttemptOutcome),
+}
+
 impl Partition {
-    /// Takes in a worker's report. What an overtaken one says is older than what is known and changes nothing; a copy
-    /// of one answered before changes nothing at all.
+    /// Applies a worker's heartbeat. What an overtaken one contains is older than what is known and changes nothing but
+    /// the lease; a copy of one answered before changes nothing at all.
     pub fn process_heartbeat(
         &mut self,
         now: Time,
@@ -75,7 +67,7 @@
         catalog: &Catalog,
     ) -> HeartbeatOutcome {
         let id = &heartbeat.machine;
-        let number = (heartbeat.incarnation, heartbeat.sequence);
+        let number = SequenceNumber::of(heartbeat);
         let arrival = match self.machines.get(id) {
             Some(machine) => machine.lease.classify(number, now),
             None if number > self.heartbeat_history.newest_message(id) => {
@@ -90,105 +82,73 @@
         let newest = machine.lease.newest_message;
         match arrival {
             Arrival::Stale => {
-                tracing::debug!(machine = %id, ?number, ?newest, "stale report: not answered");
+                tracing::debug!(machine = %id, %number, %newest, "stale heartbeat rejected");
                 return HeartbeatOutcome::Rejected;
             }
             Arrival::Overtaken => {
-                tracing::info!(machine = %id, ?number, ?newest, "overtaken report: its lease counts");
+                tracing::info!(machine = %id, %number, %newest, "overtaken heartbeat accepted, lease renewed");
                 machine.lease.record_renewal(number, now);
                 return HeartbeatOutcome::Accepted(Vec::new());
             }
             Arrival::Newest => machine.lease.record_renewal(number, now),
         }
-        self.apply_message(now, heartbeat, epoch, catalog, false);
-        let commands = self.commands_for(heartbeat, now);
+        self.apply_message(now, heartbeat, epoch, catalog, MessageKind::Heartbeat);
+        let commands = self.response_commands(heartbeat, now);
         for command in &commands {
-            tracing::debug!(machine = %heartbeat.machine, token = %epoch, ?number, %command, "answered with");
+            tracing::debug!(machine = %heartbeat.machine, token = %epoch, %number, %command, "command sent with heartbeat response");
         }
         HeartbeatOutcome::Accepted(commands)
     }
 
-    /// A machine that is not in the part reports to it.
+    /// Adds a machine that is not in the partition and sent it a heartbeat.
     fn register(&mut self, id: &MachineId, now: Time) {
         let newest = self.heartbeat_history.newest_message(id);
         let mut machine = Machine::new(now, now, newest);
-        if newest != (Incarnation(0), 0) {
-            // It was here before and was given up: what comes now may be a last late word.
-            machine.set_reachability(Reachability::Suspect { since: now });
+        if newest != SequenceNumber::NONE {
+            // It was here before and was given up: this may be a last late message.
+            machine.reachability.suspect(now);
         }
         self.machines.insert(id.clone(), machine);
         self.pending_updates.removed_machines.remove(id);
     }
 
-    /// Takes in what a worker says, with a report or (`direct`) in answer to direct orders, which
-    /// renews no lease but proves that the worker is reached. What is older than what is known
-    /// changes nothing.
+    /// Applies what a worker reports, with a heartbeat or in response to direct commands. What is older than what is
+    /// known changes nothing.
     pub(super) fn apply_message(
         &mut self,
         now: Time,
         heartbeat: &Heartbeat,
         epoch: Epoch,
         catalog: &Catalog,
-        direct: bool,
+        kind: MessageKind,
     ) {
         let id = &heartbeat.machine;
-        let silent_ms = self.timeouts.missed_heartbeats_ms;
+        let timeouts = self.timeouts;
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let number = (heartbeat.incarnation, heartbeat.sequence);
-        let before = machine.lease.newest_message;
-        if number <= before {
+        if SequenceNumber::of(heartbeat) <= machine.lease.newest_message {
             return;
         }
-        let current = heartbeat.fencing_token >= epoch;
-        if !direct {
-            // A worker whose session is over was not reached by our answers; one that was given up
-            // or silent for long may speak through a late copy only.
-            let over = before.0 > Incarnation(0) && heartbeat.incarnation > before.0;
-            let silent =
-                machine.info.is_some() && now.since(machine.lease.last_message_at) > silent_ms;
-            if over || silent || machine.lost {
-                machine.set_reachability(Reachability::Suspect { since: now });
-            }
-            machine.record_shown_token(current, now);
-            machine.unheeded_responses += 1;
-        }
-        machine
-            .unreaped
-            .retain(|_, incarnation| *incarnation >= heartbeat.incarnation);
-        machine.lease.record_message(number, now);
-        machine.lost = false;
-        if machine.info.is_none() {
-            machine.info = catalog.get(&heartbeat.machine_type).map(|t| MachineInfo {
-                machine_type: heartbeat.machine_type.clone(),
-                zone: heartbeat.zone.clone(),
-                spot: heartbeat.spot,
-                capacity: Resources::of_machine_type(t),
-                command_address: heartbeat.addr.clone(),
-            });
-        }
-        match heartbeat.notice_s {
-            Some(left) if machine.reclaim_at.is_none() => {
-                tracing::info!(machine = %id, left_s = left, "the cloud will take this machine");
-                machine.reclaim_at = Some(now + (left.max(0.0) * 1_000.0) as u64);
-            }
-            _ => {}
+        let is_current = heartbeat.fencing_token >= epoch;
+        if kind == MessageKind::Heartbeat {
+            machine.assess_reachability(heartbeat, is_current, timeouts, now);
         }
+        machine.apply_report(heartbeat, catalog, now);
         self.end_attempts_of_older_incarnations(id, heartbeat.incarnation, now);
         self.apply_listed_tasks(heartbeat, now);
-        // Whatever a former owner sent is refused once the worker has seen this epoch's token, so
+        // The worker refuses all commands of a former owner once it has seen this epoch's token, so
         // from then on a task that is not listed is not there.
-        self.apply_unlisted_attempts(heartbeat, current, direct, now);
-        let doubtful = |m: &Machine| matches!(m.reachability, Reachability::Suspect { .. });
-        if self.machines.get(id).is_some_and(doubtful) {
+        self.apply_unlisted_attempts(heartbeat, is_current, kind, now);
+        let is_suspect = |machine: &Machine| machine.reachability.is_suspect();
+        if self.machines.get(id).is_some_and(is_suspect) {
             self.end_unlaunched(id, now);
             self.pending_commands.insert(id.clone());
         }
         self.refresh_summary(id, now);
     }
 
-    /// A worker kills and forgets everything when its session ends.
+    /// A worker kills and forgets everything when its incarnation ends.
     fn end_attempts_of_older_incarnations(
         &mut self,
         id: &MachineId,
@@ -198,16 +158,11 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let gone: Vec<Attempt> = machine
-            .attempts
-            .iter()
-            .filter(|(_, tracked)| {
-                tracked.incarnation < incarnation && tracked.state != AttemptState::Completed
-            })
-            .map(|(attempt, _)| *attempt)
-            .collect();
+        let gone = machine.attempts_where(|tracked| {
+            tracked.incarnation < incarnation && tracked.state != AttemptState::Completed
+        });
         if !gone.is_empty() {
-            tracing::debug!(machine = %id, ?incarnation, ?gone, "attempts ended with their session");
+            tracing::debug!(machine = %id, ?incarnation, ?gone, "attempts lost with their incarnation");
         }
         for attempt in gone {
             self.end_attempt(id, attempt, AttemptOutcome::Lost, now);
@@ -216,6 +171,7 @@
 
     fn apply_listed_tasks(&mut self, heartbeat: &Heartbeat, now: Time) {
         let id = &heartbeat.machine;
+        let mut completed = Vec::new();
         let mut ended = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -226,184 +182,182 @@
                 machine.has_unknown_tasks |= listed.state != TaskState::Ended;
                 continue;
             };
-            let before = tracked.reported_phase();
-            match (listed.state, listed.reason) {
-                (TaskState::Fetching, _) => tracked.advance(AttemptState::Fetching),
-                (TaskState::Running, _) => tracked.advance(AttemptState::Running(now)),
-                (TaskState::Saving, _) => tracked.advance(AttemptState::Saving),
-                // A replica is never done: one that ends has failed, whatever it says.
-                (TaskState::Ended, Some(ExitReason::Done))
-                    if tracked.job.as_ref().is_some_and(|job| job.is_service()) =>
-                {
-                    ended.push((listed.attempt, AttemptOutcome::Failed));
-                }
-                (TaskState::Ended, Some(ExitReason::Done)) => {
-                    if tracked.state != AttemptState::Completed {
-                        machine.failing_jobs.clear();
-                        tracked.advance(AttemptState::Completed);
-                        if let (Some(job), false) = (&tracked.job, tracked.inherited) {
-                            let held_s = now.since(tracked.placed_at) as f64 / 1_000.0;
-                            let estimate_s = job.spec.estimate_s;
-                            tracing::debug!(task = %tracked.task, machine = %id, held_s, estimate_s, "completed");
-                            self.speeds
-                                .entry(id.clone())
-                                .or_insert(Speed::UNMEASURED)
-                                .record_measurement(
-                                    estimate_s,
-                                    held_s,
-                                    self.parameters.start_speed,
-                                );
-                        }
-                        if let Some(band) = tracked.over_capacity_band.take() {
-                            self.over_capacity.ended(band, Outcome::Completed);
-                        }
-                    }
-                }
-                (TaskState::Ended, Some(ExitReason::Error)) => {
-                    ended.push((listed.attempt, AttemptOutcome::Failed));
-                }
-                (TaskState::Ended, _) => ended.push((listed.attempt, AttemptOutcome::Stopped)),
+            let phase_before = tracked.reported_phase();
+            match tracked.apply_status(listed, now) {
+                StatusEffect::Advanced => {}
+                StatusEffect::Completed => completed.push(listed.attempt),
+                StatusEffect::Ended(outcome) => ended.push((listed.attempt, outcome)),
             }
-            if tracked.reported_phase() != before {
+            if tracked.reported_phase() != phase_before {
                 self.pending_updates.attempts.insert(listed.attempt);
             }
-            if tracked.stop_grace_s.is_some() && !tracked.stop_sent {
+            if tracked.has_unsent_stop() {
                 self.pending_commands.insert(id.clone());
             }
         }
-        for (attempt, how) in ended {
-            self.end_attempt(id, attempt, how, now);
+        for attempt in completed {
+            self.record_completion(id, attempt, now);
+        }
+        for (attempt, outcome) in ended {
+            self.end_attempt(id, attempt, outcome, now);
+        }
+    }
+
+    /// A task has completed on a machine: that clears the machine of failures and measures its speed.
+    fn record_completion(&mut self, id: &MachineId, attempt: Attempt, now: Time) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        machine.failing_jobs.clear();
+        let Some(tracked) = machine.attempts.get_mut(&attempt) else {
+            return;
+        };
+        if let (Some(job), false) = (&tracked.job, tracked.is_inherited) {
+            let held_s = now.since(tracked.placed_at) as f64 / 1_000.0;
+            let estimate_s = job.spec.estimate_s;
+            tracing::debug!(task = %tracked.task, machine = %id, held_s, estimate_s, "attempt completed");
+            self.speeds
+                .entry(id.clone())
+                .or_insert(Speed::UNMEASURED)
+                .record_measurement(estimate_s, held_s, self.parameters.start_speed);
+        }
+        if let Some(band) = tracked.over_capacity_band.take() {
+            self.over_capacity.ended(band, Outcome::Completed);
         }
     }
 
+    /// Applies that attempts are not listed; `is_current` if the message shows this epoch's fencing token.
     fn apply_unlisted_attempts(
         &mut self,
         heartbeat: &Heartbeat,
-        definitive: bool,
-        direct: bool,
+        is_current: bool,
+        kind: MessageKind,
         now: Time,
     ) {
         let id = &heartbeat.machine;
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let listed: BTreeSet<Attempt> = heartbeat.tasks.iter().map(|t| t.attempt).collect();
+        let listed = listed_attempts(heartbeat);
         let mut gone = Vec::new();
         for (attempt, tracked) in &mut machine.attempts {
             if listed.contains(attempt) {
                 continue;
             }
-            match tracked.state {
-                AttemptState::Recording | AttemptState::Recorded => {}
-                // The answer that carried the launch was dropped, or this report would list it.
-                AttemptState::Launched if direct => {}
-                AttemptState::Launched if tracked.stop_grace_s.is_none() => {
+            match tracked.unlisted_effect(is_current, kind) {
+                UnlistedEffect::Unchanged => {}
+                UnlistedEffect::Relaunch => {
                     tracked.advance(AttemptState::Recorded);
                     self.pending_commands.insert(id.clone());
                 }
-                // It can still arrive, so its absence means nothing.
-                AttemptState::DirectlyLaunched => {}
-                AttemptState::Completed if tracked.durable => {
-                    gone.push((*attempt, AttemptOutcome::Acknowledged))
-                }
-                AttemptState::Completed => {}
-                _ if definitive => gone.push((*attempt, AttemptOutcome::Lost)),
-                _ => {}
+                UnlistedEffect::Gone(outcome) => gone.push((*attempt, outcome)),
             }
         }
-        for (attempt, how) in gone {
-            match how {
-                AttemptOutcome::Acknowledged => {
-                    self.untrack(id, attempt, how, now);
-                }
-                how => {
-                    let (incarnation, number, token) = (
-                        heartbeat.incarnation,
-                        heartbeat.sequence,
-                        heartbeat.fencing_token,
-                    );
-                    tracing::debug!(machine = %id, %attempt, ?incarnation, number, %token, direct, "not listed: gone");
-                    self.end_attempt(id, attempt, how, now);
-                }
+        for (attempt, outcome) in gone {
+            if outcome == AttemptOutcome::Acknowledged {
+                self.untrack(id, attempt, outcome, now);
+            } else {
+                let (number, token) = (SequenceNumber::of(heartbeat), heartbeat.fencing_token);
+                tracing::debug!(machine = %id, %attempt, %number, %token, ?kind, "attempt lost: not listed by its worker");
+                self.end_attempt(id, attempt, outcome, now);
             }
         }
     }
+}
 
-    fn commands_for(&mut self, heartbeat: &Heartbeat, now: Time) -> Vec<Command> {
-        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
-            return Vec::new();
-        };
-        let mut commands = Vec::new();
-        for TaskStatus {
-            task,
-            attempt,
-            state,
-            ..
-        } in &heartbeat.tasks
-        {
-            let (task, attempt) = (*task, *attempt);
-            let tracked = machine.attempts.get(&attempt);
-            if *state == TaskState::Ended {
-                // A completion is durable before the worker forgets it, and no launch of a forgotten
-                // attempt may still be on its way.
-                let reap = match tracked {
-                    Some(tracked) => tracked.durable && !tracked.direct_launch_unanswered,
-                    None => !machine.unreaped.contains_key(&attempt),
-                };
-                if reap {
-                    commands.push(Command::Reap { task, attempt });
+impl Machine {
+    /// Evaluates what a heartbeat shows about whether the worker is reached; `is_current` if it shows this epoch's
+    /// fencing token.
+    fn assess_reachability(
+        &mut self,
+        heartbeat: &Heartbeat,
+        is_current: bool,
+        timeouts: MachineTimeouts,
+        now: Time,
+    ) {
+        // A worker whose incarnation ended did not get the responses; the heartbeat of one that was given up
+        // or was silent for long may be no more than a late copy.
+        let known = self.lease.newest_message.incarnation;
+        let has_restarted = known > Incarnation(0) && heartbeat.incarnation > known;
+        let was_silent = self.info.is_some() && self.misses_heartbeats(now, timeouts);
+        if has_restarted || was_silent || self.is_lost {
+            self.reachability.suspect(now);
+        }
+        self.reachability.record_heartbeat(is_current, now);
+    }
+
+    /// Applies what a message reports of the machine itself.
+    fn apply_report(&mut self, heartbeat: &Heartbeat, catalog: &Catalog, now: Time) {
+        self.unreaped
+            .retain(|_, incarnation| *incarnation >= heartbeat.incarnation);
+        self.lease
+            .record_message(SequenceNumber::of(heartbeat), now);
+        self.is_lost = false;
+        if self.info.is_none() {
+            self.info = MachineInfo::of(heartbeat, catalog);
+        }
+        if let (Some(remaining_s), None) = (heartbeat.notice_s, self.reclaim_at) {
+            tracing::info!(machine = %heartbeat.machine, remaining_s, "reclaim notice received");
+            self.reclaim_at = Some(now + (remaining_s.max(0.0) * 1_000.0) as u64);
+        }
+    }
+}
+
+impl TrackedAttempt {
+    /// Applies the status that the worker reports.
+    fn apply_status(&mut self, status: &TaskStatus, now: Time) -> StatusEffect {
+        match (status.state, status.reason) {
+            (TaskState::Fetching, _) => self.advance(AttemptState::Fetching),
+            (TaskState::Running, _) => self.advance(AttemptState::Running(now)),
+            (TaskState::Saving, _) => self.advance(AttemptState::Saving),
+            // A replica never completes: one that ends has failed, whatever reason it reports.
+            (TaskState::Ended, Some(ExitReason::Done)) if self.is_replica() => {
+                return StatusEffect::Ended(AttemptOutcome::Failed);
+            }
+            (TaskState::Ended, Some(ExitReason::Done)) => {
+                if self.state != AttemptState::Completed {
+                    self.advance(AttemptState::Completed);
+                    return StatusEffect::Completed;
                 }
-                continue;
             }
-            let grace_s = match tracked {
-                None => Some(0.0),
-                Some(tracked) => tracked.stop_grace_s,
-            };
-            match (grace_s, state) {
-                (Some(grace_s), TaskState::Saving) if grace_s > 0.0 => {}
-                (Some(grace_s), _) => commands.push(Command::Halt {
-                    task,
-                    attempt,
-                    grace_s,
-                }),
-                (None, _) => {}
+            (TaskState::Ended, Some(ExitReason::Error)) => {
+                return StatusEffect::Ended(AttemptOutcome::Failed);
             }
+            (TaskState::Ended, _) => return StatusEffect::Ended(AttemptOutcome::Stopped),
         }
-        let ordering = machine.commands_in_flight;
-        let listed: BTreeSet<Attempt> = heartbeat.tasks.iter().map(|t| t.attempt).collect();
-        let notice = machine.reclaim_at.is_some();
-        for (attempt, tracked) in &mut machine.attempts {
-            if tracked.incarnation != heartbeat.incarnation {
-                continue;
+        StatusEffect::Advanced
+    }
+
+    /// What it means that a message does not list the attempt; `is_current` if it shows this epoch's fencing token.
+    fn unlisted_effect(&self, is_current: bool, kind: MessageKind) -> UnlistedEffect {
+        match self.state {
+            AttemptState::Recording | AttemptState::Recorded => UnlistedEffect::Unchanged,
+            // The heartbeat response that carries the launch may still be on its way.
+            AttemptState::Launched if kind == MessageKind::CommandResponse => {
+                UnlistedEffect::Unchanged
             }
-            let (task, attempt) = (tracked.task, *attempt);
-            let launch = Command::Launch { task, attempt };
-            match tracked.state {
-                AttemptState::Recorded if tracked.stop_grace_s.is_none() && !notice => {
-                    tracked.advance(AttemptState::Launched);
-                    tracked.placed_at = now;
-                    commands.push(launch);
-                }
-                // The direct launch was not answered: launched this way as well, which has no
-                // effect if it did arrive. One that is no longer wanted is stopped at once; the
-                // worker then knows it as ended, and the late copy has no effect either.
-                AttemptState::DirectlyLaunched if !ordering && !listed.contains(&attempt) => {
-                    commands.push(launch);
-                    if tracked.stop_grace_s.is_some() {
-                        let grace_s = 0.0;
-                        commands.push(Command::Halt {
-                            task,
-                            attempt,
-                            grace_s,
-                        });
-                    }
-                }
-                _ => {}
+            // That response was dropped, or this heartbeat would list the attempt.
+            AttemptState::Launched if self.stop.is_none() => UnlistedEffect::Relaunch,
+            // It can still arrive, so its absence means nothing.
+            AttemptState::DirectlyLaunched => UnlistedEffect::Unchanged,
+            AttemptState::Completed if self.is_completion_durable => {
+                UnlistedEffect::Gone(AttemptOutcome::Acknowledged)
             }
+            AttemptState::Completed => UnlistedEffect::Unchanged,
+            _ if is_current => UnlistedEffect::Gone(AttemptOutcome::Lost),
+            _ => UnlistedEffect::Unchanged,
         }
-        commands
     }
 }
 
+/// The attempts that a message lists.
+pub(super) fn listed_attempts(heartbeat: &Heartbeat) -> BTreeSet<Attempt> {
+    heartbeat
+        .tasks
+        .iter()
+        .map(|status| status.attempt)
+        .collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/loading.rs
@@ -1,4 +1,7 @@
-//! What a new epoch leaves and takes of the machines that a controller owns.
+//! How a partition starts and leaves an epoch.
+//!
+//! The controller calls [`Partition::begin_epoch`] with what it has read from the key-value store, and
+//! [`Partition::clear`] when it is no longer in the epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,57 +15,79 @@
 use crate::records::{page_prefix, AttemptRecord};
 use crate::time::Time;
 
-use super::machine::{AttemptState, Machine, MachineSummary, Reachability, TrackedAttempt};
+use super::attempt::{AttemptState, TrackedAttempt};
+use super::machine::{LeaderDirective, Machine, MachineSummary};
+use super::partition::Partition;
 use super::partition_sync::PendingUpdates;
-use super::Partition;
+
+/// What a partition starts an epoch with.
+#[derive(Debug, Clone, Copy)]
+pub struct EpochStart<'a> {
+    /// The epoch.
+    pub epoch: Epoch,
+    /// This controller, the owner of the partition.
+    pub controller: &'a ControllerName,
+    /// The records found in the key-value store.
+    pub records: &'a [AttemptRecord],
+    /// The open jobs.
+    pub job_cache: &'a JobCache,
+}
 
 impl Partition {
     /// Starts an epoch with the records found at its start. Machines that were this controller's in
-    /// the epoch just before as well (`was_mine`) are kept as they are, with what is known of their
-    /// workers and leases: nobody else had a say in them. Measured speeds are kept in any case.
+    /// the epoch just before as well (`was_owned`) are kept as they are, with what is known of their
+    /// workers and leases: no other controller acted on them. Measured speeds are kept in any case.
     pub fn begin_epoch(
         &mut self,
         now: Time,
-        me: (Epoch, &ControllerName),
-        records: &[AttemptRecord],
-        job_cache: &JobCache,
-        is_mine: impl Fn(&MachineId) -> bool,
-        was_mine: impl Fn(&MachineId) -> bool,
+        start: &EpochStart,
+        is_owned: impl Fn(&MachineId) -> bool,
+        was_owned: impl Fn(&MachineId) -> bool,
     ) {
-        let mut before = std::mem::take(&mut self.machines);
-        for (id, machine) in &before {
+        let mut carried_over = std::mem::take(&mut self.machines);
+        for (id, machine) in &carried_over {
             self.heartbeat_history
                 .record(id, machine.lease.newest_message, now);
         }
-        before.retain(|id, _| is_mine(id) && was_mine(id));
+        carried_over.retain(|id, _| is_owned(id) && was_owned(id));
         self.clear(now);
-        self.record_pages = Pages::new(page_prefix(me.0, me.1), self.page_bytes);
-        let mut by_machine: BTreeMap<&MachineId, Vec<&AttemptRecord>> = BTreeMap::new();
-        for record in records.iter().filter(|r| is_mine(&r.machine)) {
-            by_machine.entry(&record.machine).or_default().push(record);
+        self.record_pages = Pages::new(page_prefix(start.epoch, start.controller), self.page_bytes);
+        let mut records_by_machine: BTreeMap<&MachineId, Vec<&AttemptRecord>> = BTreeMap::new();
+        let owned = start.records.iter().filter(|r| is_owned(&r.machine));
+        for record in owned {
+            let records = records_by_machine.entry(&record.machine).or_default();
+            records.push(record);
         }
-        for (id, record) in by_machine {
-            let machine = match before.remove(id) {
-                Some(machine) => self.carry_machine_over(now, id, machine, &record),
-                // A former owner may have renewed the lease until its authority ended, which was
+        for (id, records) in records_by_machine {
+            let machine = match carried_over.remove(id) {
+                Some(machine) => self.carry_machine_over(now, id, machine, &records),
+                // A former owner may have renewed the lease until its epoch lease expired, which was
                 // at most this long after it last saw its epoch confirmed, and so before now plus
                 // this.
-                None => self.inherit_machine(now, now + EPOCH_LEASE_MS, id, &record, job_cache),
+                None => {
+                    self.inherit_machine(now, now + EPOCH_LEASE_MS, id, &records, start.job_cache)
+                }
             };
             self.machines.insert(id.clone(), machine);
         }
-        for (id, machine) in before {
+        for (id, machine) in carried_over {
             let machine = self.carry_machine_over(now, &id, machine, &[]);
             self.machines.insert(id, machine);
         }
+        self.index_machines(now);
+    }
+
+    /// Builds the indexes of all machines; the leader will get all of it.
+    fn index_machines(&mut self, now: Time) {
+        let mut tracked = Vec::new();
         for (id, machine) in &self.machines {
-            for (attempt, tracked) in &machine.attempts {
-                self.machine_by_attempt.insert(*attempt, id.clone());
-                let attempts = self.attempts_by_job.entry(tracked.task.job).or_default();
-                attempts.insert(*attempt);
-                self.pending_updates.attempts.insert(*attempt);
+            for (attempt, on_machine) in &machine.attempts {
+                tracked.push((id.clone(), *attempt, on_machine.task.job));
             }
         }
+        for (id, attempt, job) in tracked {
+            self.index_attempt(&id, attempt, job);
+        }
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
             self.pending_commands.insert(id.clone());
@@ -71,23 +96,24 @@
         }
     }
 
-    /// A machine of a former owner.
+    /// A machine of a former owner, which may have renewed its worker's lease until `renewed_at`.
     fn inherit_machine(
         &mut self,
         now: Time,
-        renewed: Time,
+        renewed_at: Time,
         id: &MachineId,
-        record: &[&AttemptRecord],
+        records: &[&AttemptRecord],
         job_cache: &JobCache,
     ) -> Machine {
-        let mut machine = Machine::new(now, renewed, self.heartbeat_history.newest_message(id));
-        for record in record {
+        let newest = self.heartbeat_history.newest_message(id);
+        let mut machine = Machine::new(now, renewed_at, newest);
+        for record in records {
             let job = job_cache
                 .get(record.task.job)
                 .map(|open| Rc::clone(&open.job));
-            // What a later version's job is about is not known, so it is let be.
-            let over = job.is_none() && !job_cache.is_unreadable(record.task.job);
-            let stop = over.then_some(0.0);
+            // A job that a later version wrote cannot be read; whether it is over is not known, so its
+            // attempts are left running.
+            let is_over = job.is_none() && !job_cache.is_unreadable(record.task.job);
             let mut tracked = TrackedAttempt::new(
                 record.task,
                 job,
@@ -95,23 +121,25 @@
                 record.incarnation,
                 now,
             );
-            tracked.stop_grace_s = stop;
+            if is_over {
+                tracked.request_stop(0.0);
+            }
             machine.attempts.insert(record.attempt, tracked);
         }
         machine
     }
 
     /// A machine that goes on into the next epoch under the same owner. What is not on the record
-    /// was never launched, and the new leader knows nothing of it: it is dropped. What is on the
+    /// was never launched, and the new leader does not know of it: it is dropped. What is on the
     /// record and not tracked is gone.
     fn carry_machine_over(
         &mut self,
         now: Time,
         id: &MachineId,
         mut machine: Machine,
-        record: &[&AttemptRecord],
+        records: &[&AttemptRecord],
     ) -> Machine {
-        let recorded: BTreeSet<Attempt> = record.iter().map(|r| r.attempt).collect();
+        let recorded: BTreeSet<Attempt> = records.iter().map(|record| record.attempt).collect();
         machine
             .attempts
             .retain(|attempt, _| recorded.contains(attempt));
@@ -120,10 +148,8 @@
                 tracked.advance(AttemptState::Recorded);
             }
         }
-        for gone in record
-            .iter()
-            .filter(|r| !machine.attempts.contains_key(&r.attempt))
-        {
+        let is_gone = |record: &&&AttemptRecord| !machine.attempts.contains_key(&record.attempt);
+        for gone in records.iter().filter(is_gone) {
             self.pending_updates.ended_attempts.push(AttemptEnded {
                 task: gone.task,
                 attempt: gone.attempt,
@@ -131,19 +157,15 @@
                 outcome: AttemptOutcome::Lost,
             });
         }
-        // Orders under way were sent under the old token; whether they arrive stays open.
-        machine.commands_in_flight = false;
-        machine.draining = false;
-        machine.claimed = false;
-        machine.unheeded_responses = 0;
+        // Commands in flight were sent under the old token; whether they arrive remains open.
+        machine.commands.is_in_flight = false;
+        machine.directive = LeaderDirective::default();
         machine.summary = MachineSummary::default();
-        if let Reachability::Unconfirmed { .. } = machine.reachability {
-            machine.set_reachability(Reachability::Unconfirmed { since: now });
-        }
+        machine.reachability.begin_epoch(now);
         machine
     }
 
-    /// Drops everything: this controller is out.
+    /// Drops everything: this controller is no longer in the epoch.
     pub fn clear(&mut self, now: Time) {
         for (id, machine) in std::mem::take(&mut self.machines) {
             self.heartbeat_history
@@ -152,7 +174,7 @@
         self.machine_by_attempt.clear();
         self.attempts_by_job.clear();
         self.machines_with_free_capacity.clear();
-        self.queue.clear();
+        self.assignment_queue.clear();
         self.pending_commands.clear();
         self.deferred_commands.clear();
         self.record_pages = Pages::new(String::new(), self.page_bytes);
--- a/crates/worksshunt-core/src/machines/partition_sync.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync.rs
@@ -1,33 +1,40 @@
-//! What a part's owner and the leader tell each other.
+//! The exchange between a partition's owner and the leader.
+//!
+//! The owner sends a [`PartitionStatus`] with what changed since the leader last confirmed, and the leader answers with
+//! [`LeaderDirectives`]. [`PendingUpdates`] holds what the leader does not know yet; it belongs to the partition, all
+//! modules of which add to it.
 
 use std::collections::BTreeSet;
 
 use worksshunt_wire::peer::{
-    AttemptEnded, AttemptStatus, LeaderDirectives, MachineStatus, PartitionStatus,
+    AttemptEnded, AttemptStatus, LeaderDirectives, MachineDirectives, MachineStatus,
+    PartitionStatus,
 };
 use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
 
 use crate::constants::partition_sync::{SYNC_MAX_CHANGES, SYNC_MAX_MACHINES};
 use crate::time::Time;
 
-use super::machine::{AttemptState, Machine};
-use super::{grace, Partition, Queued};
+use super::attempt::AttemptState;
+use super::machine::{LeaderDirective, Machine};
+use super::partition::Partition;
 
-/// What the leader does not know yet, and what it is being told.
+/// What the leader does not know yet, and what is in flight to it.
 #[derive(Debug, Default)]
 pub(super) struct PendingUpdates {
     pub machines: BTreeSet<MachineId>,
     pub removed_machines: BTreeSet<MachineId>,
     pub attempts: BTreeSet<Attempt>,
     pub ended_attempts: Vec<AttemptEnded>,
-    /// Number of the last message.
+    /// Number of the last status sent.
     sequence: u64,
-    /// Number of the last answer acted on.
+    /// Number of the last directives applied.
     acknowledged: u64,
-    /// What the message under way tells.
+    /// The updates in the status that is in flight.
     in_flight: Option<UpdateBatch>,
 }
 
+/// The updates that go into one status.
 #[derive(Debug, Default)]
 struct UpdateBatch {
     machines: BTreeSet<MachineId>,
@@ -36,13 +43,13 @@
     ended_attempts: Vec<AttemptEnded>,
 }
 
-/// Takes out the first entries of a set, so many at the most.
-fn take_first<T: Ord>(set: &mut BTreeSet<T>, most: usize) -> BTreeSet<T> {
-    if set.len() <= most {
+/// Takes the first entries out of a set, at most `limit`.
+fn take_first<T: Ord>(set: &mut BTreeSet<T>, limit: usize) -> BTreeSet<T> {
+    if set.len() <= limit {
         return std::mem::take(set);
     }
     let mut first = BTreeSet::new();
-    while first.len() < most {
+    while first.len() < limit {
         let Some(entry) = set.pop_first() else { break };
         first.insert(entry);
     }
@@ -50,7 +57,14 @@
 }
 
 impl PendingUpdates {
-    /// Takes out what the next message tells. What is too much for one message is left for the next.
+    fn is_empty(&self) -> bool {
+        self.machines.is_empty()
+            && self.removed_machines.is_empty()
+            && self.attempts.is_empty()
+            && self.ended_attempts.is_empty()
+    }
+
+    /// Takes out the updates of the next status. What is too much for one status is left for the next.
     fn take_batch(&mut self) -> UpdateBatch {
         let ended = self.ended_attempts.len().min(SYNC_MAX_CHANGES);
         UpdateBatch {
@@ -61,30 +75,26 @@
         }
     }
 
-    /// The message under way was not answered: all of it has to be told again.
+    /// The status in flight was not answered: all its updates have to be sent again.
     fn requeue_unacknowledged(&mut self) {
-        if let Some(told) = self.in_flight.take() {
-            self.machines.extend(told.machines);
-            self.removed_machines.extend(told.removed_machines);
-            self.attempts.extend(told.attempts);
-            // What was told first is told first again.
-            let later = std::mem::replace(&mut self.ended_attempts, told.ended_attempts);
+        if let Some(batch) = self.in_flight.take() {
+            self.machines.extend(batch.machines);
+            self.removed_machines.extend(batch.removed_machines);
+            self.attempts.extend(batch.attempts);
+            // What was sent first is sent first again.
+            let later = std::mem::replace(&mut self.ended_attempts, batch.ended_attempts);
             self.ended_attempts.extend(later);
         }
     }
 }
 
 impl Partition {
-    /// Whether something changed that the leader should hear of soon.
+    /// Whether something changed that the leader should get soon.
     pub fn has_pending_updates(&self) -> bool {
-        let o = &self.pending_updates;
-        !(o.machines.is_empty()
-            && o.removed_machines.is_empty()
-            && o.attempts.is_empty()
-            && o.ended_attempts.is_empty())
+        !self.pending_updates.is_empty()
     }
 
-    /// What has changed since the leader last confirmed, as much of it as one message tells.
+    /// What has changed since the leader last confirmed, as much of it as one status takes.
     pub fn next_status(
         &mut self,
         now: Time,
@@ -92,36 +102,34 @@
         from: &ControllerName,
     ) -> PartitionStatus {
         self.pending_updates.requeue_unacknowledged();
-        let told = self.pending_updates.take_batch();
-        let machines = told.machines.iter();
-        let attempts = told.attempts.iter();
+        let batch = self.pending_updates.take_batch();
+        let machines = batch.machines.iter();
+        let removed_machines = batch.removed_machines.iter();
+        let attempts = batch.attempts.iter();
         let status = PartitionStatus {
             epoch,
             from: from.clone(),
             sequence: self.pending_updates.sequence + 1,
             acknowledged: self.pending_updates.acknowledged,
             machines: machines
-                .filter_map(|id| machine_up(id, self.machines.get(id)?, now))
+                .filter_map(|id| machine_status(id, self.machines.get(id)?, now))
                 .collect(),
-            removed_machines: told
-                .removed_machines
-                .iter()
+            removed_machines: removed_machines
                 .filter(|id| !self.machines.contains_key(id))
                 .cloned()
                 .collect(),
             attempts: attempts
                 .filter_map(|attempt| self.attempt_status(*attempt, now))
                 .collect(),
-            ended_attempts: told.ended_attempts.clone(),
+            ended_attempts: batch.ended_attempts.clone(),
         };
         self.pending_updates.sequence += 1;
-        self.pending_updates.in_flight = Some(told);
+        self.pending_updates.in_flight = Some(batch);
         status
     }
 
     fn attempt_status(&self, attempt: Attempt, now: Time) -> Option<AttemptStatus> {
-        let id = self.machine_by_attempt.get(&attempt)?;
-        let tracked = self.machines.get(id)?.attempts.get(&attempt)?;
+        let (id, tracked) = self.tracked(attempt)?;
         Some(AttemptStatus {
             task: tracked.task,
             attempt,
@@ -134,12 +142,12 @@
         })
     }
 
-    /// The leader did not answer.
+    /// The leader did not answer the status in flight.
     pub fn status_unanswered(&mut self) {
         self.pending_updates.requeue_unacknowledged();
     }
 
-    /// Takes in the leader's answer. One that belongs to another message is ignored.
+    /// Applies the leader's directives. Those that answer another status than the last are ignored.
     pub fn apply_directives(&mut self, directives: &LeaderDirectives, now: Time) {
         if directives.in_reply_to != self.pending_updates.sequence
             || self.pending_updates.in_flight.take().is_none()
@@ -148,52 +156,49 @@
         }
         self.pending_updates.acknowledged = directives.sequence;
         for assignment in &directives.assignments {
-            self.queue.push_back(Queued {
-                assignment: assignment.clone(),
-                queued_at: now,
-            });
-            self.placement_needed = true;
+            self.assignment_queue.push(assignment.clone(), now);
         }
         for attempt in &directives.stop_attempts {
-            let queued = self
-                .queue
-                .iter()
-                .position(|q| q.assignment.attempt == *attempt);
-            if let Some(queued) = queued.and_then(|index| self.queue.remove(index)) {
-                self.return_unplaced(&queued.assignment);
-            }
-            let job = self.machine_by_attempt.get(attempt).and_then(|id| {
-                let tracked = self.machines.get(id)?.attempts.get(attempt)?;
-                tracked.job.clone()
-            });
-            self.request_stop(*attempt, job.map_or(0.0, |job| grace(&job)), now);
+            self.stop_as_directed(*attempt, now);
         }
         for attempt in &directives.durable_attempts {
-            let machine = self
-                .machine_by_attempt
-                .get(attempt)
-                .and_then(|id| self.machines.get_mut(id));
-            if let Some(tracked) = machine.and_then(|machine| machine.attempts.get_mut(attempt)) {
-                tracked.durable = true;
+            if let Some((_, tracked)) = self.tracked_mut(*attempt) {
+                tracked.is_completion_durable = true;
             }
         }
-        let Some(directives) = &directives.machine_directives else {
-            return;
-        };
-        let drains: BTreeSet<&MachineId> = directives.draining.iter().collect();
-        let claims: BTreeSet<&MachineId> = directives.claimed.iter().collect();
+        if let Some(directives) = &directives.machine_directives {
+            self.apply_machine_directives(directives, now);
+        }
+    }
+
+    /// Returns the attempt to the leader if it is on no machine yet, else stops it with the grace its task needs.
+    fn stop_as_directed(&mut self, attempt: Attempt, now: Time) {
+        if let Some(assignment) = self.assignment_queue.remove(attempt) {
+            self.return_unplaced(&assignment);
+        }
+        if let Some((_, tracked)) = self.tracked(attempt) {
+            let grace_s = tracked.checkpoint_grace_s();
+            self.request_stop(attempt, grace_s, now);
+        }
+    }
+
+    fn apply_machine_directives(&mut self, directives: &MachineDirectives, now: Time) {
+        let draining: BTreeSet<&MachineId> = directives.draining.iter().collect();
+        let claimed: BTreeSet<&MachineId> = directives.claimed.iter().collect();
         let mut changed = Vec::new();
         for (id, machine) in &mut self.machines {
-            let (draining, claimed) = (drains.contains(id), claims.contains(id));
-            if (machine.draining, machine.claimed) != (draining, claimed) {
-                machine.draining = draining;
-                machine.claimed = claimed;
+            let directive = LeaderDirective {
+                draining: draining.contains(id),
+                claimed: claimed.contains(id),
+            };
+            if machine.directive != directive {
+                machine.directive = directive;
                 changed.push(id.clone());
             }
         }
         for id in changed {
             self.refresh_summary(&id, now);
-            self.placement_needed = true;
+            self.assignment_queue.request_placement();
         }
         for id in &directives.terminated {
             self.machine_terminated(id, now);
@@ -201,23 +206,23 @@
     }
 }
 
-/// What the leader is told of a machine; nothing before it is known to be there.
-fn machine_up(id: &MachineId, machine: &Machine, now: Time) -> Option<MachineStatus> {
+/// The status of a machine for the leader; none before the machine is known to be there.
+fn machine_status(id: &MachineId, machine: &Machine, now: Time) -> Option<MachineStatus> {
     let info = machine.info.as_ref()?;
     let summary = machine.summary;
-    summary.known.then(|| MachineStatus {
+    summary.is_known.then(|| MachineStatus {
         id: id.clone(),
         machine_type: info.machine_type.clone(),
         zone: info.zone.clone(),
         spot: info.spot,
-        schedulable: summary.schedulable,
+        schedulable: summary.is_schedulable,
         idle_ms: machine.empty_since.map(|since| now.since(since)),
         cpus: summary.free.cpus,
         gpus: summary.free.gpus,
         memory_gb: summary.free.memory_gb,
-        reclaim_notice: summary.reclaim_notice,
-        unreachable: summary.unreachable,
-        lost: summary.lost,
+        reclaim_notice: summary.condition.reclaim_notice,
+        unreachable: summary.condition.unreachable,
+        lost: summary.condition.lost,
     })
 }
 
--- a/crates/worksshunt-core/src/machines/partition_sync/tests.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `exchange`: how much one message tells.
+//! Tests of `partition_sync`: how much one status contains.
 
 use worksshunt_wire::peer::AttemptOutcome;
 use worksshunt_wire::{JobId, TaskId};
@@ -17,9 +17,9 @@
     }
 }
 
-/// What a message tells of so many changes of each kind.
-fn told(machines: usize, changes: usize) -> (PendingUpdates, UpdateBatch) {
-    let mut outgoing = PendingUpdates {
+/// What is left and what a status contains of so many changes of each kind.
+fn batch_of(machines: usize, changes: usize) -> (PendingUpdates, UpdateBatch) {
+    let mut pending = PendingUpdates {
         machines: (0..machines)
             .map(|n| MachineId(format!("i-{n:06}")))
             .collect(),
@@ -27,24 +27,24 @@
         ended_attempts: (0..changes).map(ended).collect(),
         ..PendingUpdates::default()
     };
-    let told = outgoing.take_batch();
-    (outgoing, told)
+    let batch = pending.take_batch();
+    (pending, batch)
 }
 
 #[test]
-fn as_much_as_a_message_takes_is_told_at_once() {
-    let (left, told) = told(SYNC_MAX_MACHINES, SYNC_MAX_CHANGES);
+fn as_much_as_a_status_takes_is_sent_at_once() {
+    let (left, batch) = batch_of(SYNC_MAX_MACHINES, SYNC_MAX_CHANGES);
     assert!(left.machines.is_empty() && left.attempts.is_empty() && left.ended_attempts.is_empty());
-    assert_eq!(told.machines.len(), SYNC_MAX_MACHINES);
+    assert_eq!(batch.machines.len(), SYNC_MAX_MACHINES);
     assert_eq!(
-        (told.attempts.len(), told.ended_attempts.len()),
+        (batch.attempts.len(), batch.ended_attempts.len()),
         (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
     );
 }
 
 #[test]
-fn what_is_too_much_is_left_for_the_next_message_in_its_order() {
-    let (mut left, first) = told(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
+fn what_is_too_much_is_left_for_the_next_status_in_its_order() {
+    let (mut left, first) = batch_of(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
     assert_eq!(first.machines.len(), SYNC_MAX_MACHINES);
     assert_eq!(
         (first.attempts.len(), first.ended_attempts.len()),
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn what_was_not_answered_is_told_again_before_what_came_later() {
-    let (mut left, first) = told(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
+fn what_was_not_answered_is_sent_again_before_what_came_later() {
+    let (mut left, first) = batch_of(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
     left.in_flight = Some(first);
     left.requeue_unacknowledged();
     assert_eq!(left.machines.len(), SYNC_MAX_MACHINES + 1);
