--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -71,41 +71,25 @@
     ) -> Option<DirectCommands> {
         let machine = self.machines.get_mut(&id)?;
         let address = machine.info.as_ref()?.command_address.clone();
-        if machine.is_lost || machine.misses_heartbeats(now, self.timeouts) {
-            // Its next heartbeat makes it pending again.
+        let is_gone = machine.is_lost || machine.misses_heartbeats(now, self.timeouts);
+        if is_gone || machine.commands.is_in_flight {
+            // Its next heartbeat, or the outcome of the commands in flight, makes it pending again.
             return None;
         }
-        if machine.commands.is_in_flight {
-            // So does the outcome of the commands in flight.
-            return None;
-        }
-        if now < machine.commands.not_before {
-            self.deferred_commands
-                .insert((machine.commands.not_before, id));
-            return None;
-        }
-        let incarnation = machine.lease.newest_message.incarnation;
-        let commands = machine.take_direct_commands(incarnation, now);
-        let is_probe = machine.reachability.is_suspect();
-        if commands.is_empty() && !is_probe {
+        let not_before = machine.commands.not_before;
+        if now < not_before {
+            self.deferred_commands.insert((not_before, id));
             return None;
         }
+        let batch = machine.take_command_batch(token, now)?;
         let renewed_ago_ms = now.since(machine.lease.renewed_at);
-        for command in &commands {
-            tracing::debug!(machine = %id, %token, ?incarnation, renewed_ago_ms, %command, "command sent directly");
-        }
-        machine.commands.is_in_flight = true;
-        if is_probe {
-            machine.commands.not_before = now + PROBE_INTERVAL_MS;
+        for command in &batch.commands {
+            tracing::debug!(machine = %id, %token, incarnation = ?batch.incarnation, renewed_ago_ms, %command, "command sent directly");
         }
         Some(DirectCommands {
             machine: id,
             address,
-            batch: CommandBatch {
-                fencing_token: token,
-                incarnation,
-                commands,
-            },
+            batch,
         })
     }
 
@@ -167,6 +151,26 @@
 }
 
 impl Machine {
+    /// The next batch of direct commands, which is in flight from now on; none if there is nothing to send. A worker
+    /// that may not be reached gets an empty one as a probe.
+    fn take_command_batch(&mut self, token: Epoch, now: Time) -> Option<CommandBatch> {
+        let incarnation = self.lease.newest_message.incarnation;
+        let commands = self.take_direct_commands(incarnation, now);
+        let is_probe = self.reachability.is_suspect();
+        if commands.is_empty() && !is_probe {
+            return None;
+        }
+        self.commands.is_in_flight = true;
+        if is_probe {
+            self.commands.not_before = now + PROBE_INTERVAL_MS;
+        }
+        Some(CommandBatch {
+            fencing_token: token,
+            incarnation,
+            commands,
+        })
+    }
+
     /// The direct commands that the attempts call for; they count as sent from now on.
     fn take_direct_commands(&mut self, incarnation: Incarnation, now: Time) -> Vec<Command> {
         let has_reclaim_notice = self.has_reclaim_notice();
--- a/crates/worksshunt-core/src/machines/expiry.rs
+++ b/crates/worksshunt-core/src/machines/expiry.rs
@@ -116,7 +116,7 @@
 
     /// Whether several machines sent heartbeats to this controller and all of them have stopped.
     pub fn is_unreachable(&self, now: Time) -> bool {
-        let mut silent_machines = 0;
+        let mut without_heartbeats = 0;
         for machine in self.machines.values() {
             if machine.info.is_none() || machine.is_lost {
                 continue;
@@ -124,9 +124,9 @@
             if now.since(machine.lease.last_message_at) <= self.timeouts.no_heartbeats_ms {
                 return false;
             }
-            silent_machines += 1;
+            without_heartbeats += 1;
         }
-        silent_machines >= UNREACHABLE_MIN_MACHINES
+        without_heartbeats >= UNREACHABLE_MIN_MACHINES
     }
 
     /// Removes a lost machine on which nothing matters any more.
@@ -169,10 +169,10 @@
 fn log_lost(id: &MachineId, machine: &Machine, attempts: usize, now: Time) {
     let lease = &machine.lease;
     let renewed_ago_ms = now.since(lease.renewed_at);
-    let heard_ago_ms = now.since(lease.last_message_at);
+    let last_message_ago_ms = now.since(lease.last_message_at);
     let renewed_by = lease.renewed_by.map(tracing::field::display);
     tracing::info!(
-        machine = %id, tasks = attempts, renewed_ago_ms, renewed_by, heard_ago_ms,
+        machine = %id, tasks = attempts, renewed_ago_ms, renewed_by, last_message_ago_ms,
         newest = %lease.newest_message, "machine lost, tasks rescheduled"
     );
 }
--- a/crates/worksshunt-core/src/machines/heartbeat_response.rs
+++ b/crates/worksshunt-core/src/machines/heartbeat_response.rs
@@ -8,9 +8,9 @@
 use crate::time::Time;
 
 use super::attempt::AttemptState;
-use super::heartbeats::listed_attempts;
 use super::machine::Machine;
 use super::partition::Partition;
+use super::task_status::listed_attempts;
 
 impl Partition {
     /// The commands for the worker that sent the heartbeat.
--- a/crates/worksshunt-core/src/machines/mod.rs
+++ b/crates/worksshunt-core/src/machines/mod.rs
@@ -23,6 +23,7 @@
 mod partition_sync;
 mod reachability;
 mod sequence_number;
+mod task_status;
 mod worker_lease;
 
 pub use commands::{DirectCommands, DirectCommandsOutcome};
