--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -14,7 +14,7 @@
 use crate::machines::EpochStart;
 use crate::membership::MemberState;
 use crate::placement::owner;
-use crate::records::{self, AttemptRecord, UnknownForm, RECORDS};
+use crate::records::{self, AttemptRecord, UnknownRecordFormat, RECORDS};
 use crate::scheduler::{Scheduler, StoredState, CLAIMS};
 use crate::time::Time;
 
@@ -162,7 +162,7 @@
                     let records = records::read(&pair)?;
                     Ok((pair, records))
                 };
-                let pages: Result<Vec<_>, UnknownForm> =
+                let pages: Result<Vec<_>, UnknownRecordFormat> =
                     listing.pairs.into_iter().map(read).collect();
                 match pages {
                     Ok(pages) => self.epoch_load.pages = pages,
--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -1,13 +1,17 @@
 //! Records kept many to a key.
 //!
-//! The state service counts changed keys, not bytes. So entries are gathered in pages, each one key
-//! of at most the state service's value limit. A write puts new entries on a page and drops what
-//! has become superfluous there, so it costs one change however many entries it brings.
-//! A page left empty is removed.
+//! The key-value store counts changed keys, not bytes. So entries are gathered in pages, each one key
+//! of at most the store's value limit. A write puts new entries on a page and drops what is no longer
+//! needed there, so it costs one change however many entries it adds. A page left empty is deleted.
 //!
 //! Only one process writes a set of pages in an epoch, one write at a time, each conditional on the
 //! page's version. A write without a clear answer is repeated unchanged; when the repetition finds
 //! another version, the first one was applied.
+//!
+//! [`Pages`] holds the pages of one kind of entry and what waits to be written. The owner of a partition keeps its
+//! [attempt records](crate::records) with it, the leader the completions and the records of former epochs.
+
+mod page;
 
 use std::collections::BTreeMap;
 
@@ -23,53 +27,33 @@
 };
 use crate::time::Time;
 
-/// Bytes a page may take, so that it keeps the value limit and a write of several the transaction's.
-pub fn page_bytes(state: &KeyValueLimits) -> usize {
-    let value = (state.value_kb * 1_024.0) as usize;
-    let most = value.min(MAX_TRANSACTION_BYTES / PAGES_PER_WRITE);
-    most - most / PAGE_MARGIN_DIVISOR
+use page::{Page, PageState};
+
+/// Bytes a page may take, so that it keeps the value limit and a write of several pages the limit of a transaction.
+pub fn page_bytes(limits: &KeyValueLimits) -> usize {
+    let value_bytes = (limits.value_kb * 1_024.0) as usize;
+    let max_bytes = value_bytes.min(MAX_TRANSACTION_BYTES / PAGES_PER_WRITE);
+    max_bytes - max_bytes / PAGE_MARGIN_DIVISOR
 }
 
-/// What pages lease.
+/// A kind of entry that is kept on pages.
 pub trait PageEntry: Sized {
-    /// What an entry is found by.
+    /// Identifies an entry.
     type Key: Ord + Clone;
-    /// Bytes it takes on a page, at most.
+    /// Upper bound of the bytes it takes on a page.
     fn size(&self, key: &Self::Key) -> usize;
-    /// Takes in a later entry of the same key.
+    /// Merges a later entry of the same key into this one.
     fn join(&mut self, later: Self);
-    /// A page as stored.
+    /// A page's value in the store.
     fn value(entries: &BTreeMap<Self::Key, Self>) -> Value;
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PageState {
-    /// The store has it at this version.
-    Stored(Revision),
-    /// A write is under way.
-    Writing,
-    /// A write was applied, at a version that has to be read.
-    Uncertain,
-}
-
-#[derive(Debug)]
-struct Page<E: PageEntry> {
-    key: String,
-    state: PageState,
-    entries: BTreeMap<E::Key, E>,
-    size: usize,
-    /// When the stored page should be rewritten for entries that are no longer needed.
-    rewrite_at: Option<Time>,
-    /// How much that would do: entries that are no longer needed, those that mislead many times over.
-    stale_weight: u32,
-}
-
 /// One page to be written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PageWrite {
-    /// The version it must have, and the new content.
+    /// The version that the page must have.
     pub condition: ExpectedRevision,
-    /// The change.
+    /// The new content, or the page's deletion.
     pub change: Change,
 }
 
@@ -77,64 +61,58 @@
 #[derive(Debug)]
 pub struct Pages<E: PageEntry> {
     prefix: String,
-    bytes: usize,
-    /// Number of the next new page. None is used twice in an epoch: a late copy of a page's first
-    /// write must not bring it back.
-    next: u64,
+    /// Bytes that a page may take.
+    max_bytes: usize,
+    /// Number of the next new page. No number is used twice in an epoch: a late copy of a page's first
+    /// write must not restore the page.
+    next_number: u64,
     pages: Vec<Page<E>>,
     /// Entries that are on no page yet.
     pending: BTreeMap<E::Key, E>,
-    /// Keys brought by the write under way.
+    /// Keys of the entries that the write in flight adds.
     entries_being_written: Vec<E::Key>,
 }
 
 impl<E: PageEntry> Pages<E> {
-    /// No page yet. Keys are `prefix` and a number, values take at most so many bytes.
-    pub fn new(prefix: String, bytes: usize) -> Pages<E> {
+    /// No page yet. The pages' keys are `prefix` and a number, their values take at most `max_bytes`.
+    pub fn new(prefix: String, max_bytes: usize) -> Pages<E> {
         Pages {
             prefix,
-            bytes,
-            next: 0,
+            max_bytes,
+            next_number: 0,
             pages: Vec::new(),
             pending: BTreeMap::new(),
             entries_being_written: Vec::new(),
         }
     }
 
-    /// Takes over a page found in the store.
+    /// Adds a page found in the store, with its entries.
     pub fn adopt_stored_page(
         &mut self,
         key: String,
         version: Revision,
         entries: BTreeMap<E::Key, E>,
     ) {
-        let size = entries.iter().map(|(key, entry)| entry.size(key)).sum();
-        let number = key.strip_prefix(&self.prefix).and_then(|n| n.parse().ok());
-        self.next = self
-            .next
-            .max(number.map_or(0, |n: u64| n.saturating_add(1)));
-        self.pages.push(Page {
-            key,
-            state: PageState::Stored(version),
-            entries,
-            size,
-            rewrite_at: None,
-            stale_weight: 0,
-        });
+        let number = key
+            .strip_prefix(&self.prefix)
+            .and_then(|number| number.parse::<u64>().ok());
+        self.next_number = self
+            .next_number
+            .max(number.map_or(0, |number| number.saturating_add(1)));
+        self.pages.push(Page::new(key, version, entries));
     }
 
     /// A page found in the store had entries that were dropped: it is to be rewritten at once.
     pub fn mark_for_rewrite(&mut self, key: &str, now: Time) {
         for page in self.pages.iter_mut().filter(|page| page.key == key) {
-            page.rewrite_at = Some(now);
-            page.stale_weight += URGENT_ENTRY_WEIGHT;
+            page.request_rewrite(now, URGENT_ENTRY_WEIGHT);
         }
     }
 
-    /// Wants an entry recorded.
+    /// Adds an entry, to be written.
     pub fn add(&mut self, key: E::Key, entry: E) {
         match self.pending.get_mut(&key) {
-            Some(before) => before.join(entry),
+            Some(pending) => pending.join(entry),
             None => {
                 self.pending.insert(key, entry);
             }
@@ -142,127 +120,94 @@
     }
 
     /// An entry is no longer needed. Its page is rewritten with the next entries, or for that alone
-    /// after a while; at once if it would mislead (`urgent`).
+    /// after a while; at once if the entry would mislead (`urgent`).
     pub fn remove(&mut self, key: &E::Key, now: Time, urgent: bool) {
         self.pending.remove(key);
-        let at = if urgent {
-            now
+        let (rewrite_at, weight) = if urgent {
+            (now, URGENT_ENTRY_WEIGHT)
         } else {
-            now + PAGE_REWRITE_DELAY_MS
+            (now + PAGE_REWRITE_DELAY_MS, 1)
         };
         for page in &mut self.pages {
-            if let Some(entry) = page.entries.remove(key) {
-                page.size = page.size.saturating_sub(entry.size(key));
-                page.rewrite_at = Some(page.rewrite_at.map_or(at, |before| before.min(at)));
-                page.stale_weight += if urgent { URGENT_ENTRY_WEIGHT } else { 1 };
+            if page.remove(key) {
+                page.request_rewrite(rewrite_at, weight);
             }
         }
     }
 
-    /// What waits to be written under a key.
+    /// The entry that waits to be written under a key.
     pub fn pending_entry(&self, key: &E::Key) -> Option<&E> {
         self.pending.get(key)
     }
 
-    /// The next write, of at most so many pages; nothing while one is under way.
-    pub fn next_writes(&mut self, now: Time, most: usize) -> Vec<PageWrite> {
+    /// The next write, of at most `max_pages` pages; empty while one is in flight.
+    pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         let mut writes = Vec::new();
         if self.pages.iter().any(|p| p.state == PageState::Writing) {
             return writes;
         }
-        while writes.len() < most && !self.pending.is_empty() {
+        while writes.len() < max_pages && !self.pending.is_empty() {
             let index = self.choose_page();
             self.fill_page(index);
-            writes.extend(self.begin_write(index));
+            writes.extend(self.pages[index].begin_write());
         }
-        while writes.len() < most {
-            // A page written under larger limits than today's stays as it is until what is left of it
-            // keeps them: what is on it and no longer needed misleads for a while at the most.
-            let due = |page: &Page<E>| {
-                matches!(page.state, PageState::Stored(_))
-                    && page.rewrite_at.is_some_and(|at| now >= at)
-                    && page.size <= self.bytes
-            };
-            let Some(index) = self.pages.iter().position(due) else {
+        while writes.len() < max_pages {
+            let Some(index) = self.page_due_for_rewrite(now) else {
                 break;
             };
-            writes.extend(self.begin_write(index));
+            writes.extend(self.pages[index].begin_write());
         }
         writes
     }
 
-    /// The page that the next entries go to: of those with room, the one that most will be dropped
-    /// from on the occasion.
+    /// Index of a page to be rewritten now without the entries that are no longer needed.
+    ///
+    /// A page written under larger limits than today's stays as it is until its remaining entries keep
+    /// them: the entries on it that are no longer needed mislead for a while at the most.
+    fn page_due_for_rewrite(&self, now: Time) -> Option<usize> {
+        self.pages.iter().position(|page| {
+            page.is_stored() && page.is_rewrite_due(now) && page.size <= self.max_bytes
+        })
+    }
+
+    /// Index of the page that the next entries go to: of those with enough free bytes, the one from which a rewrite
+    /// drops the most; else a new one.
     fn choose_page(&mut self) -> usize {
-        let room = |page: &Page<E>| page.size + self.bytes / PAGE_FREE_DIVISOR <= self.bytes;
+        let max_filled = self.max_bytes - self.max_bytes / PAGE_FREE_DIVISOR;
         let best = self
             .pages
             .iter()
             .enumerate()
-            .filter(|(_, page)| matches!(page.state, PageState::Stored(_)) && room(page))
+            .filter(|(_, page)| page.is_stored() && page.size <= max_filled)
             .max_by_key(|(_, page)| (page.stale_weight, std::cmp::Reverse(page.size)))
             .map(|(index, _)| index);
         best.unwrap_or_else(|| {
-            let key = format!("{}{}", self.prefix, self.next);
+            let key = format!("{}{}", self.prefix, self.next_number);
             self.adopt_stored_page(key, Revision(0), BTreeMap::new());
             self.pages.len() - 1
         })
     }
 
+    /// Puts pending entries on a page until it is full.
     fn fill_page(&mut self, index: usize) {
         let page = &mut self.pages[index];
         while let Some((key, entry)) = self.pending.pop_first() {
-            let size = entry.size(&key);
-            if page.size + size > self.bytes && !page.entries.is_empty() {
+            if !page.is_empty() && page.size + entry.size(&key) > self.max_bytes {
                 self.pending.insert(key, entry);
                 break;
             }
             self.entries_being_written.push(key.clone());
-            match page.entries.get_mut(&key) {
-                Some(before) => {
-                    let old = before.size(&key);
-                    before.join(entry);
-                    page.size = page.size + before.size(&key) - old;
-                }
-                None => {
-                    page.size += size;
-                    page.entries.insert(key, entry);
-                }
-            }
+            page.insert(key, entry);
         }
     }
 
-    fn begin_write(&mut self, index: usize) -> Option<PageWrite> {
-        let page = &mut self.pages[index];
-        let PageState::Stored(version) = page.state else {
-            return None;
-        };
-        page.state = PageState::Writing;
-        page.rewrite_at = None;
-        page.stale_weight = 0;
-        let key = page.key.clone();
-        let change = if page.entries.is_empty() {
-            Change::Delete { key: key.clone() }
-        } else {
-            Change::Put {
-                key: key.clone(),
-                value: E::value(&page.entries),
-                lease: None,
-            }
-        };
-        Some(PageWrite {
-            condition: ExpectedRevision { key, version },
-            change,
-        })
-    }
-
-    /// The write under way is durable, at that revision if it is known. Returns the keys of the
-    /// entries it brought.
+    /// The write in flight is durable, at that revision if it is known. Returns the keys of the
+    /// entries it added.
     pub fn write_applied(&mut self, revision: Option<Revision>) -> Vec<E::Key> {
-        let needed = |page: &Page<E>| !page.entries.is_empty() || page.rewrite_at.is_some();
-        // A page that was removed is gone; one that lost its entries since will be.
+        // A page that was written empty is deleted; one whose entries were removed since the write still exists.
+        let exists = |page: &Page<E>| !page.is_empty() || page.rewrite_at.is_some();
         self.pages
-            .retain(|page| page.state != PageState::Writing || needed(page));
+            .retain(|page| page.state != PageState::Writing || exists(page));
         for page in &mut self.pages {
             if page.state == PageState::Writing {
                 page.state = revision.map_or(PageState::Uncertain, PageState::Stored);
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn records_are_read_as_written_and_take_no_more_room_than_reckoned() {
+fn records_are_read_as_written_and_take_no_more_bytes_than_estimated() {
     let entries: BTreeMap<Attempt, AttemptRecord> = (0..300u64)
         .map(|n| {
             let record = AttemptRecord {
@@ -35,8 +35,8 @@
     assert_eq!(read, entries.into_values().collect::<Vec<_>>());
 }
 
-// Guards against attempts that were given up long ago, counted against their team until the leases
-// of machines that are no longer there have run out.
+// Guards against attempts that were given up long ago and are counted against their team until the leases
+// of machines that no longer exist have expired.
 #[test]
 fn of_several_attempts_at_a_task_only_the_latest_is_out() {
     let record = |machine: &str, index, attempt| AttemptRecord {
@@ -73,6 +73,9 @@
         serde_json::json!("?"),
     ];
     for value in unknown {
-        assert_eq!(read(&pair(value)), Err(UnknownForm("a/i-000007".into())));
+        assert_eq!(
+            read(&pair(value)),
+            Err(UnknownRecordFormat("a/i-000007".into()))
+        );
     }
 }
