--- a/crates/worksshunt-core/src/lib.rs
+++ b/crates/worksshunt-core/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod membership;
 pub mod objectives;
 pub mod pages;
+pub mod partitioning;
 pub mod placement;
 pub mod quota;
 pub mod records;
--- a/crates/worksshunt-core/src/machines/assignment_queue.rs
+++ b/crates/worksshunt-core/src/machines/assignment_queue.rs
@@ -181,7 +181,7 @@
             round.now,
         );
         if choice.over_capacity {
-            let band = self.parameters.band(job.spec.estimate_s);
+            let band = self.parameters.size_band(job.spec.estimate_s);
             self.over_capacity.placed(band);
             tracing::debug!(task = %assignment.task, machine = %choice.machine, "attempt placed over capacity");
             tracked.over_capacity_band = Some(band);
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -6,7 +6,7 @@
 use worksshunt_wire::peer::{Assignment, AttemptEnded, AttemptOutcome};
 use worksshunt_wire::{Attempt, JobId, MachineId};
 
-use crate::placement::Outcome;
+use crate::placement::OverCapacityOutcome;
 use crate::time::Time;
 
 use super::attempt::{AttemptState, TrackedAttempt};
@@ -85,8 +85,8 @@
         }
         if let Some(band) = tracked.over_capacity_band {
             let outcome = match outcome {
-                AttemptOutcome::Failed => Outcome::Faulted,
-                _ => Outcome::Aborted,
+                AttemptOutcome::Failed => OverCapacityOutcome::Faulted,
+                _ => OverCapacityOutcome::Aborted,
             };
             self.over_capacity.ended(band, outcome);
         }
--- a/crates/worksshunt-core/src/machines/reachability.rs
+++ b/crates/worksshunt-core/src/machines/reachability.rs
@@ -70,7 +70,7 @@
         self.unheeded_responses += 1;
     }
 
-    /// Whether the worker has acted on a message of this owner and nothing speaks against it since.
+    /// Whether the worker has acted on a message of this owner and there is no evidence against it since.
     pub fn is_confirmed(&self) -> bool {
         self.state == Reachability::Confirmed
     }
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -9,7 +9,7 @@
 use worksshunt_wire::worker::{ExitReason, Heartbeat, TaskState, TaskStatus};
 use worksshunt_wire::{Attempt, MachineId};
 
-use crate::placement::{Outcome, Speed};
+use crate::placement::{OverCapacityOutcome, Speed};
 use crate::time::Time;
 
 use super::attempt::{AttemptState, TrackedAttempt};
@@ -90,7 +90,8 @@
                 .record_measurement(estimate_s, held_s, self.parameters.start_speed);
         }
         if let Some(band) = tracked.over_capacity_band.take() {
-            self.over_capacity.ended(band, Outcome::Completed);
+            self.over_capacity
+                .ended(band, OverCapacityOutcome::Completed);
         }
     }
 
--- a/crates/worksshunt-core/src/placement.rs
+++ b/crates/worksshunt-core/src/placement.rs
@@ -1,20 +1,28 @@
-//! The design's ordinary path: the fullest capable machine takes the task, else any fitting one.
+//! The design's placement rule: the most utilized capable machine takes the task, else any fitting one.
 //!
-//! See `docs/design.md` for what comes from the paper and what is ours.
+//! Pure rules without state of their own; the [partition](crate::machines) applies them to its machines and keeps the
+//! measured [`Speed`]s and the counts of [`OverCapacity`] placements. See `docs/design.md` for what comes from the
+//! paper and what is ours.
 
 use std::collections::BTreeMap;
-use std::hash::Hasher;
+use std::fmt;
 
-use worksshunt_wire::{ControllerName, MachineId};
+use worksshunt_wire::MachineId;
 
-use crate::constants::placement::{SIZE_BANDS_S, SPEED_SMOOTHING_FACTOR};
+use crate::constants::placement::{
+    SIZE_BANDS_S, SPEED_SMOOTHING_FACTOR, SPEED_WINDOW_S, START_SPEED,
+};
+use crate::constants::timers::OVER_CAPACITY_SUMMARY_INTERVAL_MS;
+
+// Its callers in the controller and the scheduler import it from here.
+pub use crate::partitioning::owner;
 
 /// The design's open parameters.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Parameters {
-    /// Window that a capable machine finishes a task in, seconds.
+    /// Window in which a capable machine finishes a task, seconds.
     pub window_s: f64,
-    /// Speed of an unmeasured machine.
+    /// Speed of an unmeasured machine, seconds of estimated work per second.
     pub start_speed: f64,
     /// Upper bounds of the size bands, seconds of estimated work, ascending.
     pub size_bands_s: Vec<f64>,
@@ -25,30 +33,39 @@
 impl Default for Parameters {
     fn default() -> Parameters {
         Parameters {
-            window_s: crate::constants::placement::SPEED_WINDOW_S,
-            start_speed: crate::constants::placement::START_SPEED,
+            window_s: SPEED_WINDOW_S,
+            start_speed: START_SPEED,
             size_bands_s: SIZE_BANDS_S.to_vec(),
-            summary_every_ms: crate::constants::timers::OVER_CAPACITY_SUMMARY_INTERVAL_MS,
+            summary_every_ms: OVER_CAPACITY_SUMMARY_INTERVAL_MS,
         }
     }
 }
 
 impl Parameters {
-    /// Work a machine of that speed finishes within the window.
+    /// Capacity of a machine of that speed: the estimated work that it finishes within the window, seconds.
     pub fn capacity(&self, speed: f64) -> f64 {
         (speed * self.window_s).floor()
     }
 
-    /// Index of the size band a task belongs to.
-    pub fn band(&self, estimate_s: f64) -> usize {
+    /// Index of the size band of a task with that much estimated work, seconds.
+    pub fn size_band(&self, estimate_s: f64) -> usize {
         self.size_bands_s
             .iter()
             .position(|bound| estimate_s <= *bound)
             .unwrap_or(self.size_bands_s.len())
     }
+
+    /// The name of a size band in summaries.
+    fn size_band_name(&self, band: usize) -> String {
+        match (self.size_bands_s.get(band), self.size_bands_s.last()) {
+            (Some(bound), _) => format!("<={bound}s"),
+            (None, Some(last)) => format!(">{last}s"),
+            (None, None) => "all".to_owned(),
+        }
+    }
 }
 
-/// A machine's measured speed: estimated work finished per second of held time.
+/// A machine's measured speed: seconds of estimated work finished per second for which the machine was held.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Speed(Option<f64>);
 
@@ -56,21 +73,22 @@
     /// Nothing measured yet.
     pub const UNMEASURED: Speed = Speed(None);
 
-    /// The speed to reckon with.
-    pub fn value(self, start: f64) -> f64 {
-        self.0.unwrap_or(start)
+    /// The measured speed, or `start_speed` if nothing was measured yet.
+    pub fn value(self, start_speed: f64) -> f64 {
+        self.0.unwrap_or(start_speed)
     }
 
-    /// Learns from a completed task. A measurement replaces the assumed speed gradually.
-    pub fn record_measurement(&mut self, estimate_s: f64, held_s: f64, start: f64) {
+    /// Records a completed task of `estimate_s` seconds of estimated work that held the machine for `held_s` seconds.
+    /// A measurement replaces the assumed speed gradually.
+    pub fn record_measurement(&mut self, estimate_s: f64, held_s: f64, start_speed: f64) {
         if held_s > 0.0 && estimate_s > 0.0 {
-            let before = self.value(start);
+            let before = self.value(start_speed);
             self.0 = Some(before + SPEED_SMOOTHING_FACTOR * (estimate_s / held_s - before));
         }
     }
 }
 
-/// A machine that has room now for the task in question.
+/// A machine whose free resources fit the task in question.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate<'a> {
     /// The machine.
@@ -79,7 +97,7 @@
     pub capacity: f64,
 }
 
-/// Where a task goes.
+/// The machine chosen for a task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The machine.
@@ -88,8 +106,8 @@
     pub over_capacity: bool,
 }
 
-/// Chooses the fullest capable machine, or the fullest fitting one when none is capable. The
-/// candidates come the fullest first, equals by name.
+/// Chooses the most utilized capable machine, or the most utilized fitting one when none is capable. The
+/// candidates are ordered by utilization, the highest first, equals by name.
 pub fn choose<'a>(
     estimate_s: f64,
     candidates: impl Iterator<Item = Candidate<'a>>,
@@ -98,19 +116,19 @@
         machine: machine.clone(),
         over_capacity,
     };
-    let mut fitting = None;
+    let mut first_fitting = None;
     for candidate in candidates {
         if candidate.capacity >= estimate_s {
             return Some(choice(candidate.id, false));
         }
-        fitting.get_or_insert(candidate.id);
+        first_fitting.get_or_insert(candidate.id);
     }
-    fitting.map(|id| choice(id, true))
+    first_fitting.map(|id| choice(id, true))
 }
 
-/// How a marked placement ended.
+/// How the attempt of an over-capacity placement ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Outcome {
+pub enum OverCapacityOutcome {
     /// The task completed.
     Completed,
     /// The task failed.
@@ -119,11 +137,21 @@
     Aborted,
 }
 
-/// Counts of over-capacity placements since the last summary.
+impl fmt::Display for OverCapacityOutcome {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            OverCapacityOutcome::Completed => "completed",
+            OverCapacityOutcome::Faulted => "faulted",
+            OverCapacityOutcome::Aborted => "aborted",
+        })
+    }
+}
+
+/// Counts of over-capacity placements since the last summary, by size band.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OverCapacity {
     placed: BTreeMap<usize, u32>,
-    ended: BTreeMap<(usize, Outcome), u32>,
+    ended: BTreeMap<(usize, OverCapacityOutcome), u32>,
 }
 
 impl OverCapacity {
@@ -132,88 +160,29 @@
         *self.placed.entry(band).or_default() += 1;
     }
 
-    /// Counts the end of a marked placement.
-    pub fn ended(&mut self, band: usize, outcome: Outcome) {
+    /// Counts the end of a placement that was counted as over capacity.
+    pub fn ended(&mut self, band: usize, outcome: OverCapacityOutcome) {
         *self.ended.entry((band, outcome)).or_default() += 1;
     }
 
     /// One line about everything counted, after which counting starts anew.
     pub fn summary(&mut self, parameters: &Parameters) -> String {
-        let name = |band: usize| match parameters.size_bands_s.get(band) {
-            Some(bound) => format!("<={bound}s"),
-            None => match parameters.size_bands_s.last() {
-                Some(bound) => format!(">{bound}s"),
-                None => "all".to_owned(),
-            },
-        };
-        let placed: Vec<String> = self
+        let counts = std::mem::take(self);
+        let placed = counts
             .placed
             .iter()
-            .map(|(band, n)| format!("{} placed={n}", name(*band)))
-            .collect();
-        let ended: Vec<String> = self
-            .ended
-            .iter()
-            .map(|((band, outcome), n)| {
-                let outcome = match outcome {
-                    Outcome::Completed => "completed",
-                    Outcome::Faulted => "faulted",
-                    Outcome::Aborted => "aborted",
-                };
-                format!("{} {outcome}={n}", name(*band))
-            })
-            .collect();
-        *self = OverCapacity::default();
-        let all = [placed, ended].concat();
-        if all.is_empty() {
+            .map(|(band, count)| format!("{} placed={count}", parameters.size_band_name(*band)));
+        let ended = counts.ended.iter().map(|((band, outcome), count)| {
+            format!("{} {outcome}={count}", parameters.size_band_name(*band))
+        });
+        let entries: Vec<String> = placed.chain(ended).collect();
+        if entries.is_empty() {
             "none".to_owned()
         } else {
-            all.join(", ")
-        }
-    }
-}
-
-/// The member a machine belongs to: rendezvous hashing, so that a change of members moves only
-/// the machines of those that left or came.
-pub fn owner<'a>(machine: &MachineId, members: &'a [ControllerName]) -> Option<&'a ControllerName> {
-    members.iter().max_by_key(|member| {
-        let mut hash = Fnv::default();
-        hash.write(machine.0.as_bytes());
-        hash.write(&[0]);
-        hash.write(member.0.as_bytes());
-        (mix(hash.finish()), *member)
-    })
-}
-
-/// FNV-1a: the split needs a hash that is the same in every process and release, which the
-/// standard library's default hasher does not promise.
-struct Fnv(u64);
-
-impl Default for Fnv {
-    fn default() -> Fnv {
-        Fnv(0xcbf2_9ce4_8422_2325)
-    }
-}
-
-impl Hasher for Fnv {
-    fn finish(&self) -> u64 {
-        self.0
-    }
-
-    fn write(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+            entries.join(", ")
         }
     }
 }
 
-/// Spreads a hash's low bits over all of it, without which names that differ only in their last
-/// letter would rank alike for every machine.
-fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
-}
-
 #[cfg(test)]
 mod tests;
