--- a/crates/worksshunt-core/src/machines/reachability.rs
+++ b/crates/worksshunt-core/src/machines/reachability.rs
@@ -88,3 +88,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/worksshunt-core/src/machines/sequence_number.rs
+++ b/crates/worksshunt-core/src/machines/sequence_number.rs
@@ -43,3 +43,6 @@
         write!(formatter, "{}/{}", self.incarnation.0, self.number)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -233,3 +233,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
