--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -114,7 +114,7 @@
                     machine.reachability.confirm();
                 }
                 machine.commands.not_before = now;
-                self.apply_message(now, heartbeat, epoch, catalog, MessageKind::CommandResponse);
+                self.apply_message(heartbeat, MessageKind::CommandResponse, epoch, catalog, now);
                 self.settle_launches(sent, AttemptState::Launched);
             }
             DirectCommandsOutcome::NotSent => {
--- a/crates/worksshunt-core/src/machines/fixtures.rs
+++ b/crates/worksshunt-core/src/machines/fixtures.rs
@@ -26,7 +26,7 @@
     let limits = serde_json::from_value(limits).expect("limits");
     let mut partition = Partition::new(Parameters::default(), &workers(), &limits);
     for n in 0..machines {
-        let machine = Machine::new(Time(0), Time(0), SequenceNumber::NONE);
+        let machine = Machine::new(SequenceNumber::NONE, Time(0), Time(0));
         partition.machines.insert(machine_id(n), machine);
     }
     partition
--- a/crates/worksshunt-core/src/machines/heartbeats.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats.rs
@@ -72,7 +72,7 @@
             }
             Arrival::Newest => machine.lease.record_renewal(number, now),
         }
-        self.apply_message(now, heartbeat, epoch, catalog, MessageKind::Heartbeat);
+        self.apply_message(heartbeat, MessageKind::Heartbeat, epoch, catalog, now);
         let commands = self.response_commands(heartbeat, now);
         for command in &commands {
             tracing::debug!(machine = %heartbeat.machine, token = %epoch, %number, %command, "command sent with heartbeat response");
@@ -83,7 +83,7 @@
     /// Adds a machine that is not in the partition and sent it a heartbeat.
     fn register(&mut self, id: &MachineId, now: Time) {
         let newest = self.heartbeat_history.newest_message(id);
-        let mut machine = Machine::new(now, now, newest);
+        let mut machine = Machine::new(newest, now, now);
         if newest != SequenceNumber::NONE {
             // It was here before and was given up: this may be a last late message.
             machine.reachability.suspect(now);
@@ -96,11 +96,11 @@
     /// known changes nothing.
     pub(super) fn apply_message(
         &mut self,
-        now: Time,
         heartbeat: &Heartbeat,
+        kind: MessageKind,
         epoch: Epoch,
         catalog: &Catalog,
-        kind: MessageKind,
+        now: Time,
     ) {
         let id = &heartbeat.machine;
         let timeouts = self.timeouts;
--- a/crates/worksshunt-core/src/machines/heartbeats/tests.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats/tests.rs
@@ -19,11 +19,11 @@
     let catalog = Catalog::default();
     partition.process_heartbeat(Time(1_000), &heartbeat(5), Epoch(1), &catalog);
     partition.apply_message(
-        Time(2_000),
         &heartbeat(7),
+        MessageKind::CommandResponse,
         Epoch(1),
         &catalog,
-        MessageKind::CommandResponse,
+        Time(2_000),
     );
     partition
 }
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/loading.rs
@@ -60,18 +60,18 @@
         }
         for (id, records) in records_by_machine {
             let machine = match carried_over.remove(id) {
-                Some(machine) => self.carry_machine_over(now, id, machine, &records),
+                Some(machine) => self.carry_machine_over(id, machine, &records, now),
                 // A former owner may have renewed the lease until its epoch lease expired, which was
                 // at most this long after it last saw its epoch confirmed, and so before now plus
                 // this.
                 None => {
-                    self.inherit_machine(now, now + EPOCH_LEASE_MS, id, &records, start.job_cache)
+                    self.inherit_machine(id, &records, start.job_cache, now + EPOCH_LEASE_MS, now)
                 }
             };
             self.machines.insert(id.clone(), machine);
         }
         for (id, machine) in carried_over {
-            let machine = self.carry_machine_over(now, &id, machine, &[]);
+            let machine = self.carry_machine_over(&id, machine, &[], now);
             self.machines.insert(id, machine);
         }
         self.index_machines(now);
@@ -98,15 +98,15 @@
 
     /// A machine of a former owner, which may have renewed its worker's lease until `renewed_at`.
     fn inherit_machine(
-        &mut self,
-        now: Time,
-        renewed_at: Time,
+        &self,
         id: &MachineId,
         records: &[&AttemptRecord],
         job_cache: &JobCache,
+        renewed_at: Time,
+        now: Time,
     ) -> Machine {
         let newest = self.heartbeat_history.newest_message(id);
-        let mut machine = Machine::new(now, renewed_at, newest);
+        let mut machine = Machine::new(newest, renewed_at, now);
         for record in records {
             let job = job_cache
                 .get(record.task.job)
@@ -134,10 +134,10 @@
     /// record and not tracked is gone.
     fn carry_machine_over(
         &mut self,
-        now: Time,
         id: &MachineId,
         mut machine: Machine,
         records: &[&AttemptRecord],
+        now: Time,
     ) -> Machine {
         let recorded: BTreeSet<Attempt> = records.iter().map(|record| record.attempt).collect();
         machine
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -144,10 +144,10 @@
 impl Machine {
     /// A machine whose worker's lease can have been renewed until `renewed_at`, and of whose messages none
     /// newer than `newest` was seen.
-    pub fn new(now: Time, renewed_at: Time, newest: SequenceNumber) -> Machine {
+    pub fn new(newest: SequenceNumber, renewed_at: Time, now: Time) -> Machine {
         Machine {
             info: None,
-            lease: WorkerLease::new(renewed_at, newest),
+            lease: WorkerLease::new(newest, renewed_at),
             is_lost: false,
             reachability: WorkerReachability::unconfirmed(now),
             commands: CommandChannel::default(),
--- a/crates/worksshunt-core/src/machines/worker_lease.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease.rs
@@ -50,7 +50,7 @@
 impl WorkerLease {
     /// The lease of a worker, renewed at `renewed_at` at the latest, of which `newest` was the last message known
     /// before. Heartbeats up to that one are copies.
-    pub fn new(renewed_at: Time, newest: SequenceNumber) -> WorkerLease {
+    pub fn new(newest: SequenceNumber, renewed_at: Time) -> WorkerLease {
         WorkerLease {
             newest_message: newest,
             last_message_at: Time::default(),
--- a/crates/worksshunt-core/src/machines/worker_lease/tests.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease/tests.rs
@@ -15,7 +15,7 @@
 
 /// A lease after heartbeat 5 at 1 s and a response to commands with number 7 at 2 s.
 fn lease() -> WorkerLease {
-    let mut lease = WorkerLease::new(Time(0), SequenceNumber::NONE);
+    let mut lease = WorkerLease::new(SequenceNumber::NONE, Time(0));
     lease.record_renewal(first(5), Time(1_000));
     lease.record_message(first(5), Time(1_000));
     lease.record_message(first(7), Time(2_000));
