--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -4,8 +4,9 @@
 use worksshunt_wire::{ControllerName, Epoch};
 
 use crate::fleet::Fleet;
+use crate::machines::EpochStart;
 use crate::membership::EpochRecord;
-use crate::placement::owner;
+use crate::partitioning::owner;
 use crate::records::{self, AttemptRecord};
 use crate::scheduler::{Scheduler, StoredState};
 use crate::time::Time;
@@ -54,9 +55,12 @@
             .collect();
         self.partition.begin_epoch(
             now,
-            (epoch.number, me),
-            &records,
-            &self.job_cache,
+            &EpochStart {
+                epoch: epoch.number,
+                controller: me,
+                records: &records,
+                job_cache: &self.job_cache,
+            },
             |machine| owner(machine, owners) == Some(me),
             |machine| owner(machine, &previous_owners) == Some(me),
         );
--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::job_api::HttpResponse;
 use crate::machines::HeartbeatOutcome;
 use crate::membership::EpochRecord;
-use crate::placement::owner;
+use crate::partitioning::owner;
 use crate::time::Time;
 
 use super::Controller;
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -12,7 +12,7 @@
 use crate::fleet::Fleet;
 use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
 use crate::membership::MemberState;
-use crate::records::{self, AttemptRecord, UnknownForm, RECORDS};
+use crate::records::{self, AttemptRecord, UnknownRecordFormat, RECORDS};
 use crate::scheduler::CLAIMS;
 use crate::time::{Periodic, Time};
 
@@ -136,7 +136,7 @@
             let records = records::read(&pair)?;
             Ok((pair, records))
         };
-        let pages: Result<Vec<_>, UnknownForm> = pairs.into_iter().map(read_page).collect();
+        let pages: Result<Vec<_>, UnknownRecordFormat> = pairs.into_iter().map(read_page).collect();
         match pages {
             Ok(pages) => self.epoch_load.record_pages = pages,
             Err(error) => {
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -10,7 +10,7 @@
 
 use crate::jobs::{read_completions, Completions, CompletionsKey, Job, JobCache};
 use crate::objectives::ServiceLevelObjectives;
-use crate::placement::owner;
+use crate::partitioning::owner;
 use crate::quota::Quota;
 use crate::records::AttemptRecord;
 use crate::time::Time;
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -1,6 +1,6 @@
 //! Machines that hang, die, fail tasks, are unreachable or are not needed any more.
 
-use worksshunt_core::placement::owner;
+use worksshunt_core::partitioning::owner;
 use worksshunt_wire::{ControllerName, MachineId};
 
 use crate::{long_job, ready, ready_with_boots_of};
