--- a/crates/worksshunt-core/tests/scale/fixtures.rs
+++ b/crates/worksshunt-core/tests/scale/fixtures.rs
@@ -1,4 +1,4 @@
-//! The deployment of the scenarios, its jobs, and users who keep asking.
+//! The deployment of the scenarios, its jobs, and users who keep sending queries.
 
 use serde_json::{json, Value};
 use worksshunt_simulation::{job, Cluster};
@@ -12,10 +12,10 @@
 pub const JOB_TASKS: u32 = 500;
 /// Jobs that fill it.
 pub const JOBS_AT_ONCE: u64 = (TASKS_AT_ONCE / JOB_TASKS as usize) as u64;
-/// How long users wait for an answer, ms (protocol).
+/// How long users wait for a response, ms (protocol).
 const USER_DEADLINE_MS: u64 = 2_000;
-/// Questions a second: 600 open jobs, each asked about every five seconds.
-const QUESTIONS_PER_S: u64 = 120;
+/// Queries a second: 600 open jobs, each queried every five seconds.
+const QUERIES_PER_S: u64 = 120;
 
 /// A job of a team with [`JOB_TASKS`] tasks of one processor.
 pub fn wide_job(id: u64, team: &str) -> Value {
@@ -45,37 +45,53 @@
     cluster
 }
 
+/// A query that has not been responded to.
+struct OpenQuery {
+    sent_at: u64,
+    controller: usize,
+    /// The controller's incarnation when the query was sent; none: it was down.
+    incarnation: Option<u64>,
+    /// By which the cluster finds the response.
+    slot: usize,
+}
+
 /// Users who query all jobs in turn, at all controllers in turn.
 #[derive(Default)]
 pub struct Users {
-    asked: u64,
-    open: Vec<(u64, usize, Option<u64>, usize)>,
-    /// Questions answered with the job's state.
+    sent_count: u64,
+    open: Vec<OpenQuery>,
+    /// Queries answered with the job's state.
     pub served: usize,
-    /// Questions refused.
+    /// Queries refused.
     pub refused: usize,
 }
 
 impl Users {
-    /// Lets seconds pass in which users ask. Every controller that stays up has to answer or refuse in time.
-    pub fn ask_for(&mut self, cluster: &mut Cluster, seconds: u64) {
+    /// Lets seconds pass in which users send queries. Every controller that stays up has to answer or refuse in time.
+    pub fn query_for(&mut self, cluster: &mut Cluster, seconds: u64) {
         for _ in 0..seconds {
-            for _ in 0..QUESTIONS_PER_S {
-                self.asked += 1;
-                let controller = (self.asked % 3) as usize;
-                let life = cluster.controller_incarnation(controller);
-                let slot = cluster.send_status(controller, JobId(1 + self.asked % JOBS_AT_ONCE));
-                self.open.push((cluster.now, controller, life, slot));
+            for _ in 0..QUERIES_PER_S {
+                self.sent_count += 1;
+                let controller = (self.sent_count % 3) as usize;
+                let incarnation = cluster.controller_incarnation(controller);
+                let slot =
+                    cluster.send_status(controller, JobId(1 + self.sent_count % JOBS_AT_ONCE));
+                self.open.push(OpenQuery {
+                    sent_at: cluster.now,
+                    controller,
+                    incarnation,
+                    slot,
+                });
             }
             cluster.run(1_000);
-            self.judge(cluster);
+            self.check_responses(cluster);
         }
     }
 
-    fn judge(&mut self, cluster: &Cluster) {
+    fn check_responses(&mut self, cluster: &Cluster) {
         let (served, refused) = (&mut self.served, &mut self.refused);
-        self.open.retain(|(sent, controller, life, slot)| {
-            if let Some(reply) = cluster.reply(*slot) {
+        self.open.retain(|query| {
+            if let Some(reply) = cluster.reply(query.slot) {
                 match reply.status {
                     200 => *served += 1,
                     503 => {
@@ -86,20 +102,18 @@
                 }
                 return false;
             }
-            let ended = life.is_none() || cluster.controller_incarnation(*controller) != *life;
-            let late = cluster.now > sent + USER_DEADLINE_MS;
-            assert!(
-                ended || !late,
-                "a question was neither answered nor refused"
-            );
+            let incarnation = cluster.controller_incarnation(query.controller);
+            let ended = query.incarnation.is_none() || incarnation != query.incarnation;
+            let late = cluster.now > query.sent_at + USER_DEADLINE_MS;
+            assert!(ended || !late, "a query was neither answered nor refused");
             !ended
         });
     }
 }
 
-/// Lets the day go on until all jobs are done, and judges it.
-pub fn finish(cluster: &mut Cluster, jobs: std::ops::RangeInclusive<u64>, most_ms: u64) {
-    cluster.until("all jobs", most_ms, |cluster| {
+/// Runs until all jobs are done, and checks the invariants.
+pub fn finish(cluster: &mut Cluster, jobs: std::ops::RangeInclusive<u64>, timeout_ms: u64) {
+    cluster.until("all jobs", timeout_ms, |cluster| {
         jobs.clone().all(|id| cluster.all_done(id, JOB_TASKS))
     });
     cluster.run(3_000);
--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -10,7 +10,7 @@
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     cluster.faults.key_value.down = true;
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     let lost = |cluster: &Cluster| {
         cluster
             .workers
@@ -25,7 +25,7 @@
         share: 0.2,
         after_ms: (0, 3_000),
     });
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     cluster.faults.key_value.slow_responses_ms = 0;
     cluster.faults.key_value.late_writes = None;
     assert!(cluster.effects("late write") > 5, "answers were lost");
@@ -43,7 +43,7 @@
         requests: TokenBucket::new(60.0, 60.0),
         changes: TokenBucket::new(10.0, 10.0),
     });
-    users.ask_for(&mut cluster, 45);
+    users.query_for(&mut cluster, 45);
     assert!(
         cluster.usage.refused > 100,
         "{} refused",
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -17,13 +17,13 @@
         zone: "b".into(),
         controllers: BTreeSet::new(),
     });
-    users.ask_for(&mut cluster, 22);
+    users.query_for(&mut cluster, 22);
     cluster.faults.partitioned_zone = None;
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     cluster.faults.heartbeats.copies_after_ms.clear();
     assert!(
         cluster.effects("heartbeat copy") > 50_000,
-        "late copies of all reports came"
+        "late copies of all heartbeats arrived"
     );
     assert_eq!(users.refused, 0);
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 180_000);
@@ -40,7 +40,7 @@
     cluster.run(700);
     let leader = cluster.leader();
     cluster.restart(leader, 300);
-    users.ask_for(&mut cluster, 40);
+    users.query_for(&mut cluster, 40);
     assert_eq!(cluster.invariants.starts_after_cancel, 0);
     assert!(users.served > users.refused, "questions are answered");
     finish(&mut cluster, 9..=JOBS_AT_ONCE + 8, 180_000);
--- a/crates/worksshunt-core/tests/scale/main.rs
+++ b/crates/worksshunt-core/tests/scale/main.rs
@@ -1,4 +1,4 @@
-//! Scenarios of four thousand machines on virtual time, with all rules judged. Each takes 5 to 20 s of one
+//! Scenarios of four thousand machines on virtual time, with all invariants checked. Each takes 5 to 20 s of one
 //! processor, so they are few.
 
 mod completions;
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -1,4 +1,4 @@
-//! Controllers that end and come back while thousands of machines run tasks.
+//! Controllers that crash and restart while thousands of machines run tasks.
 
 use std::collections::BTreeSet;
 
@@ -14,34 +14,37 @@
     let mut users = Users::default();
     let begun = cluster.task_starts.len();
     let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
-    let left = (cluster.leader() + 1) % 3;
-    let others: Vec<usize> = (0..3).filter(|controller| *controller != left).collect();
+    let remaining = (cluster.leader() + 1) % 3;
+    let others: Vec<usize> = (0..3)
+        .filter(|controller| *controller != remaining)
+        .collect();
     others
         .iter()
         .for_each(|controller| cluster.crash(*controller));
-    users.ask_for(&mut cluster, 15);
+    users.query_for(&mut cluster, 15);
     assert!(
-        cluster.reporting_to(left) >= MACHINES * 9 / 10,
-        "all report to it"
+        cluster.reporting_to(remaining) >= MACHINES * 9 / 10,
+        "all send their heartbeats to it"
     );
     others
         .iter()
         .for_each(|controller| cluster.start(*controller));
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     let again = cluster.task_starts[begun..]
         .iter()
         .filter(|start| running.contains(&start.task));
     assert_eq!(again.count(), 0, "nothing that ran was started again");
-    let (most, dropped) = (cluster.usage.max_sync_bytes, cluster.usage.frames_dropped);
+    let (max_sync_bytes, frames_dropped) =
+        (cluster.usage.max_sync_bytes, cluster.usage.frames_dropped);
     assert!(
-        dropped == 0 && most < MAX_FRAME_BYTES / 8,
-        "an exchange of {most} bytes"
+        frames_dropped == 0 && max_sync_bytes < MAX_FRAME_BYTES / 8,
+        "a partition sync of {max_sync_bytes} bytes"
     );
-    assert!(users.served > users.refused, "questions are answered");
+    assert!(users.served > users.refused, "queries are answered");
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 180_000);
 }
 
-/// Jobs cancelled just before all controllers end: their tasks run on as orphans.
+/// Jobs cancelled just before all controllers crash: their tasks run on as orphans.
 const ORPHANED_JOBS: [u64; 2] = [1, 2];
 /// Machines that vanish while no controller is there.
 const VANISHED: usize = 40;
@@ -89,29 +92,32 @@
         .filter(|t| !orphaned(t))
         .collect();
     let lost = running.iter().filter(|task| !orphaned(task)).count() - kept.len();
-    users.ask_for(&mut cluster, 5);
+    users.query_for(&mut cluster, 5);
     cluster.usage.reset();
     let begun = cluster.task_starts.len();
     (0..3).for_each(|controller| cluster.start(controller));
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     let again = cluster.task_starts[begun..]
         .iter()
         .filter(|start| kept.contains(&start.task));
-    assert_eq!(again.count(), 0, "work under way is kept");
+    assert_eq!(again.count(), 0, "running tasks are kept");
     // Each halt is sent in the response to a heartbeat and directly to the worker, whichever arrives.
     let halts = cluster.usage.halts as usize;
     assert!(
         halts <= orphans * 2,
-        "{halts} stops for {orphans} orphans of which some vanished"
+        "{halts} halts for {orphans} orphans of which some vanished"
     );
     let launches = cluster.usage.launches as usize;
     assert_eq!(
         launches,
         cluster.task_starts.len() - begun,
-        "each start was ordered once"
+        "each start was commanded once"
+    );
+    let free_slots = TASKS_AT_ONCE - kept.len();
+    assert!(
+        launches <= free_slots,
+        "{launches} launches for {free_slots} free slots"
     );
-    let room = TASKS_AT_ONCE - kept.len();
-    assert!(launches <= room, "{launches} launches in room for {room}");
     assert!(lost > 0 && launches >= lost, "what is lost starts again");
     assert!(!cluster.running().iter().any(orphaned), "no orphan is left");
     finish(&mut cluster, 3..=JOBS_AT_ONCE + 8, 180_000);
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -1,4 +1,4 @@
-//! The first minutes: the fleet is rented, comes up together, and goes back.
+//! The first minutes: the fleet is scaled out, boots together, and is scaled in.
 
 use worksshunt_simulation::Cluster;
 
@@ -11,34 +11,34 @@
     cluster.run(2_000);
     submit_jobs(&mut cluster, 1..=64);
     cluster.run(3_000);
-    users.ask_for(&mut cluster, 13);
-    assert_eq!(cluster.workers.len(), MACHINES, "rented within 16 s");
-    users.ask_for(&mut cluster, 24);
+    users.query_for(&mut cluster, 13);
+    assert_eq!(cluster.workers.len(), MACHINES, "provisioned within 16 s");
+    users.query_for(&mut cluster, 24);
     let running = cluster.running().len();
     assert!(running >= TASKS_AT_ONCE * 9 / 10, "{running} run");
     finish(&mut cluster, 1..=64, 90_000);
     let tasks = 64 * JOB_TASKS as usize;
     assert_eq!(cluster.task_starts.len(), tasks, "each task started once");
     assert_eq!(cluster.usage.launches, tasks as u64);
-    let meter = &cluster.usage;
+    let usage = &cluster.usage;
     assert!(
-        meter.changes <= tasks as u64 / 20,
+        usage.changes <= tasks as u64 / 20,
         "{} changes",
-        meter.changes
+        usage.changes
     );
     assert!(
-        meter.sync_bytes <= tasks as u64 * 200,
+        usage.sync_bytes <= tasks as u64 * 200,
         "{} bytes",
-        meter.sync_bytes
+        usage.sync_bytes
     );
     assert!(
-        meter.cloud_calls <= 400,
-        "{} calls of the cloud",
-        meter.cloud_calls
+        usage.cloud_calls <= 400,
+        "{} calls to the cloud",
+        usage.cloud_calls
     );
     assert_eq!(
-        meter.refused, 0,
-        "within the rates of state service and cloud"
+        usage.refused, 0,
+        "within the rates of the key-value store and the cloud"
     );
     // Kept for half a boot time, then 40 requests of 100 at most.
     cluster.until("an empty fleet", 30_000, |cluster| {
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -2,22 +2,22 @@
 
 use worksshunt_wire::JobId;
 
-use super::{busy, machines_of, others, red, settle};
+use super::{busy, machines_of, others, red, settle, MachineFault};
 use crate::{long_job, ready, ready_with_boots_of};
 use worksshunt_simulation::job;
 
 // Guards against a fleet whose leases have all run out, taken for one that still runs, or the reverse.
 #[test]
 fn all_controllers_are_down_for_longer_than_a_lease() {
-    for away_ms in (12_000..24_000).step_by(800) {
-        let moment = format!("away for {away_ms}");
+    for down_ms in (12_000..24_000).step_by(800) {
+        let moment = format!("down for {down_ms}");
         let mut cluster = busy(5, 30_000);
-        cluster.faults.heartbeats.copies_after_ms = vec![away_ms + 2_000];
+        cluster.faults.heartbeats.copies_after_ms = vec![down_ms + 2_000];
         cluster.run(3_000);
         let hung = cluster.task_starts[0].machine.clone();
-        cluster.hang(&hung, away_ms - 2_000);
+        cluster.hang(&hung, down_ms - 2_000);
         (0..3).for_each(|controller| cluster.crash(controller));
-        cluster.run(away_ms);
+        cluster.run(down_ms);
         (0..3).for_each(|controller| cluster.start(controller));
         cluster.run(20_000);
         assert!(cluster.effects("heartbeat copy") > 0, "{moment}");
@@ -26,32 +26,32 @@
     }
 }
 
-// Guards against former incarnations, and against work that two take for theirs.
+// Guards against former incarnations, and against work that two controllers take for theirs.
 #[test]
 fn leadership_changes_twice_then_all_controllers_crash_and_one_returns() {
-    for back_ms in [40, 130, 300, 700, 1_100, 2_500, 5_000] {
+    for restart_ms in [40, 130, 300, 700, 1_100, 2_500, 5_000] {
         for alone in 0..3 {
-            let moment = format!("{alone} back after {back_ms}");
+            let moment = format!("{alone} restarted after {restart_ms}");
             let mut cluster = busy(5, 40_000);
             let leader = cluster.leader();
-            cluster.restart(leader, back_ms);
-            cluster.run(back_ms + 1_500);
+            cluster.restart(leader, restart_ms);
+            cluster.run(restart_ms + 1_500);
             let leader = cluster.leader();
-            cluster.restart(leader, back_ms);
-            cluster.run(back_ms + 700);
+            cluster.restart(leader, restart_ms);
+            cluster.run(restart_ms + 700);
             cluster.submit(
                 (0..3).find(|n| cluster.is_up(*n)).expect("one"),
                 &long_job(9, 4),
             );
             cluster.send_cancel(alone, JobId(1));
-            cluster.run(back_ms);
+            cluster.run(restart_ms);
             (0..3).for_each(|controller| cluster.crash(controller));
-            cluster.run(back_ms);
+            cluster.run(restart_ms);
             cluster.start(alone);
             cluster.run(9_000);
             assert_eq!(cluster.leader(), alone, "{moment}");
             cluster.start((alone + 1) % 3);
-            cluster.run(back_ms);
+            cluster.run(restart_ms);
             cluster.start((alone + 2) % 3);
             cluster.run(20_000);
             settle(&mut cluster, &moment);
@@ -59,7 +59,7 @@
     }
 }
 
-// Guards against cancellations that fall between the leader's last word and everybody's.
+// Guards against cancellations that fall between the end of the leader's access to the key-value store and everybody's.
 #[test]
 fn jobs_are_cancelled_at_the_moment_the_leader_alone_is_refused() {
     for step in 0..16 {
@@ -92,9 +92,9 @@
 // Guards against a team's use that a new leader counts too low before every owner has sent its status.
 #[test]
 fn a_team_is_at_its_limit_when_the_leader_changes_and_machines_are_unreachable() {
-    for how in ["deaf", "mute", "hung"] {
+    for fault in MachineFault::ALL {
         for cancel_ms in (0..6_000).step_by(600) {
-            let moment = format!("{how}, cancelled after {cancel_ms}");
+            let moment = format!("{fault:?}, cancelled after {cancel_ms}");
             let mut cluster = ready_with_boots_of(50.0);
             cluster.task_run_ms = 40_000;
             cluster.submit(0, &red(1, 8));
@@ -102,15 +102,7 @@
             cluster.submit(1, &red(2, 8));
             cluster.run(1_000);
             for id in machines_of(&cluster, 1) {
-                match how {
-                    "deaf" => {
-                        cluster.faults.unreachable_machines.insert(id);
-                    }
-                    "mute" => {
-                        cluster.faults.heartbeats.lost_from.insert(id);
-                    }
-                    _ => cluster.hang(&id, 12_000),
-                }
+                fault.apply(&mut cluster, &id, 12_000);
             }
             cluster.run(500);
             let leader = cluster.leader();
@@ -136,7 +128,7 @@
 #[test]
 fn tasks_of_small_jobs_end_far_apart_across_a_change_of_leader() {
     for crash_ms in (0..12_000).step_by(400) {
-        let moment = format!("the leader ends after {crash_ms}");
+        let moment = format!("the leader crashes after {crash_ms}");
         let mut cluster = ready();
         cluster.task_run_ms = 3_000;
         cluster.run_spread_ms = 6_000;
@@ -222,21 +214,21 @@
 // Guards against a controller that wakes in the middle of what it had decided long ago, and acts on it.
 #[test]
 fn a_controller_pauses_for_longer_than_a_lease_and_resumes_where_it_stopped() {
-    for still_ms in [1_500, 5_000, 12_000, 19_000, 27_000] {
+    for pause_ms in [1_500, 5_000, 12_000, 19_000, 27_000] {
         for step in 0..6 {
-            let moment = format!("still for {still_ms} from step {step}");
+            let moment = format!("paused for {pause_ms} from step {step}");
             let mut cluster = busy(4, 25_000);
             let controller = (cluster.leader() + step as usize) % 3;
             cluster.submit(others(controller)[0], &red(8, 8));
             cluster.submit(others(controller)[0], &long_job(9, 8));
             cluster.run(step * 13);
-            cluster.pause(controller, still_ms);
+            cluster.pause(controller, pause_ms);
             cluster.run(700);
             for id in [1, 8] {
                 cluster.send_cancel(others(controller)[0], JobId(id));
             }
             cluster.submit(others(controller)[0], &red(10, 8));
-            cluster.run(still_ms);
+            cluster.run(pause_ms);
             assert_eq!(cluster.effects("pause"), 1, "{moment}");
             cluster.run(22_000);
             settle(&mut cluster, &moment);
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -4,7 +4,7 @@
 use worksshunt_simulation::ZonePartition;
 use worksshunt_wire::JobId;
 
-use super::{busy, machines_of, others, red, settle};
+use super::{busy, machines_of, others, red, settle, MachineFault};
 use crate::{long_job, ready, ready_with_boots_of};
 
 // Guards against a heartbeat of a former epoch that reaches a leader which has acted already.
@@ -33,21 +33,13 @@
 // Guards against machines that a new leader takes for empty, or for dead before their lease is over.
 #[test]
 fn the_leader_crashes_while_machines_with_long_tasks_are_unreachable() {
-    for how in ["deaf", "mute", "hung"] {
+    for fault in MachineFault::ALL {
         for crash_ms in (0..16_000).step_by(1_600) {
-            let moment = format!("{how}, the leader ends after {crash_ms}");
+            let moment = format!("{fault:?}, the leader crashes after {crash_ms}");
             let mut cluster = busy(4, 45_000);
             let ids = machines_of(&cluster, 1);
             for id in &ids {
-                match how {
-                    "deaf" => {
-                        cluster.faults.unreachable_machines.insert(id.clone());
-                    }
-                    "mute" => {
-                        cluster.faults.heartbeats.lost_from.insert(id.clone());
-                    }
-                    _ => cluster.hang(id, 13_000),
-                }
+                fault.apply(&mut cluster, id, 13_000);
             }
             cluster.submit(1, &long_job(9, 8));
             cluster.run(crash_ms);
@@ -64,7 +56,7 @@
     }
 }
 
-// Guards against copies that are taken for news: of an earlier report, session or attempt.
+// Guards against copies that are taken for news: of an earlier heartbeat, incarnation or attempt.
 #[test]
 fn old_heartbeats_arrive_after_newer_ones() {
     for after_ms in [200, 1_300, 4_000, 9_000, 15_500, 17_500, 26_000] {
@@ -73,7 +65,7 @@
         cluster.submit(0, &long_job(9, 30));
         cluster.faults.heartbeats.copies_after_ms = vec![after_ms, after_ms + 900];
         let lost = cluster.task_starts[0].machine.clone();
-        // Its lease runs out, so that its next session has other attempts at the same tasks.
+        // Its lease runs out, so that its next incarnation has other attempts at the same tasks.
         cluster.hang(&lost, 18_000);
         cluster.run(30_000);
         let leader = cluster.leader();
@@ -85,7 +77,7 @@
     }
 }
 
-// Guards against commands that are carried out when nobody reckons with them any more.
+// Guards against commands that are carried out when nobody expects them any more.
 #[test]
 fn a_command_is_delayed_for_seconds_and_the_machine_goes_on() {
     for release_ms in (200..14_000).step_by(600) {
@@ -147,7 +139,7 @@
     }
 }
 
-// Guards against machines rented over and over in a zone where the job that waits may not run, because its own
+// Guards against machines provisioned over and over in a zone where the job that waits may not run, because its own
 // has none and is refused just then (found by days of mixed faults: the cloud was never asked again in time).
 #[test]
 fn no_machine_is_provisioned_in_a_zone_that_may_run_no_more_of_the_waiting_tasks() {
@@ -170,13 +162,13 @@
 // Guards against tasks that go on, or are placed on machines whose heartbeats do not arrive.
 #[test]
 fn workers_reach_no_controller_while_direct_commands_reach_them() {
-    for mute_ms in (3_000..30_000).step_by(1_800) {
-        let moment = format!("mute for {mute_ms}");
+    for loss_ms in (3_000..30_000).step_by(1_800) {
+        let moment = format!("heartbeats lost for {loss_ms}");
         let mut cluster = busy(5, 30_000);
         cluster.faults.heartbeats.lost_from = cluster.workers.keys().cloned().collect();
         cluster.send_cancel(0, JobId(1));
         cluster.submit(1, &long_job(9, 8));
-        cluster.run(mute_ms);
+        cluster.run(loss_ms);
         assert!(cluster.effects("lost heartbeat") > 0, "{moment}");
         cluster.faults.heartbeats.lost_from.clear();
         cluster.run(30_000);
@@ -191,7 +183,7 @@
 fn a_machine_whose_heartbeats_are_lost_begins_another_incarnation_and_answers_commands() {
     let mut incarnations = 0;
     for release_ms in (7_000..17_000).step_by(250) {
-        let moment = format!("a report arrives after {release_ms}");
+        let moment = format!("a heartbeat arrives after {release_ms}");
         let mut cluster = ready_with_boots_of(50.0);
         cluster.task_run_ms = 30_000;
         let id = cluster.machine("a", true, 0);
@@ -212,7 +204,7 @@
         cluster.run(5_000);
         settle(&mut cluster, &moment);
     }
-    assert!(incarnations > 40, "no session rose");
+    assert!(incarnations > 40, "no incarnation rose");
 }
 
 // Guards against what goes on inside a zone that nobody outside can see.
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -1,6 +1,6 @@
 //! Faults that come together, one scenario for each.
 //!
-//! Faults interact at particular moments, so each scenario is played over a sweep of moments, with fixed seeds. Each asserts
+//! Faults interact at particular moments, so each scenario runs over a sweep of moments, with fixed seeds. Each asserts
 //! that its faults took effect. `docs/combined-faults.md` says what the code relies on in each.
 
 mod controllers;
@@ -40,7 +40,41 @@
     cluster.run(3_000);
 }
 
-/// All faults are over: whatever was accepted gets done, and the day is judged.
+/// How a machine and the controllers lose contact.
+#[derive(Debug, Clone, Copy)]
+enum MachineFault {
+    /// Its heartbeats arrive, responses and commands do not reach it.
+    Unreachable,
+    /// Its heartbeats are lost, direct commands reach it.
+    HeartbeatsLost,
+    /// Its worker hangs.
+    Hung,
+}
+
+impl MachineFault {
+    const ALL: [MachineFault; 3] = [
+        MachineFault::Unreachable,
+        MachineFault::HeartbeatsLost,
+        MachineFault::Hung,
+    ];
+
+    /// Begins the fault. A hung worker resumes after `hang_ms`; the other faults last until they are cleared.
+    fn apply(self, cluster: &mut Cluster, machine: &MachineId, hang_ms: u64) {
+        match self {
+            MachineFault::Unreachable => {
+                let unreachable = &mut cluster.faults.unreachable_machines;
+                unreachable.insert(machine.clone());
+            }
+            MachineFault::HeartbeatsLost => {
+                let lost_from = &mut cluster.faults.heartbeats.lost_from;
+                lost_from.insert(machine.clone());
+            }
+            MachineFault::Hung => cluster.hang(machine, hang_ms),
+        }
+    }
+}
+
+/// All faults are over: whatever was accepted gets done, and the invariants are checked.
 pub fn settle(cluster: &mut Cluster, moment: &str) {
     let ended = cluster.settle();
     ended.unwrap_or_else(|failure| panic!("{moment}: {failure}"));
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -125,7 +125,7 @@
 fn a_team_at_its_limit_has_jobs_cancelled_on_hung_machines_as_the_leader_changes() {
     for all in [false, true] {
         for crash_ms in (0..4_000).step_by(400) {
-            let moment = format!("all {all}, the leader ends after {crash_ms}");
+            let moment = format!("all {all}, the leader crashes after {crash_ms}");
             let mut cluster = ready_with_boots_of(50.0);
             cluster.capacity = 8;
             cluster.task_run_ms = 60_000;
@@ -188,7 +188,7 @@
         }
         cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
         cluster.submit(2, &red(9, 8));
-        // Room for what waits at the limit.
+        // Capacity for what waits at the limit.
         for _ in 0..3 {
             cluster.machine("a", true, 0);
         }
@@ -199,7 +199,7 @@
                 cluster.faults.unreachable_machines.insert(machine);
             }
         }
-        // Its end is asked for by the new leader.
+        // The new leader looks up its final state.
         cluster.send_cancel(others(leader)[0], JobId(1));
         cluster.run(300);
         cluster.crash(leader);
@@ -252,7 +252,7 @@
 fn new_machines_get_tasks_at_once_while_writes_lag_and_the_leader_crashes() {
     for seed in 1..=4 {
         for crash_ms in (1_200..6_000).step_by(300) {
-            let moment = format!("seed {seed}, the leader ends after {crash_ms}");
+            let moment = format!("seed {seed}, the leader crashes after {crash_ms}");
             let mut cluster = ready();
             cluster.seed(seed);
             cluster.boot_ms = 1_500;
@@ -280,7 +280,7 @@
 fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
     for hung in [false, true] {
         for crash_ms in (0..5_000).step_by(250) {
-            let moment = format!("hung {hung}, the leader ends after {crash_ms}");
+            let moment = format!("hung {hung}, the leader crashes after {crash_ms}");
             let mut cluster = busy(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
             cluster.faults.heartbeats.copies_for_next_leader = true;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
@@ -8,7 +8,7 @@
 use crate::ready;
 use worksshunt_simulation::{job, Cluster, LateWrites};
 
-// Guards against answers that come after their sender has given up, taken for none.
+// Guards against answers that come after their sender has timed out, taken for none.
 #[test]
 fn the_key_value_store_responds_slowly_while_users_cancel_and_query() {
     for slow_ms in [350, 900, 1_400, 1_600] {
@@ -54,9 +54,9 @@
     }
 }
 
-// Guards against a write that was given up and undoes newer ones of the same controller.
+// Guards against a write that was abandoned and undoes newer ones of the same controller.
 #[test]
-fn unanswered_transactions_are_applied_after_newer_ones() {
+fn unanswered_writes_are_applied_after_newer_ones() {
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
--- a/crates/worksshunt-core/tests/scenarios/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -35,7 +35,7 @@
 
 // Guards against writes of a former epoch that are applied after the next one has begun.
 #[test]
-fn a_late_transaction_of_a_former_leader_is_refused() {
+fn a_late_write_of_a_former_leader_is_refused() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
@@ -148,7 +148,7 @@
     cluster.run(20_000);
     assert!(
         (epoch + 1..=epoch + 2).contains(&cluster.epoch()),
-        "both are back"
+        "both have joined again"
     );
     cluster.until("all tasks", 60_000, |cluster| {
         cluster.all_done(1, 36) && cluster.all_done(2, 4)
@@ -189,8 +189,8 @@
     cluster.until("machines", 10_000, |cluster| cluster.workers.len() == 2);
     cluster.crash((leader + 1) % 3);
     cluster.run(6_000);
-    let others = (leader + 2) % 3;
-    cluster.submit(others, &long_job(2, 12));
+    let remaining = (leader + 2) % 3;
+    cluster.submit(remaining, &long_job(2, 12));
     cluster.until("more machines", 3_000, |cluster| cluster.workers.len() == 5);
     cluster.run(10_000);
     assert_eq!(cluster.workers.len(), 5, "and no more than that");
@@ -213,7 +213,7 @@
         cluster.faults.key_value.hold_writes.clear();
         cluster.start(leader);
         cluster.run(400);
-        // In the middle of the election that follows, another goes, or all; and late copies of what
+        // In the middle of the election that follows, another crashes, or all; and late copies of what
         // the former incarnation had sent arrive.
         cluster.crash((leader + 1) % 3);
         cluster.start((leader + 1) % 3);
@@ -224,7 +224,11 @@
         cluster.release_writes();
         cluster.run(7_000);
         let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
-        assert_eq!(members.as_array().map(Vec::len), Some(3), "all are back");
+        assert_eq!(
+            members.as_array().map(Vec::len),
+            Some(3),
+            "all have joined again"
+        );
     }
     cluster.until("all tasks", 200_000, |cluster| cluster.all_done(1, 16));
     assert_eq!(cluster.task_starts.len(), 16, "no lease ran out");
@@ -289,7 +293,7 @@
     cluster.limit_attempts(16);
     cluster.run(4_000);
     let first = cluster.epoch();
-    let sessions_begun = |cluster: &Cluster| {
+    let reincarnated_workers = |cluster: &Cluster| {
         cluster
             .workers
             .keys()
@@ -300,7 +304,7 @@
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 50));
     assert_eq!(cluster.epoch(), first + 3, "16, 32 and 48 of 50 attempts");
     assert_eq!(cluster.task_starts.len(), 50, "each task started once");
-    assert_eq!(sessions_begun(&cluster), 0, "no lease was lost");
+    assert_eq!(reincarnated_workers(&cluster), 0, "no lease was lost");
     cluster.run(3_000);
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -31,11 +31,11 @@
     rules.request_sent(&Event::Cancel(RequestId(1), id))
 }
 
-fn says(state: &str) -> HttpResponse {
+fn job_response(state: &str) -> HttpResponse {
     HttpResponse::json(200, &json!({ "Estado": state }))
 }
 
-fn none() -> HttpResponse {
+fn not_found() -> HttpResponse {
     HttpResponse::error(404, "no such job")
 }
 
@@ -47,12 +47,12 @@
 /// A checker that has seen job 1 accepted.
 fn accepted() -> Invariants {
     let mut rules = rules();
-    let question = submission(&mut rules, 1);
-    rules.response_received(0, &question, &says("pending"));
+    let query = submission(&mut rules, 1);
+    rules.response_received(0, &query, &job_response("pending"));
     rules
 }
 
-fn breaks(rules: &Invariants, rule: &str) -> bool {
+fn is_violated(rules: &Invariants, rule: &str) -> bool {
     rules.violations.iter().any(|text| text.starts_with(rule))
 }
 
@@ -60,18 +60,18 @@
 fn an_accepted_job_must_stay_known() {
     let mut rules = accepted();
     let before = status(&mut rules, 1);
-    let question = status(&mut rules, 1);
-    rules.response_received(1, &question, &HttpResponse::retry_later("busy"));
-    rules.response_received(2, &before, &says("pending"));
+    let query = status(&mut rules, 1);
+    rules.response_received(1, &query, &HttpResponse::retry_later("busy"));
+    rules.response_received(2, &before, &job_response("pending"));
     assert!(rules.violations.is_empty());
-    let question = status(&mut rules, 1);
-    rules.response_received(3, &question, &none());
-    assert!(breaks(&rules, "forgotten"));
+    let query = status(&mut rules, 1);
+    rules.response_received(3, &query, &not_found());
+    assert!(is_violated(&rules, "forgotten"));
     for status in [400, 422] {
         let mut rules = accepted();
-        let question = submission(&mut rules, 1);
-        rules.response_received(1, &question, &HttpResponse::error(status, "no"));
-        assert!(breaks(&rules, "forgotten"), "{status}");
+        let query = submission(&mut rules, 1);
+        rules.response_received(1, &query, &HttpResponse::error(status, "no"));
+        assert!(is_violated(&rules, "forgotten"), "{status}");
     }
 }
 
@@ -79,33 +79,36 @@
 fn a_response_to_an_earlier_query_may_be_older() {
     let mut rules = rules();
     let early = status(&mut rules, 1);
-    let question = submission(&mut rules, 1);
-    rules.response_received(1, &question, &says("pending"));
-    rules.response_received(2, &early, &none());
-    assert!(rules.violations.is_empty(), "asked before it was accepted");
+    let query = submission(&mut rules, 1);
+    rules.response_received(1, &query, &job_response("pending"));
+    rules.response_received(2, &early, &not_found());
+    assert!(
+        rules.violations.is_empty(),
+        "queried before it was accepted"
+    );
 }
 
 #[test]
 fn a_job_that_nobody_submitted_must_be_unknown() {
     let mut rules = rules();
-    let question = status(&mut rules, 2);
-    rules.response_received(0, &question, &none());
+    let query = status(&mut rules, 2);
+    rules.response_received(0, &query, &not_found());
     assert!(rules.violations.is_empty());
-    let question = status(&mut rules, 2);
-    rules.response_received(1, &question, &says("pending"));
-    assert!(breaks(&rules, "invented"));
+    let query = status(&mut rules, 2);
+    rules.response_received(1, &query, &job_response("pending"));
+    assert!(is_violated(&rules, "invented"));
 }
 
 #[test]
 fn a_job_is_done_only_after_its_last_task() {
     let mut rules = accepted();
-    let question = status(&mut rules, 1);
-    rules.response_received(1, &question, &says("done"));
-    assert!(breaks(&rules, "not_done"));
+    let query = status(&mut rules, 1);
+    rules.response_received(1, &query, &job_response("done"));
+    assert!(is_violated(&rules, "not_done"));
     let mut rules = accepted();
     rules.completed(task(1, 0));
-    let question = status(&mut rules, 1);
-    rules.response_received(1, &question, &says("done"));
+    let query = status(&mut rules, 1);
+    rules.response_received(1, &query, &job_response("done"));
     assert!(rules.violations.is_empty());
 }
 
@@ -115,24 +118,27 @@
         let mut rules = accepted();
         rules.completed(task(1, 0));
         let early = status(&mut rules, 1);
-        let question = status(&mut rules, 1);
-        rules.response_received(1, &question, &says("done"));
-        rules.response_received(2, &early, &says("running"));
-        assert!(rules.violations.is_empty(), "asked before it was done");
+        let query = status(&mut rules, 1);
+        rules.response_received(1, &query, &job_response("done"));
+        rules.response_received(2, &early, &job_response("running"));
+        assert!(rules.violations.is_empty(), "queried before it was done");
         rules
     };
     let mut rules = done();
-    let question = status(&mut rules, 1);
-    rules.response_received(3, &question, &says("running"));
-    assert!(breaks(&rules, "went_back"));
+    let query = status(&mut rules, 1);
+    rules.response_received(3, &query, &job_response("running"));
+    assert!(is_violated(&rules, "went_back"));
     let mut rules = done();
-    let question = withdrawal(&mut rules, 1);
-    rules.response_received(3, &question, &says("aborted"));
-    assert!(breaks(&rules, "went_back"));
+    let query = withdrawal(&mut rules, 1);
+    rules.response_received(3, &query, &job_response("aborted"));
+    assert!(is_violated(&rules, "went_back"));
     let mut rules = accepted();
-    let question = status(&mut rules, 1);
-    rules.response_received(3, &question, &says("aborted"));
-    assert!(breaks(&rules, "went_back"), "its user did not cancel it");
+    let query = status(&mut rules, 1);
+    rules.response_received(3, &query, &job_response("aborted"));
+    assert!(
+        is_violated(&rules, "went_back"),
+        "its user did not cancel it"
+    );
 }
 
 /// A cluster with machines that controllers' commands do not reach; tests inject tasks into them.
@@ -154,7 +160,7 @@
     assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[1], task(1, 0), 8);
     cluster.run(300);
-    assert!(breaks(&cluster.invariants, "ran_twice"));
+    assert!(is_violated(&cluster.invariants, "ran_twice"));
 }
 
 #[test]
@@ -173,29 +179,29 @@
     assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[2], task(1, 8), 80);
     cluster.run(300);
-    assert!(breaks(&cluster.invariants, "quota"));
+    assert!(is_violated(&cluster.invariants, "quota"));
 }
 
 #[test]
 fn a_task_in_the_wrong_place_is_found() {
-    let wrong = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
+    let is_wrong_place_found = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
         let (mut cluster, ids) = with_machines(2, zone, spot);
         cluster.faults.cloud.down = true;
-        let mut odd = long_job(1, 4);
-        odd[field] = value;
-        cluster.submit(0, &odd);
+        let mut restricted = long_job(1, 4);
+        restricted[field] = value;
+        cluster.submit(0, &restricted);
         for index in 0..3 {
             cluster.inject_task(&ids[0], task(1, index), 7 + u64::from(index));
         }
         cluster.run(300);
-        breaks(&cluster.invariants, "wrong_place")
+        is_violated(&cluster.invariants, "wrong_place")
     };
-    assert!(wrong("Patio", json!("b"), "a", true));
-    assert!(!wrong("Patio", json!("a"), "a", true));
-    assert!(wrong("Prestados", json!(false), "a", true));
-    assert!(!wrong("Prestados", json!(false), "a", false));
-    assert!(wrong("Spread", json!(true), "a", true));
-    assert!(!wrong("SamePlace", json!(true), "a", true));
+    assert!(is_wrong_place_found("Patio", json!("b"), "a", true));
+    assert!(!is_wrong_place_found("Patio", json!("a"), "a", true));
+    assert!(is_wrong_place_found("Prestados", json!(false), "a", true));
+    assert!(!is_wrong_place_found("Prestados", json!(false), "a", false));
+    assert!(is_wrong_place_found("Spread", json!(true), "a", true));
+    assert!(!is_wrong_place_found("SamePlace", json!(true), "a", true));
 }
 
 #[test]
@@ -218,7 +224,7 @@
     cluster.run(300);
     cluster.hang(&ids[0], 3_000);
     cluster.run(4_000);
-    assert!(breaks(&cluster.invariants, "ran_cancelled"));
+    assert!(is_violated(&cluster.invariants, "ran_cancelled"));
 }
 
 #[test]
@@ -227,21 +233,21 @@
     cluster.submit(0, &long_job(1, 4));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let spot = cluster.task_starts[0].machine.clone();
-    let stranger = job(9, 1).to_string().into_bytes();
-    let question = cluster
+    let unknown_job = job(9, 1).to_string().into_bytes();
+    let query = cluster
         .invariants
-        .request_sent(&Event::Submit(RequestId(0), stranger));
+        .request_sent(&Event::Submit(RequestId(0), unknown_job));
     let now = cluster.now;
     cluster
         .invariants
-        .response_received(now, &question, &says("pending"));
+        .response_received(now, &query, &job_response("pending"));
     // Accepted according to the checker, unknown to the controllers; there is always a machine for it.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
         cluster.submit(0, &job(id, 1));
         cluster.run(1_500);
     }
-    assert!(breaks(&cluster.invariants, "waits"), "beside {spot:?}");
+    assert!(is_violated(&cluster.invariants, "waits"), "beside {spot:?}");
     let forgotten = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
     assert!(forgotten.is_err());
 }
@@ -255,5 +261,5 @@
     cluster.put("j/j-000001", json!({ "spec": "of another version" }));
     let found = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
     assert!(found.is_err());
-    assert!(breaks(&cluster.invariants, "forgotten"));
+    assert!(is_violated(&cluster.invariants, "forgotten"));
 }
--- a/crates/worksshunt-core/tests/scenarios/jobs.rs
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -1,4 +1,4 @@
-//! The life of a job: submission, cancellation, its end, and jobs that cannot be accepted or never succeed.
+//! The life cycle of a job: submission, cancellation, its end, and jobs that cannot be accepted or never succeed.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
@@ -217,7 +217,7 @@
     }
     assert_eq!(cluster.state(0, 7).0, 404);
     assert_eq!(cluster.cancel(0, 7).status, 404);
-    // A known job is answered with its state, whatever else the repeat says.
+    // A known job is answered with its state, whatever else the repeated submission contains.
     assert_eq!(cluster.submit(0, &job(7, 2)).status, 201);
     assert_eq!(cluster.submit(1, &change("Piezas", json!(0))).status, 200);
     assert_eq!(
--- a/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -14,8 +14,8 @@
 /// An outage that takes all tasks with it unless leases are renewed in the middle of it.
 const LONG_OUTAGE_MS: u64 = WORKER_AND_LEADER_LEASE_MS + 4_000;
 
-/// What a cancellation has, seconds: so much that news of cancellations stays recent for longer than here any
-/// outage is older than a lease.
+/// The time within which a cancellation takes effect, seconds: so long that knowledge of cancellations stays
+/// fresh throughout every outage here that is longer than a lease.
 const CANCEL_S: f64 = 45.0;
 
 /// A cluster in which eight tasks run for longer than any outage here.
@@ -107,7 +107,7 @@
     let others: Vec<usize> = (0..3).filter(|n| *n != former).collect();
     cluster.faults.key_value.refuses.insert(former);
     cluster.faults.cut_from_peers.insert(former);
-    // Its workers report to nobody else.
+    // Its workers send heartbeats to nobody else.
     cluster.faults.cut_from_workers.extend(&others);
     cluster.run(5_000 + moment);
     cluster.faults.key_value.down = true;
--- a/crates/worksshunt-core/tests/scenarios/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_store.rs
@@ -76,10 +76,10 @@
     cluster.faults.key_value.slow_writes_ms = 1_200;
     let mut slowest = 0;
     for id in 1..=12 {
-        let asked = cluster.now;
+        let queried_at = cluster.now;
         let reply = cluster.submit(id as usize % 3, &job(id, 3));
         assert!(matches!(reply.status, 200 | 201), "{reply:?}");
-        slowest = slowest.max(cluster.now - asked);
+        slowest = slowest.max(cluster.now - queried_at);
     }
     assert!(slowest < 800, "one waited {slowest} ms");
     cluster.until("all tasks", 60_000, |cluster| {
@@ -89,8 +89,8 @@
     cluster.check();
 }
 
-// Guards against questions that lose to others every time: whoever came first used up the share of
-// reads, so with the same order of polls some job was never answered for.
+// Guards against queries that lose to others every time: whoever came first used up the share of
+// reads, so with polls always in the same order some job was never answered for.
 #[test]
 fn queries_about_every_old_job_are_answered_although_they_exceed_the_share() {
     let mut cluster = ready();
@@ -103,7 +103,7 @@
     let mut answered = BTreeSet::new();
     while answered.len() < ids.len() {
         assert!(cluster.now < begun + 45_000, "{} answered", answered.len());
-        answered.extend(cluster.answered_questions(1, &ids));
+        answered.extend(cluster.answered_queries(1, &ids));
         cluster.run(3_000);
     }
 }
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -9,7 +9,7 @@
 use crate::{long_job, ready_with_boots_of};
 
 /// How long a heartbeat is under way, ms: less than workers wait for an answer.
-const REPORT_UNDER_WAY_MS: u64 = 1_500;
+const HEARTBEAT_IN_FLIGHT_MS: u64 = 1_500;
 
 /// A machine that is about to be cut off, with the jobs that have tasks there.
 struct Doomed {
@@ -43,25 +43,25 @@
     doomed.expect("machines")
 }
 
-/// While a heartbeat of the machine is under way, a command to it is carried out and answered. The answer is the
-/// newer message and arrives first. The order stops the task of one of the jobs, whose user calls it off.
-fn order_overtakes_report(cluster: &mut Cluster, doomed: &mut Doomed) {
+/// While a heartbeat of the machine is in flight, a command to it is carried out and answered. The answer is the
+/// newer message and arrives first. The command stops the task of one of the jobs, whose user cancels it.
+fn command_overtakes_heartbeat(cluster: &mut Cluster, doomed: &mut Doomed) {
     let machine = doomed.machine.clone();
-    let slow = (machine.clone(), REPORT_UNDER_WAY_MS);
-    cluster.until("a pause between reports", 5_000, |c| {
+    let slow = (machine.clone(), HEARTBEAT_IN_FLIGHT_MS);
+    cluster.until("a pause between heartbeats", 5_000, |c| {
         !c.awaits_heartbeat_response(&machine)
     });
     cluster.faults.heartbeats.slow_ms.extend([slow]);
-    cluster.until("a report under way", 5_000, |c| {
+    cluster.until("a heartbeat in flight", 5_000, |c| {
         c.awaits_heartbeat_response(&machine)
     });
-    let orders = cluster.commands_sent_count(&machine);
-    let called_off = doomed.jobs.pop_first().expect("a job");
-    cluster.send_cancel(0, called_off);
-    cluster.until("an order", 1_000, |c| {
-        c.commands_sent_count(&machine) > orders
+    let commands = cluster.commands_sent_count(&machine);
+    let cancelled = doomed.jobs.pop_first().expect("a job");
+    cluster.send_cancel(0, cancelled);
+    cluster.until("a command", 1_000, |c| {
+        c.commands_sent_count(&machine) > commands
     });
-    cluster.until("an answer", 4_000, |c| {
+    cluster.until("a response", 4_000, |c| {
         !c.awaits_heartbeat_response(&machine)
     });
     cluster.faults.heartbeats.slow_ms.clear();
@@ -73,7 +73,7 @@
     cluster.faults.unreachable_machines.insert(machine.clone());
 }
 
-/// So much later no rule was broken, and what was on the machine goes on elsewhere.
+/// After so long no invariant is violated, and what was on the machine goes on elsewhere.
 fn goes_on_elsewhere(cluster: &mut Cluster, doomed: &Doomed, within_ms: u64) {
     let started = cluster.task_starts.len();
     cluster.run(within_ms);
@@ -88,21 +88,21 @@
 }
 
 // The incident of issue 29: the answer to a direct command overtook a heartbeat. The heartbeat was answered and so renewed
-// the worker's lease, while the owner's account of that lease stayed where it was.
+// the worker's lease, while the owner's record of that lease stayed where it was.
 #[test]
 fn a_heartbeat_overtaken_by_the_response_to_a_command_renews_the_lease_on_both_sides() {
     let (mut cluster, mut doomed) = two_machines();
-    order_overtakes_report(&mut cluster, &mut doomed);
+    command_overtakes_heartbeat(&mut cluster, &mut doomed);
     cut_off(&mut cluster, &doomed.machine);
     goes_on_elsewhere(&mut cluster, &doomed, 30_000);
 }
 
-// The same twice in a row: each time the account fell back by another interval of heartbeats.
+// The same twice in a row: each time the record of the lease fell back by another interval of heartbeats.
 #[test]
 fn heartbeats_overtaken_one_after_the_other_renew_the_lease_on_both_sides() {
     let (mut cluster, mut doomed) = two_machines();
-    order_overtakes_report(&mut cluster, &mut doomed);
-    order_overtakes_report(&mut cluster, &mut doomed);
+    command_overtakes_heartbeat(&mut cluster, &mut doomed);
+    command_overtakes_heartbeat(&mut cluster, &mut doomed);
     cut_off(&mut cluster, &doomed.machine);
     goes_on_elsewhere(&mut cluster, &doomed, 30_000);
 }
@@ -110,7 +110,7 @@
 // Part of the same incident: tasks that were counted as gone while they ran made their team exceed its limit.
 #[test]
 fn a_team_at_its_limit_stays_there_while_a_machine_with_its_tasks_is_cut_off() {
-    const RED_MOST: usize = 8;
+    const RED_LIMIT: usize = 8;
     let mut cluster = ready_with_boots_of(200.0);
     cluster.capacity = 3;
     cluster.task_run_ms = 120_000;
@@ -120,16 +120,16 @@
         job["Cuadrilla"] = json!("red");
         job
     };
-    for id in 1..=RED_MOST as u64 {
+    for id in 1..=RED_LIMIT as u64 {
         cluster.submit(0, &red(id, 1));
     }
-    cluster.until("all to run", 60_000, |c| c.running().len() == RED_MOST + 4);
+    cluster.until("all to run", 60_000, |c| c.running().len() == RED_LIMIT + 4);
     cluster.cancel(0, 100);
     cluster.submit(0, &red(9, 4));
     cluster.run(3_000);
-    assert_eq!(cluster.running().len(), RED_MOST, "the rest waits");
+    assert_eq!(cluster.running().len(), RED_LIMIT, "the rest waits");
     let mut doomed = most_jobs(&cluster);
-    order_overtakes_report(&mut cluster, &mut doomed);
+    command_overtakes_heartbeat(&mut cluster, &mut doomed);
     cut_off(&mut cluster, &doomed.machine);
     let started = cluster.task_starts.len();
     cluster.run(30_000);
@@ -146,9 +146,9 @@
 fn copies_of_an_overtaken_heartbeat_do_not_keep_the_tasks_of_a_dead_machine() {
     let (mut cluster, mut doomed) = two_machines();
     cluster.faults.heartbeats.copies_after_ms = (4..120).map(|half| half * 500).collect();
-    order_overtakes_report(&mut cluster, &mut doomed);
+    command_overtakes_heartbeat(&mut cluster, &mut doomed);
     cluster.faults.heartbeats.copies_after_ms.clear();
-    // It is still listed, so nothing but its lease tells that its tasks are gone.
+    // It is still listed, so nothing but its lease shows that its tasks are gone.
     cluster.hang(&doomed.machine, 120_000);
     goes_on_elsewhere(&mut cluster, &doomed, 20_000);
     assert!(
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -71,7 +71,7 @@
     }
     assert!(
         cluster.task_starts.len() > 24,
-        "nothing was given up after 40 s"
+        "no machine was counted as lost after 40 s"
     );
     cluster.check();
 }
@@ -91,7 +91,7 @@
     cluster.until("all tasks", 90_000, |cluster| {
         (1..=20).all(|id| cluster.all_done(id, 3))
     });
-    cluster.until("its return", 90_000, |cluster| {
+    cluster.until("its release", 90_000, |cluster| {
         cluster.released_machines.contains(&faulty)
     });
     let failed = cluster
@@ -118,23 +118,26 @@
     cluster.task_run_ms = 20_000;
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-    let deaf = cluster.task_starts[0].machine.clone();
-    cluster.faults.unreachable_machines.insert(deaf.clone());
+    let unreachable = cluster.task_starts[0].machine.clone();
+    cluster
+        .faults
+        .unreachable_machines
+        .insert(unreachable.clone());
     cluster.run(20_000);
-    let before = cluster.launches_on(&deaf);
+    let before = cluster.launches_on(&unreachable);
     cluster.submit(1, &long_job(2, 24));
     cluster.until("all tasks", 150_000, |cluster| {
         cluster.all_done(1, 8) && cluster.all_done(2, 24)
     });
     assert_eq!(
-        cluster.launches_on(&deaf),
+        cluster.launches_on(&unreachable),
         before,
-        "it was given nothing more"
+        "it got no more tasks"
     );
-    let orders = cluster.commands_sent_count(&deaf);
-    assert!(orders < 40, "probed, not hammered: {orders} orders");
-    cluster.until("its return", 90_000, |cluster| {
-        cluster.released_machines.contains(&deaf)
+    let commands = cluster.commands_sent_count(&unreachable);
+    assert!(commands < 40, "{commands} commands instead of a few probes");
+    cluster.until("its release", 90_000, |cluster| {
+        cluster.released_machines.contains(&unreachable)
     });
     cluster.check();
 }
@@ -143,14 +146,17 @@
 #[test]
 fn an_idle_machine_whose_incarnations_rise_gets_no_tasks() {
     let mut cluster = ready_with_boots_of(50.0);
-    let deaf = cluster.machine("a", true, 0);
+    let unreachable = cluster.machine("a", true, 0);
     cluster.run(4_000);
-    cluster.faults.unreachable_machines.insert(deaf.clone());
+    cluster
+        .faults
+        .unreachable_machines
+        .insert(unreachable.clone());
     cluster.run(18_500);
-    assert!(!cluster.released_machines.contains(&deaf), "not yet");
+    assert!(!cluster.released_machines.contains(&unreachable), "not yet");
     cluster.submit(0, &long_job(1, 8));
     cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 8));
-    assert_eq!(cluster.launches_on(&deaf), 0);
+    assert_eq!(cluster.launches_on(&unreachable), 0);
     cluster.check();
 }
 
@@ -161,19 +167,22 @@
     cluster.capacity = 1;
     cluster.submit(0, &job(1, 60));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
-    let deaf = cluster.task_starts[0].machine.clone();
-    cluster.faults.unreachable_machines.insert(deaf.clone());
+    let unreachable = cluster.task_starts[0].machine.clone();
+    cluster
+        .faults
+        .unreachable_machines
+        .insert(unreachable.clone());
     cluster.run(25_000);
     cluster.faults.unreachable_machines.clear();
-    let before = starts_on(&cluster, &deaf);
+    let before = starts_on(&cluster, &unreachable);
     cluster.until("tasks on it again", 15_000, |cluster| {
-        starts_on(cluster, &deaf) > before
+        starts_on(cluster, &unreachable) > before
     });
     cluster.until("all tasks", 200_000, |cluster| cluster.all_done(1, 60));
     cluster.check();
 }
 
-// Guards against machines that never go back, because the worker has to remember an attempt for as long as an
+// Guards against machines that are never released, because the worker has to remember an attempt for as long as a
 // command that was not answered might still arrive (found by a day of mixed faults).
 #[test]
 fn a_machine_is_released_although_a_command_to_it_was_never_answered() {
@@ -214,9 +223,9 @@
 }
 
 // Guards against whatever grows faster than the fleet when a third of it falls silent, all controllers
-// crash in it and the silent third comes back after its lease, at the largest size asked for.
+// crash in it and the silent third resumes after its lease, at the largest size asked for.
 #[test]
-fn a_fleet_half_as_large_again_survives_when_a_third_of_it_falls() {
+fn a_fleet_half_as_large_again_survives_when_a_third_of_it_hangs() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
         settings.facts.teams[1].cpus_max = 10_000.0;
@@ -269,7 +278,7 @@
     assert_eq!(
         cluster.keys("a/"),
         Vec::<String>::new(),
-        "records of nothing"
+        "no attempt records are left"
     );
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -6,7 +6,7 @@
 use crate::{long_job, ready};
 use worksshunt_simulation::job;
 
-// Guards against an unanswered order that starts a task again after its attempt was forgotten.
+// Guards against an unanswered command that starts a task again after its attempt was forgotten.
 #[test]
 fn late_direct_commands_start_nothing_a_second_time() {
     let mut cluster = ready();
@@ -104,7 +104,7 @@
         assert_eq!(
             cluster.commands_sent_count(&id),
             before,
-            "nobody speaks to it"
+            "no command is sent to it"
         );
         (0..3).for_each(|controller| cluster.crash(controller));
         (0..3).for_each(|controller| cluster.start(controller));
@@ -124,7 +124,7 @@
         heartbeat[field] = value;
         heartbeat.to_string()
     };
-    let odd = [
+    let malformed = [
         "{\"Estiba\": \"i-0".to_owned(),
         "[]".to_owned(),
         with("Estiba", json!("i 1")),
@@ -140,17 +140,17 @@
             json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "flying"}]),
         ),
     ];
-    for body in odd {
+    for body in malformed {
         let bytes = body.clone().into_bytes();
         let reply = cluster.ask(0, |request| Event::Heartbeat(request, bytes));
         assert_eq!(reply.status, 400, "{body}");
     }
     // An unknown type of machine, with a task that nobody launched: the heartbeat is accepted, the machine not used.
-    let mut stranger = good.clone();
-    stranger["Modelo"] = json!("m9");
-    stranger["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
+    let mut unknown_type = good.clone();
+    unknown_type["Modelo"] = json!("m9");
+    unknown_type["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
     for controller in 0..3 {
-        let bytes = stranger.to_string().into_bytes();
+        let bytes = unknown_type.to_string().into_bytes();
         let reply = cluster.ask(controller, |request| Event::Heartbeat(request, bytes));
         assert!(matches!(reply.status, 200 | 421), "{}", reply.status);
     }
--- a/crates/worksshunt-core/tests/scenarios/mixed.rs
+++ b/crates/worksshunt-core/tests/scenarios/mixed.rs
@@ -35,7 +35,7 @@
         }
         Err(_) => CI_SEEDS,
     };
-    // Seeds are begun in their order, so those before the first finding are all played.
+    // Seeds are started in their order, so those before the first finding have all run.
     let only_first = std::env::var_os("SCENARIOS_FIRST").is_some();
     let next = std::sync::Mutex::new(seeds);
     let failed = std::sync::Mutex::new(Vec::new());
--- a/crates/worksshunt-core/tests/scenarios/placement.rs
+++ b/crates/worksshunt-core/tests/scenarios/placement.rs
@@ -12,13 +12,13 @@
     let mut red = job(1, 40);
     red["Cuadrilla"] = json!("red");
     cluster.submit(0, &red);
-    let mut most = 0;
+    let mut max_running = 0;
     while !cluster.all_done(1, 40) {
         cluster.run(500);
-        most = most.max(cluster.running().len());
+        max_running = max_running.max(cluster.running().len());
         assert!(cluster.now < 300_000, "not in time");
     }
-    assert_eq!(most, 8, "the limit is used, and kept");
+    assert_eq!(max_running, 8, "the limit is used, and kept");
     cluster.check();
 }
 
--- a/crates/worksshunt-core/tests/scenarios/preemption.rs
+++ b/crates/worksshunt-core/tests/scenarios/preemption.rs
@@ -94,7 +94,7 @@
         settings.facts.objectives = serde_json::from_value(json!([within])).expect("objectives");
     }
     (0..3).for_each(|controller| cluster.start(controller));
-    // Room for both teams' guarantees, 8 and 4 processors, and no more.
+    // Capacity for both teams' guarantees, 8 and 4 processors, and no more.
     cluster.capacity = 3;
     cluster.task_run_ms = 10_000;
     cluster.run(3_000);
--- a/crates/worksshunt-core/tests/scenarios/service_capacity.rs
+++ b/crates/worksshunt-core/tests/scenarios/service_capacity.rs
@@ -26,10 +26,10 @@
         cluster.until("a full fleet", 30_000, |cluster| {
             cluster.running().len() == 8
         });
-        let mut wanted = service(2, 2);
-        wanted["Spread"] = json!(spread);
-        cluster.submit(1, &wanted);
-        let up = |cluster: &Cluster| {
+        let mut requested = service(2, 2);
+        requested["Spread"] = json!(spread);
+        cluster.submit(1, &requested);
+        let all_running = |cluster: &Cluster| {
             cluster
                 .running()
                 .iter()
@@ -37,7 +37,7 @@
                 .count()
                 == 2
         };
-        cluster.until("both replicas", 2_000, up);
+        cluster.until("both replicas", 2_000, all_running);
         cluster.check();
     }
 }
@@ -58,7 +58,7 @@
         assert_eq!(spot, task.job == JobId(2), "{task} on {machine}");
     }
     cluster.submit(2, &service(3, 4));
-    let up = |cluster: &Cluster| {
+    let all_running = |cluster: &Cluster| {
         cluster
             .running()
             .iter()
@@ -66,17 +66,17 @@
             .count()
             == 4
     };
-    cluster.until("replicas without a boot", 3_000, up);
+    cluster.until("replicas without a boot", 3_000, all_running);
     cluster.cancel(0, 1);
     cluster.cancel(0, 3);
-    cluster.until("nothing kept for nobody", 120_000, |cluster| {
+    cluster.until("an empty fleet without services", 120_000, |cluster| {
         cluster.workers.is_empty()
     });
     cluster.check();
 }
 
 // Guards against work that waits for ever for spot machines where there are none, be it beside ordinary ones
-// that are left to services, be it that none are rented for it.
+// that are left to services, be it that none are provisioned for it.
 #[test]
 fn jobs_are_done_in_time_where_there_are_no_spot_machines() {
     let mut cluster = ready();
@@ -86,14 +86,16 @@
         cluster.running().len() == 4
     });
     cluster.task_run_ms = 40_000;
-    let mut pressed = long_job(2, 8);
-    pressed["EntregaS"] = json!(200.0);
-    cluster.submit(1, &pressed);
+    let mut with_deadline = long_job(2, 8);
+    with_deadline["EntregaS"] = json!(200.0);
+    cluster.submit(1, &with_deadline);
     cluster.until("work with a deadline", 120_000, |cluster| {
         cluster.all_done(2, 8)
     });
     cluster.cancel(0, 1);
-    cluster.until("nothing up", 120_000, |cluster| cluster.workers.is_empty());
+    cluster.until("an empty fleet", 120_000, |cluster| {
+        cluster.workers.is_empty()
+    });
     cluster.submit(1, &long_job(3, 24));
     cluster.until("work without one", 200_000, |cluster| {
         cluster.all_done(3, 24)
@@ -115,11 +117,13 @@
     cluster.until("machines", 20_000, |cluster| cluster.workers.len() >= 2);
     assert!(cluster.workers.values().all(|worker| !worker.spot));
     cluster.run(60_000);
-    let mut seen = job(1, 1);
-    seen["Carril"] = json!("till");
-    assert_eq!(cluster.submit(0, &seen).status, 201);
-    cluster.until("an array: nobody has to stand by", 120_000, |cluster| {
-        cluster.workers.is_empty()
-    });
+    let mut array = job(1, 1);
+    array["Carril"] = json!("till");
+    assert_eq!(cluster.submit(0, &array).status, 201);
+    cluster.until(
+        "an array: no spare machines are needed",
+        120_000,
+        |cluster| cluster.workers.is_empty(),
+    );
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -19,7 +19,7 @@
     cluster
 }
 
-/// A cluster in which a service has all its replicas up.
+/// A cluster in which a service has all its replicas running.
 pub fn serving(job: &serde_json::Value, replicas: usize) -> Cluster {
     let mut cluster = ready();
     cluster.task_run_ms = 20_000;
@@ -44,7 +44,7 @@
     assert_eq!(cluster.task_starts.len(), 6, "replicas run on");
     let lost = last_started_on(&cluster);
     cluster.workers.remove(&lost);
-    cluster.until("all up again", 40_000, |cluster| {
+    cluster.until("all replicas running again", 40_000, |cluster| {
         cluster.running().len() == 6
     });
     let starts = cluster.task_starts.len();
@@ -90,7 +90,7 @@
     assert!((5..25).contains(&starts), "{starts} starts in 90 s");
     assert!(cluster.keys("d/").is_empty() && cluster.keys("f/").is_empty());
     cluster.faults.ending_services.clear();
-    cluster.until("it to stay up", 25_000, |cluster| {
+    cluster.until("it to keep running", 25_000, |cluster| {
         cluster.running().len() == 1
     });
     cluster.run(60_000);
@@ -117,7 +117,7 @@
 }
 
 // Guards against a zone that is not known after a change of epochs, which kept every other replica of
-// a job spread over zones from coming back.
+// a job spread over zones from starting again.
 #[test]
 fn a_spread_replica_runs_again_after_an_epoch_change() {
     let mut spread = service(1, 6);
@@ -132,7 +132,7 @@
     cluster.run(10_000);
     let lost = last_started_on(&cluster);
     cluster.workers.remove(&lost);
-    cluster.until("all up again", 60_000, |cluster| {
+    cluster.until("all replicas running again", 60_000, |cluster| {
         cluster.running().len() == 6
     });
     cluster.check();
@@ -160,7 +160,7 @@
 // Guards against replicas that are down until the lease of their dead machine is over, though the cloud
 // could have reported sooner that it is gone.
 #[test]
-fn a_service_is_up_again_before_the_lease_of_its_dead_machine_ends() {
+fn a_service_runs_in_full_again_before_the_lease_of_its_dead_machine_ends() {
     let mut cluster = service_in_a_crowd();
     let dead = cluster
         .task_starts
@@ -168,15 +168,17 @@
         .find(|start| start.task.job == JobId(1));
     let dead = dead.expect("a replica").machine.clone();
     cluster.workers.get_mut(&dead).expect("a worker").hung = true;
-    cluster.until("its return", 13_000, |cluster| {
+    cluster.until("its release", 13_000, |cluster| {
         cluster.released_machines.contains(&dead)
     });
-    cluster.until("all up again", 3_000, |cluster| replicas(cluster) == 4);
+    cluster.until("all replicas running again", 3_000, |cluster| {
+        replicas(cluster) == 4
+    });
     cluster.check();
 }
 
 // Guards against taking a zone that is cut off, or a controller that workers do not reach, for machines that
-// are dead, and giving them up.
+// are dead, and releasing them.
 #[test]
 fn machines_whose_heartbeats_stop_together_are_not_counted_as_lost() {
     let mut cluster = service_in_a_crowd();
@@ -191,21 +193,23 @@
             cluster.workers.get_mut(id).expect("a worker").hung = hung;
         }
     };
-    let given_up = |cluster: &Cluster, of: &[MachineId]| {
+    let any_released = |cluster: &Cluster, of: &[MachineId]| {
         of.iter().any(|id| cluster.released_machines.contains(id))
     };
     hang(&mut cluster, true);
     cluster.run(15_000);
-    assert!(!given_up(&cluster, &zone), "a zone");
+    assert!(!any_released(&cluster, &zone), "a zone");
     hang(&mut cluster, false);
-    cluster.until("all up again", 60_000, |cluster| replicas(cluster) == 4);
+    cluster.until("all replicas running again", 60_000, |cluster| {
+        replicas(cluster) == 4
+    });
     cluster.run(10_000);
     let busy = busy(&cluster);
     let other = (cluster.leader() + 1) % 3;
     cluster.faults.cut_from_workers.insert(other);
     cluster.run(15_000);
     assert!(
-        !given_up(&cluster, &busy),
+        !any_released(&cluster, &busy),
         "a controller cut from its workers"
     );
     cluster.check();
@@ -214,18 +218,22 @@
 #[test]
 fn services_that_can_never_run_are_rejected() {
     let mut cluster = ready();
-    let mut many = service(1, 9);
-    many["Cuadrilla"] = json!("red");
+    let mut large = service(1, 9);
+    large["Cuadrilla"] = json!("red");
     assert_eq!(
-        cluster.submit(0, &many).status,
+        cluster.submit(0, &large).status,
         422,
         "9 of at most 8 processors"
     );
-    many["Piezas"] = json!(8);
-    assert_eq!(cluster.submit(0, &many).status, 201);
-    let mut more = service(2, 1);
-    more["Cuadrilla"] = json!("red");
-    assert_eq!(cluster.submit(1, &more).status, 201, "accepted, and waits");
+    large["Piezas"] = json!(8);
+    assert_eq!(cluster.submit(0, &large).status, 201);
+    let mut waiting = service(2, 1);
+    waiting["Cuadrilla"] = json!("red");
+    assert_eq!(
+        cluster.submit(1, &waiting).status,
+        201,
+        "accepted, and waits"
+    );
     cluster.until("the limit", 30_000, |cluster| cluster.running().len() == 8);
     cluster.run(5_000);
     assert_eq!(cluster.state(2, 2), (200, "pending".into()));
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -41,30 +41,35 @@
         .iter()
         .map(|frame| borsh::from_slice(frame).expect("a request"))
         .collect();
-    let answers: Vec<PeerResponse> = frames[2..]
+    let responses: Vec<PeerResponse> = frames[2..]
         .iter()
-        .map(|frame| borsh::from_slice(frame).expect("an answer"))
+        .map(|frame| borsh::from_slice(frame).expect("a response"))
         .collect();
-    let PeerRequest::Sync(up) = &requests[0] else {
+    let PeerRequest::Sync(status) = &requests[0] else {
         panic!("{:?}", requests[0]);
     };
-    assert_eq!((up.epoch.0, up.sequence, up.acknowledged), (7, 9, 8));
-    assert!(up.machines[0].lost && up.machines[0].spot && !up.machines[0].reclaim_notice);
-    let phases: Vec<Phase> = up.attempts.iter().map(|a| a.phase).collect();
+    assert_eq!(
+        (status.epoch.0, status.sequence, status.acknowledged),
+        (7, 9, 8)
+    );
+    assert!(
+        status.machines[0].lost && status.machines[0].spot && !status.machines[0].reclaim_notice
+    );
+    let phases: Vec<Phase> = status.attempts.iter().map(|a| a.phase).collect();
     use Phase::*;
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
-    let ends: Vec<AttemptOutcome> = up.ended_attempts.iter().map(|e| e.outcome).collect();
+    let ends: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
     use AttemptOutcome::*;
     assert_eq!(ends, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
-    let PeerResponse::Sync(down) = &answers[0] else {
-        panic!("{:?}", answers[0]);
+    let PeerResponse::Sync(directives) = &responses[0] else {
+        panic!("{:?}", responses[0]);
     };
-    assert_eq!(down.assignments[0].zone.as_deref(), Some("a"));
-    assert_eq!(down.progress, Some(vec![(JobId(412), 2, 5)]));
+    assert_eq!(directives.assignments[0].zone.as_deref(), Some("a"));
+    assert_eq!(directives.progress, Some(vec![(JobId(412), 2, 5)]));
     let written: Vec<Vec<u8>> = requests
         .iter()
         .map(|request| borsh::to_vec(request).expect("bytes"))
-        .chain(answers.iter().map(|a| borsh::to_vec(a).expect("bytes")))
+        .chain(responses.iter().map(|a| borsh::to_vec(a).expect("bytes")))
         .collect();
     assert_eq!(written, frames);
 }
@@ -163,7 +168,7 @@
     cluster.remove("c/n/n2");
     cluster.run(5_000);
     let reply = cluster.submit(0, &service(1, 2));
-    assert_eq!(reply.status, 503, "it may come back old");
+    assert_eq!(reply.status, 503, "it may restart with the old version");
     cluster.start(2);
     cluster.run(6_000);
     assert_eq!(cluster.submit(0, &service(1, 2)).status, 201);
@@ -195,8 +200,8 @@
         .collect()
 }
 
-// Guards against services taken in after a production controller has come back: its epoch does not have the
-// field that says all understand them.
+// Guards against services accepted after a production controller has joined again: its epoch does not have the
+// field that says that all support them.
 #[test]
 fn a_rollback_admits_no_more_services() {
     let mut cluster = ready();
@@ -209,7 +214,7 @@
     assert_eq!(
         cluster.submit(0, &service(1, 2)).status,
         503,
-        "one has come back"
+        "one has joined again"
     );
     let mut epoch = cluster.stored("c/epoch").expect("an epoch").clone();
     epoch["number"] = json!(cluster.epoch() + 1);
@@ -298,7 +303,7 @@
     cluster.submit_at_once(&[1], &more);
     cluster.submit(2, &long_job(200, 110));
     cluster.until("all jobs over", 240_000, all_over);
-    assert!(cluster.too_large > 0, "the limits were met");
+    assert!(cluster.too_large > 0, "the limits were exceeded");
     assert!(
         cluster.too_large < 40,
         "{} tries in vain",
@@ -318,12 +323,12 @@
     (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(2_000);
     let stored = cluster.stored("j/j-000001").expect("the job").clone();
-    let mut odd = stored.clone();
-    odd["spec"]["Oficio"] = json!("gang");
-    cluster.put("j/j-000001", odd);
+    let mut unreadable = stored.clone();
+    unreadable["spec"]["Oficio"] = json!("gang");
+    cluster.put("j/j-000001", unreadable);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(25_000);
-    assert_eq!(cluster.running().len(), 4, "its tasks are let be");
+    assert_eq!(cluster.running().len(), 4, "its tasks run on");
     for controller in 0..3 {
         assert_eq!(
             cluster.state(controller, 1).0,
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -109,7 +109,7 @@
     assert_eq!(read, record);
 }
 
-/// The single value that a transaction puts.
+/// The single value that a compare-and-swap puts.
 fn put(changes: &[Change]) -> (&str, &Value) {
     match changes {
         [Change::Put { key, value, .. }] => (key, value),
@@ -126,15 +126,16 @@
         more: false,
         revision: Revision(1),
     };
-    let mut unfit = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
-    unfit.set_ready(false);
-    unfit.lease_granted(73);
-    unfit.process_control_keys(Time(1), &nothing);
-    let write = unfit.member_key_write().expect("a member key");
+    let mut not_ready = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
+    not_ready.set_ready(false);
+    not_ready.lease_granted(73);
+    not_ready.process_control_keys(Time(1), &nothing);
+    let write = not_ready.member_key_write().expect("a member key");
     let (key, value) = put(&write.changes);
     written(key, value);
 
-    // Another controller's key is read: whether it reaches its part, its lease, and that it knows services.
+    // Another controller's key is read: whether it reaches its partition, its lease, and that it
+    // supports services.
     let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
     reader.set_ready(true);
     reader.lease_granted(71);
@@ -235,7 +236,7 @@
     let first_release = [recorded("i-000001", task(1, 2), 67_108_866, 1)];
     let read = records::read(&pair("a/i-000001")).expect("a machine's record");
     assert_eq!(read, first_release);
-    // With a session of its own, which no number of the store is.
+    // With an incarnation that differs from every other number in the store.
     let page = [recorded("i-000009", task(3, 4), 5, 6)];
     let value = AttemptRecord::value(&by_attempt(&page));
     let text = r#"{"on":[["i-000009","j-000003/4",5,6]],"v":2}"#;
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -35,7 +35,7 @@
     cluster
 }
 
-/// A job of every way through the store: taken in alone, taken in with others, a service, cancelled before
+/// A job of every way through the store: submitted alone, in a batch of submissions, a service, cancelled before
 /// it has a key of its own and after.
 fn every_way(history: &mut History) {
     let mut cluster = ready(history);
@@ -229,7 +229,7 @@
     cluster.check();
 }
 
-// Guards against a stored catalogue that is not understood, without which no job can be taken in while the
+// Guards against a stored catalogue that is not understood, without which no job can be accepted while the
 // cloud does not answer.
 #[test]
 fn the_stored_catalogue_serves_while_the_cloud_is_down() {
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -120,7 +120,7 @@
     }
 
     /// Asks a controller about jobs at one moment and returns those it answers with 200 within 2 s.
-    pub fn answered_questions(&mut self, controller: usize, ids: &[u64]) -> BTreeSet<u64> {
+    pub fn answered_queries(&mut self, controller: usize, ids: &[u64]) -> BTreeSet<u64> {
         let first = self.users.responses.len();
         for id in ids {
             self.send_status(controller, JobId(*id));
