--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -69,3 +69,6 @@
         self.confirmed_before = false;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/worksshunt-core/src/epoch_confirmation/tests.rs
@@ -0,0 +1,76 @@
+//! Tests of `epoch_confirmation`.
+
+use super::*;
+
+fn name(text: &str) -> ControllerName {
+    text.into()
+}
+
+fn known(poll: u64, epoch: u64) -> KnownEpoch {
+    KnownEpoch {
+        poll,
+        epoch: Epoch(epoch),
+        key_value_store_reachable: false,
+    }
+}
+
+fn poll() -> (EpochConfirmation, u64) {
+    let mut poll = EpochConfirmation::default();
+    let others = [name("n1"), name("n2")].into_iter().collect();
+    let number = poll.begin_poll(Time(1_000), Epoch(4), others);
+    (poll, number)
+}
+
+#[test]
+fn a_poll_confirms_its_epoch_once_all_have_answered() {
+    let (mut poll, number) = poll();
+    assert_eq!(poll.confirmed_at(Epoch(4)), None);
+    poll.record_response(&name("n1"), &known(number, 4));
+    poll.record_response(&name("n1"), &known(number, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), None, "one of two, twice");
+    poll.record_response(&name("n2"), &known(number, 0));
+    assert_eq!(poll.confirmed_at(Epoch(4)), Some(Time(1_000)));
+    assert_eq!(
+        poll.confirmed_at(Epoch(5)),
+        None,
+        "another epoch began meanwhile"
+    );
+}
+
+#[test]
+fn a_poll_fails_if_a_peer_knows_a_newer_epoch_or_reaches_the_key_value_store() {
+    let reaches = |number| KnownEpoch {
+        key_value_store_reachable: true,
+        ..known(number, 4)
+    };
+    for contradiction in [known(1, 5), reaches(1)] {
+        let (mut poll, number) = poll();
+        assert_eq!(number, 1);
+        poll.record_response(&name("n1"), &contradiction);
+        poll.record_response(&name("n1"), &known(number, 4));
+        poll.record_response(&name("n2"), &known(number, 4));
+        assert_eq!(poll.confirmed_at(Epoch(4)), None, "{contradiction:?}");
+    }
+}
+
+#[test]
+fn responses_to_an_earlier_poll_are_ignored() {
+    let (mut poll, first) = poll();
+    poll.record_response(&name("n1"), &known(first, 4));
+    let others = [name("n1"), name("n2")].into_iter().collect();
+    let second = poll.begin_poll(Time(2_000), Epoch(4), others);
+    poll.record_response(&name("n1"), &known(first, 4));
+    poll.record_response(&name("n2"), &known(second, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), None);
+    poll.record_response(&name("n1"), &known(second, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), Some(Time(2_000)));
+}
+
+#[test]
+fn only_the_first_confirmation_of_an_outage_is_news() {
+    let mut poll = EpochConfirmation::default();
+    assert!(poll.mark_confirmed());
+    assert!(!poll.mark_confirmed());
+    poll.key_value_store_answered();
+    assert!(poll.mark_confirmed(), "another outage");
+}
