--- a/crates/worksshunt-search/src/main.rs
+++ b/crates/worksshunt-search/src/main.rs
@@ -35,7 +35,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Prints a digest of all messages and of the verdict for each random day of a range of seeds.
+    /// Prints a digest of each random day of a range of seeds to standard output.
+    ///
+    /// One line for each seed, in their order: the seed, a SHA-256 hash in hexadecimal digits, and the number of
+    /// messages.
+    ///
+    /// The hash covers every message that a controller sends or receives, in the order in which they pass: its time
+    /// (ms since the start of the day), the controller, the direction, the kind of the message, and its bytes as the
+    /// protocol or the link between controllers encodes them. Messages are those from and to workers, users, the
+    /// key-value store, the cloud and other controllers. The hash ends with the verdict on the day: whether all
+    /// invariants held, otherwise the names of those violated. Names of Rust types and log lines are not covered.
+    ///
+    /// Two builds that behave alike print the same lines for the same seeds.
+    #[command(verbatim_doc_comment)]
     Digest {
         /// Seeds, FROM..TO without the last one.
         seeds: SeedRange,
