--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,7 +1,7 @@
 //! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
 
 use worksshunt_core::time::TokenBucket;
-use worksshunt_simulation::{Cluster, KeyValueRates, LateWrites};
+use worksshunt_simulation::{Cluster, DelayRange, KeyValueRates, LateWrites};
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
 
@@ -23,7 +23,10 @@
     cluster.faults.key_value.slow_responses_ms = 600;
     cluster.faults.key_value.late_writes = Some(LateWrites {
         share: 0.2,
-        after_ms: (0, 3_000),
+        delay: DelayRange {
+            min_ms: 0,
+            max_ms: 3_000,
+        },
     });
     users.query_for(&mut cluster, 20);
     cluster.faults.key_value.slow_responses_ms = 0;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -4,7 +4,7 @@
 
 use super::{busy, machines_of, others, red, settle};
 use crate::{long_job, ready, ready_with_boots_of};
-use worksshunt_simulation::{job, LateWrites};
+use worksshunt_simulation::{job, DelayRange, LateWrites};
 
 // Guards against a leader that goes on renewing leases of tasks whose cancellation it cannot know.
 #[test]
@@ -97,7 +97,7 @@
         cluster.faults.cancel_at_completion = 0.3;
         cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.35,
-            after_ms: (0, 0),
+            delay: DelayRange::NONE,
         });
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
@@ -261,7 +261,10 @@
             cluster.submit(0, &long_job(1, 16));
             cluster.faults.key_value.late_writes = Some(LateWrites {
                 share: 0.4,
-                after_ms: (2_000, 12_000),
+                delay: DelayRange {
+                    min_ms: 2_000,
+                    max_ms: 12_000,
+                },
             });
             cluster.run(crash_ms);
             let leader = cluster.leader();
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
@@ -6,7 +6,7 @@
 
 use super::{busy, red, settle};
 use crate::ready;
-use worksshunt_simulation::{job, Cluster, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
 // Guards against answers that come after their sender has timed out, taken for none.
 #[test]
@@ -65,7 +65,10 @@
         cluster.faults.cancel_at_completion = 0.3;
         cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.3,
-            after_ms: (2_000, 12_000),
+            delay: DelayRange {
+                min_ms: 2_000,
+                max_ms: 12_000,
+            },
         });
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 5));
@@ -174,7 +177,10 @@
         cluster.restart(leader, 150 * seed);
         cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.3,
-            after_ms: (0, 3_000),
+            delay: DelayRange {
+                min_ms: 0,
+                max_ms: 3_000,
+            },
         });
         let mut replies = Vec::new();
         for round in 0..40 {
--- a/crates/worksshunt-simulation/src/controllers.rs
+++ b/crates/worksshunt-simulation/src/controllers.rs
@@ -30,12 +30,18 @@
     actions: Vec<Action>,
 }
 
+/// An event that reached a paused controller.
+struct HeldEvent {
+    to: ControllerRun,
+    event: Event,
+}
+
 /// A paused controller, with what it was doing and what has arrived meanwhile.
 #[derive(Default)]
 struct PausedController {
     /// Performed when it goes on.
     decided: Option<Decision>,
-    arrived: Vec<(ControllerRun, Event)>,
+    arrived: Vec<HeldEvent>,
 }
 
 /// The controllers, each up or down, and those of them that are paused.
@@ -125,8 +131,8 @@
                 self.perform(decision.by, decision.clock, action);
             }
         }
-        for (to, event) in paused.arrived {
-            self.dispatch(to, event);
+        for held in paused.arrived {
+            self.dispatch(held.to, held.event);
         }
     }
 
@@ -183,7 +189,7 @@
         };
         let paused = self.controllers.paused.get_mut(&to.index);
         if let Some(paused) = paused.filter(|paused| paused.decided.is_some()) {
-            paused.arrived.push((to, event));
+            paused.arrived.push(HeldEvent { to, event });
             return;
         }
         let clock = Time(now - running.started_at);
--- a/crates/worksshunt-simulation/src/events.rs
+++ b/crates/worksshunt-simulation/src/events.rs
@@ -106,11 +106,12 @@
 }
 
 /// An event with the time at which it is due.
-struct ScheduledEvent {
-    due_at: u64,
+pub(crate) struct ScheduledEvent {
+    /// Milliseconds since the start of the cluster.
+    pub(crate) due_at: u64,
     /// Events due at the same time are applied in this order.
     order: u64,
-    event: SimulationEvent,
+    pub(crate) event: SimulationEvent,
 }
 
 impl ScheduledEvent {
@@ -155,10 +156,10 @@
         });
     }
 
-    /// Takes the next event that is due at a point of time or before, with the time at which it is due.
-    pub(crate) fn pop_due(&mut self, until: u64) -> Option<(u64, SimulationEvent)> {
+    /// Takes the next event that is due at a point of time or before.
+    pub(crate) fn pop_due(&mut self, until: u64) -> Option<ScheduledEvent> {
         self.heap.peek().filter(|next| next.due_at <= until)?;
-        self.heap.pop().map(|next| (next.due_at, next.event))
+        self.heap.pop()
     }
 }
 
--- a/crates/worksshunt-simulation/src/faults.rs
+++ b/crates/worksshunt-simulation/src/faults.rs
@@ -9,13 +9,30 @@
 
 use crate::links::SlowLinks;
 
+/// Bounds of a delay that is drawn for each message, both included.
+#[derive(Debug, Clone, Copy)]
+pub struct DelayRange {
+    /// The shortest delay, ms.
+    pub min_ms: u64,
+    /// The longest delay, ms.
+    pub max_ms: u64,
+}
+
+impl DelayRange {
+    /// No delay.
+    pub const NONE: DelayRange = DelayRange {
+        min_ms: 0,
+        max_ms: 0,
+    };
+}
+
 /// Transactions that get no response and are carried out late, or at once.
 #[derive(Debug, Clone, Copy)]
 pub struct LateWrites {
     /// The share of all transactions.
     pub share: f64,
-    /// When they are carried out, ms after they were sent: from, and to.
-    pub after_ms: (u64, u64),
+    /// How long after they were sent they are carried out.
+    pub delay: DelayRange,
 }
 
 /// Limits of the key-value store on transactions.
--- a/crates/worksshunt-simulation/src/invariants/tasks.rs
+++ b/crates/worksshunt-simulation/src/invariants/tasks.rs
@@ -121,17 +121,16 @@
 
     /// Checks that no task of a cancelled job is on a machine once the time for its end is over.
     pub fn check_cancelled(&mut self, now: u64, on_machines: &[ObservedTask]) {
-        let ms_since_late_cancellation = |job: JobId| {
-            let at = self.cancelled_at(job)?;
-            (now > at + self.cancel_ms).then_some(now - at)
-        };
-        let late: Vec<(TaskId, u64)> = on_machines
-            .iter()
-            .filter_map(|on| Some((on.task, ms_since_late_cancellation(on.task.job)?)))
-            .collect();
-        for (task, after_ms) in late {
-            let text = format!("{task} is on a machine {after_ms} ms after");
-            self.record_violation("ran_cancelled", &text);
+        for on_machine in on_machines {
+            let task = on_machine.task;
+            let Some(cancelled_at) = self.cancelled_at(task.job) else {
+                continue;
+            };
+            if now > cancelled_at + self.cancel_ms {
+                let after_ms = now - cancelled_at;
+                let text = format!("{task} is on a machine {after_ms} ms after");
+                self.record_violation("ran_cancelled", &text);
+            }
         }
     }
 
--- a/crates/worksshunt-simulation/src/key_value_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_service.rs
@@ -106,10 +106,9 @@
         if self.faults.key_value.down || self.rng.f64() >= late.share {
             return false;
         }
-        let (min_ms, max_ms) = late.after_ms;
-        let after_ms = self.rng.u64(min_ms..=max_ms);
+        let delay_ms = self.rng.u64(late.delay.min_ms..=late.delay.max_ms);
         let arrival = SimulationEvent::LateWriteArrives(write.clone());
-        self.schedule_at(self.now + after_ms, arrival);
+        self.schedule_at(self.now + delay_ms, arrival);
         true
     }
 
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -39,7 +39,8 @@
 pub use digest::{DayDigest, TrafficDigest};
 pub use failure::Failure;
 pub use faults::{
-    CloudFaults, Faults, HeartbeatFaults, KeyValueFaults, KeyValueLimits, LateWrites, ZonePartition,
+    CloudFaults, DelayRange, Faults, HeartbeatFaults, KeyValueFaults, KeyValueLimits, LateWrites,
+    ZonePartition,
 };
 pub use fixtures::{job, large_settings, long_job, service, settings};
 pub use key_value_service::KeyValueRates;
@@ -252,9 +253,9 @@
     /// Lets time pass.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + ms;
-        while let Some((due_at, event)) = self.event_queue.pop_due(until) {
-            self.now = due_at;
-            self.apply_event(event);
+        while let Some(scheduled) = self.event_queue.pop_due(until) {
+            self.now = scheduled.due_at;
+            self.apply_event(scheduled.event);
         }
         self.now = until;
     }
--- a/crates/worksshunt-simulation/src/random_day/faults.rs
+++ b/crates/worksshunt-simulation/src/random_day/faults.rs
@@ -8,7 +8,7 @@
 use worksshunt_wire::MachineId;
 
 use super::DayRng;
-use crate::{Cluster, Faults, LateWrites, SlowLinks, ZonePartition, CONTROLLERS};
+use crate::{Cluster, DelayRange, Faults, LateWrites, SlowLinks, ZonePartition, CONTROLLERS};
 
 /// How many numbers of faults there are; some faults have two.
 const FAULT_NUMBERS: u32 = 27;
@@ -83,12 +83,15 @@
             });
         }
         8 => {
-            let after_ms = match rng.0.bool() {
-                true => (0, 0),
-                false => (2_000, 12_000),
+            let delay = match rng.0.bool() {
+                true => DelayRange::NONE,
+                false => DelayRange {
+                    min_ms: 2_000,
+                    max_ms: 12_000,
+                },
             };
             let share = 0.3;
-            cluster.faults.key_value.late_writes = Some(LateWrites { share, after_ms });
+            cluster.faults.key_value.late_writes = Some(LateWrites { share, delay });
             end_after(cluster, draw.duration_ms, |faults| {
                 faults.key_value.late_writes = None;
             });
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -18,6 +18,13 @@
 /// How long users wait before they repeat queries that were not answered, ms.
 const RETRY_WAIT_MS: u64 = 3_000;
 
+/// A query about an accepted job that a controller has not answered yet.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct UnansweredQuery {
+    job: JobId,
+    controller: usize,
+}
+
 /// Responses to users, and what they submitted.
 #[derive(Default)]
 pub(crate) struct Users {
@@ -119,7 +126,7 @@
         responses.flatten().cloned().collect()
     }
 
-    /// Asks a controller about jobs at one moment and returns those it answers with 200 within 2 s.
+    /// Queries jobs at a controller at one moment and returns those it answers with 200 within 2 s.
     pub fn answered_queries(&mut self, controller: usize, ids: &[u64]) -> BTreeSet<u64> {
         let first = self.users.responses.len();
         for id in ids {
@@ -187,13 +194,17 @@
         }
     }
 
-    /// Asks all controllers about all accepted jobs until every query is answered, or finds the invariant violated
+    /// Queries all accepted jobs at all controllers until every query is answered, or finds the invariant violated
     /// that accepted jobs are known.
     pub(crate) fn query_all_accepted(&mut self) {
         let began_at = self.now;
-        let mut unanswered: BTreeSet<(JobId, usize)> = BTreeSet::new();
+        let mut unanswered: BTreeSet<UnansweredQuery> = BTreeSet::new();
         for id in self.invariants.accepted_jobs() {
-            unanswered.extend((0..CONTROLLERS).map(|controller| (id, controller)));
+            let query = |controller| UnansweredQuery {
+                job: id,
+                controller,
+            };
+            unanswered.extend((0..CONTROLLERS).map(query));
         }
         while !unanswered.is_empty() {
             if self.now >= began_at + MAX_SILENCE_MS {
@@ -203,7 +214,7 @@
             }
             let slots: Vec<usize> = unanswered
                 .iter()
-                .map(|(id, controller)| self.send_status(*controller, *id))
+                .map(|query| self.send_status(query.controller, query.job))
                 .collect();
             self.run(RESPONSE_DEADLINE_MS);
             let mut slots = slots.into_iter();
