--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -101,6 +101,15 @@
         .iter()
         .filter(|start| kept.contains(&start.task));
     assert_eq!(again.count(), 0, "running tasks are kept");
+    check_commands(&cluster, orphans, begun, kept.len());
+    let launches = cluster.usage.launches as usize;
+    assert!(lost > 0 && launches >= lost, "what is lost starts again");
+    assert!(!cluster.running().iter().any(orphaned), "no orphan is left");
+    finish(&mut cluster, 3..=JOBS_AT_ONCE + 8, 180_000);
+}
+
+/// Few more commands were sent since `begun` starts than the orphans and the slots beside the `kept` tasks need.
+fn check_commands(cluster: &Cluster, orphans: usize, begun: usize, kept: usize) {
     // Each halt is sent in the response to a heartbeat and directly to the worker, whichever arrives.
     let halts = cluster.usage.halts as usize;
     assert!(
@@ -113,12 +122,9 @@
         cluster.task_starts.len() - begun,
         "each start was commanded once"
     );
-    let free_slots = TASKS_AT_ONCE - kept.len();
+    let free_slots = TASKS_AT_ONCE - kept;
     assert!(
         launches <= free_slots,
         "{launches} launches for {free_slots} free slots"
     );
-    assert!(lost > 0 && launches >= lost, "what is lost starts again");
-    assert!(!cluster.running().iter().any(orphaned), "no orphan is left");
-    finish(&mut cluster, 3..=JOBS_AT_ONCE + 8, 180_000);
 }
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -1,6 +1,6 @@
 //! The first minutes: the fleet is scaled out, boots together, and is scaled in.
 
-use worksshunt_simulation::Cluster;
+use worksshunt_simulation::{Cluster, ResourceUsage};
 
 use crate::fixtures::{finish, submit_jobs, Users, JOB_TASKS, MACHINES, TASKS_AT_ONCE};
 
@@ -20,14 +20,20 @@
     let tasks = 64 * JOB_TASKS as usize;
     assert_eq!(cluster.task_starts.len(), tasks, "each task started once");
     assert_eq!(cluster.usage.launches, tasks as u64);
-    let usage = &cluster.usage;
-    assert!(
-        usage.changes <= tasks as u64 / 20,
-        "{} changes",
-        usage.changes
-    );
+    check_usage(&cluster.usage, tasks as u64);
+    // Kept for half a boot time, then 40 requests of 100 at most.
+    cluster.until("an empty fleet", 30_000, |cluster| {
+        cluster.workers.is_empty()
+    });
+    assert_eq!(users.refused, 0);
+    cluster.check();
+}
+
+/// What it took to run so many tasks stays within the limits.
+fn check_usage(usage: &ResourceUsage, tasks: u64) {
+    assert!(usage.changes <= tasks / 20, "{} changes", usage.changes);
     assert!(
-        usage.sync_bytes <= tasks as u64 * 200,
+        usage.sync_bytes <= tasks * 200,
         "{} bytes",
         usage.sync_bytes
     );
@@ -40,10 +46,4 @@
         usage.refused, 0,
         "within the rates of the key-value store and the cloud"
     );
-    // Kept for half a boot time, then 40 requests of 100 at most.
-    cluster.until("an empty fleet", 30_000, |cluster| {
-        cluster.workers.is_empty()
-    });
-    assert_eq!(users.refused, 0);
-    cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -4,7 +4,7 @@
 
 use super::{busy, machines_of, others, red, settle};
 use crate::{long_job, ready, ready_with_boots_of};
-use worksshunt_simulation::{job, DelayRange, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
 // Guards against a leader that goes on renewing leases of tasks whose cancellation it cannot know.
 #[test]
@@ -120,23 +120,29 @@
     }
 }
 
+/// A cluster in which two jobs use up the limit of team red, a third of that team waits, and others run.
+fn team_at_its_limit() -> Cluster {
+    let mut cluster = ready_with_boots_of(50.0);
+    cluster.capacity = 8;
+    cluster.task_run_ms = 60_000;
+    cluster.submit(0, &red(1, 4));
+    cluster.submit(1, &red(2, 4));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
+    cluster.submit(2, &red(3, 8));
+    cluster.submit(2, &long_job(4, 12));
+    cluster.until("more tasks", 30_000, |cluster| {
+        cluster.running().len() == 20
+    });
+    cluster
+}
+
 // Guards against a new leader that takes tasks of cancelled jobs for nothing while they are still there.
 #[test]
 fn a_team_at_its_limit_has_jobs_cancelled_on_hung_machines_as_the_leader_changes() {
     for all in [false, true] {
         for crash_ms in (0..4_000).step_by(400) {
             let moment = format!("all {all}, the leader crashes after {crash_ms}");
-            let mut cluster = ready_with_boots_of(50.0);
-            cluster.capacity = 8;
-            cluster.task_run_ms = 60_000;
-            cluster.submit(0, &red(1, 4));
-            cluster.submit(1, &red(2, 4));
-            cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-            cluster.submit(2, &red(3, 8));
-            cluster.submit(2, &long_job(4, 12));
-            cluster.until("more tasks", 30_000, |cluster| {
-                cluster.running().len() == 20
-            });
+            let mut cluster = team_at_its_limit();
             let leader = cluster.leader();
             for id in machines_of(&cluster, 1) {
                 cluster.hang(&id, 9_000);
--- a/crates/worksshunt-core/tests/scenarios/jobs.rs
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -180,14 +180,16 @@
     cluster.check();
 }
 
+/// Job 7 of two tasks with another value of one field.
+fn change(field: &str, value: serde_json::Value) -> serde_json::Value {
+    let mut job = job(7, 2);
+    job[field] = value;
+    job
+}
+
 #[test]
 fn bad_submissions_are_rejected_with_the_reason() {
     let mut cluster = ready();
-    let change = |field: &str, value: serde_json::Value| {
-        let mut job = job(7, 2);
-        job[field] = value;
-        job
-    };
     let malformed = [
         json!([1]),
         json!({}),
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -222,17 +222,14 @@
     cluster.check();
 }
 
-// Guards against whatever grows faster than the fleet when a third of it falls silent, all controllers
-// crash in it and the silent third resumes after its lease, at the largest size asked for.
-#[test]
-fn a_fleet_half_as_large_again_survives_when_a_third_of_it_hangs() {
+/// A cluster with so many machines in two zones, filled by twenty jobs of 400 tasks, and the machines.
+fn large_full_fleet(machines: usize) -> (Cluster, Vec<MachineId>) {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
         settings.facts.teams[1].cpus_max = 10_000.0;
         settings.facts.state.write_rps = 60.0;
     }
     (0..3).for_each(|controller| cluster.start(controller));
-    let machines = 1_850;
     cluster.capacity = machines;
     cluster.task_run_ms = 12_000;
     cluster.nominal_boot_s = 50.0;
@@ -246,6 +243,15 @@
     cluster.until("a full fleet", 20_000, |cluster| {
         cluster.running().len() > 7_000
     });
+    (cluster, ids)
+}
+
+// Guards against whatever grows faster than the fleet when a third of it falls silent, all controllers
+// crash in it and the silent third resumes after its lease, at the largest size asked for.
+#[test]
+fn a_fleet_half_as_large_again_survives_when_a_third_of_it_hangs() {
+    let machines = 1_850;
+    let (mut cluster, ids) = large_full_fleet(machines);
     let hang = |cluster: &mut Cluster, hung: bool| {
         for id in ids.iter().step_by(3) {
             if let Some(worker) = cluster.workers.get_mut(id) {
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -113,17 +113,23 @@
     cluster.check();
 }
 
+/// A heartbeat that is well formed.
+fn good_heartbeat() -> serde_json::Value {
+    json!({"Estiba": "i-000001", "Addr": "10.1.0.1:1", "Modelo": "m4", "Patio": "a",
+        "Prestados": true, "Jornada": 1, "Folio": 1, "Vara": 0, "Piezas": []})
+}
+
+/// The text of that heartbeat with another value of one field.
+fn with(field: &str, value: serde_json::Value) -> String {
+    let mut heartbeat = good_heartbeat();
+    heartbeat[field] = value;
+    heartbeat.to_string()
+}
+
 // Guards against malformed heartbeats: they change nothing and stop nothing.
 #[test]
 fn malformed_heartbeats_are_rejected() {
     let mut cluster = ready();
-    let good = json!({"Estiba": "i-000001", "Addr": "10.1.0.1:1", "Modelo": "m4", "Patio": "a",
-        "Prestados": true, "Jornada": 1, "Folio": 1, "Vara": 0, "Piezas": []});
-    let with = |field: &str, value: serde_json::Value| {
-        let mut heartbeat = good.clone();
-        heartbeat[field] = value;
-        heartbeat.to_string()
-    };
     let malformed = [
         "{\"Estiba\": \"i-0".to_owned(),
         "[]".to_owned(),
@@ -146,7 +152,7 @@
         assert_eq!(reply.status, 400, "{body}");
     }
     // An unknown type of machine, with a task that nobody launched: the heartbeat is accepted, the machine not used.
-    let mut unknown_type = good.clone();
+    let mut unknown_type = good_heartbeat();
     unknown_type["Modelo"] = json!("m9");
     unknown_type["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
     for controller in 0..3 {
--- a/crates/worksshunt-core/tests/scenarios/placement.rs
+++ b/crates/worksshunt-core/tests/scenarios/placement.rs
@@ -174,6 +174,14 @@
     cluster.check();
 }
 
+/// A job of forty tasks of the highest class, due in 20 s.
+fn urgent(id: u64) -> serde_json::Value {
+    let mut urgent = job(id, 40);
+    urgent["Turno"] = json!("urgent");
+    urgent["EntregaS"] = json!(20.0);
+    urgent
+}
+
 // Guards against work of low priority, and its largest jobs, that never begin under a burst.
 #[test]
 fn the_largest_job_of_the_lowest_class_begins_in_time_under_a_burst() {
@@ -183,12 +191,6 @@
     let mut large = job(1, 200);
     large["Turno"] = json!("low");
     large["EntregaS"] = json!(5_000.0);
-    let urgent = |id: u64| {
-        let mut urgent = job(id, 40);
-        urgent["Turno"] = json!("urgent");
-        urgent["EntregaS"] = json!(20.0);
-        urgent
-    };
     cluster.submit(0, &urgent(2));
     cluster.submit(1, &large);
     let submitted = cluster.now;
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -74,6 +74,32 @@
     assert_eq!(written, frames);
 }
 
+/// Reads a record of production and writes it again.
+fn check_stored_form(kind: &str, pair: &KeyValue) {
+    let value = &pair.value;
+    match kind {
+        "a/" => {
+            let on = records::read(pair).expect("records");
+            let entries = on.into_iter().map(|r| (r.attempt, r)).collect();
+            let written = worksshunt_core::pages::PageEntry::value(&entries);
+            assert_eq!(written, *value);
+        }
+        "d/" => {
+            let entries = read_completions(value).expect("completions");
+            assert!(!entries.is_empty());
+            assert_eq!(worksshunt_core::pages::PageEntry::value(&entries), *value);
+        }
+        "j/" => {
+            let jobs = value["jobs"].as_array();
+            for stored in jobs.unwrap_or(&vec![value.clone()]) {
+                let job: Job = serde_json::from_value(stored.clone()).expect("a job");
+                assert_eq!(json!(job), *stored, "an array is written as it was");
+            }
+        }
+        _ => {}
+    }
+}
+
 // Guards against a stored form that one of the two versions does not read as the other meant it.
 #[test]
 fn stored_forms_of_production_are_read_and_written_alike() {
@@ -87,27 +113,7 @@
         };
         let kind = &key[..2];
         *read.entry(kind).or_insert(0) += 1;
-        match kind {
-            "a/" => {
-                let on = records::read(&pair).expect("records");
-                let entries = on.into_iter().map(|r| (r.attempt, r)).collect();
-                let written = worksshunt_core::pages::PageEntry::value(&entries);
-                assert_eq!(written, *value);
-            }
-            "d/" => {
-                let entries = read_completions(value).expect("completions");
-                assert!(!entries.is_empty());
-                assert_eq!(worksshunt_core::pages::PageEntry::value(&entries), *value);
-            }
-            "j/" => {
-                let jobs = value["jobs"].as_array();
-                for stored in jobs.unwrap_or(&vec![value.clone()]) {
-                    let job: Job = serde_json::from_value(stored.clone()).expect("a job");
-                    assert_eq!(json!(job), *stored, "an array is written as it was");
-                }
-            }
-            _ => {}
-        }
+        check_stored_form(kind, &pair);
     }
     assert!(
         read["a/"] > 0 && read["d/"] > 0 && read["j/"] > 1,
@@ -136,6 +142,20 @@
     cluster.run(5_000);
 }
 
+/// The epoch and the member key have no fields that production does not read, but for one of the member key.
+fn check_fields_known_to_production(cluster: &Cluster) {
+    let production = production_store();
+    let known = store_fields(&production["c/epoch"]);
+    assert_eq!(
+        fields(cluster, "c/epoch"),
+        known,
+        "production reads nothing new"
+    );
+    let mut member = fields(cluster, "c/n/n0");
+    member.retain(|field| field != "standing");
+    assert_eq!(member, store_fields(&production["c/n/n0"]));
+}
+
 // Guards against a service in the store while a controller is left that would call it unknown and
 // stop its replicas.
 #[test]
@@ -154,16 +174,7 @@
         201,
         "others are served"
     );
-    let production = production_store();
-    let known = store_fields(&production["c/epoch"]);
-    assert_eq!(
-        fields(&cluster, "c/epoch"),
-        known,
-        "production reads nothing new"
-    );
-    let mut member = fields(&cluster, "c/n/n0");
-    member.retain(|field| field != "standing");
-    assert_eq!(member, store_fields(&production["c/n/n0"]));
+    check_fields_known_to_production(&cluster);
     assert!(cluster.keys("j/").iter().all(|key| key != "j/j-000001"));
     cluster.remove("c/n/n2");
     cluster.run(5_000);
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -117,15 +117,23 @@
     }
 }
 
-#[test]
-fn the_member_key_keeps_its_form() {
-    let name = |name: &str| ControllerName::from(name);
-    assert_eq!(member_key(&name("n2")), "c/n/n2");
-    let nothing = Listing {
+fn name(name: &str) -> ControllerName {
+    ControllerName::from(name)
+}
+
+/// No control key is stored.
+fn empty_listing() -> Listing {
+    Listing {
         pairs: Vec::new(),
         more: false,
         revision: Revision(1),
-    };
+    }
+}
+
+#[test]
+fn the_member_key_keeps_its_form() {
+    assert_eq!(member_key(&name("n2")), "c/n/n2");
+    let nothing = empty_listing();
     let mut not_ready = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
     not_ready.set_ready(false);
     not_ready.lease_granted(73);
@@ -133,9 +141,12 @@
     let write = not_ready.member_key_write().expect("a member key");
     let (key, value) = put(&write.changes);
     written(key, value);
+}
 
-    // Another controller's key is read: whether it reaches its partition, its lease, and that it
-    // supports services.
+#[test]
+fn the_member_key_of_another_controller_is_understood() {
+    // What is read: whether it reaches its partition, its lease, and that it supports services.
+    let nothing = empty_listing();
     let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
     reader.set_ready(true);
     reader.lease_granted(71);
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -186,6 +186,15 @@
         .count()
 }
 
+/// Of job 1 only the tasks that had not completed have started, each once, and the replica of job 2 runs on.
+fn check_starts(cluster: &Cluster) {
+    for index in 0..7 {
+        let times = usize::from(matches!(index, 1..=3));
+        assert_eq!(starts_of(cluster, task(1, index)), times, "task {index}");
+    }
+    assert_eq!(starts_of(cluster, task(2, 0)), 1, "the replica runs on");
+}
+
 #[test]
 fn controllers_understand_a_store_written_before() {
     let mut cluster = with_the_store();
@@ -221,11 +230,7 @@
         assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
     }
     assert_eq!(cluster.state(1, 2), (200, "running".into()));
-    for index in 0..7 {
-        let times = usize::from(matches!(index, 1..=3));
-        assert_eq!(starts_of(&cluster, task(1, index)), times, "task {index}");
-    }
-    assert_eq!(starts_of(&cluster, task(2, 0)), 1, "the replica runs on");
+    check_starts(&cluster);
     cluster.check();
 }
 
