--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,7 +1,7 @@
 //! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
 
 use worksshunt_core::time::TokenBucket;
-use worksshunt_simulation::{Cluster, KeyValueRates, LateWrites};
+use worksshunt_simulation::{Cluster, DelayRange, KeyValueRates, LateWrites};
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
 
@@ -10,7 +10,7 @@
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     cluster.faults.key_value.down = true;
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     let lost = |cluster: &Cluster| {
         cluster
             .workers
@@ -23,9 +23,12 @@
     cluster.faults.key_value.slow_responses_ms = 600;
     cluster.faults.key_value.late_writes = Some(LateWrites {
         share: 0.2,
-        after_ms: (0, 3_000),
+        delay: DelayRange {
+            min_ms: 0,
+            max_ms: 3_000,
+        },
     });
-    users.ask_for(&mut cluster, 20);
+    users.query_for(&mut cluster, 20);
     cluster.faults.key_value.slow_responses_ms = 0;
     cluster.faults.key_value.late_writes = None;
     assert!(cluster.effects("late write") > 5, "answers were lost");
@@ -43,7 +46,7 @@
         requests: TokenBucket::new(60.0, 60.0),
         changes: TokenBucket::new(10.0, 10.0),
     });
-    users.ask_for(&mut cluster, 45);
+    users.query_for(&mut cluster, 45);
     assert!(
         cluster.usage.refused > 100,
         "{} refused",
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -4,7 +4,7 @@
 
 use super::{busy, machines_of, others, red, settle};
 use crate::{long_job, ready, ready_with_boots_of};
-use worksshunt_simulation::{job, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
 // Guards against a leader that goes on renewing leases of tasks whose cancellation it cannot know.
 #[test]
@@ -97,7 +97,7 @@
         cluster.faults.cancel_at_completion = 0.3;
         cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.35,
-            after_ms: (0, 0),
+            delay: DelayRange::NONE,
         });
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
@@ -120,23 +120,29 @@
     }
 }
 
+/// A cluster in which two jobs use up the limit of team red, a third of that team waits, and others run.
+fn team_at_its_limit() -> Cluster {
+    let mut cluster = ready_with_boots_of(50.0);
+    cluster.capacity = 8;
+    cluster.task_run_ms = 60_000;
+    cluster.submit(0, &red(1, 4));
+    cluster.submit(1, &red(2, 4));
+    cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
+    cluster.submit(2, &red(3, 8));
+    cluster.submit(2, &long_job(4, 12));
+    cluster.until("more tasks", 30_000, |cluster| {
+        cluster.running().len() == 20
+    });
+    cluster
+}
+
 // Guards against a new leader that takes tasks of cancelled jobs for nothing while they are still there.
 #[test]
 fn a_team_at_its_limit_has_jobs_cancelled_on_hung_machines_as_the_leader_changes() {
     for all in [false, true] {
         for crash_ms in (0..4_000).step_by(400) {
-            let moment = format!("all {all}, the leader ends after {crash_ms}");
-            let mut cluster = ready_with_boots_of(50.0);
-            cluster.capacity = 8;
-            cluster.task_run_ms = 60_000;
-            cluster.submit(0, &red(1, 4));
-            cluster.submit(1, &red(2, 4));
-            cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-            cluster.submit(2, &red(3, 8));
-            cluster.submit(2, &long_job(4, 12));
-            cluster.until("more tasks", 30_000, |cluster| {
-                cluster.running().len() == 20
-            });
+            let moment = format!("all {all}, the leader crashes after {crash_ms}");
+            let mut cluster = team_at_its_limit();
             let leader = cluster.leader();
             for id in machines_of(&cluster, 1) {
                 cluster.hang(&id, 9_000);
@@ -188,7 +194,7 @@
         }
         cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
         cluster.submit(2, &red(9, 8));
-        // Room for what waits at the limit.
+        // Capacity for what waits at the limit.
         for _ in 0..3 {
             cluster.machine("a", true, 0);
         }
@@ -199,7 +205,7 @@
                 cluster.faults.unreachable_machines.insert(machine);
             }
         }
-        // Its end is asked for by the new leader.
+        // The new leader looks up its final state.
         cluster.send_cancel(others(leader)[0], JobId(1));
         cluster.run(300);
         cluster.crash(leader);
@@ -252,7 +258,7 @@
 fn new_machines_get_tasks_at_once_while_writes_lag_and_the_leader_crashes() {
     for seed in 1..=4 {
         for crash_ms in (1_200..6_000).step_by(300) {
-            let moment = format!("seed {seed}, the leader ends after {crash_ms}");
+            let moment = format!("seed {seed}, the leader crashes after {crash_ms}");
             let mut cluster = ready();
             cluster.seed(seed);
             cluster.boot_ms = 1_500;
@@ -261,7 +267,10 @@
             cluster.submit(0, &long_job(1, 16));
             cluster.faults.key_value.late_writes = Some(LateWrites {
                 share: 0.4,
-                after_ms: (2_000, 12_000),
+                delay: DelayRange {
+                    min_ms: 2_000,
+                    max_ms: 12_000,
+                },
             });
             cluster.run(crash_ms);
             let leader = cluster.leader();
@@ -280,7 +289,7 @@
 fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
     for hung in [false, true] {
         for crash_ms in (0..5_000).step_by(250) {
-            let moment = format!("hung {hung}, the leader ends after {crash_ms}");
+            let moment = format!("hung {hung}, the leader crashes after {crash_ms}");
             let mut cluster = busy(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
             cluster.faults.heartbeats.copies_for_next_leader = true;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
@@ -6,9 +6,9 @@
 
 use super::{busy, red, settle};
 use crate::ready;
-use worksshunt_simulation::{job, Cluster, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
-// Guards against answers that come after their sender has given up, taken for none.
+// Guards against answers that come after their sender has timed out, taken for none.
 #[test]
 fn the_key_value_store_responds_slowly_while_users_cancel_and_query() {
     for slow_ms in [350, 900, 1_400, 1_600] {
@@ -54,9 +54,9 @@
     }
 }
 
-// Guards against a write that was given up and undoes newer ones of the same controller.
+// Guards against a write that was abandoned and undoes newer ones of the same controller.
 #[test]
-fn unanswered_transactions_are_applied_after_newer_ones() {
+fn unanswered_writes_are_applied_after_newer_ones() {
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -65,7 +65,10 @@
         cluster.faults.cancel_at_completion = 0.3;
         cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.3,
-            after_ms: (2_000, 12_000),
+            delay: DelayRange {
+                min_ms: 2_000,
+                max_ms: 12_000,
+            },
         });
         for id in 1..=15 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 5));
@@ -174,7 +177,10 @@
         cluster.restart(leader, 150 * seed);
         cluster.faults.key_value.late_writes = Some(LateWrites {
             share: 0.3,
-            after_ms: (0, 3_000),
+            delay: DelayRange {
+                min_ms: 0,
+                max_ms: 3_000,
+            },
         });
         let mut replies = Vec::new();
         for round in 0..40 {
--- a/crates/worksshunt-core/tests/scenarios/placement.rs
+++ b/crates/worksshunt-core/tests/scenarios/placement.rs
@@ -12,13 +12,13 @@
     let mut red = job(1, 40);
     red["Cuadrilla"] = json!("red");
     cluster.submit(0, &red);
-    let mut most = 0;
+    let mut max_running = 0;
     while !cluster.all_done(1, 40) {
         cluster.run(500);
-        most = most.max(cluster.running().len());
+        max_running = max_running.max(cluster.running().len());
         assert!(cluster.now < 300_000, "not in time");
     }
-    assert_eq!(most, 8, "the limit is used, and kept");
+    assert_eq!(max_running, 8, "the limit is used, and kept");
     cluster.check();
 }
 
@@ -174,6 +174,14 @@
     cluster.check();
 }
 
+/// A job of forty tasks of the highest class, due in 20 s.
+fn urgent(id: u64) -> serde_json::Value {
+    let mut urgent = job(id, 40);
+    urgent["Turno"] = json!("urgent");
+    urgent["EntregaS"] = json!(20.0);
+    urgent
+}
+
 // Guards against work of low priority, and its largest jobs, that never begin under a burst.
 #[test]
 fn the_largest_job_of_the_lowest_class_begins_in_time_under_a_burst() {
@@ -183,12 +191,6 @@
     let mut large = job(1, 200);
     large["Turno"] = json!("low");
     large["EntregaS"] = json!(5_000.0);
-    let urgent = |id: u64| {
-        let mut urgent = job(id, 40);
-        urgent["Turno"] = json!("urgent");
-        urgent["EntregaS"] = json!(20.0);
-        urgent
-    };
     cluster.submit(0, &urgent(2));
     cluster.submit(1, &large);
     let submitted = cluster.now;
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -35,7 +35,7 @@
     cluster
 }
 
-/// A job of every way through the store: taken in alone, taken in with others, a service, cancelled before
+/// A job of every way through the store: submitted alone, in a batch of submissions, a service, cancelled before
 /// it has a key of its own and after.
 fn every_way(history: &mut History) {
     let mut cluster = ready(history);
@@ -186,6 +186,15 @@
         .count()
 }
 
+/// Of job 1 only the tasks that had not completed have started, each once, and the replica of job 2 runs on.
+fn check_starts(cluster: &Cluster) {
+    for index in 0..7 {
+        let times = usize::from(matches!(index, 1..=3));
+        assert_eq!(starts_of(cluster, task(1, index)), times, "task {index}");
+    }
+    assert_eq!(starts_of(cluster, task(2, 0)), 1, "the replica runs on");
+}
+
 #[test]
 fn controllers_understand_a_store_written_before() {
     let mut cluster = with_the_store();
@@ -221,15 +230,11 @@
         assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
     }
     assert_eq!(cluster.state(1, 2), (200, "running".into()));
-    for index in 0..7 {
-        let times = usize::from(matches!(index, 1..=3));
-        assert_eq!(starts_of(&cluster, task(1, index)), times, "task {index}");
-    }
-    assert_eq!(starts_of(&cluster, task(2, 0)), 1, "the replica runs on");
+    check_starts(&cluster);
     cluster.check();
 }
 
-// Guards against a stored catalogue that is not understood, without which no job can be taken in while the
+// Guards against a stored catalogue that is not understood, without which no job can be accepted while the
 // cloud does not answer.
 #[test]
 fn the_stored_catalogue_serves_while_the_cloud_is_down() {
