--- a/crates/worksshunt-measure/src/loopback/upgrade.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade.rs
@@ -112,7 +112,8 @@
         self.controllers.start(node)?;
         let begun_at = Instant::now();
         while begun_at.elapsed() < START_BOUND {
-            if matches!(poll(self.address(node), "/healthz").await, Some((200, _))) {
+            let response = poll(self.address(node), "/healthz").await;
+            if response.is_some_and(|response| response.status == 200) {
                 return Ok(());
             }
             Timer::after(POLL_INTERVAL).await;
--- a/crates/worksshunt-measure/src/loopback/upgrade/jobs.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/jobs.rs
@@ -78,7 +78,7 @@
             for expected in missing {
                 let path = format!("/v2/runs/{}", expected.job);
                 match poll(self.address(expected.node), &path).await {
-                    Some((status, body)) if is_done_answer(status, &body) => {
+                    Some(response) if is_done_answer(response.status, &response.body) => {
                         longest = begun_at.elapsed();
                     }
                     _ => still_missing.push(expected),
--- a/crates/worksshunt-measure/src/loopback/users.rs
+++ b/crates/worksshunt-measure/src/loopback/users.rs
@@ -5,7 +5,7 @@
 
 use http_types::Method;
 use serde_json::{json, Value};
-use worksshunt_net::client::HttpClient;
+use worksshunt_net::client::{ClientResponse, HttpClient};
 use worksshunt_simulation::job;
 
 /// How long a user waits for the response to a submission (protocol).
@@ -26,11 +26,12 @@
     let client = HttpClient::new(controller, 1);
     let body = Some(request.to_string());
     let call = client.call(Method::Post, "/v2/runs", body, SUBMIT_TIMEOUT);
-    matches!(call.await, Ok((200 | 201, _)))
+    call.await
+        .is_ok_and(|response| matches!(response.status, 200 | 201))
 }
 
-/// Gets a path from a controller: status and body, none without a response in time.
-pub async fn poll(controller: SocketAddr, path: &str) -> Option<(u16, Vec<u8>)> {
+/// Gets a path from a controller; none without a response in time.
+pub async fn poll(controller: SocketAddr, path: &str) -> Option<ClientResponse> {
     let client = HttpClient::new(controller, 1);
     client
         .call(Method::Get, path, None, POLL_TIMEOUT)
--- a/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use http_types::Method;
-use worksshunt_net::client::HttpClient;
+use worksshunt_net::client::{ClientResponse, HttpClient};
 use worksshunt_net::within;
 use worksshunt_wire::worker::{HeartbeatResponse, Redirect};
 use worksshunt_wire::Incarnation;
@@ -39,11 +39,12 @@
     fn handle_response(
         &self,
         sent: &SentHeartbeat,
-        (status, body): (u16, &[u8]),
+        response: &ClientResponse,
         plan: &Plan,
         observer: &Observer,
     ) -> Option<Duration> {
-        match status {
+        let body = &response.body;
+        match response.status {
             200 => {
                 self.handle_answer(sent, body, plan, observer);
                 None
@@ -108,7 +109,7 @@
         let body = serde_json::to_string(&heartbeat).unwrap_or_default();
         let call = client.call(Method::Post, "/checkin", Some(body), HEARTBEAT_TIMEOUT);
         let delay = match call.await {
-            Ok((status, body)) => self.handle_response(&sent, (status, &body), plan, observer),
+            Ok(response) => self.handle_response(&sent, &response, plan, observer),
             Err(_) => Some(self.try_next_controller(plan)),
         };
         delay.unwrap_or_else(|| self.heartbeat_delay(plan))
--- a/crates/worksshunt-net/src/client.rs
+++ b/crates/worksshunt-net/src/client.rs
@@ -29,6 +29,15 @@
     Http(http_types::Error),
 }
 
+/// A server's response to a call.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ClientResponse {
+    /// HTTP status.
+    pub status: u16,
+    /// The whole body.
+    pub body: Vec<u8>,
+}
+
 /// A client of one server.
 pub struct HttpClient {
     address: SocketAddr,
@@ -46,7 +55,7 @@
         }
     }
 
-    /// Calls the server; returns status and body. `path` starts with a slash and may carry a query.
+    /// Calls the server. `path` starts with a slash and may carry a query.
     ///
     /// # Errors
     ///
@@ -58,7 +67,7 @@
         path: &str,
         body: Option<String>,
         deadline: Duration,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         within(deadline, async {
             let _slot = self.slots.acquire().await;
             // In a box, because the state of an exchange takes some kilobytes, which every future around
@@ -73,7 +82,7 @@
         method: Method,
         path: &str,
         body: Option<String>,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         let idle_connection = self.idle_connections.borrow_mut().pop();
         // A kept connection may have been closed by the server meanwhile. A read can simply be
         // sent again; for a write the caller has to know that the outcome is open.
@@ -93,7 +102,7 @@
         method: Method,
         path: &str,
         body: Option<String>,
-    ) -> Result<(u16, Vec<u8>), CallError> {
+    ) -> Result<ClientResponse, CallError> {
         let url = Url::parse(&format!("http://{}{path}", self.address))?;
         let mut request = Request::new(method, url);
         if let Some(body) = body {
@@ -107,7 +116,10 @@
         if !closes_connection(&response) {
             self.idle_connections.borrow_mut().push(stream);
         }
-        Ok((response.status() as u16, body))
+        Ok(ClientResponse {
+            status: response.status() as u16,
+            body,
+        })
     }
 }
 
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -41,9 +41,10 @@
     client: &HttpClient,
     deadline: Duration,
 ) -> Result<CloudResponse, RequestError> {
-    match client.call(Method::Get, "/catalog", None, deadline).await? {
-        (200, body) => Ok(CloudResponse::Catalog(decode(&body)?)),
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    let response = client.call(Method::Get, "/catalog", None, deadline).await?;
+    match response.status {
+        200 => Ok(CloudResponse::Catalog(decode(&response.body)?)),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
@@ -54,10 +55,13 @@
 ) -> Result<CloudResponse, RequestError> {
     let body = serde_json::json!(request).to_string();
     let call = client.call(Method::Post, "/machines", Some(body), deadline);
-    match call.await? {
+    let response = call.await?;
+    match response.status {
         // Names that cannot be read come with the next machine list.
-        (200, body) => Ok(CloudResponse::Machines(decode(&body).unwrap_or_default())),
-        (status, body) => rejected(status, &body),
+        200 => Ok(CloudResponse::Machines(
+            decode(&response.body).unwrap_or_default(),
+        )),
+        status => rejected(status, &response.body),
     }
 }
 
@@ -68,10 +72,11 @@
 ) -> Result<CloudResponse, RequestError> {
     let body = serde_json::json!(machines).to_string();
     let call = client.call(Method::Post, "/machines/return", Some(body), deadline);
-    match call.await? {
+    let response = call.await?;
+    match response.status {
         // Only that it was done matters; the body says nothing more.
-        (200, _) => Ok(CloudResponse::Machines(machines.clone())),
-        (status, body) => rejected(status, &body),
+        200 => Ok(CloudResponse::Machines(machines.clone())),
+        status => rejected(status, &response.body),
     }
 }
 
@@ -109,13 +114,14 @@
     let since = last.map(|machine| format!("&Since={}", machine.id));
     let since = since.unwrap_or_default();
     let path = format!("/machines?Most={MACHINE_LIST_PAGE}{since}");
-    match client.call(Method::Get, &path, None, deadline).await? {
-        (200, body) => {
-            let page: MachineList = decode(&body)?;
+    let response = client.call(Method::Get, &path, None, deadline).await?;
+    match response.status {
+        200 => {
+            let page: MachineList = decode(&response.body)?;
             check_page(page.machines.len(), MACHINE_LIST_PAGE)?;
             Ok(page)
         }
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
--- a/crates/worksshunt-net/src/connections/tests.rs
+++ b/crates/worksshunt-net/src/connections/tests.rs
@@ -51,7 +51,7 @@
                 async_io::Timer::after(pause * client as u32).await;
                 for _ in 0..3 {
                     let call = http.call(Method::Get, "/healthz", None, Duration::from_secs(2));
-                    if matches!(call.await, Ok((200, _))) {
+                    if call.await.is_ok_and(|response| response.status == 200) {
                         served.borrow_mut()[client] += 1;
                     }
                     async_io::Timer::after(Duration::from_millis(100)).await;
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -56,9 +56,12 @@
     };
     let body = serde_json::json!(request).to_string();
     let call = client.call(Method::Post, "/holds", Some(body), deadline);
-    match call.await? {
-        (200, body) => Ok(KvResponse::LeaseGranted(decode::<Lease>(&body)?.lease)),
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    let response = call.await?;
+    match response.status {
+        200 => Ok(KvResponse::LeaseGranted(
+            decode::<Lease>(&response.body)?.lease,
+        )),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
@@ -68,10 +71,11 @@
     deadline: Duration,
 ) -> Result<KvResponse, RequestError> {
     let path = format!("/holds/{lease}/renew");
-    match client.call(Method::Post, &path, None, deadline).await? {
-        (200, _) => Ok(KvResponse::LeaseRenewed),
-        (404, _) => Ok(KvResponse::NoSuchLease),
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    let response = client.call(Method::Post, &path, None, deadline).await?;
+    match response.status {
+        200 => Ok(KvResponse::LeaseRenewed),
+        404 => Ok(KvResponse::NoSuchLease),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
@@ -81,14 +85,15 @@
     deadline: Duration,
 ) -> Result<KvResponse, RequestError> {
     let path = format!("/kv/{key}");
-    match client.call(Method::Get, &path, None, deadline).await? {
-        (200, body) => Ok(KvResponse::Found(decode(&body)?)),
-        (404, body) => {
+    let response = client.call(Method::Get, &path, None, deadline).await?;
+    match response.status {
+        200 => Ok(KvResponse::Found(decode(&response.body)?)),
+        404 => {
             // A 404 without revision is not about the key.
-            decode::<StoreRevision>(&body)?;
+            decode::<StoreRevision>(&response.body)?;
             Ok(KvResponse::Missing)
         }
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
@@ -126,13 +131,14 @@
     let since = last_key.map(|key| format!("&Since={key}"));
     let since = since.unwrap_or_default();
     let path = format!("/kv?Starts={prefix}{since}&Most={KV_LIST_PAGE_KEYS}");
-    match client.call(Method::Get, &path, None, deadline).await? {
-        (200, body) => {
-            let page: Listing = decode(&body)?;
+    let response = client.call(Method::Get, &path, None, deadline).await?;
+    match response.status {
+        200 => {
+            let page: Listing = decode(&response.body)?;
             check_page(page.pairs.len(), KV_LIST_PAGE_KEYS)?;
             Ok(page)
         }
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
@@ -143,19 +149,22 @@
 ) -> Result<KvResponse, RequestError> {
     let body = serde_json::json!(transaction).to_string();
     let call = client.call(Method::Post, "/txn", Some(body), deadline);
-    match call.await? {
-        (200, body) => {
-            let committed: StoreRevision = decode(&body)?;
+    let response = call.await?;
+    match response.status {
+        200 => {
+            let committed: StoreRevision = decode(&response.body)?;
             Ok(KvResponse::Committed(committed.revision))
         }
-        (409, body) => Ok(KvResponse::Conflict(decode::<Conflict>(&body)?.failed)),
-        (400, body) if contains(&body, NO_SUCH_LEASE) => Ok(KvResponse::NoSuchLease),
-        (400, body) => {
-            let response = String::from_utf8_lossy(&body);
+        409 => Ok(KvResponse::Conflict(
+            decode::<Conflict>(&response.body)?.failed,
+        )),
+        400 if contains(&response.body, NO_SUCH_LEASE) => Ok(KvResponse::NoSuchLease),
+        400 => {
+            let response = String::from_utf8_lossy(&response.body);
             tracing::warn!(%response, "transaction rejected by the key-value store");
             Ok(KvResponse::TooLarge)
         }
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
@@ -168,10 +177,11 @@
     deadline: Duration,
 ) -> Result<KvResponse, RequestError> {
     let path = format!("/follow?Starts={prefix}&Since={since}&WaitMs={wait_ms}");
-    match client.call(Method::Get, &path, None, deadline).await? {
-        (200, body) => Ok(KvResponse::WatchResponse(decode(&body)?)),
-        (410, _) => Ok(KvResponse::RevisionCompacted),
-        (status, _) => Err(RequestError::UnexpectedStatus(status)),
+    let response = client.call(Method::Get, &path, None, deadline).await?;
+    match response.status {
+        200 => Ok(KvResponse::WatchResponse(decode(&response.body)?)),
+        410 => Ok(KvResponse::RevisionCompacted),
+        status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -63,9 +63,10 @@
         let client = self.client(address);
         let body = serde_json::json!(batch).to_string();
         let call = client.call(Method::Post, "/orders", Some(body), deadline);
-        match call.await? {
-            (200 | 409, body) => decode(&body),
-            (status, _) => Err(RequestError::UnexpectedStatus(status)),
+        let response = call.await?;
+        match response.status {
+            200 | 409 => decode(&response.body),
+            status => Err(RequestError::UnexpectedStatus(status)),
         }
     }
 
--- a/crates/worksshunt/src/client.rs
+++ b/crates/worksshunt/src/client.rs
@@ -56,9 +56,9 @@
     let client = HttpClient::new(server, 1);
     let deadline = Duration::from_millis(CLIENT_DEADLINE_MS);
     match async_io::block_on(client.call(method, path, body, deadline)) {
-        Ok((status, body)) => {
-            println!("{}", String::from_utf8_lossy(&body));
-            ExitCode::from(exit_code(status))
+        Ok(response) => {
+            println!("{}", String::from_utf8_lossy(&response.body));
+            ExitCode::from(exit_code(response.status))
         }
         Err(error) => {
             eprintln!("worksshunt: {server}: {error}");
