--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -30,8 +30,11 @@
 
     /// Infinite where there is no limit.
     fn limit_of(team: &Team) -> QuotaResources {
-        let (cpus, gpus) = team.limits();
-        QuotaResources { cpus, gpus }
+        let limits = team.limits();
+        QuotaResources {
+            cpus: limits.cpus,
+            gpus: limits.gpus,
+        }
     }
 
     /// Adds what `tasks` tasks of the job use.
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -147,7 +147,7 @@
     let Some(team) = quota.team(&spec.team) else {
         return Err(Impossible::UnknownTeam);
     };
-    let (max_cpus, max_gpus) = team.limits();
+    let limits = team.limits();
     // Replicas run all at once, other tasks one after the other if need be.
     let (concurrent_tasks, impossible) = match spec.kind {
         JobKind::Array => (1.0, Impossible::TaskExceedsLimit),
@@ -155,7 +155,7 @@
     };
     let exceeds =
         |per_task: f64, limit: f64| per_task * concurrent_tasks > limit + ROUNDING_TOLERANCE;
-    if exceeds(spec.cpus, max_cpus) || exceeds(spec.gpus, max_gpus) {
+    if exceeds(spec.cpus, limits.cpus) || exceeds(spec.gpus, limits.gpus) {
         return Err(impossible);
     }
     Ok(())
--- a/crates/worksshunt-wire/src/settings.rs
+++ b/crates/worksshunt-wire/src/settings.rs
@@ -95,11 +95,23 @@
     pub gpus_max: f64,
 }
 
+/// Limits of what a team's tasks use at a time; infinite where there is none.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct TeamLimits {
+    /// Processors.
+    pub cpus: f64,
+    /// Accelerators.
+    pub gpus: f64,
+}
+
 impl Team {
-    /// Limits of the processors and accelerators that its tasks use at a time; infinite where there is none.
-    pub fn limits(&self) -> (f64, f64) {
+    /// What its tasks may use at a time.
+    pub fn limits(&self) -> TeamLimits {
         let limit = |stated: f64| if stated > 0.0 { stated } else { f64::INFINITY };
-        (limit(self.cpus_max), limit(self.gpus_max))
+        TeamLimits {
+            cpus: limit(self.cpus_max),
+            gpus: limit(self.gpus_max),
+        }
     }
 }
 
--- a/crates/worksshunt/src/options/check.rs
+++ b/crates/worksshunt/src/options/check.rs
@@ -102,11 +102,11 @@
         if !names.insert(&team.name) {
             return Err(FieldProblem::Duplicate(team.name.to_string()).of("facts.teams.name"));
         }
-        let (cpus_limit, gpus_limit) = team.limits();
+        let limits = team.limits();
         check_team_limit("facts.teams.cpus_max", team, team.cpus_max)?;
-        check_guarantee("facts.teams.cpus", team, team.cpus, cpus_limit)?;
+        check_guarantee("facts.teams.cpus", team, team.cpus, limits.cpus)?;
         check_team_limit("facts.teams.gpus_max", team, team.gpus_max)?;
-        check_guarantee("facts.teams.gpus", team, team.gpus, gpus_limit)?;
+        check_guarantee("facts.teams.gpus", team, team.gpus, limits.gpus)?;
     }
     Ok(())
 }
