--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -51,10 +51,10 @@
     assert_eq!((up.epoch.0, up.sequence, up.acknowledged), (7, 9, 8));
     assert!(up.machines[0].lost && up.machines[0].spot && !up.machines[0].reclaim_notice);
     let phases: Vec<Phase> = up.attempts.iter().map(|a| a.phase).collect();
-    use Phase::*;
+    use Phase::{Completed, Placed, Queued, Running};
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
     let ends: Vec<AttemptOutcome> = up.ended_attempts.iter().map(|e| e.outcome).collect();
-    use AttemptOutcome::*;
+    use AttemptOutcome::{Acknowledged, Failed, Lost, Stopped, Unplaced};
     assert_eq!(ends, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
     let PeerResponse::Sync(down) = &answers[0] else {
         panic!("{:?}", answers[0]);
