--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::future::Future;
-use std::net::{SocketAddr, TcpListener};
+use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -33,41 +33,17 @@
 use worksshunt_net::worker::Workers;
 use worksshunt_net::{cloud, key_value, peer, server, Executor};
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
-use worksshunt_wire::settings::{Peer, Settings};
+use worksshunt_wire::settings::Settings;
 use worksshunt_wire::ControllerName;
 
+use addresses::{listen, parse_address, peer_clients};
 use pending_responses::PendingResponses;
 
+mod addresses;
 mod pending_responses;
 mod routes;
 
-/// Why the service could not run.
-#[derive(Debug, thiserror::Error)]
-pub enum RunError {
-    /// A port could not be opened.
-    #[error("cannot listen on {0}: {1}")]
-    Listen(String, #[source] std::io::Error),
-    /// An address is not one; the settings check should have found it.
-    #[error("not an address: {0}")]
-    Address(String),
-}
-
-fn parse_address(text: &str) -> Result<SocketAddr, RunError> {
-    text.parse().map_err(|_| RunError::Address(text.to_owned()))
-}
-
-fn listen(text: &str) -> Result<Async<TcpListener>, RunError> {
-    Async::<TcpListener>::bind(parse_address(text)?)
-        .map_err(|error| RunError::Listen(text.to_owned(), error))
-}
-
-fn peer_clients(peers: &[Peer]) -> Result<BTreeMap<ControllerName, PeerClient>, RunError> {
-    let client = |peer: &Peer| {
-        let client = PeerClient::new(parse_address(&peer.endpoint)?);
-        Ok((peer.host_name.clone(), client))
-    };
-    peers.iter().map(client).collect()
-}
+pub use addresses::RunError;
 
 /// How long a connection of a client or worker may be idle: some intervals of a worker's heartbeats.
 fn idle_connection_timeout(settings: &Settings) -> Duration {
