--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -86,6 +86,10 @@
         revision: Revision(7),
     };
     assert_eq!(listing, KvResponse::Listing(expected));
+}
+
+#[test]
+fn an_empty_page_ends_a_listing_and_a_failed_one_gives_none() {
     let list = |status, body| {
         let exchange = Exchange::new("GET /kv?Starts=j/&Most=1000 HTTP/1.1", "", status, body);
         outcome(KvRequest::List("j/".to_owned()), &[exchange])
@@ -104,9 +108,8 @@
     assert_eq!(list(503, "{}"), KvResponse::Refused);
 }
 
-#[test]
-fn a_transaction_is_sent_and_each_outcome_told_apart() {
-    let transaction = CompareAndSwap {
+fn transaction() -> CompareAndSwap {
+    CompareAndSwap {
         expected: vec![ExpectedRevision {
             key: "c/epoch".to_owned(),
             version: Revision(13),
@@ -121,7 +124,12 @@
                 key: "k/i-000003".to_owned(),
             },
         ],
-    };
+    }
+}
+
+#[test]
+fn a_transaction_is_sent_and_each_outcome_told_apart() {
+    let transaction = transaction();
     let sent = r#"{"If":[{"K":"c/epoch","Sello":13}],"Then":[{"Permiso":9,"Set":"c/n/n0","V":[1]},{"Remove":"k/i-000003"}]}"#;
     let commit = |status, body| {
         let request = KvRequest::CompareAndSwap(transaction.clone());
--- /dev/null
+++ b/crates/worksshunt-wire/tests/wire_format/cloud.rs
@@ -0,0 +1,71 @@
+//! Messages of the cloud.
+
+use worksshunt_wire::cloud::{
+    Catalog, ListedMachine, ListedState, MachineIds, MachineList, MachineType, ProvisionRequest,
+};
+
+use crate::fixtures::Fixtures;
+use crate::machines;
+
+fn compare_catalogs(fixtures: &mut Fixtures) {
+    let catalog = |spot_price, image_pull_gb_per_s| Catalog {
+        types: vec![MachineType {
+            name: "m8".into(),
+            cpus: 8.5,
+            gpus: 2.0,
+            memory_gb: 64.25,
+            price: 3.5,
+            spot_price,
+            boot_s: 45.0,
+            image_pull_gb_per_s,
+            zones: vec!["a".into(), "b".into()],
+        }],
+    };
+    fixtures.same("catalog", catalog(Some(1.25), 0.75));
+    fixtures.same("catalog, no spot price", catalog(None, 0.75));
+    fixtures.reads("catalog, fields absent", catalog(None, 0.0));
+}
+
+fn compare_provisioning(fixtures: &mut Fixtures) {
+    let provision = |spot| ProvisionRequest {
+        request_name: "n0.7.12".into(),
+        machine_type: "m8".into(),
+        zone: "b".into(),
+        spot,
+        count: 3,
+    };
+    fixtures.same("rental of spot machines", provision(true));
+    fixtures.same("rental of ordinary machines", provision(false));
+    let names = machines(&["i-000041", "i-000042"]);
+    fixtures.same("machine names", MachineIds { machines: names });
+}
+
+fn compare_machine_lists(fixtures: &mut Fixtures) {
+    let listed = |id: &str, state, spot| ListedMachine {
+        id: id.into(),
+        machine_type: "m8".into(),
+        zone: "a".into(),
+        spot,
+        state,
+        age_s: 12.5,
+    };
+    let machine_list = MachineList {
+        machines: vec![
+            listed("i-000001", ListedState::Starting, true),
+            listed("i-000002", ListedState::Running, false),
+            listed("i-000003", ListedState::Failed, true),
+        ],
+        more: true,
+    };
+    fixtures.same("machine list", machine_list);
+    fixtures.reads("machine list, fields absent", MachineList::default());
+}
+
+#[test]
+fn cloud_messages_keep_their_bytes() {
+    let mut fixtures = Fixtures::json(include_str!("../fixtures/cloud.json"));
+    compare_catalogs(&mut fixtures);
+    compare_provisioning(&mut fixtures);
+    compare_machine_lists(&mut fixtures);
+    fixtures.all_compared();
+}
--- /dev/null
+++ b/crates/worksshunt-wire/tests/wire_format/settings.rs
@@ -0,0 +1,104 @@
+//! The settings file.
+
+use worksshunt_wire::settings::{
+    CloudLimits, Facts, KeyValueLimits, NextKeyValueLimits, Objective, Peer, ProcessLimits,
+    Services, Settings, Team, Workers,
+};
+
+use crate::fixtures::Fixtures;
+
+fn team(name: &str, first: f64) -> Team {
+    Team {
+        name: name.into(),
+        cpus: first,
+        cpus_max: first + 1.0,
+        gpus: first + 2.0,
+        gpus_max: first + 3.0,
+    }
+}
+
+fn facts(objectives: Vec<Objective>, next: Option<NextKeyValueLimits>) -> Facts {
+    Facts {
+        teams: vec![team("red", 10.5), team("blue", 20.5)],
+        objectives,
+        workers: Workers {
+            heartbeat_interval_s: 2.5,
+            lease_s: 16.25,
+            cancel_s: 30.75,
+        },
+        state: KeyValueLimits {
+            rps: 500.5,
+            write_rps: 60.5,
+            value_kb: 64.5,
+            txn_ops: 20,
+            next,
+        },
+        cloud: CloudLimits {
+            rps: 5.5,
+            list_lag_s: 6.25,
+        },
+        limits: ProcessLimits {
+            sockets: 1_000,
+            mem_mb: None,
+        },
+    }
+}
+
+fn settings(objectives: Vec<Objective>, next: Option<NextKeyValueLimits>) -> Settings {
+    let peer = |name: &str, site: &str, endpoint: &str| Peer {
+        host_name: name.into(),
+        site: site.into(),
+        endpoint: endpoint.into(),
+    };
+    Settings {
+        host_name: "n0".into(),
+        site: "a".into(),
+        client_listen: "10.0.0.1:8000".into(),
+        internal_addr: "10.0.0.1:8001".into(),
+        known: vec![
+            peer("n1", "b", "10.0.0.2:8001"),
+            peer("n2", "c", "10.0.0.3:8001"),
+        ],
+        services: Services {
+            cloud: "10.2.0.1:1".into(),
+            state: "10.2.0.2:1".into(),
+        },
+        facts: facts(objectives, next),
+    }
+}
+
+#[test]
+fn settings_keep_their_bytes() {
+    let mut fixtures = Fixtures::json(include_str!("../fixtures/settings.json"));
+    let objective = |kind: &str, class: Option<&str>, within_s, times| Objective {
+        kind: kind.into(),
+        class: class.map(str::to_owned),
+        within_s,
+        times,
+    };
+    let objectives = || {
+        vec![
+            objective("deadline", Some("nightly"), Some(40.5), Some(1.5)),
+            objective("wait", None, None, None),
+        ]
+    };
+    let next = NextKeyValueLimits {
+        rps: Some(400.5),
+        write_rps: Some(50.5),
+        value_kb: Some(32.5),
+        txn_ops: Some(10),
+    };
+    let mut full = settings(objectives(), Some(next));
+    full.facts.limits.mem_mb = Some(512.5);
+    fixtures.same("settings", full);
+    let empty = Some(NextKeyValueLimits::default());
+    fixtures.same(
+        "settings, fields null",
+        settings(objectives(), empty.clone()),
+    );
+    fixtures.reads("settings, fields absent", settings(Vec::new(), None));
+    let objectives = vec![objective("wait", None, None, None)];
+    fixtures.reads("settings, inner fields absent", settings(objectives, empty));
+    fixtures.reads("settings, unknown fields", settings(Vec::new(), None));
+    fixtures.all_compared();
+}
--- /dev/null
+++ b/crates/worksshunt/tests/http_interface/command_line.rs
@@ -0,0 +1,46 @@
+//! What the command line client sends, and how it exits.
+
+use std::io::{BufReader, Write};
+use std::net::TcpListener;
+use std::process::{Command, Stdio};
+
+use crate::message::read_message;
+
+/// What the command line client sends, and its exit code for the answer.
+fn command_line(arguments: &[&str], input: &str, status: u16) -> (String, String, Option<i32>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let mut process = Command::new(env!("CARGO_BIN_EXE_worksshunt"))
+        .args(arguments)
+        .args(["--server", &address.to_string()])
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .spawn()
+        .expect("started");
+    let mut standard_input = process.stdin.take().expect("standard input");
+    standard_input.write_all(input.as_bytes()).expect("written");
+    drop(standard_input);
+    let (mut connection, _) = listener.accept().expect("a connection");
+    let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
+    let request = read_message(&mut reader).expect("a request");
+    let answer = format!("HTTP/1.1 {status} x\r\ncontent-length: 4\r\n\r\nbody");
+    connection.write_all(answer.as_bytes()).expect("sent");
+    let output = process.wait_with_output().expect("ended");
+    assert_eq!(String::from_utf8_lossy(&output.stdout), "body\n");
+    (request.first_line, request.body, output.status.code())
+}
+
+#[test]
+fn the_command_line_sends_one_request_and_exits_by_its_status() {
+    let submit = command_line(&["submit", "-"], "{\"a\":1}", 201);
+    let line = "POST /v2/runs HTTP/1.1";
+    assert_eq!(submit, (line.to_owned(), "{\"a\":1}".to_owned(), Some(0)));
+    let status = command_line(&["status", "j-000412"], "", 404);
+    let line = "GET /v2/runs/j-000412 HTTP/1.1";
+    assert_eq!(status, (line.to_owned(), String::new(), Some(4)));
+    let line = "POST /v2/runs/j-000412/withdraw HTTP/1.1";
+    for (answered, code) in [(200, 0), (400, 3), (422, 3), (428, 3), (429, 5), (503, 5)] {
+        let withdraw = command_line(&["withdraw", "j-000412"], "", answered);
+        assert_eq!(withdraw, (line.to_owned(), String::new(), Some(code)));
+    }
+}
