--- a/crates/worksshunt-measure/src/loopback/measurement.rs
+++ b/crates/worksshunt-measure/src/loopback/measurement.rs
@@ -14,6 +14,8 @@
 use super::TASKS_PER_MACHINE;
 use crate::MeasureError;
 
+pub mod arguments;
+
 /// Tasks of a job.
 const JOB_TASKS: u32 = 200;
 /// How long a task runs.
@@ -163,13 +165,14 @@
 /// controller's settings allow it `sockets` sockets.
 ///
 /// # Errors
-/// A file, port or process that cannot be used.
+/// Too few sockets, or a file, port or process that cannot be used.
 pub fn run(
     program: &Path,
     folder: PathBuf,
     machines: usize,
     sockets: usize,
 ) -> Result<(), MeasureError> {
+    arguments::check_sockets(sockets)?;
     let controllers = Controllers::new(folder, program, machines, sockets)?;
     let surroundings = Surroundings::new(machines, TASK_RUN)?;
     let tasks = machines * TASKS_PER_MACHINE * 2;
--- a/crates/worksshunt-measure/src/main.rs
+++ b/crates/worksshunt-measure/src/main.rs
@@ -16,6 +16,7 @@
 mod workload;
 
 use loopback::measurement;
+use loopback::measurement::arguments::TooFewSockets;
 use loopback::upgrade;
 use loopback::upgrade::arguments::{Programs, UsageError};
 use series::Series;
@@ -112,6 +113,9 @@
     /// The arguments are wrong.
     #[error(transparent)]
     Usage(#[from] UsageError),
+    /// The sockets of a measurement's controllers are too few.
+    #[error(transparent)]
+    Sockets(#[from] TooFewSockets),
     /// A stage of an upgrade failed.
     #[error("stage {0} failed")]
     Stage(usize),
@@ -120,7 +124,7 @@
 impl MeasureError {
     fn exit_code(&self) -> u8 {
         match self {
-            MeasureError::Usage(_) => WRONG_ARGUMENTS,
+            MeasureError::Usage(_) | MeasureError::Sockets(_) => WRONG_ARGUMENTS,
             _ => FAILED,
         }
     }
