--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -56,10 +56,10 @@
         status.machines[0].lost && status.machines[0].spot && !status.machines[0].reclaim_notice
     );
     let phases: Vec<Phase> = status.attempts.iter().map(|a| a.phase).collect();
-    use Phase::*;
+    use Phase::{Completed, Placed, Queued, Running};
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
     let ends: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
-    use AttemptOutcome::*;
+    use AttemptOutcome::{Acknowledged, Failed, Lost, Stopped, Unplaced};
     assert_eq!(ends, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
     let PeerResponse::Sync(directives) = &responses[0] else {
         panic!("{:?}", responses[0]);
