--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -26,8 +26,15 @@
     List(String),
     /// Write if the expected revisions hold.
     CompareAndSwap(CompareAndSwap),
-    /// Changes of a prefix after a revision; waits so many milliseconds for the first of them.
-    Watch(String, Revision, u64),
+    /// Changes of a prefix after a revision.
+    Watch {
+        /// The prefix.
+        prefix: String,
+        /// The revision after which changes are wanted.
+        since: Revision,
+        /// How long to wait for the first change, in milliseconds.
+        wait_ms: u64,
+    },
 }
 
 /// The key-value store's response.
@@ -180,17 +187,44 @@
     /// Time has passed.
     Tick,
     /// A submission.
-    Submit(RequestId, Vec<u8>),
-    /// A request for a job's status; the id as the user wrote it.
-    Status(RequestId, String),
-    /// A cancellation; the id as the user wrote it.
-    Cancel(RequestId, String),
+    Submit {
+        /// The request.
+        request_id: RequestId,
+        /// The body as received.
+        body: Vec<u8>,
+    },
+    /// A request for a job's status.
+    Status {
+        /// The request.
+        request_id: RequestId,
+        /// The job's id as the user wrote it.
+        job_id: String,
+    },
+    /// A cancellation.
+    Cancel {
+        /// The request.
+        request_id: RequestId,
+        /// The job's id as the user wrote it.
+        job_id: String,
+    },
     /// A health check.
     Health(RequestId),
     /// A worker's heartbeat.
-    Heartbeat(RequestId, Vec<u8>),
-    /// The key-value store has answered a request sent at that time, or has not.
-    KeyValueResponse(KvPurpose, Time, KvResponse),
+    Heartbeat {
+        /// The request.
+        request_id: RequestId,
+        /// The body as received.
+        body: Vec<u8>,
+    },
+    /// The key-value store has answered a request, or has not.
+    KeyValueResponse {
+        /// What the request is for.
+        purpose: KvPurpose,
+        /// When the request was sent.
+        sent_at: Time,
+        /// The response.
+        response: KvResponse,
+    },
     /// The cloud has answered a request, or has not.
     CloudResponse(CloudRequest, CloudResponse),
     /// Direct commands to a worker were answered, or not.
@@ -210,8 +244,15 @@
 pub enum Action {
     /// Respond to a user or a worker.
     Respond(RequestId, HttpResponse),
-    /// Send a request to the key-value store, to be given up after so many milliseconds.
-    CallKeyValueStore(KvPurpose, KvRequest, u64),
+    /// Send a request to the key-value store.
+    CallKeyValueStore {
+        /// What the request is for.
+        purpose: KvPurpose,
+        /// The request.
+        request: KvRequest,
+        /// How long to wait for the response, in milliseconds.
+        deadline_ms: u64,
+    },
     /// Send a request to the cloud.
     CallCloud(CloudRequest),
     /// Send commands straight to a worker.
--- a/crates/worksshunt-core/src/controller/hedged_request.rs
+++ b/crates/worksshunt-core/src/controller/hedged_request.rs
@@ -59,5 +59,9 @@
 pub(super) fn second_copy(purpose: KvPurpose, write: &CompareAndSwap) -> Action {
     let deadline_ms = KV_DEADLINE_MS - KV_HEDGE_AFTER_MS;
     let request = KvRequest::CompareAndSwap(write.clone());
-    Action::CallKeyValueStore(purpose, request, deadline_ms)
+    Action::CallKeyValueStore {
+        purpose,
+        request,
+        deadline_ms,
+    }
 }
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -53,11 +53,15 @@
                 } else {
                     0
                 };
-                actions.push(Action::CallKeyValueStore(
-                    KvPurpose::WatchOpenJobs,
-                    KvRequest::Watch(OPEN.to_owned(), since, wait_ms),
-                    wait_ms + KV_DEADLINE_MS,
-                ));
+                actions.push(Action::CallKeyValueStore {
+                    purpose: KvPurpose::WatchOpenJobs,
+                    request: KvRequest::Watch {
+                        prefix: OPEN.to_owned(),
+                        since,
+                        wait_ms,
+                    },
+                    deadline_ms: wait_ms + KV_DEADLINE_MS,
+                });
             }
             _ => {}
         }
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -71,7 +71,11 @@
             job_api.requests.read_sent();
             job_api.read_tokens.take(1);
             job_api.catch_up_timer.mark_sent(now, 0);
-            let request = KvRequest::Watch(OPEN.to_owned(), since, 0);
+            let request = KvRequest::Watch {
+                prefix: OPEN.to_owned(),
+                since,
+                wait_ms: 0,
+            };
             call_store(actions, KvPurpose::CatchUpOpenJobs, request);
         }
     }
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -63,7 +63,11 @@
             (LoadStep::AttemptRecords, _) => KvRequest::List(RECORDS.to_owned()),
             (LoadStep::Completions, _) => KvRequest::List(DONE.to_owned()),
             (LoadStep::Claims, _) => KvRequest::List(CLAIMS.to_owned()),
-            (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch(OPEN.to_owned(), since, 0),
+            (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch {
+                prefix: OPEN.to_owned(),
+                since,
+                wait_ms: 0,
+            },
             (LoadStep::OpenJobs, None) => {
                 // The first listing is in flight.
                 return self.retry_load_step(now, KV_RETRY_MS);
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -172,21 +172,25 @@
         let steady = now.steady;
         match event {
             Event::Tick => self.tick(now, budget, actions),
-            Event::Submit(request, body) => self.submit(now, request, &body, actions),
-            Event::Status(request, id) => {
-                self.job_request(steady, request, &id, JobOperation::Status, actions);
+            Event::Submit { request_id, body } => self.submit(now, request_id, &body, actions),
+            Event::Status { request_id, job_id } => {
+                self.job_request(steady, request_id, &job_id, JobOperation::Status, actions);
             }
-            Event::Cancel(request, id) => {
-                self.job_request(steady, request, &id, JobOperation::Cancel, actions);
+            Event::Cancel { request_id, job_id } => {
+                self.job_request(steady, request_id, &job_id, JobOperation::Cancel, actions);
             }
-            Event::Health(request) => {
-                actions.push(Action::Respond(request, self.health_response(steady)));
+            Event::Health(request_id) => {
+                actions.push(Action::Respond(request_id, self.health_response(steady)));
             }
-            Event::Heartbeat(request, body) => {
-                actions.push(Action::Respond(request, self.heartbeat(steady, &body)));
+            Event::Heartbeat { request_id, body } => {
+                actions.push(Action::Respond(request_id, self.heartbeat(steady, &body)));
             }
-            Event::KeyValueResponse(purpose, sent, response) => {
-                self.process_key_value_response(now, purpose, sent, response, actions);
+            Event::KeyValueResponse {
+                purpose,
+                sent_at,
+                response,
+            } => {
+                self.process_key_value_response(now, purpose, sent_at, response, actions);
             }
             Event::CloudResponse(request, response) => {
                 self.process_cloud_response(steady, &request, response);
@@ -251,5 +255,9 @@
 
 /// Sends a request to the key-value store, with the usual deadline.
 fn call_store(actions: &mut Vec<Action>, purpose: KvPurpose, request: KvRequest) {
-    actions.push(Action::CallKeyValueStore(purpose, request, KV_DEADLINE_MS));
+    actions.push(Action::CallKeyValueStore {
+        purpose,
+        request,
+        deadline_ms: KV_DEADLINE_MS,
+    });
 }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
@@ -138,7 +138,10 @@
         (404, cluster.send_cancel(controller, JobId(61))),
         (
             400,
-            cluster.send(controller, |request| Event::Submit(request, bytes)),
+            cluster.send(controller, |request_id| Event::Submit {
+                request_id,
+                body: bytes,
+            }),
         ),
     ]
 }
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -18,17 +18,26 @@
 
 fn submission(rules: &mut Invariants, id: u64) -> JobQuery {
     let body = job(id, 1).to_string().into_bytes();
-    rules.request_sent(&Event::Submit(RequestId(1), body))
+    rules.request_sent(&Event::Submit {
+        request_id: RequestId(1),
+        body,
+    })
 }
 
 fn status(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.request_sent(&Event::Status(RequestId(1), id))
+    rules.request_sent(&Event::Status {
+        request_id: RequestId(1),
+        job_id: id,
+    })
 }
 
 fn withdrawal(rules: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.request_sent(&Event::Cancel(RequestId(1), id))
+    rules.request_sent(&Event::Cancel {
+        request_id: RequestId(1),
+        job_id: id,
+    })
 }
 
 fn says(state: &str) -> HttpResponse {
@@ -228,9 +237,10 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let spot = cluster.task_starts[0].machine.clone();
     let stranger = job(9, 1).to_string().into_bytes();
-    let question = cluster
-        .invariants
-        .request_sent(&Event::Submit(RequestId(0), stranger));
+    let question = cluster.invariants.request_sent(&Event::Submit {
+        request_id: RequestId(0),
+        body: stranger,
+    });
     let now = cluster.now;
     cluster
         .invariants
--- a/crates/worksshunt-core/tests/scenarios/jobs.rs
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -203,7 +203,10 @@
     for job in &malformed {
         assert_eq!(cluster.submit(0, job).status, 400, "{job}");
     }
-    let reply = cluster.ask(0, |request| Event::Submit(request, b"{not json".to_vec()));
+    let reply = cluster.ask(0, |request_id| Event::Submit {
+        request_id,
+        body: b"{not json".to_vec(),
+    });
     assert_eq!(reply.status, 400);
     let impossible = [
         change("Cuadrilla", json!("green")),
--- a/crates/worksshunt-core/tests/scenarios/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_store.rs
@@ -22,7 +22,7 @@
         let mut heartbeat = heartbeat.clone();
         heartbeat["Estiba"] = json!(format!("i-{machine:06}"));
         let body = heartbeat.to_string().into_bytes();
-        let reply = cluster.ask(leader, |request| Event::Heartbeat(request, body));
+        let reply = cluster.ask(leader, |request_id| Event::Heartbeat { request_id, body });
         assert_ne!(reply.status, 200, "it answered a worker without authority");
     }
     let reply = cluster.submit(leader, &job(2, 1));
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -142,7 +142,10 @@
     ];
     for body in odd {
         let bytes = body.clone().into_bytes();
-        let reply = cluster.ask(0, |request| Event::Heartbeat(request, bytes));
+        let reply = cluster.ask(0, |request_id| Event::Heartbeat {
+            request_id,
+            body: bytes,
+        });
         assert_eq!(reply.status, 400, "{body}");
     }
     // An unknown type of machine, with a task that nobody launched: the heartbeat is accepted, the machine not used.
@@ -151,7 +154,10 @@
     stranger["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
     for controller in 0..3 {
         let bytes = stranger.to_string().into_bytes();
-        let reply = cluster.ask(controller, |request| Event::Heartbeat(request, bytes));
+        let reply = cluster.ask(controller, |request_id| Event::Heartbeat {
+            request_id,
+            body: bytes,
+        });
         assert!(matches!(reply.status, 200 | 421), "{}", reply.status);
     }
     cluster.submit(0, &job(1, 4));
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -165,7 +165,10 @@
     }
     (0..7).for_each(|index| cluster.invariants.completed(task(5, index)));
     for id in [6, 7] {
-        let withdrawal = Event::Cancel(RequestId(0), JobId(id).to_string());
+        let withdrawal = Event::Cancel {
+            request_id: RequestId(0),
+            job_id: JobId(id).to_string(),
+        };
         cluster.invariants.request_sent(&withdrawal);
     }
     let first = cluster.machine("a", true, 0);
--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -121,7 +121,11 @@
 
     async fn watch(&self, prefix: &str, since: u64, timeout: Duration) -> HttpResponse {
         let deadline = Instant::now() + timeout;
-        let request = KvRequest::Watch(prefix.to_owned(), Revision(since), 0);
+        let request = KvRequest::Watch {
+            prefix: prefix.to_owned(),
+            since: Revision(since),
+            wait_ms: 0,
+        };
         loop {
             match self.apply(&request) {
                 KvResponse::WatchResponse(changes)
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -32,9 +32,11 @@
         KvRequest::CompareAndSwap(transaction) => {
             compare_and_swap(client, &transaction, deadline).await
         }
-        KvRequest::Watch(prefix, since, wait_ms) => {
-            watch(client, &prefix, since, wait_ms, deadline).await
-        }
+        KvRequest::Watch {
+            prefix,
+            since,
+            wait_ms,
+        } => watch(client, &prefix, since, wait_ms, deadline).await,
     };
     result.unwrap_or_else(|error| match error {
         // Over the store's limits; it has not executed the request.
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -157,7 +157,11 @@
 fn changes_are_watched() {
     let watch = |status, body| {
         let line = "GET /follow?Starts=j/&Since=77&WaitMs=2500 HTTP/1.1";
-        let request = KvRequest::Watch("j/".to_owned(), Revision(77), 2_500);
+        let request = KvRequest::Watch {
+            prefix: "j/".to_owned(),
+            since: Revision(77),
+            wait_ms: 2_500,
+        };
         outcome(request, &[Exchange::new(line, "", status, body)])
     };
     let removed = WatchResponse {
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -115,7 +115,7 @@
 fn action_message(action: &Action) -> Message {
     match action {
         Action::Respond(_, reply) => client_reply(reply),
-        Action::CallKeyValueStore(_, request, _) => state_service_request(request),
+        Action::CallKeyValueStore { request, .. } => state_service_request(request),
         Action::CallCloud(request) => cloud_request(request),
         Action::SendCommands(orders) => {
             Message::json("command request", &(&orders.machine, &orders.batch))
@@ -128,12 +128,12 @@
 fn event_message(event: &Event) -> Option<Message> {
     Some(match event {
         Event::Tick => return None,
-        Event::Submit(_, body) => Message::bytes("submission", body.as_slice()),
-        Event::Status(_, id) => Message::bytes("status query", id.as_bytes()),
-        Event::Cancel(_, id) => Message::bytes("cancellation", id.as_bytes()),
+        Event::Submit { body, .. } => Message::bytes("submission", body.as_slice()),
+        Event::Status { job_id, .. } => Message::bytes("status query", job_id.as_bytes()),
+        Event::Cancel { job_id, .. } => Message::bytes("cancellation", job_id.as_bytes()),
         Event::Health(_) => Message::empty("health check"),
-        Event::Heartbeat(_, body) => Message::bytes("heartbeat", body.as_slice()),
-        Event::KeyValueResponse(_, _, reply) => state_service_response(reply),
+        Event::Heartbeat { body, .. } => Message::bytes("heartbeat", body.as_slice()),
+        Event::KeyValueResponse { response, .. } => state_service_response(response),
         Event::CloudResponse(_, reply) => cloud_response(reply),
         Event::CommandsAnswered(orders, reply) => match reply {
             DirectCommandsOutcome::Answered(heartbeat) => {
@@ -163,9 +163,11 @@
         KvRequest::Get(key) => Message::bytes("get", key.as_bytes()),
         KvRequest::List(prefix) => Message::bytes("list", prefix.as_bytes()),
         KvRequest::CompareAndSwap(write) => Message::json("transaction", write),
-        KvRequest::Watch(prefix, since, wait_ms) => {
-            Message::json("watch", &(prefix, since, wait_ms))
-        }
+        KvRequest::Watch {
+            prefix,
+            since,
+            wait_ms,
+        } => Message::json("watch", &(prefix, since, wait_ms)),
     }
 }
 
--- a/crates/worksshunt-simulation/src/heartbeats.rs
+++ b/crates/worksshunt-simulation/src/heartbeats.rs
@@ -121,7 +121,13 @@
             self.pending_requests.insert(to, request, pending);
         }
         let body = serde_json::to_vec(heartbeat).expect("JSON");
-        self.dispatch(to, Event::Heartbeat(request, body));
+        self.dispatch(
+            to,
+            Event::Heartbeat {
+                request_id: request,
+                body,
+            },
+        );
     }
 
     /// The time of a worker's heartbeat is over. A worker that hangs notices when it goes on.
--- a/crates/worksshunt-simulation/src/invariants/users.rs
+++ b/crates/worksshunt-simulation/src/invariants/users.rs
@@ -54,20 +54,20 @@
     pub fn request_sent(&mut self, event: &Event) -> JobQuery {
         self.last_order += 1;
         let id = match event {
-            Event::Submit(_, body) => self.submission_sent(body),
-            Event::Cancel(_, id) => {
-                let id = id.parse::<JobId>().ok();
+            Event::Submit { body, .. } => self.submission_sent(body),
+            Event::Cancel { job_id, .. } => {
+                let id = job_id.parse::<JobId>().ok();
                 if let Some(id) = id {
                     self.history(id).is_withdrawn = true;
                 }
                 id
             }
-            Event::Status(_, id) => id.parse::<JobId>().ok(),
+            Event::Status { job_id, .. } => job_id.parse::<JobId>().ok(),
             _ => None,
         };
         JobQuery {
             id,
-            is_submission: matches!(event, Event::Submit(..)),
+            is_submission: matches!(event, Event::Submit { .. }),
             order: self.last_order,
         }
     }
--- a/crates/worksshunt-simulation/src/key_value_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_service.rs
@@ -122,7 +122,12 @@
         let response =
             if self.faults.key_value.down || is_refused || !self.key_value_rate_allows(&request) {
                 KvResponse::Refused
-            } else if let KvRequest::Watch(prefix, since, wait_ms @ 1..) = request {
+            } else if let KvRequest::Watch {
+                prefix,
+                since,
+                wait_ms: wait_ms @ 1..,
+            } = request
+            {
                 self.key_value.watches.push(Watch {
                     caller,
                     prefix,
@@ -161,7 +166,11 @@
     }
 
     fn answer_key_value(&mut self, at: u64, caller: KeyValueCaller, response: KvResponse) {
-        let event = Event::KeyValueResponse(caller.purpose, caller.sent_at, response);
+        let event = Event::KeyValueResponse {
+            purpose: caller.purpose,
+            sent_at: caller.sent_at,
+            response,
+        };
         self.deliver_at(at, caller.run, event);
     }
 
--- a/crates/worksshunt-simulation/src/key_value_store.rs
+++ b/crates/worksshunt-simulation/src/key_value_store.rs
@@ -167,7 +167,7 @@
             KvRequest::Get(key) => self.get(key),
             KvRequest::List(prefix) => KvResponse::Listing(self.list(prefix)),
             KvRequest::CompareAndSwap(write) => self.compare_and_swap(write),
-            KvRequest::Watch(prefix, since, _) => {
+            KvRequest::Watch { prefix, since, .. } => {
                 KvResponse::WatchResponse(self.changes(prefix, *since))
             }
         }
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -77,7 +77,11 @@
             digest.sent(self.now, from.index, &action);
         }
         match action {
-            Action::CallKeyValueStore(purpose, request, deadline_ms) => {
+            Action::CallKeyValueStore {
+                purpose,
+                request,
+                deadline_ms,
+            } => {
                 let caller = KeyValueCaller {
                     run: from,
                     purpose,
--- a/crates/worksshunt-simulation/src/resource_usage.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -56,12 +56,12 @@
     pub(crate) fn kind(event: &Event) -> &'static str {
         match event {
             Event::Tick => "tick",
-            Event::Heartbeat(..) => "report",
+            Event::Heartbeat { .. } => "report",
             Event::PeerRequest(_, PeerRequest::Sync(_)) | Event::PeerResponse(_) => "sync",
-            Event::KeyValueResponse(..) => "state service",
+            Event::KeyValueResponse { .. } => "state service",
             Event::CloudResponse(..) => "cloud",
             Event::CommandsAnswered(..) => "orders",
-            Event::Submit(..) | Event::Status(..) | Event::Cancel(..) => "user",
+            Event::Submit { .. } | Event::Status { .. } | Event::Cancel { .. } => "user",
             _ => "other",
         }
     }
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -45,7 +45,7 @@
         self.users.responses.push(None);
         let request = self.pending_requests.next_id();
         let event = event(request);
-        if let Event::Submit(_, body) = &event {
+        if let Event::Submit { body, .. } = &event {
             self.users.record_submission(body);
         }
         let query = self.invariants.request_sent(&event);
@@ -82,25 +82,31 @@
     /// Asks for a job's state without waiting.
     pub fn send_status(&mut self, controller: usize, id: JobId) -> usize {
         let text = id.to_string();
-        self.send(controller, |request| Event::Status(request, text))
+        self.send(controller, |request_id| Event::Status {
+            request_id,
+            job_id: text,
+        })
     }
 
     /// Cancels a job without waiting.
     pub fn send_cancel(&mut self, controller: usize, id: JobId) -> usize {
         let text = id.to_string();
-        self.send(controller, |request| Event::Cancel(request, text))
+        self.send(controller, |request_id| Event::Cancel {
+            request_id,
+            job_id: text,
+        })
     }
 
     /// Submits a job without waiting.
     pub fn send_submit(&mut self, controller: usize, job: &Value) -> usize {
         let body = job.to_string().into_bytes();
-        self.send(controller, |request| Event::Submit(request, body))
+        self.send(controller, |request_id| Event::Submit { request_id, body })
     }
 
     /// Submits a job.
     pub fn submit(&mut self, controller: usize, job: &Value) -> HttpResponse {
         let body = job.to_string().into_bytes();
-        self.ask(controller, |request| Event::Submit(request, body))
+        self.ask(controller, |request_id| Event::Submit { request_id, body })
     }
 
     /// Submits all these jobs to each of these controllers at one moment.
@@ -147,7 +153,10 @@
     /// The controller does not respond.
     pub fn state(&mut self, controller: usize, id: u64) -> (u16, String) {
         let text = JobId(id).to_string();
-        let response = self.ask(controller, |request| Event::Status(request, text));
+        let response = self.ask(controller, |request_id| Event::Status {
+            request_id,
+            job_id: text,
+        });
         let body: Value = serde_json::from_str(&response.body).expect("JSON");
         let state = body["Estado"].as_str().unwrap_or_default().to_owned();
         (response.status, state)
@@ -161,7 +170,10 @@
     /// Cancels a job.
     pub fn cancel(&mut self, controller: usize, id: u64) -> HttpResponse {
         let text = JobId(id).to_string();
-        self.ask(controller, |request| Event::Cancel(request, text))
+        self.ask(controller, |request_id| Event::Cancel {
+            request_id,
+            job_id: text,
+        })
     }
 
     pub(crate) fn user_answered(&mut self, slot: usize, query: &JobQuery, response: HttpResponse) {
@@ -182,7 +194,7 @@
             self.record_effect("rapid status query");
             self.send_status(controller, id);
             if let Some(body) = self.users.submissions.get(&id).cloned() {
-                self.send(controller, |request| Event::Submit(request, body));
+                self.send(controller, |request_id| Event::Submit { request_id, body });
             }
         }
     }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -198,7 +198,11 @@
         match action {
             Action::Respond(id, response) => self.pending_clients.complete(id, response),
             Action::RespondToPeer(id, response) => self.pending_peers.complete(id, response),
-            Action::CallKeyValueStore(purpose, request, deadline_ms) => {
+            Action::CallKeyValueStore {
+                purpose,
+                request,
+                deadline_ms,
+            } => {
                 self.call_key_value_store(purpose, request, Duration::from_millis(deadline_ms));
             }
             Action::CallCloud(request) => self.call_cloud(request),
@@ -217,7 +221,11 @@
         let sent_at = self.steady_time();
         self.spawn(async move {
             let response = key_value::call(&this.key_value_store, request, deadline).await;
-            this.dispatch(Event::KeyValueResponse(purpose, sent_at, response));
+            this.dispatch(Event::KeyValueResponse {
+                purpose,
+                sent_at,
+                response,
+            });
         });
     }
 
