--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -1,13 +1,12 @@
 //! From loading to serving: partition, scheduler and fleet are built from what the epoch's members have read.
 
-use worksshunt_wire::key_value::KeyValue;
 use worksshunt_wire::{ControllerName, Epoch};
 
 use crate::fleet::Fleet;
 use crate::machines::EpochStart;
 use crate::membership::EpochRecord;
 use crate::partitioning::owner;
-use crate::records::{self, AttemptRecord};
+use crate::records::{self, AttemptRecord, RecordPage};
 use crate::scheduler::{Scheduler, StoredState};
 use crate::time::Time;
 
@@ -41,7 +40,7 @@
         now: Time,
         epoch: &EpochRecord,
         owners: &[ControllerName],
-        record_pages: &[(KeyValue, Vec<AttemptRecord>)],
+        record_pages: &[RecordPage],
     ) {
         let me = self.membership.name();
         let previous_owners = self
@@ -51,7 +50,7 @@
             .map_or(Vec::new(), |previous| previous.owners);
         let records: Vec<AttemptRecord> = record_pages
             .iter()
-            .flat_map(|(_, records)| records.clone())
+            .flat_map(|page| page.records.clone())
             .collect();
         self.partition.begin_epoch(
             now,
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -12,7 +12,7 @@
 use crate::fleet::Fleet;
 use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
 use crate::membership::MemberState;
-use crate::records::{self, AttemptRecord, UnknownRecordFormat, RECORDS};
+use crate::records::{RecordPage, UnknownRecordFormat, RECORDS};
 use crate::scheduler::CLAIMS;
 use crate::time::{Periodic, Time};
 
@@ -24,8 +24,8 @@
 pub(super) struct EpochLoad {
     retry_timer: Periodic,
     step: Option<LoadStep>,
-    /// Pages of attempt records, with the records on them.
-    pub record_pages: Vec<(KeyValue, Vec<AttemptRecord>)>,
+    /// Pages of attempt records.
+    pub record_pages: Vec<RecordPage>,
     pub completion_pages: Vec<KeyValue>,
     pub claims: Vec<KeyValue>,
     /// Jobs on record and not open, whose final states are still to be requested.
@@ -136,11 +136,8 @@
 
     /// Takes in the attempt records. The next step; none if a record cannot be read.
     fn attempt_records_loaded(&mut self, now: Time, pairs: Vec<KeyValue>) -> Option<LoadStep> {
-        let read_page = |pair: KeyValue| {
-            let records = records::read(&pair)?;
-            Ok((pair, records))
-        };
-        let pages: Result<Vec<_>, UnknownRecordFormat> = pairs.into_iter().map(read_page).collect();
+        let pages: Result<Vec<_>, UnknownRecordFormat> =
+            pairs.into_iter().map(RecordPage::read).collect();
         match pages {
             Ok(pages) => self.epoch_load.record_pages = pages,
             Err(error) => {
@@ -178,7 +175,7 @@
     /// no other attempt is made at a task that has completed.
     fn final_states_to_load(&self) -> VecDeque<JobId> {
         let pages = self.epoch_load.record_pages.iter();
-        let records = pages.flat_map(|(_, records)| records);
+        let records = pages.flat_map(|page| &page.records);
         let jobs: BTreeSet<JobId> = records.map(|record| record.task.job).collect();
         let is_open =
             |id: &JobId| self.job_cache.get(*id).is_some() || self.job_cache.is_unreadable(*id);
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -143,21 +143,43 @@
     Ok(page.records.into_iter().map(AttemptRecord::from).collect())
 }
 
+/// A stored page with the records on it.
+#[derive(Debug)]
+pub struct RecordPage {
+    /// The page's key, version and value as stored.
+    pub stored: KeyValue,
+    /// The records on the page.
+    pub records: Vec<AttemptRecord>,
+}
+
+impl RecordPage {
+    /// Reads a stored page.
+    ///
+    /// # Errors
+    ///
+    /// As [`read`].
+    pub fn read(stored: KeyValue) -> Result<RecordPage, UnknownRecordFormat> {
+        let records = read(&stored)?;
+        Ok(RecordPage { stored, records })
+    }
+}
+
 /// Drops all but the latest attempt at each task from the pages, and returns the keys of pages that
 /// had others. An attempt is made only when those before it are certainly gone; until its page is
 /// rewritten one may still be listed, on a machine that will never send another heartbeat.
-pub fn retain_latest_attempts(pages: &mut [(KeyValue, Vec<AttemptRecord>)]) -> BTreeSet<String> {
+pub fn retain_latest_attempts(pages: &mut [RecordPage]) -> BTreeSet<String> {
     let mut latest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
-    for record in pages.iter().flat_map(|(_, records)| records) {
+    for record in pages.iter().flat_map(|page| &page.records) {
         let newest = latest.entry(record.task).or_insert(record.attempt);
         *newest = record.attempt.max(*newest);
     }
     let mut stale_pages = BTreeSet::new();
-    for (pair, records) in pages {
-        let count_before = records.len();
-        records.retain(|record| latest.get(&record.task) == Some(&record.attempt));
-        if records.len() < count_before {
-            stale_pages.insert(pair.key.clone());
+    for page in pages {
+        let count_before = page.records.len();
+        page.records
+            .retain(|record| latest.get(&record.task) == Some(&record.attempt));
+        if page.records.len() < count_before {
+            stale_pages.insert(page.stored.key.clone());
         }
     }
     stale_pages
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -48,16 +48,19 @@
         attempt: Attempt(attempt),
         incarnation: Incarnation(1),
     };
-    let page = |records| (pair(Value::Null), records);
+    let page = |records| RecordPage {
+        stored: pair(Value::Null),
+        records,
+    };
     let mut pages = vec![
         page(vec![record("i-1", 0, 5), record("i-1", 1, 6)]),
         page(vec![record("i-2", 0, 9)]),
     ];
-    pages[1].0.key = "a/2".to_owned();
+    pages[1].stored.key = "a/2".to_owned();
     let stale = retain_latest_attempts(&mut pages);
     assert_eq!(stale, BTreeSet::from(["a/i-000007".to_owned()]));
-    assert_eq!(pages[0].1, [record("i-1", 1, 6)]);
-    assert_eq!(pages[1].1, [record("i-2", 0, 9)]);
+    assert_eq!(pages[0].records, [record("i-1", 1, 6)]);
+    assert_eq!(pages[1].records, [record("i-2", 0, 9)]);
 }
 
 // Guards against taking records of another version for empty ones, and running their tasks twice.
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -12,7 +12,7 @@
 use crate::objectives::ServiceLevelObjectives;
 use crate::partitioning::owner;
 use crate::quota::Quota;
-use crate::records::AttemptRecord;
+use crate::records::{AttemptRecord, RecordPage};
 use crate::time::Time;
 
 use super::active_attempt::ActiveAttempt;
@@ -27,8 +27,8 @@
 /// What a new leader finds in the store.
 #[derive(Debug, Default)]
 pub struct StoredState {
-    /// Pages of machines' records, each with the latest attempts on it.
-    pub record_pages: Vec<(KeyValue, Vec<AttemptRecord>)>,
+    /// Pages of attempt records, each with the latest attempts on it.
+    pub record_pages: Vec<RecordPage>,
     /// Keys of those among them that list earlier attempts too.
     pub stale_record_pages: BTreeSet<String>,
     /// Pages of completions.
@@ -56,14 +56,14 @@
         for pair in &stored.completion_pages {
             scheduler.load_completions(now, pair);
         }
-        let records = stored.record_pages.iter().flat_map(|(_, records)| records);
+        let records = stored.record_pages.iter().flat_map(|page| &page.records);
         scheduler.unreadable_jobs = records
             .map(|record| record.task.job)
             .filter(|id| job_cache.is_unreadable(*id))
             .collect();
-        for (pair, records) in &stored.record_pages {
-            scheduler.load_record_page(pair, records);
-            for record in records {
+        for page in &stored.record_pages {
+            scheduler.load_record_page(page);
+            for record in &page.records {
                 scheduler.load_record(now, record, members, &stored.cancelled);
             }
         }
@@ -142,14 +142,17 @@
         true
     }
 
-    fn load_record_page(&mut self, pair: &KeyValue, records: &[AttemptRecord]) {
-        let entries = records
+    fn load_record_page(&mut self, page: &RecordPage) {
+        let entries = page
+            .records
             .iter()
             .map(|record| (record.attempt, record.clone()))
             .collect();
-        self.pages
-            .former_records
-            .adopt_stored_page(pair.key.clone(), pair.version, entries);
+        self.pages.former_records.adopt_stored_page(
+            page.stored.key.clone(),
+            page.stored.version,
+            entries,
+        );
     }
 
     fn load_record(
