--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -28,7 +28,7 @@
                 stale_record_pages,
                 completion_pages: load.completion_pages,
                 claims: load.claims,
-                cancelled: load.cancelled_jobs,
+                cancelled_jobs: load.cancelled_jobs,
             };
             self.begin_leading(now, &epoch, &owners, &stored, load.previous_fleet);
         }
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -16,8 +16,8 @@
         listing: &Listing,
         actions: &mut Vec<Action>,
     ) {
-        let now = times.answered;
-        match self.membership.process_control_keys(times.sent, listing) {
+        let now = times.answered_at;
+        match self.membership.process_control_keys(times.sent_at, listing) {
             MembershipAction::Unchanged => {}
             MembershipAction::MemberKeyGone => {
                 tracing::info!("member key missing, joining again");
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -6,7 +6,7 @@
 use crate::constants::key_value::{KV_DEADLINE_MS, KV_RETRY_MS, WATCH_MAX_WAIT_MS, WATCH_PAUSE_MS};
 use crate::constants::leases::{EPOCH_LEASE_MS, WORKER_LEASE_MARGIN_MS};
 use crate::job_api::HttpResponse;
-use crate::jobs::{JobCacheChange, OPEN};
+use crate::jobs::{JobCacheChange, OPEN_JOBS_PREFIX};
 use crate::machines::lease_bound_ms;
 use crate::time::{Periodic, Time};
 
@@ -40,7 +40,7 @@
         match self.job_cache.revision() {
             None if reads.list_timer.is_due(now) => {
                 reads.list_timer.mark_sent(now, KV_RETRY_MS);
-                let request = KvRequest::List(OPEN.to_owned());
+                let request = KvRequest::List(OPEN_JOBS_PREFIX.to_owned());
                 call_store(actions, KvPurpose::ListOpenJobs, request);
             }
             Some(since) if reads.watch_timer.is_due(now) => {
@@ -56,7 +56,7 @@
                 actions.push(Action::CallKeyValueStore {
                     purpose: KvPurpose::WatchOpenJobs,
                     request: KvRequest::Watch {
-                        prefix: OPEN.to_owned(),
+                        prefix: OPEN_JOBS_PREFIX.to_owned(),
                         since,
                         wait_ms,
                     },
@@ -71,12 +71,12 @@
     pub(super) fn open_jobs_answered(&mut self, times: RequestTimes, response: KvResponse) {
         self.job_cache_reads
             .list_timer
-            .schedule_retry(times.answered, KV_RETRY_MS);
+            .schedule_retry(times.answered_at, KV_RETRY_MS);
         if let KvResponse::Listing(listing) = response {
             if !self.job_cache.is_loaded() {
-                self.membership.open_jobs_read(times.sent);
+                self.membership.open_jobs_read(times.sent_at);
                 let changes = self.job_cache.load(&listing);
-                self.apply_job_changes(times.answered, changes);
+                self.apply_job_changes(times.answered_at, changes);
             }
         }
     }
@@ -91,24 +91,24 @@
         let timer = &mut self.job_cache_reads.watch_timer;
         match response {
             KvResponse::WatchResponse(changes) => {
-                timer.schedule_retry(times.answered, WATCH_PAUSE_MS);
+                timer.schedule_retry(times.answered_at, WATCH_PAUSE_MS);
                 self.open_jobs_changed(times, &changes);
             }
             KvResponse::RevisionCompacted => {
-                timer.schedule_retry(times.answered, 0);
+                timer.schedule_retry(times.answered_at, 0);
                 self.reload_job_cache(actions);
             }
-            _ => timer.schedule_retry(times.answered, KV_RETRY_MS),
+            _ => timer.schedule_retry(times.answered_at, KV_RETRY_MS),
         }
     }
 
     /// Takes in changes of the open jobs.
     pub(super) fn open_jobs_changed(&mut self, times: RequestTimes, changes: &WatchResponse) {
         if self.job_cache.is_loaded() {
-            self.membership.open_jobs_read(times.sent);
+            self.membership.open_jobs_read(times.sent_at);
         }
         let changes = self.job_cache.apply_changes(changes);
-        self.apply_job_changes(times.answered, changes);
+        self.apply_job_changes(times.answered_at, changes);
     }
 
     /// Has partition and scheduler follow what has changed in the job cache.
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -13,7 +13,7 @@
     final_state_response, resolve, HttpResponse, JobApi, JobOperation, JobRequest, JobRequestStep,
     RequestId,
 };
-use crate::jobs::{JobCacheChange, OPEN};
+use crate::jobs::{JobCacheChange, OPEN_JOBS_PREFIX};
 use crate::time::{Periodic, Time, TokenBucket};
 
 use super::accept_write::AcceptWrite;
@@ -72,7 +72,7 @@
             job_api.read_tokens.take(1);
             job_api.catch_up_timer.mark_sent(now, 0);
             let request = KvRequest::Watch {
-                prefix: OPEN.to_owned(),
+                prefix: OPEN_JOBS_PREFIX.to_owned(),
                 since,
                 wait_ms: 0,
             };
@@ -150,7 +150,7 @@
         response: KvResponse,
         actions: &mut Vec<Action>,
     ) {
-        let now = times.answered;
+        let now = times.answered_at;
         self.job_api.catch_up_timer.schedule_retry(now, 0);
         match response {
             KvResponse::WatchResponse(changes) if self.job_cache.is_loaded() => {
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -10,10 +10,12 @@
 use crate::constants::key_value::{FINAL_STATE_LOADS_IN_FLIGHT, KV_RETRY_MS};
 use crate::constants::timers::UNREADABLE_RECORDS_RETRY_MS;
 use crate::fleet::Fleet;
-use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
+use crate::jobs::{
+    final_state_key, read_cancelled, read_final_state, Job, COMPLETIONS_PREFIX, OPEN_JOBS_PREFIX,
+};
 use crate::membership::MemberState;
-use crate::records::{RecordPage, UnknownRecordFormat, RECORDS};
-use crate::scheduler::CLAIMS;
+use crate::records::{RecordPage, UnknownRecordFormat, ATTEMPT_RECORDS_PREFIX};
+use crate::scheduler::CLAIMS_PREFIX;
 use crate::time::{Periodic, Time};
 
 use super::key_value_responses::RequestTimes;
@@ -60,11 +62,11 @@
     pub(super) fn request_load_step(&mut self, now: Time, actions: &mut Vec<Action>) {
         let step = *self.epoch_load.step.get_or_insert(LoadStep::AttemptRecords);
         let request = match (step, self.job_cache.revision()) {
-            (LoadStep::AttemptRecords, _) => KvRequest::List(RECORDS.to_owned()),
-            (LoadStep::Completions, _) => KvRequest::List(DONE.to_owned()),
-            (LoadStep::Claims, _) => KvRequest::List(CLAIMS.to_owned()),
+            (LoadStep::AttemptRecords, _) => KvRequest::List(ATTEMPT_RECORDS_PREFIX.to_owned()),
+            (LoadStep::Completions, _) => KvRequest::List(COMPLETIONS_PREFIX.to_owned()),
+            (LoadStep::Claims, _) => KvRequest::List(CLAIMS_PREFIX.to_owned()),
             (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch {
-                prefix: OPEN.to_owned(),
+                prefix: OPEN_JOBS_PREFIX.to_owned(),
                 since,
                 wait_ms: 0,
             },
@@ -103,7 +105,7 @@
         if self.epoch_load.step != Some(step) {
             return;
         }
-        let now = times.answered;
+        let now = times.answered_at;
         let next = match (step, response) {
             (LoadStep::AttemptRecords, KvResponse::Listing(listing)) => {
                 self.attempt_records_loaded(now, listing.pairs)
@@ -165,7 +167,7 @@
             self.epoch_load.final_states_to_request = self.final_states_to_load();
         }
         if self.epoch_load.final_states_to_request.is_empty() {
-            self.begin_serving(times.answered);
+            self.begin_serving(times.answered_at);
             return None;
         }
         Some(LoadStep::FinalStates)
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -3,7 +3,7 @@
 
 use crate::constants::key_value::KV_RETRY_MS;
 use crate::constants::leases::{CONTROL_KEYS_INTERVAL_MS, MEMBER_LEASE_RENEWAL_INTERVAL_MS};
-use crate::membership::{MemberState, CONTROL};
+use crate::membership::{MemberState, CONTROL_KEYS_PREFIX};
 use crate::time::{Periodic, Time};
 
 use super::key_value_responses::RequestTimes;
@@ -28,7 +28,7 @@
         let control_keys_timer = &mut self.membership_timers.control_keys;
         if control_keys_timer.is_due(now) {
             control_keys_timer.mark_sent(now, CONTROL_KEYS_INTERVAL_MS);
-            let request = KvRequest::List(CONTROL.to_owned());
+            let request = KvRequest::List(CONTROL_KEYS_PREFIX.to_owned());
             call_store(actions, KvPurpose::ReadControlKeys, request);
         }
     }
@@ -113,7 +113,7 @@
         self.membership_timers.control_keys.in_flight = false;
         match response {
             KvResponse::Listing(listing) => self.process_control_keys(times, &listing, actions),
-            _ => self.read_control_keys_at(times.answered + KV_RETRY_MS),
+            _ => self.read_control_keys_at(times.answered_at + KV_RETRY_MS),
         }
     }
 
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -6,7 +6,7 @@
 
 use crate::constants::key_value::{KV_RETRY_MS, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB};
 use crate::jobs::{is_submission_batch, job_of_key, open_job_key};
-use crate::membership::EPOCH;
+use crate::membership::EPOCH_KEY;
 use crate::time::Time;
 
 use super::key_value_responses::RequestTimes;
@@ -33,7 +33,7 @@
         times: RequestTimes,
         response: KvResponse,
     ) {
-        let now = times.answered;
+        let now = times.answered_at;
         match response {
             KvResponse::Refused => self.write_queues.write_refused(now),
             KvResponse::TooLarge => return self.write_too_large(queue_id, now),
@@ -68,11 +68,11 @@
     fn write_outcome(&mut self, times: RequestTimes, response: KvResponse) -> WriteOutcome {
         match response {
             KvResponse::Committed(revision) => {
-                self.membership.epoch_confirmed(times.sent);
+                self.membership.epoch_confirmed(times.sent_at);
                 WriteOutcome::Applied(Some(revision))
             }
-            KvResponse::Conflict(failed) if failed.iter().any(|key| key == EPOCH) => {
-                self.read_control_keys_at(times.answered);
+            KvResponse::Conflict(failed) if failed.iter().any(|key| key == EPOCH_KEY) => {
+                self.read_control_keys_at(times.answered_at);
                 WriteOutcome::Unclear
             }
             KvResponse::Conflict(failed) => {
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -62,7 +62,7 @@
     let mut expected: Vec<Demand> = classes
         .flat_map(|class| reserved_capacity(class, catalog))
         .collect();
-    expected.extend(spare_capacity(forecast.standby_cpus, catalog));
+    expected.extend(spare_capacity(forecast.spare_cpus, catalog));
     supply.sort_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus));
     let mut idle_machines = idle_machines(supply);
     let unserved = unserved_demand(supply, &expected);
@@ -110,12 +110,13 @@
 
 /// How many tasks of a class to reserve capacity for, where a machine takes `boot_s` seconds to boot.
 fn expected_tasks(expected: &ExpectedDemand, boot_s: f64) -> u32 {
-    let jobs = f64::from(expected.jobs);
-    let arrivals = jobs * 1_000.0 / expected.over_ms as f64 * boot_s * RESERVED_CAPACITY_BOOT_TIMES;
+    let jobs = f64::from(expected.recent_jobs);
+    let arrivals =
+        jobs * 1_000.0 / expected.arrival_window_ms as f64 * boot_s * RESERVED_CAPACITY_BOOT_TIMES;
     // Jobs arrive at random: occasionally there are more of them, by about the square root of their number.
     let max_arrivals = arrivals + arrivals.sqrt();
-    let tasks_per_job = f64::from(expected.lately) / jobs.max(1.0);
-    expected.largest + (tasks_per_job * max_arrivals).ceil() as u32
+    let tasks_per_job = f64::from(expected.recent_replicas) / jobs.max(1.0);
+    expected.max_replicas + (tasks_per_job * max_arrivals).ceil() as u32
 }
 
 /// Spare capacity of so many processors on on-demand machines, in all zones, for demand of which nothing is
@@ -140,24 +141,24 @@
 fn reserved_demand(job: &Rc<Job>, zone: Option<String>, tasks: u32) -> Demand {
     Demand {
         job: Rc::clone(job),
-        tasks,
-        waiting: tasks,
-        running: 0,
-        running_s: 0.0,
+        tasks_within_limit: tasks,
+        waiting_tasks: tasks,
+        running_tasks: 0,
+        running_remaining_s: 0.0,
         slack_s: 0.0,
         zone,
         full_zones: BTreeSet::new(),
         spot_only: false,
-        spotless: false,
+        has_spot_machines: true,
     }
 }
 
 /// The demand that the supply does not serve at once. What it does serve is taken out of the supply.
 pub(super) fn unserved_demand(supply: &mut Vec<MachineSupply>, demand: &[Demand]) -> Vec<Demand> {
     let mut unserved = Vec::new();
-    for demand in demand.iter().filter(|demand| demand.tasks > 0) {
+    for demand in demand.iter().filter(|demand| demand.tasks_within_limit > 0) {
         let need = demand.job.resources();
-        let mut tasks = demand.tasks;
+        let mut tasks = demand.tasks_within_limit;
         supply.retain_mut(|machine| {
             let allowed = allows(demand, &machine.offer);
             while tasks > 0 && allowed && machine.free.fits(&need) {
@@ -169,7 +170,7 @@
         });
         if tasks > 0 {
             unserved.push(Demand {
-                tasks,
+                tasks_within_limit: tasks,
                 ..demand.clone()
             });
         }
@@ -195,13 +196,13 @@
     for demand in demand {
         let cpus = demand.job.spec.cpus;
         if demand.job.is_service() {
-            service_cpus += cpus * f64::from(demand.tasks + demand.running);
+            service_cpus += cpus * f64::from(demand.tasks_within_limit + demand.running_tasks);
             continue;
         }
-        let waiting_s = f64::from(demand.waiting) * demand.job.spec.estimate_s;
+        let waiting_s = f64::from(demand.waiting_tasks) * demand.job.spec.estimate_s;
         let team = teams.entry(&demand.job.spec.team).or_default();
-        team.cpus_at_once += cpus * f64::from(demand.tasks + demand.running);
-        team.cpus_in_time += cpus * (waiting_s + demand.running_s) / demand.slack_s;
+        team.cpus_at_once += cpus * f64::from(demand.tasks_within_limit + demand.running_tasks);
+        team.cpus_in_time += cpus * (waiting_s + demand.running_remaining_s) / demand.slack_s;
     }
     teams
         .values()
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -144,7 +144,7 @@
         let mut unserved = unserved_demand(&mut supply, demand);
         let reservation = reserve_capacity(&mut supply, forecast, catalog);
         unserved.extend(reservation.unserved);
-        self.drain_silent_machine(now, &forecast.silent);
+        self.drain_silent_machine(now, &forecast.silent_machines);
         let release = self.next_release(now, catalog, &machines, &reservation.idle_machines);
         let mut requests: Vec<CloudRequest> =
             release.map(CloudRequest::Release).into_iter().collect();
--- a/crates/worksshunt-core/src/fleet/scale_out.rs
+++ b/crates/worksshunt-core/src/fleet/scale_out.rs
@@ -50,7 +50,7 @@
         best: &RankedOffer,
         selected: &BTreeMap<InstanceOffer, f64>,
     ) -> f64 {
-        let by_tasks = f64::from(demand.tasks) / best.tasks_per_machine;
+        let by_tasks = f64::from(demand.tasks_within_limit) / best.tasks_per_machine;
         // Busy machines do not become free in time for a replica.
         if demand.job.is_service() {
             return by_tasks;
@@ -282,6 +282,6 @@
 fn can_wait_for_spot(demand: &Demand, machine_type: &MachineType) -> bool {
     demand.job.spec.spot
         && demand.job.spec.deadline_s.is_none()
-        && !demand.spotless
+        && demand.has_spot_machines
         && machine_type.spot_price.is_some()
 }
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -56,15 +56,15 @@
             spec,
             accepted_ms: 0,
         }),
-        tasks,
-        waiting: tasks,
-        running: 0,
-        running_s: 0.0,
+        tasks_within_limit: tasks,
+        waiting_tasks: tasks,
+        running_tasks: 0,
+        running_remaining_s: 0.0,
         slack_s: 20.0,
         zone: None,
         full_zones: BTreeSet::new(),
         spot_only: false,
-        spotless: false,
+        has_spot_machines: true,
     }]
 }
 
--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -138,7 +138,7 @@
 impl PageEntry for Completions {
     type Key = CompletionsKey;
 
-    fn size(&self, _: &CompletionsKey) -> usize {
+    fn size_bytes(&self, _: &CompletionsKey) -> usize {
         let zones: usize = self
             .zones
             .keys()
@@ -154,7 +154,7 @@
         }
     }
 
-    fn value(entries: &BTreeMap<CompletionsKey, Completions>) -> Value {
+    fn page_value(entries: &BTreeMap<CompletionsKey, Completions>) -> Value {
         let entries = entries
             .iter()
             .map(|(key, entry)| (key.job, entry.runs(), entry.zones.clone()))
--- a/crates/worksshunt-core/src/jobs/job_cache.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -15,7 +15,7 @@
 use crate::constants::job_api::{CLOSED_JOBS_CACHED, FINAL_STATES_CACHED};
 
 use super::stored::{parse_job_key, read_submission_batch};
-use super::{is_submission_batch, Job, OPEN};
+use super::{is_submission_batch, Job, OPEN_JOBS_PREFIX};
 
 /// An open job as the store has it.
 #[derive(Debug, Clone)]
@@ -202,7 +202,7 @@
             self.submission_batches.insert(key.to_owned(), batch);
             return None;
         }
-        let id = parse_job_key(key, OPEN)?;
+        let id = parse_job_key(key, OPEN_JOBS_PREFIX)?;
         let Some(open) = read_open_job(id, value, version) else {
             self.unreadable.insert(id);
             return None;
@@ -216,7 +216,7 @@
         if self.submission_batches.remove(key).is_some() {
             return None;
         }
-        let id = parse_job_key(key, OPEN)?;
+        let id = parse_job_key(key, OPEN_JOBS_PREFIX)?;
         self.unreadable.remove(&id);
         let closed = self.open.remove(&id)?;
         self.remember_closed(closed);
@@ -227,14 +227,14 @@
 /// Ids of the open jobs in a listing, readable or not.
 fn job_ids(listing: &Listing) -> impl Iterator<Item = JobId> + '_ {
     let pairs = listing.pairs.iter();
-    pairs.filter_map(|pair| parse_job_key(&pair.key, OPEN))
+    pairs.filter_map(|pair| parse_job_key(&pair.key, OPEN_JOBS_PREFIX))
 }
 
 fn read_open_jobs(listing: &Listing) -> BTreeMap<JobId, OpenJob> {
     let pairs = listing.pairs.iter();
     pairs
         .filter_map(|pair| {
-            let id = parse_job_key(&pair.key, OPEN)?;
+            let id = parse_job_key(&pair.key, OPEN_JOBS_PREFIX)?;
             Some((id, read_open_job(id, &pair.value, pair.version)?))
         })
         .collect()
--- a/crates/worksshunt-core/src/jobs/mod.rs
+++ b/crates/worksshunt-core/src/jobs/mod.rs
@@ -26,7 +26,7 @@
 pub use stored::{
     cancelled_state_value, final_state_key, final_state_value, is_submission_batch, job_of_key,
     open_job_key, read_cancelled, read_final_state, submission_batch_key, submission_batch_value,
-    DONE, FINAL, OPEN,
+    COMPLETIONS_PREFIX, FINAL_STATES_PREFIX, OPEN_JOBS_PREFIX,
 };
 
 #[cfg(test)]
--- a/crates/worksshunt-core/src/jobs/stored.rs
+++ b/crates/worksshunt-core/src/jobs/stored.rs
@@ -11,13 +11,13 @@
 use super::{Job, SubmissionBatch};
 
 /// Prefix of the keys of open jobs, and of submission batches.
-pub const OPEN: &str = "j/";
+pub const OPEN_JOBS_PREFIX: &str = "j/";
 /// Prefix of the keys of final states.
-pub const FINAL: &str = "f/";
+pub const FINAL_STATES_PREFIX: &str = "f/";
 /// Prefix of the pages of completed tasks.
-pub const DONE: &str = "d/";
+pub const COMPLETIONS_PREFIX: &str = "d/";
 
-/// Prefix of submission batches. It extends [`OPEN`], so that a watch of open jobs covers them too.
+/// Prefix of submission batches. It extends [`OPEN_JOBS_PREFIX`], so that a watch of open jobs covers them too.
 const SUBMISSION_BATCH_PREFIX: &str = "j/+";
 
 /// Format version of submission batches.
@@ -25,12 +25,12 @@
 
 /// Key of an open job.
 pub fn open_job_key(id: JobId) -> String {
-    format!("{OPEN}{id}")
+    format!("{OPEN_JOBS_PREFIX}{id}")
 }
 
 /// Key of a final state.
 pub fn final_state_key(id: JobId) -> String {
-    format!("{FINAL}{id}")
+    format!("{FINAL_STATES_PREFIX}{id}")
 }
 
 /// Key of a submission batch. The controller's lease identifies its incarnation, within which `number`
@@ -46,7 +46,7 @@
 
 /// The job that the key of an open job or of a final state belongs to.
 pub fn job_of_key(key: &str) -> Option<JobId> {
-    parse_job_key(key, OPEN).or_else(|| parse_job_key(key, FINAL))
+    parse_job_key(key, OPEN_JOBS_PREFIX).or_else(|| parse_job_key(key, FINAL_STATES_PREFIX))
 }
 
 /// The job id in a key that consists of `prefix` and an id.
--- a/crates/worksshunt-core/src/jobs/tests.rs
+++ b/crates/worksshunt-core/src/jobs/tests.rs
@@ -31,9 +31,12 @@
         };
         entries.entry(completions_key(task)).or_default().join(one);
     }
-    let value = Completions::value(&entries);
+    let value = Completions::page_value(&entries);
     assert_eq!(read_completions(&value), Some(entries.clone()));
-    let size: usize = entries.iter().map(|(key, entry)| entry.size(key)).sum();
+    let size: usize = entries
+        .iter()
+        .map(|(key, entry)| entry.size_bytes(key))
+        .sum();
     assert!(
         value.to_string().len() <= size + 32,
         "no larger than estimated"
@@ -44,7 +47,7 @@
     };
     let smallest = (crate::constants::key_value::MIN_VALUE_KIB * 1_024.0) as usize;
     assert!(
-        every_other.size(&CompletionsKey { job, chunk: 0 }) * 2 <= smallest,
+        every_other.size_bytes(&CompletionsKey { job, chunk: 0 }) * 2 <= smallest,
         "the worst entry fits a page of the smallest value"
     );
     assert_eq!(
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -19,7 +19,7 @@
 use crate::constants::leases::EPOCH_LEASE_MS;
 use crate::time::Time;
 
-pub use records::{member_key, EpochRecord, Member, CONTROL, EPOCH};
+pub use records::{member_key, EpochRecord, Member, CONTROL_KEYS_PREFIX, EPOCH_KEY};
 
 use proposals::Candidate;
 use records::{put_if_unchanged, LEASE_FIELD, READY_FIELD, SERVICES_FIELD};
@@ -170,7 +170,7 @@
     /// The condition every write of this epoch carries.
     pub fn epoch_unchanged(&self) -> Option<ExpectedRevision> {
         self.epoch.as_ref().map(|epoch| ExpectedRevision {
-            key: EPOCH.to_owned(),
+            key: EPOCH_KEY.to_owned(),
             version: epoch.version,
         })
     }
--- a/crates/worksshunt-core/src/membership/control_keys.rs
+++ b/crates/worksshunt-core/src/membership/control_keys.rs
@@ -7,8 +7,8 @@
 use crate::time::Time;
 
 use super::records::{
-    member_key, EpochRecord, Member, EPOCH, FIRST_RELEASE_MEMBERS, LEASE_FIELD, MEMBERS,
-    READY_FIELD, SERVICES_FIELD,
+    member_key, EpochRecord, Member, EPOCH_KEY, FIRST_RELEASE_MEMBERS_PREFIX, LEASE_FIELD,
+    MEMBERS_PREFIX, READY_FIELD, SERVICES_FIELD,
 };
 use super::{MemberState, Membership, MembershipAction, StoredEpoch};
 
@@ -74,7 +74,7 @@
 
     /// Whether members of the first release are left; logged when that changes.
     fn sees_first_release_members(&mut self, listing: &Listing) -> bool {
-        let is_first_release = |pair: &KeyValue| pair.key.starts_with(FIRST_RELEASE_MEMBERS);
+        let is_first_release = |pair: &KeyValue| pair.key.starts_with(FIRST_RELEASE_MEMBERS_PREFIX);
         let seen = listing.pairs.iter().any(is_first_release);
         if seen != std::mem::replace(&mut self.first_release_members_seen, seen) {
             tracing::warn!(present = seen, "first-release members appeared or left");
@@ -155,14 +155,14 @@
 /// The member that a key stands for, if it is a member key.
 fn read_member(pair: &KeyValue) -> Option<Member> {
     Some(Member {
-        name: pair.key.strip_prefix(MEMBERS)?.into(),
+        name: pair.key.strip_prefix(MEMBERS_PREFIX)?.into(),
         lease: pair.value.get(LEASE_FIELD)?.as_u64()?,
     })
 }
 
 /// The epoch, if there is one that can be read.
 fn read_epoch(listing: &Listing) -> Option<StoredEpoch> {
-    let pair = find(listing, EPOCH)?;
+    let pair = find(listing, EPOCH_KEY)?;
     let record: EpochRecord = serde_json::from_value(pair.value.clone()).ok()?;
     Some(StoredEpoch {
         record,
--- a/crates/worksshunt-core/src/membership/proposals.rs
+++ b/crates/worksshunt-core/src/membership/proposals.rs
@@ -6,7 +6,7 @@
 use crate::constants::leases::ADMIT_AFTER_READS;
 
 use super::control_keys::LiveMembers;
-use super::records::{put_if_unchanged, EpochRecord, Member, EPOCH};
+use super::records::{put_if_unchanged, EpochRecord, Member, EPOCH_KEY};
 use super::Membership;
 
 /// A member that is alive but not in the epoch.
@@ -49,7 +49,7 @@
             services,
         };
         let value = serde_json::to_value(record).ok()?;
-        Some(put_if_unchanged(EPOCH.to_owned(), version, value, None))
+        Some(put_if_unchanged(EPOCH_KEY.to_owned(), version, value, None))
     }
 
     /// Whether something has changed that the epoch should say, or its attempts are exhausted.
--- a/crates/worksshunt-core/src/membership/records.rs
+++ b/crates/worksshunt-core/src/membership/records.rs
@@ -6,14 +6,14 @@
 use worksshunt_wire::{ControllerName, Epoch, Revision};
 
 /// Prefix of the control keys.
-pub const CONTROL: &str = "c/";
+pub const CONTROL_KEYS_PREFIX: &str = "c/";
 /// Key of the epoch.
-pub const EPOCH: &str = "c/epoch";
+pub const EPOCH_KEY: &str = "c/epoch";
 /// Prefix of the member keys.
-pub(super) const MEMBERS: &str = "c/n/";
+pub(super) const MEMBERS_PREFIX: &str = "c/n/";
 /// Prefix of the member keys of the first release, whose records and messages differ. The two must
 /// not act together: this one waits until no such member is left.
-pub(super) const FIRST_RELEASE_MEMBERS: &str = "c/m/";
+pub(super) const FIRST_RELEASE_MEMBERS_PREFIX: &str = "c/m/";
 
 /// Field of a member key: the lease it is attached to.
 pub(super) const LEASE_FIELD: &str = "hold";
@@ -24,7 +24,7 @@
 
 /// Key of a controller's membership.
 pub fn member_key(name: &ControllerName) -> String {
-    format!("{MEMBERS}{name}")
+    format!("{MEMBERS_PREFIX}{name}")
 }
 
 /// The write of one key, conditional on its version; attached to a lease, if there is one.
--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -41,11 +41,11 @@
     /// Identifies an entry.
     type Key: Ord + Clone;
     /// Upper bound of the bytes it takes on a page.
-    fn size(&self, key: &Self::Key) -> usize;
+    fn size_bytes(&self, key: &Self::Key) -> usize;
     /// Merges a later entry of the same key into this one.
     fn join(&mut self, later: Self);
     /// A page's value in the store.
-    fn value(entries: &BTreeMap<Self::Key, Self>) -> Value;
+    fn page_value(entries: &BTreeMap<Self::Key, Self>) -> Value;
 }
 
 /// One page to be written.
@@ -166,7 +166,7 @@
     /// them: the entries on it that are no longer needed mislead for a while at the most.
     fn page_due_for_rewrite(&self, now: Time) -> Option<usize> {
         self.pages.iter().position(|page| {
-            page.is_stored() && page.is_rewrite_due(now) && page.size <= self.max_bytes
+            page.is_stored() && page.is_rewrite_due(now) && page.size_bytes <= self.max_bytes
         })
     }
 
@@ -178,8 +178,8 @@
             .pages
             .iter()
             .enumerate()
-            .filter(|(_, page)| page.is_stored() && page.size <= max_filled)
-            .max_by_key(|(_, page)| (page.stale_weight, std::cmp::Reverse(page.size)))
+            .filter(|(_, page)| page.is_stored() && page.size_bytes <= max_filled)
+            .max_by_key(|(_, page)| (page.stale_weight, std::cmp::Reverse(page.size_bytes)))
             .map(|(index, _)| index);
         best.unwrap_or_else(|| {
             let key = format!("{}{}", self.prefix, self.next_number);
@@ -192,7 +192,7 @@
     fn fill_page(&mut self, index: usize) {
         let page = &mut self.pages[index];
         while let Some((key, entry)) = self.pending.pop_first() {
-            if !page.is_empty() && page.size + entry.size(&key) > self.max_bytes {
+            if !page.is_empty() && page.size_bytes + entry.size_bytes(&key) > self.max_bytes {
                 self.pending.insert(key, entry);
                 break;
             }
--- a/crates/worksshunt-core/src/pages/page.rs
+++ b/crates/worksshunt-core/src/pages/page.rs
@@ -29,7 +29,7 @@
     pub state: PageState,
     entries: BTreeMap<E::Key, E>,
     /// Upper bound of the bytes that its entries take.
-    pub size: usize,
+    pub size_bytes: usize,
     /// When the stored page should be rewritten without the entries that are no longer needed.
     pub rewrite_at: Option<Time>,
     /// How much a rewrite would clean up: the number of entries that are no longer needed, where one that would
@@ -40,12 +40,15 @@
 impl<E: PageEntry> Page<E> {
     /// A page that the store has at a version.
     pub fn new(key: String, version: Revision, entries: BTreeMap<E::Key, E>) -> Page<E> {
-        let size = entries.iter().map(|(key, entry)| entry.size(key)).sum();
+        let size_bytes = entries
+            .iter()
+            .map(|(key, entry)| entry.size_bytes(key))
+            .sum();
         Page {
             key,
             state: PageState::Stored(version),
             entries,
-            size,
+            size_bytes,
             rewrite_at: None,
             stale_weight: 0,
         }
@@ -74,12 +77,12 @@
     pub fn insert(&mut self, key: E::Key, entry: E) {
         match self.entries.get_mut(&key) {
             Some(existing) => {
-                let size_before = existing.size(&key);
+                let size_before = existing.size_bytes(&key);
                 existing.join(entry);
-                self.size = self.size + existing.size(&key) - size_before;
+                self.size_bytes = self.size_bytes + existing.size_bytes(&key) - size_before;
             }
             None => {
-                self.size += entry.size(&key);
+                self.size_bytes += entry.size_bytes(&key);
                 self.entries.insert(key, entry);
             }
         }
@@ -89,7 +92,7 @@
     pub fn remove(&mut self, key: &E::Key) -> bool {
         let removed = self.entries.remove(key);
         if let Some(entry) = &removed {
-            self.size = self.size.saturating_sub(entry.size(key));
+            self.size_bytes = self.size_bytes.saturating_sub(entry.size_bytes(key));
         }
         removed.is_some()
     }
@@ -108,7 +111,7 @@
         } else {
             Change::Put {
                 key: key.clone(),
-                value: E::value(&self.entries),
+                value: E::page_value(&self.entries),
                 lease: None,
             }
         };
--- a/crates/worksshunt-core/src/pages/tests.rs
+++ b/crates/worksshunt-core/src/pages/tests.rs
@@ -9,7 +9,7 @@
 impl PageEntry for Entry {
     type Key = u32;
 
-    fn size(&self, _: &u32) -> usize {
+    fn size_bytes(&self, _: &u32) -> usize {
         self.0
     }
 
@@ -17,7 +17,7 @@
         *self = later;
     }
 
-    fn value(entries: &BTreeMap<u32, Entry>) -> Value {
+    fn page_value(entries: &BTreeMap<u32, Entry>) -> Value {
         serde_json::json!(entries.keys().collect::<Vec<_>>())
     }
 }
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -15,7 +15,7 @@
 use crate::pages::PageEntry;
 
 /// Prefix of the keys of attempt records.
-pub const RECORDS: &str = "a/";
+pub const ATTEMPT_RECORDS_PREFIX: &str = "a/";
 
 /// Version of the format of the records.
 const RECORD_FORMAT_VERSION: u32 = 2;
@@ -31,7 +31,7 @@
 
 /// Prefix of one owner's pages in an epoch.
 pub fn page_prefix(epoch: Epoch, owner: &ControllerName) -> String {
-    format!("{RECORDS}{epoch}.{owner}.")
+    format!("{ATTEMPT_RECORDS_PREFIX}{epoch}.{owner}.")
 }
 
 /// An attempt that may be on a machine.
@@ -94,7 +94,7 @@
 impl PageEntry for AttemptRecord {
     type Key = Attempt;
 
-    fn size(&self, _: &Attempt) -> usize {
+    fn size_bytes(&self, _: &Attempt) -> usize {
         let job_digits = digits(self.task.job.0).max(MIN_JOB_DIGITS);
         let task_bytes = job_digits + digits(self.task.index.into()) + TASK_TEXT_BYTES;
         let number_bytes = digits(self.attempt.0) + digits(self.incarnation.0);
@@ -105,7 +105,7 @@
         *self = later;
     }
 
-    fn value(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
+    fn page_value(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
         serde_json::json!(StoredPage {
             version: RECORD_FORMAT_VERSION,
             records: entries.values().map(StoredRecord::from).collect(),
@@ -125,7 +125,10 @@
 /// [`UnknownRecordFormat`] with the key, if the key or the value has neither format.
 pub fn read(pair: &KeyValue) -> Result<Vec<AttemptRecord>, UnknownRecordFormat> {
     let unknown = || UnknownRecordFormat(pair.key.clone());
-    let name = pair.key.strip_prefix(RECORDS).ok_or_else(unknown)?;
+    let name = pair
+        .key
+        .strip_prefix(ATTEMPT_RECORDS_PREFIX)
+        .ok_or_else(unknown)?;
     if let Ok(records) = Vec::<FirstReleaseRecord>::deserialize(&pair.value) {
         let on_machine =
             |FirstReleaseRecord(task, attempt, incarnation): FirstReleaseRecord| AttemptRecord {
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -28,8 +28,11 @@
             (record.attempt, record)
         })
         .collect();
-    let value = AttemptRecord::value(&entries);
-    let size: usize = entries.iter().map(|(key, entry)| entry.size(key)).sum();
+    let value = AttemptRecord::page_value(&entries);
+    let size: usize = entries
+        .iter()
+        .map(|(key, entry)| entry.size_bytes(key))
+        .sum();
     assert!(value.to_string().len() <= size + 32);
     let read = read(&pair(value)).expect("records");
     assert_eq!(read, entries.into_values().collect::<Vec<_>>());
--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -18,11 +18,11 @@
 use super::{PendingWrite, Scheduler};
 
 /// Prefix of the leader's claims on machines.
-pub const CLAIMS: &str = "k/";
+pub const CLAIMS_PREFIX: &str = "k/";
 
 /// Key of a claim.
 pub fn claim_key(machine: &MachineId) -> String {
-    format!("{CLAIMS}{machine}")
+    format!("{CLAIMS_PREFIX}{machine}")
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -20,13 +20,13 @@
     /// The job.
     pub job: Rc<Job>,
     /// Tasks that wait and that its team's limit lets run beside those that run.
-    pub tasks: u32,
+    pub tasks_within_limit: u32,
     /// All tasks that wait.
-    pub waiting: u32,
+    pub waiting_tasks: u32,
     /// Tasks dispatched and not completed.
-    pub running: u32,
+    pub running_tasks: u32,
     /// Estimated seconds those still take, summed up.
-    pub running_s: f64,
+    pub running_remaining_s: f64,
     /// Seconds its tasks may wait.
     pub slack_s: f64,
     /// The zone they must be in.
@@ -35,8 +35,8 @@
     pub full_zones: BTreeSet<String>,
     /// Whether they leave on-demand machines to others.
     pub spot_only: bool,
-    /// Whether there are no spot machines to wait for.
-    pub spotless: bool,
+    /// Whether there are spot machines, or may be soon.
+    pub has_spot_machines: bool,
 }
 
 /// What the leader has seen in its epoch and judges future demand by.
@@ -102,15 +102,15 @@
                 let allowed = constraints.and_then(|constraints| constraints.allowed.as_ref());
                 demand.push(Demand {
                     job: Rc::clone(job),
-                    tasks,
-                    waiting,
-                    running: running.tasks,
-                    running_s: running.remaining_s,
+                    tasks_within_limit: tasks,
+                    waiting_tasks: waiting,
+                    running_tasks: running.tasks,
+                    running_remaining_s: running.remaining_s,
                     slack_s: self.objectives.slack_s(job),
                     zone: allowed.and_then(|zones| zones.first().cloned()),
                     full_zones: constraints.map_or(BTreeSet::new(), ZoneConstraints::full_zones),
                     spot_only: job.leaves_machine_to_others(false, reserves_on_demand),
-                    spotless: !has_spot,
+                    has_spot_machines: has_spot,
                 });
             }
         }
--- a/crates/worksshunt-core/src/scheduler/forecast.rs
+++ b/crates/worksshunt-core/src/scheduler/forecast.rs
@@ -19,9 +19,9 @@
     /// By class of services.
     pub classes: Vec<ExpectedDemand>,
     /// Processors of spare capacity for classes of which there has been no job yet.
-    pub standby_cpus: f64,
+    pub spare_cpus: f64,
     /// Silent machines with replicas on them, which are to be replaced before their leases end.
-    pub silent: Vec<MachineId>,
+    pub silent_machines: Vec<MachineId>,
 }
 
 /// What is likely to be asked for next of a class of services.
@@ -29,14 +29,14 @@
 pub struct ExpectedDemand {
     /// One of the jobs.
     pub job: Rc<Job>,
-    /// Replicas of the largest.
-    pub largest: u32,
-    /// Those that were accepted within [`ARRIVAL_WINDOW_MS`].
-    pub jobs: u32,
-    /// Their replicas.
-    pub lately: u32,
-    /// Milliseconds over which those were accepted, [`MIN_ARRIVAL_WINDOW_MS`] to [`ARRIVAL_WINDOW_MS`].
-    pub over_ms: u64,
+    /// Replicas of the job with the most.
+    pub max_replicas: u32,
+    /// Number of jobs accepted within [`ARRIVAL_WINDOW_MS`].
+    pub recent_jobs: u32,
+    /// Replicas of those jobs.
+    pub recent_replicas: u32,
+    /// Milliseconds over which they were accepted, [`MIN_ARRIVAL_WINDOW_MS`] to [`ARRIVAL_WINDOW_MS`].
+    pub arrival_window_ms: u64,
 }
 
 impl Scheduler {
@@ -52,8 +52,8 @@
         };
         Forecast {
             classes: self.expected_demand(now),
-            standby_cpus: self.quota.guaranteed_cpus() * share,
-            silent: self.silent_with_replicas(now.steady),
+            spare_cpus: self.quota.guaranteed_cpus() * share,
+            silent_machines: self.silent_with_replicas(now.steady),
         }
     }
 
@@ -63,17 +63,17 @@
         for JobTasks { job, .. } in services.filter_map(|id| self.jobs.get(id)) {
             let class = classes.entry(&job.spec.class).or_insert(ExpectedDemand {
                 job: Rc::clone(job),
-                largest: 0,
-                lately: 0,
-                jobs: 0,
-                over_ms: MIN_ARRIVAL_WINDOW_MS,
+                max_replicas: 0,
+                recent_replicas: 0,
+                recent_jobs: 0,
+                arrival_window_ms: MIN_ARRIVAL_WINDOW_MS,
             });
-            class.largest = class.largest.max(job.spec.tasks);
+            class.max_replicas = class.max_replicas.max(job.spec.tasks);
             let age_ms = now.wall_ms.saturating_sub(job.accepted_ms);
-            class.over_ms = class.over_ms.max(age_ms.min(ARRIVAL_WINDOW_MS));
+            class.arrival_window_ms = class.arrival_window_ms.max(age_ms.min(ARRIVAL_WINDOW_MS));
             if age_ms < ARRIVAL_WINDOW_MS {
-                class.lately += job.spec.tasks;
-                class.jobs += 1;
+                class.recent_replicas += job.spec.tasks;
+                class.recent_jobs += 1;
             }
         }
         classes.into_values().collect()
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -36,7 +36,7 @@
     /// Claims of former leaders.
     pub claims: Vec<KeyValue>,
     /// Cancelled jobs with attempts on record, which count against quotas until they are certainly gone.
-    pub cancelled: BTreeMap<JobId, Rc<Job>>,
+    pub cancelled_jobs: BTreeMap<JobId, Rc<Job>>,
 }
 
 impl Scheduler {
@@ -64,7 +64,7 @@
         for page in &stored.record_pages {
             scheduler.load_record_page(page);
             for record in &page.records {
-                scheduler.load_record(now, record, members, &stored.cancelled);
+                scheduler.load_record(now, record, members, &stored.cancelled_jobs);
             }
         }
         for key in &stored.stale_record_pages {
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -44,7 +44,7 @@
 use active_attempt::ActiveAttempt;
 use attempt_numbers::AttemptNumbers;
 use claims::Claim;
-pub use claims::{claim_key, CLAIMS};
+pub use claims::{claim_key, CLAIMS_PREFIX};
 pub use demand::Demand;
 use demand::DemandHistory;
 pub use forecast::{ExpectedDemand, Forecast};
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -78,7 +78,7 @@
     /// Number of the last message that its owner has acted on.
     acknowledged: u64,
     /// When its owner's last message came.
-    last_heard_at: Time,
+    last_message_at: Time,
     pub machines: BTreeMap<MachineId, MachineView>,
     /// Machines with free processors, those with fewest first.
     machines_by_free_cpus: BTreeSet<(FreeCpus, MachineId)>,
@@ -100,7 +100,7 @@
 
     /// Whether its owner's messages arrive.
     pub fn is_responsive(&self, now: Time) -> bool {
-        now.since(self.last_heard_at) < PARTITION_SILENT_MS
+        now.since(self.last_message_at) < PARTITION_SILENT_MS
     }
 
     /// Whether it has described itself, and was answered, in this epoch.
@@ -116,7 +116,7 @@
         }
         self.last_sequence = status.sequence;
         self.acknowledged = status.acknowledged;
-        self.last_heard_at = now;
+        self.last_message_at = now;
         self.outbox
             .retain(|_, sent_in| sent_in.is_none_or(|sequence| sequence > status.acknowledged));
         true
--- a/crates/worksshunt-core/src/scheduler/stored_pages.rs
+++ b/crates/worksshunt-core/src/scheduler/stored_pages.rs
@@ -4,9 +4,9 @@
 use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::Revision;
 
-use crate::jobs::{Completions, DONE};
+use crate::jobs::{Completions, COMPLETIONS_PREFIX};
 use crate::pages::{page_bytes, PageWrite, Pages};
-use crate::records::{AttemptRecord, RECORDS};
+use crate::records::{AttemptRecord, ATTEMPT_RECORDS_PREFIX};
 use crate::time::Time;
 
 /// The leader's two sets of pages.
@@ -23,8 +23,8 @@
     /// No page yet.
     pub fn new(limits: &KeyValueLimits) -> StoredPages {
         StoredPages {
-            completions: Pages::new(DONE.to_owned(), page_bytes(limits)),
-            former_records: Pages::new(RECORDS.to_owned(), page_bytes(limits)),
+            completions: Pages::new(COMPLETIONS_PREFIX.to_owned(), page_bytes(limits)),
+            former_records: Pages::new(ATTEMPT_RECORDS_PREFIX.to_owned(), page_bytes(limits)),
             former_records_first: false,
         }
     }
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -86,13 +86,16 @@
             "a/" => {
                 let on = records::read(&pair).expect("records");
                 let entries = on.into_iter().map(|r| (r.attempt, r)).collect();
-                let written = worksshunt_core::pages::PageEntry::value(&entries);
+                let written = worksshunt_core::pages::PageEntry::page_value(&entries);
                 assert_eq!(written, *value);
             }
             "d/" => {
                 let entries = read_completions(value).expect("completions");
                 assert!(!entries.is_empty());
-                assert_eq!(worksshunt_core::pages::PageEntry::value(&entries), *value);
+                assert_eq!(
+                    worksshunt_core::pages::PageEntry::page_value(&entries),
+                    *value
+                );
             }
             "j/" => {
                 let jobs = value["jobs"].as_array();
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -10,7 +10,7 @@
     submission_batch_value, Completions, CompletionsKey, Job,
 };
 use worksshunt_core::membership::{
-    member_key, EpochRecord, Member, Membership, MembershipAction, EPOCH,
+    member_key, EpochRecord, Member, Membership, MembershipAction, EPOCH_KEY,
 };
 use worksshunt_core::pages::PageEntry;
 use worksshunt_core::records::{self, page_prefix, AttemptRecord};
@@ -89,14 +89,14 @@
 
 #[test]
 fn the_epoch_keeps_its_form() {
-    assert_eq!(EPOCH, "c/epoch");
-    let read: EpochRecord = serde_json::from_value(stored(EPOCH)).expect("an epoch");
+    assert_eq!(EPOCH_KEY, "c/epoch");
+    let read: EpochRecord = serde_json::from_value(stored(EPOCH_KEY)).expect("an epoch");
     assert_eq!(read, epoch_record());
-    written(EPOCH, &json!(epoch_record()));
+    written(EPOCH_KEY, &json!(epoch_record()));
     // As long as some controller does not know services, and as written before them.
     let mut record = epoch_record();
     record.services = false;
-    let mut value = stored(EPOCH);
+    let mut value = stored(EPOCH_KEY);
     let fields = value.as_object_mut().expect("an object");
     fields.remove("standing");
     assert_eq!(json!(record).to_string(), value.to_string());
@@ -165,7 +165,7 @@
         without_partition: vec![member("n2", 73)],
         services: true,
     };
-    assert_eq!((key, value), (EPOCH, &json!(proposed)));
+    assert_eq!((key, value), (EPOCH_KEY, &json!(proposed)));
 }
 
 #[test]
@@ -231,13 +231,13 @@
     let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<Attempt, AttemptRecord> {
         page.iter().map(|r| (r.attempt, r.clone())).collect()
     };
-    written("a/4.n1.3", &AttemptRecord::value(&by_attempt(&page)));
+    written("a/4.n1.3", &AttemptRecord::page_value(&by_attempt(&page)));
     let first_release = [recorded("i-000001", task(1, 2), 67_108_866, 1)];
     let read = records::read(&pair("a/i-000001")).expect("a machine's record");
     assert_eq!(read, first_release);
     // With a session of its own, which no number of the store is.
     let page = [recorded("i-000009", task(3, 4), 5, 6)];
-    let value = AttemptRecord::value(&by_attempt(&page));
+    let value = AttemptRecord::page_value(&by_attempt(&page));
     let text = r#"{"on":[["i-000009","j-000003/4",5,6]],"v":2}"#;
     assert_eq!(value.to_string(), text);
     let pair = KeyValue {
@@ -259,13 +259,13 @@
     };
     let mut entries = BTreeMap::from([(key(0), entry)]);
     assert_eq!(read_completions(&stored("d/0")), Some(entries.clone()));
-    written("d/0", &Completions::value(&entries));
+    written("d/0", &Completions::page_value(&entries));
     let later = Completions {
         tasks: BTreeSet::from([TASKS_PER_COMPLETIONS_ENTRY + 1]),
         zones: BTreeMap::new(),
     };
     entries.insert(key(1), later);
-    let value = Completions::value(&entries);
+    let value = Completions::page_value(&entries);
     let one = TASKS_PER_COMPLETIONS_ENTRY + 1;
     let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
     let text = format!(r#"{{"done":[{first},["j-000001",[[{one},{one}]],{{}}]],"v":2}}"#);
--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use worksshunt_core::controller::{KvRequest, KvResponse};
 use worksshunt_core::job_api::HttpResponse;
-use worksshunt_core::membership::EPOCH;
+use worksshunt_core::membership::EPOCH_KEY;
 use worksshunt_net::server::HttpRequest;
 use worksshunt_simulation::Store;
 use worksshunt_wire::key_value::{CompareAndSwap, Conflict, Lease, Listing, StoreRevision};
@@ -61,7 +61,7 @@
     }
 
     fn epoch(&self) -> Option<Value> {
-        match self.apply(&KvRequest::Get(EPOCH.to_owned())) {
+        match self.apply(&KvRequest::Get(EPOCH_KEY.to_owned())) {
             KvResponse::Found(pair) => Some(pair.value),
             _ => None,
         }
--- a/crates/worksshunt-measure/src/loopback/key_value_store/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store/tests.rs
@@ -35,7 +35,7 @@
     let store = KeyValueStore::new();
     let epoch = json!({"leader": {"name": "n2"}, "members": [{"name": "n0"}, {"name": "n2"}]});
     let change = Change::Put {
-        key: EPOCH.to_owned(),
+        key: EPOCH_KEY.to_owned(),
         value: epoch,
         lease: None,
     };
