--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -81,7 +81,11 @@
 pub fn shortfalls(settings: &Settings, catalog: &Catalog) -> Vec<Shortfall> {
     let facts = &settings.facts;
     let cpus: f64 = facts.teams.iter().map(|team| team.cpus).sum();
-    let largest_cpus = catalog.types.iter().map(|t| t.cpus).fold(1.0, f64::max);
+    let largest_cpus = catalog
+        .types
+        .iter()
+        .map(|machine_type| machine_type.cpus)
+        .fold(1.0, f64::max);
     let machines = (cpus / largest_cpus).ceil() as usize;
     let mut found = Vec::new();
     if machines > Capacity::new(settings).connections {
--- a/crates/worksshunt-core/src/constants/workers.rs
+++ b/crates/worksshunt-core/src/constants/workers.rs
@@ -15,7 +15,7 @@
 
 /// Consecutive responses that a worker's heartbeats show no sign of, after which it is suspected to be
 /// unreachable. One heartbeat may have left before the first response came, one response may have been lost.
-pub const UNHEEDED_RESPONSES_BEFORE_SUSPECT: u32 = 4;
+pub const UNCONFIRMED_RESPONSES_BEFORE_SUSPECT: u32 = 4;
 
 /// Leases after which a machine that sends heartbeats but is unreachable is released: more than two, so a
 /// machine that merely hung has had time to recover.
--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -13,7 +13,7 @@
 use super::{Controller, Leader, PartitionEpoch};
 
 impl Controller {
-    /// Everything is read: this controller serves from now on, and leads if the epoch says so.
+    /// Everything is read: this controller serves from now on, and leads if it is the epoch's leader.
     pub(super) fn begin_serving(&mut self, now: Time) {
         let Some(epoch) = self.membership.epoch().cloned() else {
             return;
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -177,7 +177,7 @@
     List(Vec<MachineList>),
     /// The catalogue.
     Catalog(Catalog),
-    /// No response, or one that helps nothing.
+    /// No response, or one that cannot be used.
     NoAnswer,
 }
 
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -1,8 +1,8 @@
 //! Final states of jobs, read for users who ask about a job that is not open.
 //!
-//! Such reads keep to a share of the key-value store's limit. Whoever comes first while the share lasts would
-//! always find it used up by the same others, so a read that had to be put off is made in its turn, and the next
-//! request for that job finds its result in the job cache.
+//! Such reads keep to a share of the key-value store's limit. If it went to whoever asks first, some requests could
+//! always find it used up by the same others; so a read that had to be deferred is queued, and the next request for
+//! that job finds its result in the job cache.
 
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Everything is due anew in an epoch. The cloud's limit goes on.
+    /// Everything is due anew in an epoch. The cloud's rate limit applies across epochs.
     pub fn begin_epoch(&mut self) {
         self.machine_list_timer = Periodic::default();
         self.fleet_timer = Periodic::default();
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -1,5 +1,5 @@
-//! Whether this controller is ready to own machines. Its member key says so, and only members that are
-//! ready own machines in the next epoch.
+//! Whether this controller is ready to own machines. It publishes that in its member key, and only members
+//! that are ready own machines in the next epoch.
 
 use crate::constants::partition_sync::PARTITION_SILENT_MS;
 use crate::constants::readiness::{
@@ -12,7 +12,7 @@
 /// Whether this controller is ready to own machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Readiness {
-    /// As far as it can tell.
+    /// By its own judgement.
     Ready,
     /// Workers do not reach it.
     NoHeartbeats,
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -50,20 +50,21 @@
         now.since(self.answered_at) < KV_SUSPECT_AFTER_MS
     }
 
-    /// Whether it has been silent so long that a request would only cost time.
+    /// Whether it has not answered for so long that waiting for a response is futile.
     pub fn is_silent(&self, now: Time) -> bool {
         now.since(self.answered_at) > KV_SILENT_AFTER_MS
     }
 
-    /// Whether this controller should get users, as far as the key-value store is concerned.
+    /// Whether users should be routed to this controller, as far as the key-value store is concerned.
     ///
-    /// A controller that alone has lost the key-value store should get no users; when all have lost it, taking
-    /// them all out of service helps nobody, since coming back is slow. One that has lost its peers as well
-    /// cannot know, and is unhealthy.
+    /// A controller that alone cannot reach the key-value store is unhealthy; when none reaches it, taking
+    /// them all out of service has no benefit, since returning to service is slow. One that cannot reach its
+    /// peers either cannot tell the two cases apart, and is unhealthy.
     fn may_serve_users(&self, now: Time) -> bool {
         let silent_ms = now.since(self.answered_at);
-        let is_recent =
-            |report: Option<Time>| report.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS);
+        let is_recent = |reported_at: Option<Time>| {
+            reported_at.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS)
+        };
         self.is_answering(now)
             || (!is_recent(self.peer_healthy_at)
                 && (silent_ms < KV_UNHEALTHY_AFTER_MS || is_recent(self.peer_unhealthy_at)))
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -109,9 +109,9 @@
         Some(FinalWrite::UpdateClaim { machine, is_held })
     }
 
-    /// Gives jobs of one submission batch keys of their own, as many as the share allows. The batch's key is
-    /// deleted with the last of them: rewritten without the others its value might be larger than the key-value
-    /// store's limit by then, which was larger when it was written.
+    /// Adds writes that store jobs of one submission batch under their own keys, as many as the share allows.
+    /// The batch's key is deleted with the last of them: rewritten without the others its value might be larger
+    /// than the key-value store's limit by then, which was larger when it was written.
     pub(super) fn add_submission_batch_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
         let max_changes = self.write_queues.submission_batch_allowance(now);
         let queues = &mut self.write_queues;
@@ -148,7 +148,7 @@
     }
 }
 
-/// Gives a job a key of its own, unless it has one or is over.
+/// Adds the write of a job's own key, unless it has one or is over.
 fn add_open_job(job: &Job, write: &mut CompareAndSwap) {
     let id = job.spec.id;
     write.expected.push(expect_missing(open_job_key(id)));
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -226,7 +226,7 @@
     }
 }
 
-/// The jobs that a write gives keys of their own.
+/// The jobs whose own keys a write creates.
 fn opened_jobs(write: &CompareAndSwap) -> impl Iterator<Item = JobId> + '_ {
     let is_put = |change: &&Change| matches!(change, Change::Put { .. });
     let puts = write.changes.iter().filter(is_put);
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -123,7 +123,10 @@
 /// known yet. It is expressed as replicas that take a whole machine of the cheapest type.
 fn spare_capacity(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
     let price_per_cpu = |machine_type: &MachineType| machine_type.price / machine_type.cpus;
-    let types = catalog.types.iter().filter(|t| t.cpus > 0.0);
+    let types = catalog
+        .types
+        .iter()
+        .filter(|machine_type| machine_type.cpus > 0.0);
     let cheapest = types.min_by(|a, b| price_per_cpu(a).total_cmp(&price_per_cpu(b)));
     let Some(machine_type) = cheapest.filter(|_| cpus > 0.0) else {
         return Vec::new();
@@ -188,8 +191,8 @@
 }
 
 /// Processors with which all tasks would be completed in time if each job were served in its turn. They are
-/// computed by team: where a job's last tasks end, the next job of its team takes their place. Replicas give
-/// their processors up to no other job.
+/// computed by team: where a job's last tasks end, the next job of its team takes their place. Replicas
+/// release their processors to no other job.
 pub(super) fn cpus_needed(demand: &[Demand]) -> f64 {
     let mut teams: BTreeMap<&TeamName, TeamDemand> = BTreeMap::new();
     let mut service_cpus = 0.0;
--- a/crates/worksshunt-core/src/fleet/listing.rs
+++ b/crates/worksshunt-core/src/fleet/listing.rs
@@ -37,7 +37,7 @@
 }
 
 impl Listings {
-    /// Applies the page that follows the machine `after`. Returns the machines that it shows to be gone; none
+    /// Applies the page that follows the machine `after`. Returns the machines that it proves to be terminated; none
     /// if the page is not in the order of the protocol, so that nothing can be concluded from what is missing.
     pub fn apply_page(&mut self, after: Option<&MachineId>, page: &MachineList) -> Vec<MachineId> {
         let ids = page.machines.iter().map(|machine| &machine.id);
@@ -46,11 +46,11 @@
         }
         let moments = self.moments(page);
         self.record(page, &moments);
-        let gone = self.gone(after, page, &moments);
-        for id in &gone {
+        let terminated = self.terminated_machines(after, page, &moments);
+        for id in &terminated {
             self.machines.remove(id);
         }
-        gone
+        terminated
     }
 
     fn moments(&self, page: &MachineList) -> Moments {
@@ -91,7 +91,7 @@
 
     /// The machines in the page's range that are missing from it though it is later than the last page that
     /// had them.
-    fn gone(
+    fn terminated_machines(
         &self,
         after: Option<&MachineId>,
         page: &MachineList,
@@ -103,7 +103,7 @@
             _ => Bound::Unbounded,
         };
         let mut on_page = page.machines.iter().map(|machine| &machine.id).peekable();
-        let mut gone = Vec::new();
+        let mut terminated = Vec::new();
         for (id, listed) in self.machines.range::<MachineId, _>((start, end)) {
             while on_page.next_if(|other| *other < id).is_some() {}
             if on_page.next_if_eq(&id).is_some() {
@@ -113,10 +113,10 @@
                 .get(&listed.frame)
                 .is_some_and(|moment| *moment > listed.last_listed_s + LIST_AGE_MARGIN_S);
             if is_later {
-                gone.push(id.clone());
+                terminated.push(id.clone());
             }
         }
-        gone
+        terminated
     }
 }
 
--- a/crates/worksshunt-core/src/fleet/scale_in.rs
+++ b/crates/worksshunt-core/src/fleet/scale_in.rs
@@ -14,7 +14,7 @@
 impl Fleet {
     /// Drains a silent machine with replicas on it, one at a time, so that the replicas are replaced.
     pub(super) fn drain_silent_machine(&mut self, now: Time, silent: &[MachineId]) {
-        // Unless it is released in the same step, its partition's next report would count for it again.
+        // Unless it is released in the same step, its partition's next status would mark it as reported again.
         if now < self.silent_release_not_before || self.release_in_flight {
             return;
         }
--- a/crates/worksshunt-core/src/fleet/tracked_machine.rs
+++ b/crates/worksshunt-core/src/fleet/tracked_machine.rs
@@ -9,7 +9,7 @@
 
 use super::InstanceOffer;
 
-/// The stage of a machine's life.
+/// The stage of a machine's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineStage {
     /// Provisioned, no partition has reported it yet.
@@ -31,9 +31,9 @@
     first_seen_at: Time,
     /// Since when the cloud lists it as running.
     running_since: Option<Time>,
-    /// When a partition last reported it; `None` also once it is released without waiting for reports.
+    /// When a partition last reported it; `None` also once it is released without waiting for a partition's status.
     last_reported_at: Option<Time>,
-    /// Since when it is empty and nothing is on its way to it.
+    /// Since when it is empty and no dispatched task has resources reserved on it.
     idle_since: Option<Time>,
 }
 
--- a/crates/worksshunt-core/src/fleet/tracking.rs
+++ b/crates/worksshunt-core/src/fleet/tracking.rs
@@ -88,7 +88,7 @@
                 tracing::info!(machine = %status.id, "machine unreachable, scaled in");
                 tracked.set_stage(&status.id, MachineStage::Draining);
             }
-            // What is on its way to it may be a replica, which would keep it from being released for good.
+            // A dispatched task may be a replica, which would keep the machine from ever being released.
             let idle_since = view.idle_since.filter(|_| !view.has_reservations());
             tracked.set_idle_since(idle_since);
         }
--- a/crates/worksshunt-core/src/jobs/job.rs
+++ b/crates/worksshunt-core/src/jobs/job.rs
@@ -79,12 +79,16 @@
     /// Whether its tasks may run on a machine of that type in that zone, spot (`spot`) or on-demand.
     pub fn allows_machine(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (!spot || self.spec.spot)
-            && self.spec.zone.as_ref().is_none_or(|z| z == zone)
+            && self
+                .spec
+                .zone
+                .as_ref()
+                .is_none_or(|required| required == zone)
             && self
                 .spec
                 .machine_types
                 .as_ref()
-                .is_none_or(|types| types.iter().any(|t| t == machine_type))
+                .is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
     }
 
     /// Whether it leaves such a machine to services. On-demand machines are reserved for them
--- a/crates/worksshunt-core/src/machines/assignment_queue.rs
+++ b/crates/worksshunt-core/src/machines/assignment_queue.rs
@@ -1,7 +1,7 @@
 //! Assignments of the leader that wait for a machine, and their placement.
 //!
 //! The leader's directives put assignments into the queue; the controller calls [`Partition::place_queued`] after each
-//! batch of events. An assignment that no machine takes goes back to the leader after a while (see
+//! batch of events. An assignment that fits no machine is returned to the leader after a while (see
 //! [`expiry`](super::expiry)).
 
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -30,7 +30,7 @@
         self.pending_updates.attempts.insert(attempt);
     }
 
-    /// Takes an attempt off its machine for good; the leader will get its outcome.
+    /// Removes an attempt from its machine; the leader will get its outcome.
     pub(super) fn untrack(
         &mut self,
         id: &MachineId,
--- a/crates/worksshunt-core/src/machines/expiry.rs
+++ b/crates/worksshunt-core/src/machines/expiry.rs
@@ -1,7 +1,7 @@
 //! What the passing of time changes: expired leases, missing heartbeats, timed-out assignments, reclaim notices.
 //!
 //! The controller calls [`Partition::tick`] at intervals. A tick examines a bounded number of machines; the cursor in
-//! the partition says where the next one goes on.
+//! the partition is where the next one continues.
 
 use std::ops::Bound::{Excluded, Included, Unbounded};
 
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/loading.rs
@@ -129,7 +129,7 @@
         machine
     }
 
-    /// A machine that goes on into the next epoch under the same owner. What is not on the record
+    /// A machine that is carried over into the next epoch under the same owner. What is not on the record
     /// was never launched, and the new leader does not know of it: it is dropped. What is on the
     /// record and not tracked is gone.
     fn carry_machine_over(
--- a/crates/worksshunt-core/src/machines/reachability.rs
+++ b/crates/worksshunt-core/src/machines/reachability.rs
@@ -1,9 +1,9 @@
 //! Whether the responses and commands of this controller reach a worker.
 //!
 //! Each [`Machine`](super::machine::Machine) owns a [`WorkerReachability`]. Receiving heartbeats proves nothing:
-//! they may arrive while no response gets back, and a heartbeat may be a late copy of one sent long ago.
+//! they may arrive while every response is lost, and a heartbeat may be a late copy of one sent long ago.
 
-use crate::constants::workers::UNHEEDED_RESPONSES_BEFORE_SUSPECT;
+use crate::constants::workers::UNCONFIRMED_RESPONSES_BEFORE_SUSPECT;
 use crate::time::Time;
 
 /// What is known about whether a worker is reached.
@@ -22,7 +22,7 @@
 pub(super) struct WorkerReachability {
     state: Reachability,
     /// Responses sent since the worker's heartbeats last showed this epoch's fencing token.
-    unheeded_responses: u32,
+    unconfirmed_responses: u32,
 }
 
 impl WorkerReachability {
@@ -30,13 +30,13 @@
     pub fn unconfirmed(now: Time) -> WorkerReachability {
         WorkerReachability {
             state: Reachability::Unconfirmed { since: now },
-            unheeded_responses: 0,
+            unconfirmed_responses: 0,
         }
     }
 
     /// A new epoch begins under the same owner.
     pub fn begin_epoch(&mut self, now: Time) {
-        self.unheeded_responses = 0;
+        self.unconfirmed_responses = 0;
         if let Reachability::Unconfirmed { since } = &mut self.state {
             *since = now;
         }
@@ -45,10 +45,10 @@
     /// The worker has acted on a message of this owner.
     pub fn confirm(&mut self) {
         self.state = Reachability::Confirmed;
-        self.unheeded_responses = 0;
+        self.unconfirmed_responses = 0;
     }
 
-    /// There is evidence that the worker is not reached. The time without proof goes on from where it began.
+    /// There is evidence that the worker is not reached. The time without confirmation continues from when it began.
     pub fn suspect(&mut self, now: Time) {
         let since = self.unproven_since().unwrap_or(now);
         self.state = Reachability::Suspect { since };
@@ -58,16 +58,16 @@
     /// response that is sent to it.
     pub fn record_heartbeat(&mut self, is_current: bool, now: Time) {
         if is_current {
-            self.unheeded_responses = 0;
+            self.unconfirmed_responses = 0;
             if matches!(self.state, Reachability::Unconfirmed { .. }) {
                 self.confirm();
             }
-        } else if self.unheeded_responses >= UNHEEDED_RESPONSES_BEFORE_SUSPECT
+        } else if self.unconfirmed_responses >= UNCONFIRMED_RESPONSES_BEFORE_SUSPECT
             && self.state == Reachability::Confirmed
         {
             self.suspect(now);
         }
-        self.unheeded_responses += 1;
+        self.unconfirmed_responses += 1;
     }
 
     /// Whether the worker has acted on a message of this owner and there is no evidence against it since.
--- a/crates/worksshunt-core/src/machines/reachability/tests.rs
+++ b/crates/worksshunt-core/src/machines/reachability/tests.rs
@@ -21,9 +21,12 @@
 #[test]
 fn a_worker_that_heeds_no_response_for_long_is_suspect() {
     let mut reachability = confirmed();
-    for n in 1..UNHEEDED_RESPONSES_BEFORE_SUSPECT {
+    for n in 1..UNCONFIRMED_RESPONSES_BEFORE_SUSPECT {
         reachability.record_heartbeat(false, Time(u64::from(n) * 1_000));
-        assert!(reachability.is_confirmed(), "after {n} unheeded responses");
+        assert!(
+            reachability.is_confirmed(),
+            "after {n} unconfirmed responses"
+        );
     }
     reachability.record_heartbeat(false, Time(9_000));
     assert!(reachability.is_suspect());
--- a/crates/worksshunt-core/src/machines/sequence_number.rs
+++ b/crates/worksshunt-core/src/machines/sequence_number.rs
@@ -1,7 +1,7 @@
 //! The order of the messages of one worker.
 //!
 //! Heartbeats and responses to direct commands carry the worker's incarnation and a number that grows within it. The
-//! lease and the heartbeat handling of this module tell new messages from late copies by it.
+//! lease and the heartbeat handling of this module distinguish new messages from late copies by it.
 
 use std::fmt;
 
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -71,11 +71,11 @@
     cancellations_fresh_until: Time,
     /// How long that is after the open jobs were read, ms.
     cancellation_staleness_ms: u64,
-    /// Whether this controller is ready to own machines, as far as it can tell.
+    /// Whether this controller is ready to own machines, by its own judgement.
     ready: bool,
-    /// What the member key says of that; none if it is not known to be written.
+    /// The readiness that the member key states; none if it is not known to be written.
     published_readiness: Option<bool>,
-    /// What the member key that is being written says.
+    /// The readiness in the member key that is being written.
     readiness_being_written: bool,
     /// Version of the member key as last read; none before that. Writing it is conditional on it, so that a late
     /// copy of a former incarnation's message cannot undo it.
--- a/crates/worksshunt-core/src/membership/proposals.rs
+++ b/crates/worksshunt-core/src/membership/proposals.rs
@@ -1,4 +1,4 @@
-//! When the next epoch is written, and what it says.
+//! When the next epoch is written, and its content.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 use worksshunt_wire::{Epoch, Revision};
@@ -52,16 +52,16 @@
         Some(put_if_unchanged(EPOCH_KEY.to_owned(), version, value, None))
     }
 
-    /// Whether something has changed that the epoch should say, or its attempts are exhausted.
+    /// Whether something has changed that the epoch's record should contain, or its attempts are exhausted.
     fn is_superseded(&self, present: &EpochRecord, live: &LiveMembers, services: bool) -> bool {
         let members = &present.members;
-        let member_gone = members.iter().any(|member| !live.all.contains(member));
+        let member_left = members.iter().any(|member| !live.all.contains(member));
         let admits = |candidate: &Candidate| candidate.reads >= ADMIT_AFTER_READS;
         // Readiness of members that the epoch does not have yet is no reason for another one.
         let not_ready = live.without_partition.iter();
         let known_not_ready = not_ready.filter(|member| members.contains(member));
         let readiness_changed = !known_not_ready.eq(present.without_partition.iter());
-        member_gone
+        member_left
             || self.candidates.iter().any(admits)
             || readiness_changed
             || services != present.services
@@ -73,7 +73,7 @@
     }
 
     /// Whether the next epoch accepts services. Once accepted they are so until a controller that does not support
-    /// them comes back.
+    /// them returns.
     fn next_services(&self, present: &EpochRecord, live: &LiveMembers) -> bool {
         let supports = |member: &Member| self.supports_services.contains(&member.name);
         self.all_support_services() || (present.services && live.all.iter().all(supports))
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -1,4 +1,4 @@
-//! Service-level objectives: what users expect of each class of jobs, as the settings say it, and the
+//! Service-level objectives: what users expect of each class of jobs, as the settings state it, and the
 //! times that follow for a job. The leader's scheduler owns them and orders jobs by them.
 
 use std::collections::BTreeMap;
--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -120,8 +120,8 @@
     }
 
     /// Machines that may be claimed for a task of at most `max_task_cpus` processors, those with most free first. Only a
-    /// task that needs more than the next task to end will free has to be helped; the rest find resources by
-    /// themselves. Even where some are free beside that, smaller tasks would take them first.
+    /// task that needs more than the next task to end will free requires a claim; others find resources without
+    /// one. Even where some are free beside that, smaller tasks would take them first.
     fn claimable_machines(&self, max_task_cpus: f64) -> Vec<Candidate<'_>> {
         let smallest_task_cpus = self.smallest_task_cpus();
         let mut candidates: Vec<Candidate> = self
--- a/crates/worksshunt-core/src/scheduler/dispatch.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch of a job's waiting tasks: how many its pass admits, and their attempts.
 //!
-//! Called by `round` for each job's turn; `placement_targets` says where the tasks may go.
+//! Called by `round` for each job's turn; `placement_targets` determines where the tasks may go.
 
 use std::rc::Rc;
 
--- a/crates/worksshunt-core/src/scheduler/forecast.rs
+++ b/crates/worksshunt-core/src/scheduler/forecast.rs
@@ -1,4 +1,4 @@
-//! The forecast of demand: what is likely to be asked for next and has to start sooner than a machine
+//! The forecast of demand: work that is likely to be submitted next and has to start sooner than a machine
 //! boots. The leading controller asks for it together with the demand.
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use super::job_tasks::JobTasks;
 use super::Scheduler;
 
-/// What is likely to be asked for next and has to start within seconds.
+/// Work that is likely to be submitted next and has to start within seconds.
 #[derive(Debug, Clone, Default)]
 pub struct Forecast {
     /// By class of services.
@@ -24,7 +24,7 @@
     pub silent_machines: Vec<MachineId>,
 }
 
-/// What is likely to be asked for next of a class of services.
+/// Replicas that are likely to be submitted next of a class of services.
 #[derive(Debug, Clone)]
 pub struct ExpectedDemand {
     /// One of the jobs.
@@ -40,7 +40,7 @@
 }
 
 impl Scheduler {
-    /// What is likely to be asked for next, judged by the services that are open. Before there has been a job
+    /// The work that is likely to be submitted next, judged by the services that are open. Before there has been a job
     /// of a class whose tasks should start sooner than a machine boots, it may be a service.
     pub fn forecast(&self, now: Now, boot_s: f64) -> Forecast {
         let mut urgent_classes = self.objectives.classes_starting_within(boot_s);
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(super) struct JobTasks {
     pub(super) job: Rc<Job>,
-    /// When its tasks have to start or be done, milliseconds since 1970; `u64::MAX` if nothing says that.
+    /// When its tasks have to start or be done, milliseconds since 1970; `u64::MAX` if nothing requires that.
     ordering_time_ms: u64,
     /// After this its waiting tasks can meet none of its objectives, milliseconds since 1970; `u64::MAX` if
     /// it has none.
@@ -58,7 +58,7 @@
     pub(super) done: CompletedTasks,
     /// Those of them that are not in the store yet.
     pub(super) not_durable: BTreeSet<u32>,
-    /// Attempts that may be on a machine or on their way, by task.
+    /// Attempts that may be on a machine or are dispatched, by task.
     pub(super) active: BTreeMap<u32, Vec<Attempt>>,
     /// How many of those tasks are not done.
     active_undone: u32,
--- a/crates/worksshunt-core/src/scheduler/machine_view.rs
+++ b/crates/worksshunt-core/src/scheduler/machine_view.rs
@@ -15,14 +15,14 @@
     pub idle_since: Option<Time>,
     /// Since when it takes no tasks.
     pub unusable_since: Option<Time>,
-    /// What is reserved on it for tasks on their way.
+    /// What is reserved on it for tasks that are dispatched and not placed yet.
     reserved: Resources,
     /// What is free beside that; nothing while it takes no tasks.
     pub free: Resources,
 }
 
 impl MachineView {
-    /// Whether tasks are on their way to it.
+    /// Whether resources are reserved on it for dispatched tasks.
     pub fn has_reservations(&self) -> bool {
         self.reserved.cpus > ROUNDING_TOLERANCE
     }
@@ -49,7 +49,7 @@
         self.recompute_free();
     }
 
-    /// Reserves resources for a task on its way.
+    /// Reserves resources for a dispatched task.
     pub(super) fn reserve(&mut self, need: &Resources) {
         self.reserved += *need;
         self.recompute_free();
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -83,7 +83,7 @@
     /// Machines with free processors, those with fewest first.
     machines_by_free_cpus: BTreeSet<(FreeCpus, MachineId)>,
     /// Directives that its owner has not acknowledged, each with the number of the message that had it
-    /// last; none before it is sent. Each stands here once, however often an owner that gets no answer in
+    /// last; none before it is sent. Each is queued once, however often an owner that gets no answer in
     /// time repeats the status that caused it.
     outbox: BTreeMap<Directive, Option<u64>>,
     /// None before the first, and when a machine is new: then they are sent again.
--- a/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
+++ b/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
@@ -113,7 +113,7 @@
     }
 
     /// What has to be stopped here for one task; none if the task does not fit even then.
-    /// `preemptible` says by class what may be stopped as long as nothing is.
+    /// `preemptible` states for each class whether its attempts may be stopped as long as nothing is.
     fn plan(
         &self,
         preemptor: &Preemptor,
@@ -218,8 +218,8 @@
         self.classes.jobs.iter().map(may_preempt).collect()
     }
 
-    /// Whether a task of the job can fit at all: on some machine as it is, or where attempts may be stopped. Most
-    /// jobs that wait on a full fleet are answered for by this, without a look at what runs on each machine.
+    /// Whether a task of the job can fit at all: on some machine as it is, or where attempts may be stopped. For
+    /// most jobs that wait on a full fleet this check is enough; what runs on each machine is not examined.
     fn may_fit(&self, job: &Job, preemptible: &[bool]) -> bool {
         let need = job.resources();
         let mut machines = self.machines.values();
--- a/crates/worksshunt-core/src/scheduler/services.rs
+++ b/crates/worksshunt-core/src/scheduler/services.rs
@@ -15,7 +15,7 @@
     pub open: BTreeSet<JobId>,
     /// A replica has found no free resources since the last preemption.
     pub has_stuck_replica: bool,
-    /// Milliseconds for which a machine with replicas takes no tasks before the fleet is to return it.
+    /// Milliseconds for which a machine with replicas takes no tasks before the fleet is to release it.
     pub silent_release_ms: u64,
 }
 
--- a/crates/worksshunt-core/src/scheduler/silent_machines.rs
+++ b/crates/worksshunt-core/src/scheduler/silent_machines.rs
@@ -1,4 +1,4 @@
-//! Silent machines with replicas on them: which of them the fleet should return before their leases end.
+//! Silent machines with replicas on them: which of them the fleet should release before their leases expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,11 +25,11 @@
 }
 
 impl Scheduler {
-    /// Machines with replicas on them that have sent no heartbeat for so long that they are to be returned:
-    /// the cloud's answer says that nothing is on them any more, well before their leases say it. What
-    /// looks like a dead machine may be a controller cut off from its workers, a zone cut off or a slow
-    /// key-value store, but then it is not alone; so only a few are returned, where nearly all others are
-    /// reachable.
+    /// Machines with replicas on them that have sent no heartbeat for so long that they are to be released:
+    /// the cloud's response proves that nothing runs on them any more, well before their leases expire. What
+    /// appears to be a failed machine may be a controller partitioned from its workers, a partitioned zone or a
+    /// slow key-value store, but then several machines are silent; so only a few are released, where nearly all
+    /// others are reachable.
     pub(super) fn silent_with_replicas(&self, now: Time) -> Vec<MachineId> {
         if self.services.open.is_empty() {
             return Vec::new();
--- a/crates/worksshunt-core/src/scheduler/stored_pages.rs
+++ b/crates/worksshunt-core/src/scheduler/stored_pages.rs
@@ -29,9 +29,9 @@
         }
     }
 
-    /// The next write, of at most `max_pages` pages. The two sets take turns at being first: on a busy
-    /// day there are always completions to be written, and records that nothing is dropped from mislead
-    /// the next epoch by all that has ended since.
+    /// The next write, of at most `max_pages` pages. The two sets alternate in priority: under high
+    /// load there are always completions to be written, and records that are not rewritten would list all
+    /// attempts that have ended since to the next epoch.
     pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.former_records_first = !self.former_records_first;
         if self.former_records_first {
