--- a/crates/worksshunt-core/src/constants/fleet.rs
+++ b/crates/worksshunt-core/src/constants/fleet.rs
@@ -17,7 +17,7 @@
 pub const MAX_MACHINES_PER_PROVISION_REQUEST: u32 = 50;
 
 /// Provision requests that may be in flight at a time in any case; more where that is fewer than half of the calls
-/// that the cloud takes in a second. Responses take some 200 ms, so that requests one after the other would take
+/// that the cloud accepts in a second. Responses take some 200 ms, so that requests one after the other would take
 /// a second for 250 machines.
 pub const MIN_PROVISION_REQUESTS: usize = 4;
 
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -9,7 +9,7 @@
 use super::{call_store, Action, Controller, KvPurpose, KvRequest};
 
 impl Controller {
-    /// Takes in a read of the control keys.
+    /// Processes a read of the control keys.
     pub(super) fn process_control_keys(
         &mut self,
         times: RequestTimes,
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! The events that a controller takes in and the actions that it returns.
+//! The events that a controller processes and the actions that it returns.
 //!
 //! The service of the binary and the simulation turn what comes over the network into an [`Event`] and carry out
 //! each [`Action`]; its response comes back as another event.
@@ -69,7 +69,7 @@
 }
 
 impl KvResponse {
-    /// Whether the key-value store has carried the request out, or said why it does not.
+    /// Whether the key-value store has executed the request, or stated why it does not.
     pub(super) fn is_definite(&self) -> bool {
         !matches!(self, KvResponse::Refused | KvResponse::NoAnswer)
     }
@@ -181,7 +181,7 @@
     NoAnswer,
 }
 
-/// What a controller takes in.
+/// An event that a controller processes.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
@@ -233,9 +233,9 @@
     PeerRequest(RequestId, PeerRequest),
     /// The leader has answered a partition's status; none: it has not.
     PeerResponse(Option<PeerResponse>),
-    /// A peer has said whether it reaches the key-value store.
+    /// A peer has answered whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
-    /// A peer has said what it knows of the epoch.
+    /// A peer has answered with what it knows of the epoch.
     PeerKnownEpoch(ControllerName, KnownEpoch),
 }
 
--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -13,7 +13,7 @@
 use super::Controller;
 
 impl Controller {
-    /// Takes in a heartbeat if this controller owns the machine and may act, and returns the response.
+    /// Processes a heartbeat if this controller owns the machine and may act, and returns the response.
     pub(super) fn heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
         let heartbeat = match parse_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Why a heartbeat cannot be taken in.
+/// Why a heartbeat is rejected.
 #[derive(Debug, thiserror::Error)]
 enum MalformedHeartbeat {
     #[error(transparent)]
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes in changes of the open jobs.
+    /// Applies changes of the open jobs.
     pub(super) fn open_jobs_changed(&mut self, times: RequestTimes, changes: &WatchResponse) {
         if self.job_cache.is_loaded() {
             self.membership.open_jobs_read(times.sent_at);
--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -12,7 +12,7 @@
 }
 
 impl Controller {
-    /// Takes in the response to a request sent at `sent_at`.
+    /// Processes the response to a request sent at `sent_at`.
     pub(super) fn process_key_value_response(
         &mut self,
         now: Now,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes in the response to a request made for an epoch, unless that epoch is over.
+    /// Processes the response to a request made for an epoch, unless that epoch is over.
     fn process_epoch_response(
         &mut self,
         times: RequestTimes,
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes in the attempt records. The next step; none if a record cannot be read.
+    /// Keeps the attempt records that were read. The next step; none if a record cannot be read.
     fn attempt_records_loaded(&mut self, now: Time, pairs: Vec<KeyValue>) -> Option<LoadStep> {
         let pages: Result<Vec<_>, UnknownRecordFormat> =
             pairs.into_iter().map(RecordPage::read).collect();
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes in the changes of the open jobs. The next step; none if this was the last.
+    /// Applies the changes of the open jobs. The next step; none if this was the last.
     fn open_jobs_loaded(
         &mut self,
         times: RequestTimes,
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! One controller: takes events in, keeps the state, returns the actions to carry out.
+//! One controller: processes events, keeps the state, returns the actions to carry out.
 //!
 //! [`Controller`] owns everything that one controller process knows. The service of the binary and the simulation
 //! call [`Controller::handle`] with each event and carry out the actions it returns. What belongs together has a
@@ -154,7 +154,7 @@
         self.attempt_limit = Some(max_attempts);
     }
 
-    /// Takes in an event and returns what is to be done. `clock` reads the steady clock, for the budgets of
+    /// Processes an event and returns what is to be done. `clock` reads the steady clock, for the budgets of
     /// decision rounds.
     pub fn handle(&mut self, now: Now, event: Event, clock: &dyn Fn() -> Time) -> Vec<Action> {
         let mut actions = Vec::new();
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Takes in a partition's status as the leader; none if it does not lead the partition's epoch.
+    /// Processes a partition's status as the leader; none if it does not lead the partition's epoch.
     pub(super) fn apply_partition_status(
         &mut self,
         now: Now,
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -36,7 +36,7 @@
         self.epoch_confirmation.key_value_store_answered();
     }
 
-    /// A peer has said whether it reaches the key-value store.
+    /// A peer has answered whether it reaches the key-value store.
     pub fn peer_reported(&mut self, now: Time, is_reachable: bool) {
         if is_reachable {
             self.peer_healthy_at = Some(now);
@@ -125,17 +125,17 @@
         }
     }
 
-    /// Takes in what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
+    /// Processes what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
     pub(super) fn peer_epoch_answered(&mut self, from: &ControllerName, known: &KnownEpoch) {
         let confirmation = &mut self.store_health.epoch_confirmation;
         confirmation.record_response(from, known);
         let epoch = self.membership.fencing_token();
-        let Some(sent) = confirmation.confirmed_at(epoch) else {
+        let Some(sent_at) = confirmation.confirmed_at(epoch) else {
             return;
         };
         if confirmation.mark_confirmed() {
             tracing::info!(%epoch, "key-value store outage: epoch confirmed by all controllers");
         }
-        self.membership.epoch_confirmed(sent);
+        self.membership.epoch_confirmed(sent_at);
     }
 }
--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -42,7 +42,7 @@
         self.poll_number
     }
 
-    /// Takes in an answer. The poll fails if the sender knows a newer epoch. It also fails if the sender reaches
+    /// Processes an answer. The poll fails if the sender knows a newer epoch. It also fails if the sender reaches
     /// the key-value store: then the asker alone is cut off, and the others go on without it.
     pub fn record_response(&mut self, from: &ControllerName, known: &KnownEpoch) {
         if known.poll != self.poll_number {
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -200,17 +200,17 @@
         self.cancellations_fresh_until.since(now)
     }
 
-    /// A read of the open jobs sent at `sent` was answered.
-    pub fn open_jobs_read(&mut self, sent: Time) {
+    /// A read of the open jobs sent at `sent_at` was answered.
+    pub fn open_jobs_read(&mut self, sent_at: Time) {
         self.cancellations_fresh_until = self
             .cancellations_fresh_until
-            .max(sent + self.cancellation_staleness_ms);
+            .max(sent_at + self.cancellation_staleness_ms);
     }
 
-    /// A request sent at `sent` has confirmed that the epoch is still the one known.
-    pub fn epoch_confirmed(&mut self, sent: Time) {
+    /// A request sent at `sent_at` has confirmed that the epoch is still the one known.
+    pub fn epoch_confirmed(&mut self, sent_at: Time) {
         if self.in_epoch() {
-            self.epoch_lease_until = self.epoch_lease_until.max(sent + EPOCH_LEASE_MS);
+            self.epoch_lease_until = self.epoch_lease_until.max(sent_at + EPOCH_LEASE_MS);
         }
     }
 
--- a/crates/worksshunt-core/src/membership/control_keys.rs
+++ b/crates/worksshunt-core/src/membership/control_keys.rs
@@ -31,8 +31,8 @@
 }
 
 impl Membership {
-    /// Takes in a read of all control keys that was sent at `sent`.
-    pub fn process_control_keys(&mut self, sent: Time, listing: &Listing) -> MembershipAction {
+    /// Processes a read of all control keys that was sent at `sent_at`.
+    pub fn process_control_keys(&mut self, sent_at: Time, listing: &Listing) -> MembershipAction {
         if self.predates_member_key(listing) {
             return MembershipAction::Unchanged;
         }
@@ -49,7 +49,7 @@
         if !live.all.contains(&me) {
             return MembershipAction::MemberKeyGone;
         }
-        match self.process_epoch(sent, listing, &me) {
+        match self.process_epoch(sent_at, listing, &me) {
             EpochRead::Outdated => MembershipAction::Unchanged,
             EpochRead::New => MembershipAction::NewEpoch,
             EpochRead::Unchanged => self
@@ -106,8 +106,8 @@
         live
     }
 
-    /// Takes in the epoch that was read.
-    fn process_epoch(&mut self, sent: Time, listing: &Listing, me: &Member) -> EpochRead {
+    /// Applies the epoch that was read.
+    fn process_epoch(&mut self, sent_at: Time, listing: &Listing, me: &Member) -> EpochRead {
         let Some(stored) = read_epoch(listing) else {
             return EpochRead::Unchanged;
         };
@@ -117,18 +117,18 @@
             return EpochRead::Outdated;
         }
         if known != Some(stored.version) {
-            self.enter_epoch(sent, stored, me);
+            self.enter_epoch(sent_at, stored, me);
             return EpochRead::New;
         }
-        self.epoch_confirmed(sent);
+        self.epoch_confirmed(sent_at);
         tracing::debug!(
-            epoch = %self.fencing_token(), leads = self.is_leader(), revision = ?listing.revision, ?sent,
+            epoch = %self.fencing_token(), leads = self.is_leader(), revision = ?listing.revision, sent = ?sent_at,
             "epoch confirmed by a read"
         );
         EpochRead::Unchanged
     }
 
-    fn enter_epoch(&mut self, sent: Time, stored: StoredEpoch, me: &Member) {
+    fn enter_epoch(&mut self, sent_at: Time, stored: StoredEpoch, me: &Member) {
         let record = &stored.record;
         tracing::info!(
             epoch = %record.number, leader = %record.leader.name,
@@ -144,7 +144,7 @@
             MemberState::NotInEpoch
         };
         self.set_state(next_state);
-        self.epoch_confirmed(sent);
+        self.epoch_confirmed(sent_at);
     }
 }
 
@@ -152,7 +152,7 @@
     listing.pairs.iter().find(|pair| pair.key == key)
 }
 
-/// The member that a key stands for, if it is a member key.
+/// The member that a key identifies, if it is a member key.
 fn read_member(pair: &KeyValue) -> Option<Member> {
     Some(Member {
         name: pair.key.strip_prefix(MEMBERS_PREFIX)?.into(),
--- a/crates/worksshunt-core/src/scheduler/machine_view.rs
+++ b/crates/worksshunt-core/src/scheduler/machine_view.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in its description by its owner.
+    /// Applies its description by its owner.
     pub(super) fn update(&mut self, status: MachineStatus, now: Time) {
         self.idle_since = status.idle_ms.map(|idle_ms| now - idle_ms);
         self.unusable_since = match status.schedulable {
--- a/crates/worksshunt-core/src/scheduler/partition_sync.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync.rs
@@ -1,4 +1,4 @@
-//! The exchange with the partitions' owners: the leader takes in what has changed in a partition and
+//! The exchange with the partitions' owners: the leader applies what has changed in a partition and
 //! answers with directives. The leading controller calls it for every message of an owner.
 
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Takes in what has changed in a partition. A message that a later one has overtaken is ignored.
+    /// Applies what has changed in a partition. A message that a later one has overtaken is ignored.
     pub fn apply_status(&mut self, now: Time, status: PartitionStatus) {
         let Some(partition) = self.partitions.get_mut(&status.from) else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in an attempt that a partition's status lists. A completed one may be forgotten once that is
+    /// Applies the status of an attempt that a partition lists. A completed one may be forgotten once that is
     /// durable; another that is no longer needed is to be stopped.
     fn apply_attempt_status(
         &mut self,
@@ -133,7 +133,7 @@
         self.task_completed(attempt, task, zone.as_deref());
     }
 
-    /// The answer to the message of `to` that was last taken in. `terminated` are machines that are gone,
+    /// The answer to the message of `to` that was last processed. `terminated` are machines that are gone,
     /// as the fleet has it.
     pub fn directives_for<'a>(
         &mut self,
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -221,7 +221,7 @@
         ids.filter_map(|id| self.machines.get(id))
     }
 
-    /// Changes a machine and keeps what is free on it, and the order by that, true.
+    /// Changes a machine and updates what is free on it, and the order by that.
     fn adjust(&mut self, id: &MachineId, change: impl FnOnce(&mut MachineView)) {
         let Some(view) = self.machines.get_mut(id) else {
             return;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Takes in a machine's description by its owner.
+    /// Applies a machine's description by its owner.
     pub fn update_machine(&mut self, status: MachineStatus, now: Time) {
         let id = status.id.clone();
         if !self.machines.contains_key(&id) {
