--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -9,15 +9,15 @@
 use super::{call_store, Action, Controller, KvPurpose, KvRequest};
 
 impl Controller {
-    /// Takes in a read of the control keys.
+    /// Processes a read of the control keys.
     pub(super) fn process_control_keys(
         &mut self,
         times: RequestTimes,
         listing: &Listing,
         actions: &mut Vec<Action>,
     ) {
-        let now = times.answered;
-        match self.membership.process_control_keys(times.sent, listing) {
+        let now = times.answered_at;
+        match self.membership.process_control_keys(times.sent_at, listing) {
             MembershipAction::Unchanged => {}
             MembershipAction::MemberKeyGone => {
                 tracing::info!("member key missing, joining again");
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! The events that a controller takes in and the actions that it returns.
+//! The events that a controller processes and the actions that it returns.
 //!
 //! The service of the binary and the simulation turn what comes over the network into an [`Event`] and carry out
 //! each [`Action`]; its response comes back as another event.
@@ -26,8 +26,15 @@
     List(String),
     /// Write if the expected revisions hold.
     CompareAndSwap(CompareAndSwap),
-    /// Changes of a prefix after a revision; waits so many milliseconds for the first of them.
-    Watch(String, Revision, u64),
+    /// Changes of a prefix after a revision.
+    Watch {
+        /// The prefix.
+        prefix: String,
+        /// The revision after which changes are wanted.
+        since: Revision,
+        /// How long to wait for the first change, in milliseconds.
+        wait_ms: u64,
+    },
 }
 
 /// The key-value store's response.
@@ -62,7 +69,7 @@
 }
 
 impl KvResponse {
-    /// Whether the key-value store has carried the request out, or said why it does not.
+    /// Whether the key-value store has executed the request, or stated why it does not.
     pub(super) fn is_definite(&self) -> bool {
         !matches!(self, KvResponse::Refused | KvResponse::NoAnswer)
     }
@@ -170,27 +177,54 @@
     List(Vec<MachineList>),
     /// The catalogue.
     Catalog(Catalog),
-    /// No response, or one that helps nothing.
+    /// No response, or one that cannot be used.
     NoAnswer,
 }
 
-/// What a controller takes in.
+/// An event that a controller processes.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// A submission.
-    Submit(RequestId, Vec<u8>),
-    /// A request for a job's status; the id as the user wrote it.
-    Status(RequestId, String),
-    /// A cancellation; the id as the user wrote it.
-    Cancel(RequestId, String),
+    Submit {
+        /// The request.
+        request_id: RequestId,
+        /// The body as received.
+        body: Vec<u8>,
+    },
+    /// A request for a job's status.
+    Status {
+        /// The request.
+        request_id: RequestId,
+        /// The job's id as the user wrote it.
+        job_id: String,
+    },
+    /// A cancellation.
+    Cancel {
+        /// The request.
+        request_id: RequestId,
+        /// The job's id as the user wrote it.
+        job_id: String,
+    },
     /// A health check.
     Health(RequestId),
     /// A worker's heartbeat.
-    Heartbeat(RequestId, Vec<u8>),
-    /// The key-value store has answered a request sent at that time, or has not.
-    KeyValueResponse(KvPurpose, Time, KvResponse),
+    Heartbeat {
+        /// The request.
+        request_id: RequestId,
+        /// The body as received.
+        body: Vec<u8>,
+    },
+    /// The key-value store has answered a request, or has not.
+    KeyValueResponse {
+        /// What the request is for.
+        purpose: KvPurpose,
+        /// When the request was sent.
+        sent_at: Time,
+        /// The response.
+        response: KvResponse,
+    },
     /// The cloud has answered a request, or has not.
     CloudResponse(CloudRequest, CloudResponse),
     /// Direct commands to a worker were answered, or not.
@@ -199,9 +233,9 @@
     PeerRequest(RequestId, PeerRequest),
     /// The leader has answered a partition's status; none: it has not.
     PeerResponse(Option<PeerResponse>),
-    /// A peer has said whether it reaches the key-value store.
+    /// A peer has answered whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
-    /// A peer has said what it knows of the epoch.
+    /// A peer has answered with what it knows of the epoch.
     PeerKnownEpoch(ControllerName, KnownEpoch),
 }
 
@@ -210,8 +244,15 @@
 pub enum Action {
     /// Respond to a user or a worker.
     Respond(RequestId, HttpResponse),
-    /// Send a request to the key-value store, to be given up after so many milliseconds.
-    CallKeyValueStore(KvPurpose, KvRequest, u64),
+    /// Send a request to the key-value store.
+    CallKeyValueStore {
+        /// What the request is for.
+        purpose: KvPurpose,
+        /// The request.
+        request: KvRequest,
+        /// How long to wait for the response, in milliseconds.
+        deadline_ms: u64,
+    },
     /// Send a request to the cloud.
     CallCloud(CloudRequest),
     /// Send commands straight to a worker.
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -10,10 +10,12 @@
 use crate::constants::key_value::{FINAL_STATE_LOADS_IN_FLIGHT, KV_RETRY_MS};
 use crate::constants::timers::UNREADABLE_RECORDS_RETRY_MS;
 use crate::fleet::Fleet;
-use crate::jobs::{final_state_key, read_cancelled, read_final_state, Job, DONE, OPEN};
+use crate::jobs::{
+    final_state_key, read_cancelled, read_final_state, Job, COMPLETIONS_PREFIX, OPEN_JOBS_PREFIX,
+};
 use crate::membership::MemberState;
-use crate::records::{self, AttemptRecord, UnknownRecordFormat, RECORDS};
-use crate::scheduler::CLAIMS;
+use crate::records::{RecordPage, UnknownRecordFormat, ATTEMPT_RECORDS_PREFIX};
+use crate::scheduler::CLAIMS_PREFIX;
 use crate::time::{Periodic, Time};
 
 use super::key_value_responses::RequestTimes;
@@ -24,8 +26,8 @@
 pub(super) struct EpochLoad {
     retry_timer: Periodic,
     step: Option<LoadStep>,
-    /// Pages of attempt records, with the records on them.
-    pub record_pages: Vec<(KeyValue, Vec<AttemptRecord>)>,
+    /// Pages of attempt records.
+    pub record_pages: Vec<RecordPage>,
     pub completion_pages: Vec<KeyValue>,
     pub claims: Vec<KeyValue>,
     /// Jobs on record and not open, whose final states are still to be requested.
@@ -60,10 +62,14 @@
     pub(super) fn request_load_step(&mut self, now: Time, actions: &mut Vec<Action>) {
         let step = *self.epoch_load.step.get_or_insert(LoadStep::AttemptRecords);
         let request = match (step, self.job_cache.revision()) {
-            (LoadStep::AttemptRecords, _) => KvRequest::List(RECORDS.to_owned()),
-            (LoadStep::Completions, _) => KvRequest::List(DONE.to_owned()),
-            (LoadStep::Claims, _) => KvRequest::List(CLAIMS.to_owned()),
-            (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch(OPEN.to_owned(), since, 0),
+            (LoadStep::AttemptRecords, _) => KvRequest::List(ATTEMPT_RECORDS_PREFIX.to_owned()),
+            (LoadStep::Completions, _) => KvRequest::List(COMPLETIONS_PREFIX.to_owned()),
+            (LoadStep::Claims, _) => KvRequest::List(CLAIMS_PREFIX.to_owned()),
+            (LoadStep::OpenJobs, Some(since)) => KvRequest::Watch {
+                prefix: OPEN_JOBS_PREFIX.to_owned(),
+                since,
+                wait_ms: 0,
+            },
             (LoadStep::OpenJobs, None) => {
                 // The first listing is in flight.
                 return self.retry_load_step(now, KV_RETRY_MS);
@@ -99,7 +105,7 @@
         if self.epoch_load.step != Some(step) {
             return;
         }
-        let now = times.answered;
+        let now = times.answered_at;
         let next = match (step, response) {
             (LoadStep::AttemptRecords, KvResponse::Listing(listing)) => {
                 self.attempt_records_loaded(now, listing.pairs)
@@ -130,13 +136,10 @@
         }
     }
 
-    /// Takes in the attempt records. The next step; none if a record cannot be read.
+    /// Keeps the attempt records that were read. The next step; none if a record cannot be read.
     fn attempt_records_loaded(&mut self, now: Time, pairs: Vec<KeyValue>) -> Option<LoadStep> {
-        let read_page = |pair: KeyValue| {
-            let records = records::read(&pair)?;
-            Ok((pair, records))
-        };
-        let pages: Result<Vec<_>, UnknownRecordFormat> = pairs.into_iter().map(read_page).collect();
+        let pages: Result<Vec<_>, UnknownRecordFormat> =
+            pairs.into_iter().map(RecordPage::read).collect();
         match pages {
             Ok(pages) => self.epoch_load.record_pages = pages,
             Err(error) => {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Takes in the changes of the open jobs. The next step; none if this was the last.
+    /// Applies the changes of the open jobs. The next step; none if this was the last.
     fn open_jobs_loaded(
         &mut self,
         times: RequestTimes,
@@ -164,7 +167,7 @@
             self.epoch_load.final_states_to_request = self.final_states_to_load();
         }
         if self.epoch_load.final_states_to_request.is_empty() {
-            self.begin_serving(times.answered);
+            self.begin_serving(times.answered_at);
             return None;
         }
         Some(LoadStep::FinalStates)
@@ -174,7 +177,7 @@
     /// no other attempt is made at a task that has completed.
     fn final_states_to_load(&self) -> VecDeque<JobId> {
         let pages = self.epoch_load.record_pages.iter();
-        let records = pages.flat_map(|(_, records)| records);
+        let records = pages.flat_map(|page| &page.records);
         let jobs: BTreeSet<JobId> = records.map(|record| record.task.job).collect();
         let is_open =
             |id: &JobId| self.job_cache.get(*id).is_some() || self.job_cache.is_unreadable(*id);
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -36,7 +36,7 @@
         self.epoch_confirmation.key_value_store_answered();
     }
 
-    /// A peer has said whether it reaches the key-value store.
+    /// A peer has answered whether it reaches the key-value store.
     pub fn peer_reported(&mut self, now: Time, is_reachable: bool) {
         if is_reachable {
             self.peer_healthy_at = Some(now);
@@ -50,20 +50,21 @@
         now.since(self.answered_at) < KV_SUSPECT_AFTER_MS
     }
 
-    /// Whether it has been silent so long that a request would only cost time.
+    /// Whether it has not answered for so long that waiting for a response is futile.
     pub fn is_silent(&self, now: Time) -> bool {
         now.since(self.answered_at) > KV_SILENT_AFTER_MS
     }
 
-    /// Whether this controller should get users, as far as the key-value store is concerned.
+    /// Whether users should be routed to this controller, as far as the key-value store is concerned.
     ///
-    /// A controller that alone has lost the key-value store should get no users; when all have lost it, taking
-    /// them all out of service helps nobody, since coming back is slow. One that has lost its peers as well
-    /// cannot know, and is unhealthy.
+    /// A controller that alone cannot reach the key-value store is unhealthy; when none reaches it, taking
+    /// them all out of service has no benefit, since returning to service is slow. One that cannot reach its
+    /// peers either cannot tell the two cases apart, and is unhealthy.
     fn may_serve_users(&self, now: Time) -> bool {
         let silent_ms = now.since(self.answered_at);
-        let is_recent =
-            |report: Option<Time>| report.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS);
+        let is_recent = |reported_at: Option<Time>| {
+            reported_at.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS)
+        };
         self.is_answering(now)
             || (!is_recent(self.peer_healthy_at)
                 && (silent_ms < KV_UNHEALTHY_AFTER_MS || is_recent(self.peer_unhealthy_at)))
@@ -124,17 +125,17 @@
         }
     }
 
-    /// Takes in what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
+    /// Processes what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
     pub(super) fn peer_epoch_answered(&mut self, from: &ControllerName, known: &KnownEpoch) {
         let confirmation = &mut self.store_health.epoch_confirmation;
         confirmation.record_response(from, known);
         let epoch = self.membership.fencing_token();
-        let Some(sent) = confirmation.confirmed_at(epoch) else {
+        let Some(sent_at) = confirmation.confirmed_at(epoch) else {
             return;
         };
         if confirmation.mark_confirmed() {
             tracing::info!(%epoch, "key-value store outage: epoch confirmed by all controllers");
         }
-        self.membership.epoch_confirmed(sent);
+        self.membership.epoch_confirmed(sent_at);
     }
 }
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -19,7 +19,7 @@
 use crate::constants::leases::EPOCH_LEASE_MS;
 use crate::time::Time;
 
-pub use records::{member_key, EpochRecord, Member, CONTROL, EPOCH};
+pub use records::{member_key, EpochRecord, Member, CONTROL_KEYS_PREFIX, EPOCH_KEY};
 
 use proposals::Candidate;
 use records::{put_if_unchanged, LEASE_FIELD, READY_FIELD, SERVICES_FIELD};
@@ -71,11 +71,11 @@
     cancellations_fresh_until: Time,
     /// How long that is after the open jobs were read, ms.
     cancellation_staleness_ms: u64,
-    /// Whether this controller is ready to own machines, as far as it can tell.
+    /// Whether this controller is ready to own machines, by its own judgement.
     ready: bool,
-    /// What the member key says of that; none if it is not known to be written.
+    /// The readiness that the member key states; none if it is not known to be written.
     published_readiness: Option<bool>,
-    /// What the member key that is being written says.
+    /// The readiness in the member key that is being written.
     readiness_being_written: bool,
     /// Version of the member key as last read; none before that. Writing it is conditional on it, so that a late
     /// copy of a former incarnation's message cannot undo it.
@@ -170,7 +170,7 @@
     /// The condition every write of this epoch carries.
     pub fn epoch_unchanged(&self) -> Option<ExpectedRevision> {
         self.epoch.as_ref().map(|epoch| ExpectedRevision {
-            key: EPOCH.to_owned(),
+            key: EPOCH_KEY.to_owned(),
             version: epoch.version,
         })
     }
@@ -200,17 +200,17 @@
         self.cancellations_fresh_until.since(now)
     }
 
-    /// A read of the open jobs sent at `sent` was answered.
-    pub fn open_jobs_read(&mut self, sent: Time) {
+    /// A read of the open jobs sent at `sent_at` was answered.
+    pub fn open_jobs_read(&mut self, sent_at: Time) {
         self.cancellations_fresh_until = self
             .cancellations_fresh_until
-            .max(sent + self.cancellation_staleness_ms);
+            .max(sent_at + self.cancellation_staleness_ms);
     }
 
-    /// A request sent at `sent` has confirmed that the epoch is still the one known.
-    pub fn epoch_confirmed(&mut self, sent: Time) {
+    /// A request sent at `sent_at` has confirmed that the epoch is still the one known.
+    pub fn epoch_confirmed(&mut self, sent_at: Time) {
         if self.in_epoch() {
-            self.epoch_lease_until = self.epoch_lease_until.max(sent + EPOCH_LEASE_MS);
+            self.epoch_lease_until = self.epoch_lease_until.max(sent_at + EPOCH_LEASE_MS);
         }
     }
 
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -15,7 +15,7 @@
 use crate::pages::PageEntry;
 
 /// Prefix of the keys of attempt records.
-pub const RECORDS: &str = "a/";
+pub const ATTEMPT_RECORDS_PREFIX: &str = "a/";
 
 /// Version of the format of the records.
 const RECORD_FORMAT_VERSION: u32 = 2;
@@ -31,7 +31,7 @@
 
 /// Prefix of one owner's pages in an epoch.
 pub fn page_prefix(epoch: Epoch, owner: &ControllerName) -> String {
-    format!("{RECORDS}{epoch}.{owner}.")
+    format!("{ATTEMPT_RECORDS_PREFIX}{epoch}.{owner}.")
 }
 
 /// An attempt that may be on a machine.
@@ -94,7 +94,7 @@
 impl PageEntry for AttemptRecord {
     type Key = Attempt;
 
-    fn size(&self, _: &Attempt) -> usize {
+    fn size_bytes(&self, _: &Attempt) -> usize {
         let job_digits = digits(self.task.job.0).max(MIN_JOB_DIGITS);
         let task_bytes = job_digits + digits(self.task.index.into()) + TASK_TEXT_BYTES;
         let number_bytes = digits(self.attempt.0) + digits(self.incarnation.0);
@@ -105,7 +105,7 @@
         *self = later;
     }
 
-    fn value(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
+    fn page_value(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
         serde_json::json!(StoredPage {
             version: RECORD_FORMAT_VERSION,
             records: entries.values().map(StoredRecord::from).collect(),
@@ -125,7 +125,10 @@
 /// [`UnknownRecordFormat`] with the key, if the key or the value has neither format.
 pub fn read(pair: &KeyValue) -> Result<Vec<AttemptRecord>, UnknownRecordFormat> {
     let unknown = || UnknownRecordFormat(pair.key.clone());
-    let name = pair.key.strip_prefix(RECORDS).ok_or_else(unknown)?;
+    let name = pair
+        .key
+        .strip_prefix(ATTEMPT_RECORDS_PREFIX)
+        .ok_or_else(unknown)?;
     if let Ok(records) = Vec::<FirstReleaseRecord>::deserialize(&pair.value) {
         let on_machine =
             |FirstReleaseRecord(task, attempt, incarnation): FirstReleaseRecord| AttemptRecord {
@@ -143,21 +146,43 @@
     Ok(page.records.into_iter().map(AttemptRecord::from).collect())
 }
 
+/// A stored page with the records on it.
+#[derive(Debug)]
+pub struct RecordPage {
+    /// The page's key, version and value as stored.
+    pub stored: KeyValue,
+    /// The records on the page.
+    pub records: Vec<AttemptRecord>,
+}
+
+impl RecordPage {
+    /// Reads a stored page.
+    ///
+    /// # Errors
+    ///
+    /// As [`read`].
+    pub fn read(stored: KeyValue) -> Result<RecordPage, UnknownRecordFormat> {
+        let records = read(&stored)?;
+        Ok(RecordPage { stored, records })
+    }
+}
+
 /// Drops all but the latest attempt at each task from the pages, and returns the keys of pages that
 /// had others. An attempt is made only when those before it are certainly gone; until its page is
 /// rewritten one may still be listed, on a machine that will never send another heartbeat.
-pub fn retain_latest_attempts(pages: &mut [(KeyValue, Vec<AttemptRecord>)]) -> BTreeSet<String> {
+pub fn retain_latest_attempts(pages: &mut [RecordPage]) -> BTreeSet<String> {
     let mut latest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
-    for record in pages.iter().flat_map(|(_, records)| records) {
+    for record in pages.iter().flat_map(|page| &page.records) {
         let newest = latest.entry(record.task).or_insert(record.attempt);
         *newest = record.attempt.max(*newest);
     }
     let mut stale_pages = BTreeSet::new();
-    for (pair, records) in pages {
-        let count_before = records.len();
-        records.retain(|record| latest.get(&record.task) == Some(&record.attempt));
-        if records.len() < count_before {
-            stale_pages.insert(pair.key.clone());
+    for page in pages {
+        let count_before = page.records.len();
+        page.records
+            .retain(|record| latest.get(&record.task) == Some(&record.attempt));
+        if page.records.len() < count_before {
+            stale_pages.insert(page.stored.key.clone());
         }
     }
     stale_pages
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -78,12 +78,12 @@
     /// Number of the last message that its owner has acted on.
     acknowledged: u64,
     /// When its owner's last message came.
-    last_heard_at: Time,
+    last_message_at: Time,
     pub machines: BTreeMap<MachineId, MachineView>,
     /// Machines with free processors, those with fewest first.
     machines_by_free_cpus: BTreeSet<(FreeCpus, MachineId)>,
     /// Directives that its owner has not acknowledged, each with the number of the message that had it
-    /// last; none before it is sent. Each stands here once, however often an owner that gets no answer in
+    /// last; none before it is sent. Each is queued once, however often an owner that gets no answer in
     /// time repeats the status that caused it.
     outbox: BTreeMap<Directive, Option<u64>>,
     /// None before the first, and when a machine is new: then they are sent again.
@@ -100,7 +100,7 @@
 
     /// Whether its owner's messages arrive.
     pub fn is_responsive(&self, now: Time) -> bool {
-        now.since(self.last_heard_at) < PARTITION_SILENT_MS
+        now.since(self.last_message_at) < PARTITION_SILENT_MS
     }
 
     /// Whether it has described itself, and was answered, in this epoch.
@@ -116,7 +116,7 @@
         }
         self.last_sequence = status.sequence;
         self.acknowledged = status.acknowledged;
-        self.last_heard_at = now;
+        self.last_message_at = now;
         self.outbox
             .retain(|_, sent_in| sent_in.is_none_or(|sequence| sequence > status.acknowledged));
         true
@@ -221,7 +221,7 @@
         ids.filter_map(|id| self.machines.get(id))
     }
 
-    /// Changes a machine and keeps what is free on it, and the order by that, true.
+    /// Changes a machine and updates what is free on it, and the order by that.
     fn adjust(&mut self, id: &MachineId, change: impl FnOnce(&mut MachineView)) {
         let Some(view) = self.machines.get_mut(id) else {
             return;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Takes in a machine's description by its owner.
+    /// Applies a machine's description by its owner.
     pub fn update_machine(&mut self, status: MachineStatus, now: Time) {
         let id = status.id.clone();
         if !self.machines.contains_key(&id) {
--- a/crates/worksshunt-core/src/scheduler/stored_pages.rs
+++ b/crates/worksshunt-core/src/scheduler/stored_pages.rs
@@ -4,9 +4,9 @@
 use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::Revision;
 
-use crate::jobs::{Completions, DONE};
+use crate::jobs::{Completions, COMPLETIONS_PREFIX};
 use crate::pages::{page_bytes, PageWrite, Pages};
-use crate::records::{AttemptRecord, RECORDS};
+use crate::records::{AttemptRecord, ATTEMPT_RECORDS_PREFIX};
 use crate::time::Time;
 
 /// The leader's two sets of pages.
@@ -23,15 +23,15 @@
     /// No page yet.
     pub fn new(limits: &KeyValueLimits) -> StoredPages {
         StoredPages {
-            completions: Pages::new(DONE.to_owned(), page_bytes(limits)),
-            former_records: Pages::new(RECORDS.to_owned(), page_bytes(limits)),
+            completions: Pages::new(COMPLETIONS_PREFIX.to_owned(), page_bytes(limits)),
+            former_records: Pages::new(ATTEMPT_RECORDS_PREFIX.to_owned(), page_bytes(limits)),
             former_records_first: false,
         }
     }
 
-    /// The next write, of at most `max_pages` pages. The two sets take turns at being first: on a busy
-    /// day there are always completions to be written, and records that nothing is dropped from mislead
-    /// the next epoch by all that has ended since.
+    /// The next write, of at most `max_pages` pages. The two sets alternate in priority: under high
+    /// load there are always completions to be written, and records that are not rewritten would list all
+    /// attempts that have ended since to the next epoch.
     pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.former_records_first = !self.former_records_first;
         if self.former_records_first {
