--- a/crates/worksshunt-measure/src/loopback/upgrade.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade.rs
@@ -12,7 +12,7 @@
 use super::users::poll;
 use super::verdict::{self, Measured, Shortfall, Submission, MEMBERSHIP_BOUND, START_BOUND};
 use super::wait::{wait_until, POLL_INTERVAL};
-use crate::MeasureError;
+use crate::{MeasureError, DEFAULT_SOCKETS_PER_MACHINE};
 
 pub mod arguments;
 mod jobs;
@@ -29,8 +29,6 @@
 const TASK_RUN: Duration = Duration::from_secs(15);
 /// How long after the bound for starts all tasks of a stage must have completed: their run and some heartbeats.
 const COMPLETE_AFTER: Duration = Duration::from_secs(30);
-/// Sockets for each worker in a controller's settings.
-const SOCKETS_PER_MACHINE: usize = 3;
 
 /// Why a stage's change was not made.
 #[derive(Debug, thiserror::Error)]
@@ -229,7 +227,7 @@
 /// Wrong arguments, a file or process that cannot be used, or the stage that failed.
 pub fn run(programs: &Programs, folder: PathBuf, machines: usize) -> Result<(), MeasureError> {
     arguments::check(programs, machines)?;
-    let sockets = machines * SOCKETS_PER_MACHINE;
+    let sockets = machines * DEFAULT_SOCKETS_PER_MACHINE;
     let controllers = Controllers::new(folder, &programs.old, machines, sockets)?;
     let surroundings = Surroundings::new(machines, TASK_RUN)?;
     let upgrade = Upgrade {
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -115,7 +115,7 @@
 fn action_message(action: &Action) -> Message {
     match action {
         Action::Respond(_, reply) => client_reply(reply),
-        Action::CallKeyValueStore { request, .. } => state_service_request(request),
+        Action::CallKeyValueStore { request, .. } => key_value_request(request),
         Action::CallCloud(request) => cloud_request(request),
         Action::SendCommands(orders) => {
             Message::json("command request", &(&orders.machine, &orders.batch))
@@ -133,7 +133,7 @@
         Event::Cancel { job_id, .. } => Message::bytes("cancellation", job_id.as_bytes()),
         Event::Health(_) => Message::empty("health check"),
         Event::Heartbeat { body, .. } => Message::bytes("heartbeat", body.as_slice()),
-        Event::KeyValueResponse { response, .. } => state_service_response(response),
+        Event::KeyValueResponse { response, .. } => key_value_response(response),
         Event::CloudResponse(_, reply) => cloud_response(reply),
         Event::CommandsAnswered(orders, reply) => match reply {
             DirectCommandsOutcome::Answered(heartbeat) => {
@@ -156,7 +156,7 @@
     )
 }
 
-fn state_service_request(request: &KvRequest) -> Message {
+fn key_value_request(request: &KvRequest) -> Message {
     match request {
         KvRequest::GrantLease => Message::empty("lease grant"),
         KvRequest::RenewLease(lease) => Message::json("lease renewal", lease),
@@ -171,7 +171,7 @@
     }
 }
 
-fn state_service_response(reply: &KvResponse) -> Message {
+fn key_value_response(reply: &KvResponse) -> Message {
     let at = |revision: &Revision| StoreRevision {
         revision: *revision,
     };
@@ -197,7 +197,7 @@
 
 fn cloud_request(request: &CloudRequest) -> Message {
     match request {
-        CloudRequest::Provision(rent) => Message::json("rent", rent),
+        CloudRequest::Provision(request) => Message::json("rent", request),
         CloudRequest::Release(names) => Message::json("return", names),
         CloudRequest::ListMachines => Message::empty("machine list"),
         CloudRequest::ReadCatalog => Message::empty("catalogue"),
--- a/crates/worksshunt-simulation/src/fixtures.rs
+++ b/crates/worksshunt-simulation/src/fixtures.rs
@@ -78,7 +78,7 @@
         "EntregaS": null})
 }
 
-/// A job of long tasks, for which machines enough for all of them are rented.
+/// A job of long tasks, for which enough machines for all of them are provisioned.
 pub fn long_job(id: u64, tasks: u32) -> Value {
     let mut job = job(id, tasks);
     job["CalculoS"] = json!(60.0);
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -87,7 +87,7 @@
     users: Users,
     key_value: KeyValueService,
     cloud: CloudRecords,
-    /// Machines rented, booted or not.
+    /// Machines provisioned, booted or not.
     pub workers: BTreeMap<MachineId, Worker>,
 
     /// Rates of the key-value store; none: unlimited.
