--- a/crates/worksshunt-core/tests/scenarios/preemption.rs
+++ b/crates/worksshunt-core/tests/scenarios/preemption.rs
@@ -47,19 +47,10 @@
     urgent["Turno"] = json!("urgent");
     cluster.submit(0, &urgent);
     cluster.until("the urgent job", 10_000, |cluster| {
-        cluster
-            .running()
-            .iter()
-            .filter(|t| t.job == JobId(2))
-            .count()
-            == 2
+        cluster.running_tasks_of(2) == 2
     });
     cluster.run(20_000);
-    let low = cluster
-        .running()
-        .iter()
-        .filter(|t| t.job == JobId(1))
-        .count();
+    let low = cluster.running_tasks_of(1);
     assert_eq!(low, 10, "no more was stopped than needed");
     cluster.check();
 }
@@ -72,11 +63,7 @@
     red["Turno"] = json!("low");
     cluster.submit(0, &red);
     cluster.run(30_000);
-    let red = cluster
-        .running()
-        .iter()
-        .filter(|t| t.job == JobId(2))
-        .count();
+    let red = cluster.running_tasks_of(2);
     assert_eq!(
         red, 4,
         "its guarantee, at blue's cost, which runs 12 of its 8"
--- a/crates/worksshunt-core/tests/scenarios/service_capacity.rs
+++ b/crates/worksshunt-core/tests/scenarios/service_capacity.rs
@@ -29,14 +29,7 @@
         let mut requested = service(2, 2);
         requested["Spread"] = json!(spread);
         cluster.submit(1, &requested);
-        let all_running = |cluster: &Cluster| {
-            cluster
-                .running()
-                .iter()
-                .filter(|t| t.job == JobId(2))
-                .count()
-                == 2
-        };
+        let all_running = |cluster: &Cluster| cluster.running_tasks_of(2) == 2;
         cluster.until("both replicas", 2_000, all_running);
         cluster.check();
     }
@@ -58,14 +51,7 @@
         assert_eq!(spot, task.job == JobId(2), "{task} on {machine}");
     }
     cluster.submit(2, &service(3, 4));
-    let all_running = |cluster: &Cluster| {
-        cluster
-            .running()
-            .iter()
-            .filter(|t| t.job == JobId(3))
-            .count()
-            == 4
-    };
+    let all_running = |cluster: &Cluster| cluster.running_tasks_of(3) == 4;
     cluster.until("replicas without a boot", 3_000, all_running);
     cluster.cancel(0, 1);
     cluster.cancel(0, 3);
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -104,6 +104,12 @@
         self.on_machines().map(|(_, task)| task.task).collect()
     }
 
+    /// How many tasks of a job are on machines now.
+    pub fn running_tasks_of(&self, id: u64) -> usize {
+        let tasks = self.on_machines().map(|(_, task)| task.task);
+        tasks.filter(|task| task.job == JobId(id)).count()
+    }
+
     /// Whether tasks are on a machine.
     pub fn busy(&self, id: &MachineId) -> bool {
         self.on_machines().any(|(machine, _)| machine == id)
