--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -7,13 +7,13 @@
 use worksshunt_wire::settings::{Facts, Settings};
 
 use crate::constants::capacity::{
-    EXCHANGE_BYTES, EXCHANGE_MEMORY_SHARE, MIN_EXCHANGES, RESERVED_SOCKETS,
-    WORKER_CONNECTION_DIVISOR,
+    IN_FLIGHT_REQUEST_BYTES, IN_FLIGHT_REQUEST_MEMORY_SHARE, MIN_IN_FLIGHT_REQUEST_LIMIT,
+    RESERVED_SOCKETS, WORKER_CONNECTION_DIVISOR,
 };
-use crate::constants::fleet::{CLOUD_REQUEST_SHARE, MIN_PROVISION_REQUESTS};
-use crate::constants::key_value::RECORD_WRITE_SHARE;
+use crate::constants::fleet::{CLOUD_REQUEST_SHARE, MIN_PENDING_PROVISION_LIMIT};
+use crate::constants::key_value::ATTEMPT_RECORD_WRITE_SHARE;
 use crate::constants::pages::ATTEMPT_RECORD_BYTES;
-use crate::pages::page_bytes;
+use crate::pages::max_page_bytes;
 
 /// Bytes of a megabyte of memory, as the platform counts.
 const MEGABYTE: f64 = 1_000_000.0;
@@ -45,16 +45,16 @@
             worker_connections,
             direct_commands: exchanges.min(worker_connections),
             user_requests: exchanges,
-            provision_requests: ((facts.cloud.rps * CLOUD_REQUEST_SHARE / 2.0) as usize)
-                .max(MIN_PROVISION_REQUESTS),
+            provision_requests: ((facts.cloud.requests_per_s * CLOUD_REQUEST_SHARE / 2.0) as usize)
+                .max(MIN_PENDING_PROVISION_LIMIT),
         }
     }
 }
 
 /// Exchanges of one kind that may be in flight, as far as the memory allows.
 fn max_exchanges(facts: &Facts) -> usize {
-    let bytes = facts.limits.mem_mb.unwrap_or(0.0) * MEGABYTE * EXCHANGE_MEMORY_SHARE;
-    ((bytes / EXCHANGE_BYTES as f64) as usize).max(MIN_EXCHANGES)
+    let bytes = facts.limits.memory_mb.unwrap_or(0.0) * MEGABYTE * IN_FLIGHT_REQUEST_MEMORY_SHARE;
+    ((bytes / IN_FLIGHT_REQUEST_BYTES as f64) as usize).max(MIN_IN_FLIGHT_REQUEST_LIMIT)
 }
 
 /// A limit in the settings that is lower than the fleet implied by the guarantees may need.
@@ -80,9 +80,9 @@
 /// there is. Whether it matters depends on the load.
 pub fn shortfalls(settings: &Settings, catalog: &Catalog) -> Vec<Shortfall> {
     let facts = &settings.facts;
-    let cpus: f64 = facts.teams.iter().map(|team| team.cpus).sum();
+    let cpus: f64 = facts.teams.iter().map(|team| team.guaranteed_cpus).sum();
     let largest_cpus = catalog
-        .types
+        .machine_types
         .iter()
         .map(|machine_type| machine_type.cpus)
         .fold(1.0, f64::max);
@@ -97,9 +97,10 @@
             sockets_needed,
         });
     }
-    let pages = cpus * ATTEMPT_RECORD_BYTES as f64 / page_bytes(&facts.state) as f64;
-    let write_rps_needed = (pages / (RECORD_WRITE_SHARE * facts.workers.lease_s)).ceil() as usize;
-    if write_rps_needed as f64 > facts.state.write_rps {
+    let pages = cpus * ATTEMPT_RECORD_BYTES as f64 / max_page_bytes(&facts.key_value_store) as f64;
+    let write_rps_needed =
+        (pages / (ATTEMPT_RECORD_WRITE_SHARE * facts.workers.lease_s)).ceil() as usize;
+    if write_rps_needed as f64 > facts.key_value_store.changes_per_s {
         found.push(Shortfall::KeyValueWrites {
             machines,
             write_rps_needed,
--- a/crates/worksshunt-core/src/capacity/tests.rs
+++ b/crates/worksshunt-core/src/capacity/tests.rs
@@ -32,7 +32,7 @@
     let small = Capacity::new(&settings(900, Some(56.0), 3.0));
     assert_eq!(
         (small.user_requests, small.provision_requests),
-        (MIN_EXCHANGES, MIN_PROVISION_REQUESTS)
+        (MIN_IN_FLIGHT_REQUEST_LIMIT, MIN_PENDING_PROVISION_LIMIT)
     );
     assert_eq!(
         small.direct_commands, small.worker_connections,
@@ -42,7 +42,7 @@
     assert_eq!((large.direct_commands, large.user_requests), (2_000, 2_000));
     assert_eq!(large.provision_requests, 6);
     let unnamed = Capacity::new(&settings(12_000, None, 16.0));
-    assert_eq!(unnamed.direct_commands, MIN_EXCHANGES);
+    assert_eq!(unnamed.direct_commands, MIN_IN_FLIGHT_REQUEST_LIMIT);
 }
 
 #[test]
@@ -72,7 +72,7 @@
 #[test]
 fn launches_on_the_whole_fleet_have_to_be_recorded_within_a_lease() {
     let mut slow = settings(5_400, None, 8.0);
-    slow.facts.state.write_rps = 5.0;
+    slow.facts.key_value_store.changes_per_s = 5.0;
     let found = shortfalls(&slow, &catalog(4.0));
     let [Shortfall::KeyValueWrites {
         write_rps_needed, ..
@@ -80,8 +80,8 @@
     else {
         panic!("{found:?}");
     };
-    slow.facts.state.write_rps = write_rps_needed as f64;
+    slow.facts.key_value_store.changes_per_s = write_rps_needed as f64;
     assert_eq!(shortfalls(&slow, &catalog(4.0)), Vec::new());
-    slow.facts.state.write_rps -= 1.0;
+    slow.facts.key_value_store.changes_per_s -= 1.0;
     assert_eq!(shortfalls(&slow, &catalog(4.0)).len(), 1);
 }
--- a/crates/worksshunt-core/src/constants/fleet.rs
+++ b/crates/worksshunt-core/src/constants/fleet.rs
@@ -2,13 +2,13 @@
 
 /// Seconds by which a list must be later than another to prove that a machine missing from it is gone: more than
 /// the rounding of ages.
-pub const LIST_AGE_MARGIN_S: f64 = 1.0;
+pub const MACHINE_LIST_AGE_MARGIN_S: f64 = 1.0;
 
 /// Lags of the cloud's list for which a machine that is neither listed nor reported is remembered.
 pub const FORGET_AFTER_LIST_LAGS: u64 = 3;
 
 /// Milliseconds after which a request to the cloud counts as unanswered.
-pub const CLOUD_DEADLINE_MS: u64 = 4_000;
+pub const CLOUD_REQUEST_TIMEOUT_MS: u64 = 4_000;
 
 /// Share of the cloud's request limit that the leader uses.
 pub const CLOUD_REQUEST_SHARE: f64 = 0.8;
@@ -19,7 +19,7 @@
 /// Provision requests that may be in flight at a time in any case; more where that is fewer than half of the calls
 /// that the cloud accepts in a second. Responses take some 200 ms, so that requests one after the other would take
 /// a second for 250 machines.
-pub const MIN_PROVISION_REQUESTS: usize = 4;
+pub const MIN_PENDING_PROVISION_LIMIT: usize = 4;
 
 /// Maximum number of machines in a release request (protocol).
 pub const MAX_MACHINES_PER_RELEASE_REQUEST: usize = 100;
@@ -36,7 +36,7 @@
 pub const MAX_SLACK_S: f64 = 20.0;
 
 /// Milliseconds for which a refused offer (type, zone, and spot or on-demand) is not requested again.
-pub const REFUSED_OFFER_PAUSE_MS: u64 = 15_000;
+pub const REFUSED_OFFER_BACKOFF_MS: u64 = 15_000;
 
 /// Boot times of its type that a machine stays empty, with no task waiting, before it is released: one released
 /// earlier would often be needed again before another has booted.
@@ -49,7 +49,7 @@
 /// Heartbeat intervals for which a machine that the cloud lists as running counts as future capacity without
 /// a heartbeat. After a crash a worker may need a heartbeat, its deadline and a redirect to find its new
 /// owner.
-pub const UNHEARD_HEARTBEAT_INTERVALS: f64 = 4.0;
+pub const FIRST_HEARTBEAT_TIMEOUT_INTERVALS: f64 = 4.0;
 
 /// Multiple of the nominal boot time after which a booting machine counts as failed ...
 pub const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
@@ -58,4 +58,4 @@
 pub const BOOT_TIMEOUT_EXTRA_S: f64 = 20.0;
 
 /// Maximum number of machines in a page of the cloud's list (protocol).
-pub const MACHINE_LIST_PAGE: usize = 500;
+pub const MACHINE_LIST_PAGE_SIZE: usize = 500;
--- a/crates/worksshunt-core/src/constants/job_api.rs
+++ b/crates/worksshunt-core/src/constants/job_api.rs
@@ -26,11 +26,11 @@
 
 /// Final job states cached by a controller, a quarter of an hour at ten jobs a second; others are read from the
 /// store on request.
-pub const FINAL_STATES_CACHED: usize = 10_000;
+pub const MAX_CACHED_FINAL_STATES: usize = 10_000;
 
 /// Closed jobs cached by a controller, for a leader that finds records of their attempts: as many as
 /// close in some minutes, which is several leases, at the ten jobs a second of 4,000 machines; 600 bytes each.
-pub const CLOSED_JOBS_CACHED: usize = 4_096;
+pub const MAX_CACHED_CLOSED_JOBS: usize = 4_096;
 
 /// Milliseconds that the command-line client waits for a response, as users do (protocol).
-pub const CLIENT_DEADLINE_MS: u64 = 5_000;
+pub const CLIENT_RESPONSE_TIMEOUT_MS: u64 = 5_000;
--- a/crates/worksshunt-core/src/constants/key_value.rs
+++ b/crates/worksshunt-core/src/constants/key_value.rs
@@ -1,18 +1,18 @@
 //! The key-value store ("state service" in the protocol): deadlines, retries, health, and the shares of its limits.
 
 /// Milliseconds after which a request to the store counts as unanswered.
-pub const KV_DEADLINE_MS: u64 = 1_500;
+pub const KV_REQUEST_TIMEOUT_MS: u64 = 1_500;
 
 /// Milliseconds without a response after which a write that somebody waits for is hedged, that is sent once
 /// more: responses usually take 10 ms, and occasionally a few hundred.
-pub const KV_HEDGE_AFTER_MS: u64 = 400;
+pub const KV_HEDGE_DELAY_MS: u64 = 400;
 
 /// Maximum milliseconds that a watch waits for a change: two waits and a lost response have to fit into the
 /// time for which a controller may act without news of cancellations.
 pub const WATCH_MAX_WAIT_MS: u64 = 10_000;
 
 /// Milliseconds before a refused or unanswered request to the store is retried.
-pub const KV_RETRY_MS: u64 = 300;
+pub const KV_RETRY_DELAY_MS: u64 = 300;
 
 /// Milliseconds between the response to a watch and the next watch: bounds the requests that a stream of
 /// changes causes.
@@ -23,10 +23,10 @@
 pub const KV_SUSPECT_AFTER_MS: u64 = 1_800;
 
 /// Milliseconds between such requests to peers.
-pub const PEER_HEALTH_INTERVAL_MS: u64 = 1_000;
+pub const PEER_HEALTH_QUERY_INTERVAL_MS: u64 = 1_000;
 
 /// Milliseconds for which a peer's answer about the store is valid.
-pub const PEER_HEALTH_VALID_MS: u64 = 3_500;
+pub const PEER_HEALTH_VALIDITY_MS: u64 = 3_500;
 
 /// Milliseconds without a response from the store, and without an answer from any peer, after which a
 /// controller is not healthy.
@@ -34,11 +34,11 @@
 
 /// Milliseconds without a response from the store after which user requests are refused at once rather than
 /// after a deadline.
-pub const KV_SILENT_AFTER_MS: u64 = 2_500;
+pub const KV_FAIL_FAST_AFTER_MS: u64 = 2_500;
 
 /// Share of the store's write limit that all partition owners together use for machines' records: these
 /// writes must not wait, because no task is launched before its record is durable.
-pub const RECORD_WRITE_SHARE: f64 = 0.5;
+pub const ATTEMPT_RECORD_WRITE_SHARE: f64 = 0.5;
 
 /// Share of the write limit that the leader uses for final states of jobs and for claims. A final state takes
 /// two changes, and users wait for it.
@@ -65,7 +65,7 @@
 pub const USER_READ_SHARE: f64 = 0.25;
 
 /// Milliseconds for which the store's write limit counts as used up after it has refused a write.
-pub const WRITE_REFUSAL_MEMORY_MS: u64 = 10_000;
+pub const THROTTLE_AFTER_REFUSED_WRITE_MS: u64 = 10_000;
 
 /// Milliseconds between two writes of pages of one kind meanwhile: short compared with the time that launches
 /// take anyway, and a third of the changes that the share of records would allow at the limits seen.
@@ -90,4 +90,4 @@
 
 /// Reads of final states that a new leader has in flight while it loads: one for each job that is on record and
 /// not open. They use only some of the connections to the store, since other requests need the rest.
-pub const FINAL_STATE_LOADS_IN_FLIGHT: usize = 8;
+pub const MAX_FINAL_STATE_LOADS_IN_FLIGHT: usize = 8;
--- a/crates/worksshunt-core/src/constants/leases.rs
+++ b/crates/worksshunt-core/src/constants/leases.rs
@@ -9,7 +9,7 @@
 pub const MEMBER_LEASE_RENEWAL_INTERVAL_MS: u64 = 1_000;
 
 /// Milliseconds between reads of the control keys, which detect failed members and confirm the epoch.
-pub const CONTROL_KEYS_INTERVAL_MS: u64 = 1_000;
+pub const CONTROL_KEYS_READ_INTERVAL_MS: u64 = 1_000;
 
 /// Milliseconds, from the sending of a request that confirmed the epoch, for which a controller may act. Three
 /// reads of the control keys can fail meanwhile. An outage of the key-value store may last this long plus a
@@ -25,7 +25,7 @@
 
 /// Consecutive reads of the control keys that must show a new member before an epoch admits it, so that a
 /// controller that keeps crashing does not cause a new epoch each time.
-pub const ADMIT_AFTER_READS: u32 = 2;
+pub const READS_BEFORE_MEMBER_ADMISSION: u32 = 2;
 
 /// Attempt numbers per epoch: an attempt's number is the epoch's number times this plus a count. At a thousand
 /// attempts a second they last for four and a half hours, after which the leader begins a new epoch.
--- a/crates/worksshunt-core/src/constants/pages.rs
+++ b/crates/worksshunt-core/src/constants/pages.rs
@@ -10,7 +10,7 @@
 
 /// One in so many bytes of a page must be free for new entries to go there, so that a write seldom needs two
 /// pages.
-pub const PAGE_FREE_DIVISOR: usize = 4;
+pub const PAGE_MIN_FREE_DIVISOR: usize = 4;
 
 /// Weight of a stale entry that would mislead a new leader after a crash, in entries that are merely no longer
 /// needed: the record of a lost attempt keeps its task from running until its machine's lease expires.
--- a/crates/worksshunt-core/src/constants/scheduling.rs
+++ b/crates/worksshunt-core/src/constants/scheduling.rs
@@ -6,7 +6,7 @@
 
 /// Age of a job, milliseconds, from which on [`OLD_JOB_STARVATION_MS`] applies instead: it has begun by then, and
 /// has to be completed as well.
-pub const OLD_JOB_MS: u64 = 200_000;
+pub const OLD_JOB_AGE_MS: u64 = 200_000;
 
 /// Milliseconds without a dispatched task after which an old job comes before all others: with an eighth of its
 /// tasks each time, most of them are dispatched within four minutes.
@@ -36,16 +36,16 @@
 
 /// Seconds before work within a guaranteed quota has waited too long, from which on it comes before work of
 /// higher priority: as long as a full fleet takes to complete tasks for all of a guarantee.
-pub const GUARANTEE_LEAD_S: f64 = 30.0;
+pub const GUARANTEE_AT_RISK_S: f64 = 30.0;
 
 /// Failures of a job after which its tasks are retried with a backoff.
 pub const FAILURES_BEFORE_BACKOFF: u32 = 3;
 
-/// Milliseconds of the first backoff of a failing job; doubled up to [`FAILURE_BACKOFF_MAX_MS`].
-pub const FAILURE_BACKOFF_MS: u64 = 2_000;
+/// Milliseconds of the first backoff of a failing job; doubled up to [`MAX_FAILURE_BACKOFF_MS`].
+pub const INITIAL_FAILURE_BACKOFF_MS: u64 = 2_000;
 
 /// Maximum backoff of a failing job, milliseconds.
-pub const FAILURE_BACKOFF_MAX_MS: u64 = 60_000;
+pub const MAX_FAILURE_BACKOFF_MS: u64 = 60_000;
 
 /// Minimum share of its estimate that a running task is assumed to need still, however long it has run:
 /// estimates are often wrong by half.
--- a/crates/worksshunt-core/src/constants/services.rs
+++ b/crates/worksshunt-core/src/constants/services.rs
@@ -34,15 +34,15 @@
 
 /// Milliseconds without a schedulable spot machine after which spot capacity counts as unavailable: a boot and
 /// its possible delay.
-pub const SPOT_ABSENCE_MS: u64 = 60_000;
+pub const SPOT_UNAVAILABLE_AFTER_MS: u64 = 60_000;
 
 /// Boot times for whose expected replicas capacity is reserved: a boot takes up to one and a half times the
 /// nominal time, and some machines never boot.
 pub const RESERVED_CAPACITY_BOOT_TIMES: f64 = 2.0;
 
 /// Milliseconds after which a replica that ends counts as having been stable: several times a start.
-pub const STABLE_REPLICA_MS: u64 = 30_000;
+pub const REPLICA_STABLE_AFTER_MS: u64 = 30_000;
 
 /// Maximum backoff of a service whose replicas keep ending, milliseconds: it is down meanwhile, so this is little
 /// more than the time of a start.
-pub const REPLICA_BACKOFF_MAX_MS: u64 = 15_000;
+pub const MAX_REPLICA_BACKOFF_MS: u64 = 15_000;
--- a/crates/worksshunt-core/src/constants/timers.rs
+++ b/crates/worksshunt-core/src/constants/timers.rs
@@ -11,13 +11,13 @@
 pub const ROUND_INTERVAL_MS: u64 = 50;
 
 /// Milliseconds between two checks of tasks that have been waiting for capacity.
-pub const WAITING_TASKS_INTERVAL_MS: u64 = 1_000;
+pub const WAITING_TASKS_CHECK_INTERVAL_MS: u64 = 1_000;
 
 /// Milliseconds before unreadable records are read again.
-pub const UNREADABLE_RECORDS_RETRY_MS: u64 = 5_000;
+pub const UNREADABLE_RECORDS_RETRY_DELAY_MS: u64 = 5_000;
 
 /// Milliseconds between two plans of scaling out and in.
-pub const FLEET_INTERVAL_MS: u64 = 1_000;
+pub const FLEET_PLANNING_INTERVAL_MS: u64 = 1_000;
 
 /// Milliseconds between two reads of the machine list.
 pub const MACHINE_LIST_INTERVAL_MS: u64 = 3_000;
@@ -26,7 +26,7 @@
 pub const CATALOG_INTERVAL_MS: u64 = 120_000;
 
 /// Milliseconds before an unanswered or refused catalogue request is retried.
-pub const CATALOG_RETRY_MS: u64 = 1_000;
+pub const CATALOG_RETRY_DELAY_MS: u64 = 1_000;
 
 /// Milliseconds between two log summaries of over-capacity placements (design).
 pub const OVER_CAPACITY_SUMMARY_INTERVAL_MS: u64 = 30_000;
--- a/crates/worksshunt-core/src/constants/workers.rs
+++ b/crates/worksshunt-core/src/constants/workers.rs
@@ -1,11 +1,11 @@
 //! Workers: heartbeats, direct commands, and when a machine counts as unreachable.
 
 /// Milliseconds after which a worker gives up an unanswered heartbeat, and ignores a later response (protocol).
-pub const HEARTBEAT_DEADLINE_MS: u64 = 4_000;
+pub const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
 /// Milliseconds after which direct commands to a worker count as unanswered. The response to its next heartbeat,
 /// in at most a few seconds, delivers them as well.
-pub const DIRECT_COMMAND_DEADLINE_MS: u64 = 2_000;
+pub const DIRECT_COMMAND_TIMEOUT_MS: u64 = 2_000;
 
 /// Milliseconds without direct commands to a worker that left some unanswered.
 pub const DIRECT_COMMAND_BACKOFF_MS: u64 = 10_000;
@@ -31,11 +31,11 @@
 
 /// Machines of a partition that one tick checks, the others in the ticks that follow: at 4,000 machines in one
 /// partition each is checked twice a second.
-pub const SWEEP_MACHINES_PER_TICK: usize = 1_024;
+pub const MACHINES_CHECKED_PER_TICK: usize = 1_024;
 
 /// Heartbeat intervals without a heartbeat after which a machine gets no new tasks.
 pub const MISSED_HEARTBEAT_INTERVALS: f64 = 2.6;
 
 /// Different jobs that fail on a machine, without a completed task in between, after which it gets no new tasks: one
 /// job may fail everywhere by its owner's mistake, three at once hardly.
-pub const FAULTY_MACHINE_JOBS: usize = 3;
+pub const FAILED_JOBS_BEFORE_FAULTY: usize = 3;
--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -2,12 +2,12 @@
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
-use crate::constants::key_value::KV_RETRY_MS;
+use crate::constants::key_value::KV_RETRY_DELAY_MS;
 use crate::job_api::{
     accepted_response, HttpResponse, JobOperation, JobRequest, PendingSubmission,
 };
 use crate::jobs::{final_state_key, is_submission_batch, open_job_key, submission_batch_key};
-use crate::time::{Periodic, Time};
+use crate::time::{PeriodicTimer, Time};
 
 use super::hedged_request::{second_copy, HedgedRequest};
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
@@ -15,7 +15,7 @@
 /// The write in flight that accepts submissions, and when the next may be sent.
 #[derive(Debug, Default)]
 pub(super) struct AcceptWrite {
-    timer: Periodic,
+    timer: PeriodicTimer,
     hedge: HedgedRequest,
     in_flight: CompareAndSwap,
     /// Submission batches named by this process so far, which numbers their keys.
@@ -35,8 +35,8 @@
         if !accept.timer.is_due(now) || !self.job_api.requests.write_due() {
             return;
         }
-        let limits = &self.settings.facts.state;
-        let max_changes = tokens.available(now).min(limits.txn_ops);
+        let limits = &self.settings.facts.key_value_store;
+        let max_changes = tokens.available(now).min(limits.max_transaction_changes);
         let (me, batches_named) = (self.membership.name(), &mut accept.batches_named);
         let next_batch_key = self.membership.lease().map(|lease| {
             move || {
@@ -98,7 +98,7 @@
     /// Queues the submissions of a write that was not executed for the next one, after a pause.
     fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
-        accept.timer.schedule_retry(now, KV_RETRY_MS);
+        accept.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
         self.job_api.requests.requeue_submissions(jobs);
     }
 
--- a/crates/worksshunt-core/src/controller/catalog.rs
+++ b/crates/worksshunt-core/src/controller/catalog.rs
@@ -5,9 +5,9 @@
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
 
 use crate::capacity::{shortfalls, Shortfall};
-use crate::constants::timers::{CATALOG_INTERVAL_MS, CATALOG_RETRY_MS};
+use crate::constants::timers::{CATALOG_INTERVAL_MS, CATALOG_RETRY_DELAY_MS};
 use crate::fleet::CloudRequest;
-use crate::time::{Periodic, Time};
+use crate::time::{PeriodicTimer, Time};
 
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
@@ -21,7 +21,7 @@
     pub current: Option<Catalog>,
     /// The catalogue as it is in the key-value store, where known.
     pub stored: Option<Catalog>,
-    read_timer: Periodic,
+    read_timer: PeriodicTimer,
     /// Settings that fall short of the fleet were logged.
     shortfalls_logged: bool,
 }
@@ -50,7 +50,7 @@
             changes: vec![Change::Put {
                 key: CATALOG_KEY.to_owned(),
                 value: serde_json::json!(catalog),
-                lease: None,
+                lease_id: None,
             }],
         };
         let purpose = KvPurpose::StoreCatalog(catalog.clone());
@@ -62,10 +62,10 @@
         let Some(catalog) = catalog else {
             self.catalog
                 .read_timer
-                .schedule_retry(now, CATALOG_RETRY_MS);
+                .schedule_retry(now, CATALOG_RETRY_DELAY_MS);
             return;
         };
-        self.catalog.read_timer.in_flight = false;
+        self.catalog.read_timer.is_in_flight = false;
         self.warn_of_shortfalls(&catalog);
         self.catalog.current = Some(catalog);
     }
@@ -108,7 +108,7 @@
                 } => tracing::warn!(
                     machines,
                     write_rps_needed,
-                    write_rps = self.settings.facts.state.write_rps,
+                    write_rps = self.settings.facts.key_value_store.changes_per_s,
                     "write rate too low: recording launches on all guaranteed machines exceeds the worker lease"
                 ),
             }
--- a/crates/worksshunt-core/src/controller/cloud_responses.rs
+++ b/crates/worksshunt-core/src/controller/cloud_responses.rs
@@ -41,10 +41,12 @@
     }
 
     fn machine_list_answered(&mut self, now: Time, pages: Option<Vec<MachineList>>) {
-        self.leader_duties.machine_list_timer.in_flight = false;
+        self.leader_duties.machine_list_timer.is_in_flight = false;
         if let (Some(pages), Some(leader)) = (pages, &mut self.leader) {
-            leader.fleet.machine_list_read(now, &pages);
-            leader.scheduler.set_draining(leader.fleet.draining());
+            leader.fleet.apply_machine_list(now, &pages);
+            leader
+                .scheduler
+                .set_draining(leader.fleet.draining_machines());
         }
     }
 
@@ -54,12 +56,14 @@
         };
         match response {
             CloudResponse::Machines(names) => {
-                leader.fleet.provisioned(now, request_name, &names);
+                leader
+                    .fleet
+                    .apply_provision_response(now, request_name, &names);
                 // One request may not have been enough.
-                self.leader_duties.fleet_timer.next = now;
+                self.leader_duties.fleet_timer.next_at = now;
             }
-            CloudResponse::NoCapacity => leader.fleet.provision_refused(now, request_name),
-            _ => leader.fleet.provision_unanswered(request_name),
+            CloudResponse::NoCapacity => leader.fleet.apply_provision_refusal(now, request_name),
+            _ => leader.fleet.retry_provision(request_name),
         }
     }
 
@@ -68,13 +72,15 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.fleet.release_answered(now, released);
-        leader.scheduler.set_draining(leader.fleet.draining());
+        leader.fleet.apply_release_response(now, released);
+        leader
+            .scheduler
+            .set_draining(leader.fleet.draining_machines());
         let is_full_request =
-            |names: &MachineIds| names.machines.len() >= MAX_MACHINES_PER_RELEASE_REQUEST;
+            |names: &MachineIds| names.ids.len() >= MAX_MACHINES_PER_RELEASE_REQUEST;
         if released.is_some_and(is_full_request) {
             // More machines may wait to be released than one request takes.
-            self.leader_duties.fleet_timer.next = now;
+            self.leader_duties.fleet_timer.next_at = now;
         }
     }
 }
--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -81,7 +81,9 @@
         let mut scheduler =
             Scheduler::load(now, epoch.number, owners, facts, &self.job_cache, stored);
         let fleet = match previous_fleet {
-            Some(fleet) if fleet.epoch() == epoch_before(epoch) => fleet.carried_over(epoch.number),
+            Some(fleet) if fleet.epoch() == epoch_before(epoch) => {
+                fleet.into_next_epoch(epoch.number)
+            }
             _ => {
                 let max_requests = self.capacity.provision_requests;
                 Fleet::new(
@@ -93,7 +95,7 @@
                 )
             }
         };
-        scheduler.set_draining(fleet.draining());
+        scheduler.set_draining(fleet.draining_machines());
         if let Some(max_attempts) = self.attempt_limit {
             scheduler.limit_attempts(max_attempts);
         }
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -8,7 +8,7 @@
 
 use worksshunt_wire::JobId;
 
-use crate::constants::job_api::FINAL_STATES_CACHED;
+use crate::constants::job_api::MAX_CACHED_FINAL_STATES;
 use crate::job_api::{final_state_response, resolve_without_final_state, HttpResponse, JobRequest};
 use crate::jobs::{final_state_key, read_final_state, FinalStateEvidence};
 use crate::time::Time;
@@ -28,7 +28,7 @@
 impl FinalStateLookups {
     /// Queues a lookup, unless there is one for the job or too many wait.
     fn queue(&mut self, id: JobId) {
-        if self.queued.len() < FINAL_STATES_CACHED && self.unanswered.insert(id) {
+        if self.queued.len() < MAX_CACHED_FINAL_STATES && self.unanswered.insert(id) {
             self.queued.push_back(id);
         }
     }
--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -28,7 +28,7 @@
             (Some(name), _) if name != self.membership.name() => HttpResponse::json(
                 421,
                 &Redirect {
-                    report_to: Some(name.clone()),
+                    controller: Some(name.clone()),
                 },
             ),
             (Some(_), Some(catalog)) if self.membership.may_act(now) => {
--- a/crates/worksshunt-core/src/controller/hedged_request.rs
+++ b/crates/worksshunt-core/src/controller/hedged_request.rs
@@ -2,7 +2,7 @@
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
-use crate::constants::key_value::{KV_DEADLINE_MS, KV_HEDGE_AFTER_MS};
+use crate::constants::key_value::{KV_HEDGE_DELAY_MS, KV_REQUEST_TIMEOUT_MS};
 use crate::time::Time;
 
 use super::{Action, KvPurpose, KvRequest};
@@ -33,7 +33,7 @@
 
     /// The number of the write of which a second copy is to be sent now, if any.
     pub fn hedge_due(&mut self, now: Time) -> Option<u64> {
-        if self.unanswered != 1 || self.hedged || now.since(self.sent_at) < KV_HEDGE_AFTER_MS {
+        if self.unanswered != 1 || self.hedged || now.since(self.sent_at) < KV_HEDGE_DELAY_MS {
             return None;
         }
         self.hedged = true;
@@ -57,7 +57,7 @@
 
 /// The second copy of a write; its deadline is that of the first.
 pub(super) fn second_copy(purpose: KvPurpose, write: &CompareAndSwap) -> Action {
-    let deadline_ms = KV_DEADLINE_MS - KV_HEDGE_AFTER_MS;
+    let deadline_ms = KV_REQUEST_TIMEOUT_MS - KV_HEDGE_DELAY_MS;
     let request = KvRequest::CompareAndSwap(write.clone());
     Action::CallKeyValueStore {
         purpose,
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -3,12 +3,14 @@
 use worksshunt_wire::key_value::WatchResponse;
 use worksshunt_wire::settings::Workers;
 
-use crate::constants::key_value::{KV_DEADLINE_MS, KV_RETRY_MS, WATCH_MAX_WAIT_MS, WATCH_PAUSE_MS};
+use crate::constants::key_value::{
+    KV_REQUEST_TIMEOUT_MS, KV_RETRY_DELAY_MS, WATCH_MAX_WAIT_MS, WATCH_PAUSE_MS,
+};
 use crate::constants::leases::{EPOCH_LEASE_MS, WORKER_LEASE_MARGIN_MS};
 use crate::job_api::HttpResponse;
 use crate::jobs::{JobCacheChange, OPEN_JOBS_PREFIX};
 use crate::machines::lease_bound_ms;
-use crate::time::{Periodic, Time};
+use crate::time::{PeriodicTimer, Time};
 
 use super::key_value_responses::RequestTimes;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
@@ -16,8 +18,8 @@
 /// When the next reads of the open jobs are due.
 #[derive(Debug)]
 pub(super) struct JobCacheReads {
-    list_timer: Periodic,
-    watch_timer: Periodic,
+    list_timer: PeriodicTimer,
+    watch_timer: PeriodicTimer,
     /// How long a watch waits for the first change.
     watch_wait_ms: u64,
 }
@@ -26,8 +28,8 @@
     /// Reads that keep cancellations within the staleness allowed.
     pub fn new(cancellation_staleness_ms: u64) -> JobCacheReads {
         JobCacheReads {
-            list_timer: Periodic::default(),
-            watch_timer: Periodic::default(),
+            list_timer: PeriodicTimer::default(),
+            watch_timer: PeriodicTimer::default(),
             watch_wait_ms: watch_wait_ms(cancellation_staleness_ms),
         }
     }
@@ -39,7 +41,7 @@
         let reads = &mut self.job_cache_reads;
         match self.job_cache.revision() {
             None if reads.list_timer.is_due(now) => {
-                reads.list_timer.mark_sent(now, KV_RETRY_MS);
+                reads.list_timer.mark_sent(now, KV_RETRY_DELAY_MS);
                 let request = KvRequest::List(OPEN_JOBS_PREFIX.to_owned());
                 call_store(actions, KvPurpose::ListOpenJobs, request);
             }
@@ -47,7 +49,7 @@
                 reads.watch_timer.mark_sent(now, 0);
                 // After an outage, for instance, what is known is old: a watch would show only after its wait
                 // that nothing has changed.
-                let longest_wait_ms = reads.watch_wait_ms + KV_DEADLINE_MS;
+                let longest_wait_ms = reads.watch_wait_ms + KV_REQUEST_TIMEOUT_MS;
                 let wait_ms = if self.membership.cancellations_fresh_for_ms(now) > longest_wait_ms {
                     reads.watch_wait_ms
                 } else {
@@ -60,7 +62,7 @@
                         since,
                         wait_ms,
                     },
-                    deadline_ms: wait_ms + KV_DEADLINE_MS,
+                    deadline_ms: wait_ms + KV_REQUEST_TIMEOUT_MS,
                 });
             }
             _ => {}
@@ -71,7 +73,7 @@
     pub(super) fn open_jobs_answered(&mut self, times: RequestTimes, response: KvResponse) {
         self.job_cache_reads
             .list_timer
-            .schedule_retry(times.answered_at, KV_RETRY_MS);
+            .schedule_retry(times.answered_at, KV_RETRY_DELAY_MS);
         if let KvResponse::Listing(listing) = response {
             if !self.job_cache.is_loaded() {
                 self.membership.open_jobs_read(times.sent_at);
@@ -98,7 +100,7 @@
                 timer.schedule_retry(times.answered_at, 0);
                 self.reload_job_cache(actions);
             }
-            _ => timer.schedule_retry(times.answered_at, KV_RETRY_MS),
+            _ => timer.schedule_retry(times.answered_at, KV_RETRY_DELAY_MS),
         }
     }
 
@@ -164,6 +166,6 @@
 
 /// How long a watch of the open jobs waits for a change, ms.
 fn watch_wait_ms(cancellation_staleness_ms: u64) -> u64 {
-    (cancellation_staleness_ms.saturating_sub(2 * KV_DEADLINE_MS) / 2)
-        .clamp(KV_RETRY_MS, WATCH_MAX_WAIT_MS)
+    (cancellation_staleness_ms.saturating_sub(2 * KV_REQUEST_TIMEOUT_MS) / 2)
+        .clamp(KV_RETRY_DELAY_MS, WATCH_MAX_WAIT_MS)
 }
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -14,7 +14,7 @@
     RequestId,
 };
 use crate::jobs::{FinalStateEvidence, JobCacheChange, OPEN_JOBS_PREFIX};
-use crate::time::{Periodic, Time, TokenBucket};
+use crate::time::{PeriodicTimer, Time, TokenBucket};
 
 use super::accept_write::AcceptWrite;
 use super::final_state_lookups::FinalStateLookups;
@@ -31,7 +31,7 @@
     was_full: bool,
     /// Reads for users that the key-value store's limit allows.
     pub read_tokens: TokenBucket,
-    catch_up_timer: Periodic,
+    catch_up_timer: PeriodicTimer,
     pub final_state_lookups: FinalStateLookups,
     pub accept_write: AcceptWrite,
 }
@@ -39,12 +39,12 @@
 impl JobApiState {
     /// No request waits; at most so many may.
     pub fn new(max_requests: usize, limits: &KeyValueLimits) -> JobApiState {
-        let read_rate = limits.rps * USER_READ_SHARE;
+        let read_rate = limits.requests_per_s * USER_READ_SHARE;
         JobApiState {
             requests: JobApi::new(max_requests),
             was_full: false,
             read_tokens: TokenBucket::new(read_rate, read_rate.max(1.0)),
-            catch_up_timer: Periodic::default(),
+            catch_up_timer: PeriodicTimer::default(),
             final_state_lookups: FinalStateLookups::default(),
             accept_write: AcceptWrite::default(),
         }
--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -2,12 +2,12 @@
 
 use worksshunt_wire::settings::CloudLimits;
 
-use crate::constants::fleet::{CLOUD_REQUEST_SHARE, MACHINE_LIST_PAGE};
+use crate::constants::fleet::{CLOUD_REQUEST_SHARE, MACHINE_LIST_PAGE_SIZE};
 use crate::constants::timers::{
-    FLEET_INTERVAL_MS, MACHINE_LIST_INTERVAL_MS, WAITING_TASKS_INTERVAL_MS,
+    FLEET_PLANNING_INTERVAL_MS, MACHINE_LIST_INTERVAL_MS, WAITING_TASKS_CHECK_INTERVAL_MS,
 };
 use crate::fleet::CloudRequest;
-use crate::time::{Budget, Now, Periodic, Time, TokenBucket};
+use crate::time::{Budget, Now, PeriodicTimer, Time, TokenBucket};
 
 use super::{Action, Controller, Leader};
 
@@ -15,31 +15,31 @@
 #[derive(Debug)]
 pub(super) struct LeaderDuties {
     /// Listing the machines in the cloud.
-    pub machine_list_timer: Periodic,
+    pub machine_list_timer: PeriodicTimer,
     /// Scaling the fleet.
-    pub fleet_timer: Periodic,
+    pub fleet_timer: PeriodicTimer,
     /// Reviewing the tasks that wait for machines.
-    waiting_tasks_timer: Periodic,
+    waiting_tasks_timer: PeriodicTimer,
     cloud_request_tokens: TokenBucket,
 }
 
 impl LeaderDuties {
     /// Everything is due; requests to the cloud keep to their share of its limit.
     pub fn new(cloud: &CloudLimits) -> LeaderDuties {
-        let rate = cloud.rps * CLOUD_REQUEST_SHARE;
+        let rate = cloud.requests_per_s * CLOUD_REQUEST_SHARE;
         LeaderDuties {
-            machine_list_timer: Periodic::default(),
-            fleet_timer: Periodic::default(),
-            waiting_tasks_timer: Periodic::default(),
+            machine_list_timer: PeriodicTimer::default(),
+            fleet_timer: PeriodicTimer::default(),
+            waiting_tasks_timer: PeriodicTimer::default(),
             cloud_request_tokens: TokenBucket::new(rate, rate.max(1.0)),
         }
     }
 
     /// Everything is due anew in an epoch. The cloud's rate limit applies across epochs.
     pub fn begin_epoch(&mut self) {
-        self.machine_list_timer = Periodic::default();
-        self.fleet_timer = Periodic::default();
-        self.waiting_tasks_timer = Periodic::default();
+        self.machine_list_timer = PeriodicTimer::default();
+        self.fleet_timer = PeriodicTimer::default();
+        self.waiting_tasks_timer = PeriodicTimer::default();
     }
 }
 
@@ -77,7 +77,7 @@
         if !is_due || !scheduler.all_partitions_reported() {
             return;
         }
-        timer.next = now.steady + WAITING_TASKS_INTERVAL_MS;
+        timer.next_at = now.steady + WAITING_TASKS_CHECK_INTERVAL_MS;
         scheduler.note_spot_machines(now.steady);
         scheduler.reassign_unsent(now.steady);
         scheduler.claim_machines(now.steady);
@@ -110,7 +110,7 @@
         };
         let duties = &mut self.leader_duties;
         if duties.machine_list_timer.is_due(now) && duties.cloud_request_tokens.available(now) > 0 {
-            let pages = 1 + leader.fleet.size() / MACHINE_LIST_PAGE;
+            let pages = 1 + leader.fleet.machine_count() / MACHINE_LIST_PAGE_SIZE;
             duties.cloud_request_tokens.take(pages);
             duties
                 .machine_list_timer
@@ -129,7 +129,7 @@
         if !is_due || !self.leader.as_ref().is_some_and(reported) {
             return;
         }
-        duties.fleet_timer.next = steady + FLEET_INTERVAL_MS;
+        duties.fleet_timer.next_at = steady + FLEET_PLANNING_INTERVAL_MS;
         self.store_catalog(actions);
         let (Some(leader), Some(catalog)) = (&mut self.leader, &self.catalog.current) else {
             return;
@@ -140,7 +140,7 @@
         let forecast = scheduler.forecast(now, catalog.shortest_boot_s());
         let machines = scheduler.machines();
         let requests = fleet.plan_requests(steady, catalog, machines, &demand, &forecast);
-        scheduler.set_draining(fleet.draining());
+        scheduler.set_draining(fleet.draining_machines());
         for request in requests {
             self.leader_duties.cloud_request_tokens.take(1);
             actions.push(Action::CallCloud(request));
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -7,8 +7,8 @@
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{Epoch, JobId};
 
-use crate::constants::key_value::{FINAL_STATE_LOADS_IN_FLIGHT, KV_RETRY_MS};
-use crate::constants::timers::UNREADABLE_RECORDS_RETRY_MS;
+use crate::constants::key_value::{KV_RETRY_DELAY_MS, MAX_FINAL_STATE_LOADS_IN_FLIGHT};
+use crate::constants::timers::UNREADABLE_RECORDS_RETRY_DELAY_MS;
 use crate::fleet::Fleet;
 use crate::jobs::{
     final_state_key, read_cancelled, read_final_state, FinalStateEvidence, Job, COMPLETIONS_PREFIX,
@@ -17,7 +17,7 @@
 use crate::membership::MemberState;
 use crate::records::{RecordPage, UnknownRecordFormat, ATTEMPT_RECORDS_PREFIX};
 use crate::scheduler::CLAIMS_PREFIX;
-use crate::time::{Periodic, Time};
+use crate::time::{PeriodicTimer, Time};
 
 use super::key_value_responses::RequestTimes;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse, LoadStep};
@@ -25,7 +25,7 @@
 /// What was read so far, and what is in flight.
 #[derive(Debug, Default)]
 pub(super) struct EpochLoad {
-    retry_timer: Periodic,
+    retry_timer: PeriodicTimer,
     step: Option<LoadStep>,
     /// Pages of attempt records.
     pub record_pages: Vec<RecordPage>,
@@ -73,7 +73,7 @@
             },
             (LoadStep::OpenJobs, None) => {
                 // The first listing is in flight.
-                return self.retry_load_step(now, KV_RETRY_MS);
+                return self.retry_load_step(now, KV_RETRY_DELAY_MS);
             }
             (LoadStep::FinalStates, _) => {
                 self.epoch_load.retry_timer.mark_sent(now, 0);
@@ -127,7 +127,7 @@
                 Some(LoadStep::OpenJobs)
             }
             _ => {
-                self.retry_load_step(now, KV_RETRY_MS);
+                self.retry_load_step(now, KV_RETRY_DELAY_MS);
                 None
             }
         };
@@ -146,7 +146,7 @@
             Err(error) => {
                 // Acting without knowing what may run would run tasks twice.
                 tracing::error!(%error, "unreadable attempt record, not serving");
-                self.retry_load_step(now, UNREADABLE_RECORDS_RETRY_MS);
+                self.retry_load_step(now, UNREADABLE_RECORDS_RETRY_DELAY_MS);
                 return None;
             }
         }
@@ -193,7 +193,7 @@
     fn request_final_states(&mut self, actions: &mut Vec<Action>) {
         let epoch = self.membership.fencing_token();
         let load = &mut self.epoch_load;
-        while load.final_states_in_flight.len() < FINAL_STATE_LOADS_IN_FLIGHT {
+        while load.final_states_in_flight.len() < MAX_FINAL_STATE_LOADS_IN_FLIGHT {
             let Some(id) = load.final_states_to_request.pop_front() else {
                 break;
             };
@@ -224,7 +224,7 @@
             _ => {
                 self.epoch_load.final_states_to_request.push_back(id);
                 if self.epoch_load.final_states_in_flight.is_empty() {
-                    self.retry_load_step(now, KV_RETRY_MS);
+                    self.retry_load_step(now, KV_RETRY_DELAY_MS);
                 }
                 return;
             }
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -1,10 +1,10 @@
 //! The controller's lease of the key-value store and its member key: requests when they are due, and what follows
 //! from their responses. The rules of membership are in [`crate::membership`].
 
-use crate::constants::key_value::KV_RETRY_MS;
-use crate::constants::leases::{CONTROL_KEYS_INTERVAL_MS, MEMBER_LEASE_RENEWAL_INTERVAL_MS};
+use crate::constants::key_value::KV_RETRY_DELAY_MS;
+use crate::constants::leases::{CONTROL_KEYS_READ_INTERVAL_MS, MEMBER_LEASE_RENEWAL_INTERVAL_MS};
 use crate::membership::{MemberState, CONTROL_KEYS_PREFIX};
-use crate::time::{Periodic, Time};
+use crate::time::{PeriodicTimer, Time};
 
 use super::key_value_responses::RequestTimes;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
@@ -13,10 +13,10 @@
 #[derive(Debug, Default)]
 pub(super) struct MembershipTimers {
     /// Granting and renewing the lease, and writing the member key.
-    pub lease: Periodic,
-    pub control_keys: Periodic,
+    pub lease: PeriodicTimer,
+    pub control_keys: PeriodicTimer,
     /// Proposing an epoch.
-    pub proposal: Periodic,
+    pub proposal: PeriodicTimer,
 }
 
 impl Controller {
@@ -27,7 +27,7 @@
         }
         let control_keys_timer = &mut self.membership_timers.control_keys;
         if control_keys_timer.is_due(now) {
-            control_keys_timer.mark_sent(now, CONTROL_KEYS_INTERVAL_MS);
+            control_keys_timer.mark_sent(now, CONTROL_KEYS_READ_INTERVAL_MS);
             let request = KvRequest::List(CONTROL_KEYS_PREFIX.to_owned());
             call_store(actions, KvPurpose::ReadControlKeys, request);
         }
@@ -38,7 +38,7 @@
         let timer = &mut self.membership_timers.lease;
         let lease = match (self.membership.state(), self.membership.lease()) {
             (MemberState::NoLease, _) | (_, None) => {
-                timer.mark_sent(now, KV_RETRY_MS);
+                timer.mark_sent(now, KV_RETRY_DELAY_MS);
                 return call_store(actions, KvPurpose::GrantLease, KvRequest::GrantLease);
             }
             (_, Some(lease)) => lease,
@@ -50,7 +50,7 @@
         }
         // Nothing to send before the key's version has been read.
         if let Some(write) = self.membership.member_key_write() {
-            timer.mark_sent(now, KV_RETRY_MS);
+            timer.mark_sent(now, KV_RETRY_DELAY_MS);
             let request = KvRequest::CompareAndSwap(write);
             call_store(actions, KvPurpose::WriteMemberKey, request);
         }
@@ -60,7 +60,7 @@
         let wait_ms = if response.is_definite() {
             0
         } else {
-            KV_RETRY_MS
+            KV_RETRY_DELAY_MS
         };
         self.membership_timers.lease.schedule_retry(now, wait_ms);
         if let KvResponse::LeaseGranted(lease) = response {
@@ -78,7 +78,7 @@
                 self.membership.member_key_written(version);
             }
             KvResponse::Conflict(_) => {
-                lease_timer.schedule_retry(now, KV_RETRY_MS);
+                lease_timer.schedule_retry(now, KV_RETRY_DELAY_MS);
                 self.read_control_keys_at(now);
                 self.membership.member_key_conflict();
             }
@@ -86,21 +86,21 @@
                 lease_timer.schedule_retry(now, 0);
                 self.membership.lease_lost();
             }
-            _ => lease_timer.schedule_retry(now, KV_RETRY_MS),
+            _ => lease_timer.schedule_retry(now, KV_RETRY_DELAY_MS),
         }
     }
 
     pub(super) fn lease_renewal_answered(&mut self, now: Time, lease: u64, response: KvResponse) {
         let lease_timer = &mut self.membership_timers.lease;
-        lease_timer.in_flight = false;
+        lease_timer.is_in_flight = false;
         match response {
             KvResponse::NoSuchLease if self.membership.lease() == Some(lease) => {
                 tracing::info!(lease, "lease expired");
-                lease_timer.next = now;
+                lease_timer.next_at = now;
                 self.leave_epoch(now);
             }
             KvResponse::LeaseRenewed => {}
-            _ => lease_timer.next = now + KV_RETRY_MS,
+            _ => lease_timer.next_at = now + KV_RETRY_DELAY_MS,
         }
     }
 
@@ -110,10 +110,10 @@
         response: KvResponse,
         actions: &mut Vec<Action>,
     ) {
-        self.membership_timers.control_keys.in_flight = false;
+        self.membership_timers.control_keys.is_in_flight = false;
         match response {
             KvResponse::Listing(listing) => self.process_control_keys(times, &listing, actions),
-            _ => self.read_control_keys_at(times.answered_at + KV_RETRY_MS),
+            _ => self.read_control_keys_at(times.answered_at + KV_RETRY_DELAY_MS),
         }
     }
 
@@ -125,6 +125,6 @@
 
     /// Has the control keys read at that time, once no read of them is in flight.
     pub(super) fn read_control_keys_at(&mut self, at: Time) {
-        self.membership_timers.control_keys.next = at;
+        self.membership_timers.control_keys.next_at = at;
     }
 }
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -38,7 +38,7 @@
 use worksshunt_wire::{ControllerName, Epoch};
 
 use crate::capacity::Capacity;
-use crate::constants::key_value::KV_DEADLINE_MS;
+use crate::constants::key_value::KV_REQUEST_TIMEOUT_MS;
 use crate::constants::timers::ROUND_BUDGET_MS;
 use crate::fleet::Fleet;
 use crate::job_api::{JobOperation, Progress};
@@ -116,10 +116,10 @@
     /// A controller that has just started.
     pub fn new(mut settings: Settings, parameters: Parameters) -> Controller {
         // Announced limits come without notice, so they are kept from the start.
-        settings.facts.state = settings.facts.state.lowest();
+        settings.facts.key_value_store = settings.facts.key_value_store.lowest();
         let capacity = Capacity::new(&settings);
         let facts = &settings.facts;
-        let other_controllers = settings.known.iter().map(|peer| peer.host_name.clone());
+        let other_controllers = settings.peers.iter().map(|peer| peer.host_name.clone());
         let cancellation_staleness_ms = job_cache_reads::cancellation_staleness_ms(&facts.workers);
         job_cache_reads::warn_of_short_cancellation_time(&facts.workers);
         Controller {
@@ -135,17 +135,17 @@
             store_health: StoreHealth::default(),
             job_cache: JobCache::default(),
             job_cache_reads: JobCacheReads::new(cancellation_staleness_ms),
-            job_api: JobApiState::new(capacity.user_requests, &facts.state),
+            job_api: JobApiState::new(capacity.user_requests, &facts.key_value_store),
             progress: Progress::new(),
             catalog: CatalogState::default(),
             epoch_load: EpochLoad::default(),
             over_capacity_summary: OverCapacitySummary::new(parameters.summary_every_ms),
-            partition: Partition::new(parameters, &facts.workers, &facts.state),
+            partition: Partition::new(parameters, &facts.workers, &facts.key_value_store),
             partition_epoch: None,
             partition_sync: PartitionSync::default(),
             direct_commands_in_flight: 0,
             malformed_heartbeat_logged: false,
-            write_queues: WriteQueues::new(&facts.state),
+            write_queues: WriteQueues::new(&facts.key_value_store),
             leader: None,
             metrics: Metrics::new(),
             leader_duties: LeaderDuties::new(&facts.cloud),
@@ -165,7 +165,7 @@
     pub fn handle(&mut self, now: Now, event: Event, clock: &dyn Fn() -> Time) -> Vec<Action> {
         let mut actions = Vec::new();
         let budget = Budget {
-            until: now.steady + ROUND_BUDGET_MS,
+            deadline: now.steady + ROUND_BUDGET_MS,
             clock,
         };
         self.dispatch(now, event, &budget, &mut actions);
@@ -267,6 +267,6 @@
     actions.push(Action::CallKeyValueStore {
         purpose,
         request,
-        deadline_ms: KV_DEADLINE_MS,
+        deadline_ms: KV_REQUEST_TIMEOUT_MS,
     });
 }
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -72,10 +72,10 @@
             return None;
         }
         let leader = self.leader.as_mut()?;
-        let from = status.from.clone();
+        let from = status.owner.clone();
         leader.scheduler.apply_status(now.steady, status);
         leader.scheduler.run_round(now, budget);
-        let terminated = leader.fleet.terminated();
+        let terminated = leader.fleet.terminated_machines();
         let directives = leader
             .scheduler
             .directives_for(now.steady, &from, terminated);
--- a/crates/worksshunt-core/src/controller/peers.rs
+++ b/crates/worksshunt-core/src/controller/peers.rs
@@ -24,7 +24,7 @@
             PeerRequest::KeyValueHealth => {
                 PeerResponse::KeyValueHealth(self.store_health.is_answering(now.steady))
             }
-            PeerRequest::KnownEpoch { poll } => {
+            PeerRequest::KnownEpoch { poll_number: poll } => {
                 PeerResponse::KnownEpoch(self.known_epoch(now.steady, poll))
             }
         };
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -1,9 +1,10 @@
 //! Whether this controller is ready to own machines. It publishes that in its member key, and only members
 //! that are ready own machines in the next epoch.
 
-use crate::constants::partition_sync::PARTITION_SILENT_MS;
+use crate::constants::partition_sync::PARTITION_SILENCE_TIMEOUT_MS;
 use crate::constants::readiness::{
-    LEADER_RETRY_MS, LEADER_SILENT_MS, READINESS_RETRY_MAX_MS, READINESS_RETRY_MS,
+    LEADER_SILENCE_TIMEOUT_MS, MAX_READINESS_RETRY_MS, MIN_LEADER_SILENCE_RECOVERY_MS,
+    READINESS_RETRY_MS,
 };
 use crate::time::Time;
 
@@ -57,10 +58,13 @@
         };
         match self.current {
             Readiness::Ready if is_unreachable => Readiness::NoHeartbeats,
-            Readiness::Ready if leader_silent_ms >= LEADER_SILENT_MS => Readiness::NoLeaderResponse,
+            Readiness::Ready if leader_silent_ms >= LEADER_SILENCE_TIMEOUT_MS => {
+                Readiness::NoLeaderResponse
+            }
             Readiness::NoHeartbeats if now >= self.ready_not_before => Readiness::Ready,
             Readiness::NoLeaderResponse
-                if now >= self.ready_not_before && leader_silent_ms < PARTITION_SILENT_MS =>
+                if now >= self.ready_not_before
+                    && leader_silent_ms < PARTITION_SILENCE_TIMEOUT_MS =>
             {
                 Readiness::Ready
             }
@@ -75,9 +79,11 @@
             Readiness::Ready => {}
             Readiness::NoHeartbeats => {
                 self.ready_not_before = now + self.retry_ms;
-                self.retry_ms = (self.retry_ms * 2).min(READINESS_RETRY_MAX_MS);
+                self.retry_ms = (self.retry_ms * 2).min(MAX_READINESS_RETRY_MS);
+            }
+            Readiness::NoLeaderResponse => {
+                self.ready_not_before = now + MIN_LEADER_SILENCE_RECOVERY_MS
             }
-            Readiness::NoLeaderResponse => self.ready_not_before = now + LEADER_RETRY_MS,
         }
         self.current = next;
     }
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -7,13 +7,13 @@
 use worksshunt_wire::ControllerName;
 
 use crate::constants::key_value::{
-    KV_SILENT_AFTER_MS, KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS, PEER_HEALTH_INTERVAL_MS,
-    PEER_HEALTH_VALID_MS,
+    KV_FAIL_FAST_AFTER_MS, KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS,
+    PEER_HEALTH_QUERY_INTERVAL_MS, PEER_HEALTH_VALIDITY_MS,
 };
 use crate::epoch_confirmation::EpochConfirmation;
 use crate::job_api::HttpResponse;
 use crate::membership::MemberState;
-use crate::time::{Periodic, Time};
+use crate::time::{PeriodicTimer, Time};
 
 use super::{Action, Controller};
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct StoreHealth {
     answered_at: Time,
-    peer_query_timer: Periodic,
+    peer_query_timer: PeriodicTimer,
     epoch_confirmation: EpochConfirmation,
     /// When a peer last said that the key-value store answers it.
     peer_healthy_at: Option<Time>,
@@ -55,7 +55,7 @@
 
     /// Whether it has not answered for so long that waiting for a response is futile.
     pub fn is_silent(&self, now: Time) -> bool {
-        now.since(self.answered_at) > KV_SILENT_AFTER_MS
+        now.since(self.answered_at) > KV_FAIL_FAST_AFTER_MS
     }
 
     /// Whether users should be routed to this controller, as far as the key-value store is concerned.
@@ -66,7 +66,7 @@
     fn may_serve_users(&self, now: Time) -> bool {
         let silent_ms = now.since(self.answered_at);
         let is_recent = |reported_at: Option<Time>| {
-            reported_at.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS)
+            reported_at.is_some_and(|at| now.since(at) < PEER_HEALTH_VALIDITY_MS)
         };
         self.is_answering(now)
             || (!is_recent(self.peer_healthy_at)
@@ -93,8 +93,8 @@
         if health.is_answering(now) || !health.peer_query_timer.is_due(now) {
             return;
         }
-        health.peer_query_timer.next = now + PEER_HEALTH_INTERVAL_MS;
-        for peer in &self.settings.known {
+        health.peer_query_timer.next_at = now + PEER_HEALTH_QUERY_INTERVAL_MS;
+        for peer in &self.settings.peers {
             let to = peer.host_name.clone();
             actions.push(Action::SendToPeer(to, PeerRequest::KeyValueHealth));
         }
@@ -107,7 +107,7 @@
         if self.membership.state() != MemberState::Serving {
             return;
         }
-        let peers = self.settings.known.iter();
+        let peers = self.settings.peers.iter();
         let others: BTreeSet<ControllerName> = peers.map(|peer| peer.host_name.clone()).collect();
         let epoch = self.membership.fencing_token();
         let poll = self
@@ -115,16 +115,19 @@
             .epoch_confirmation
             .begin_poll(now, epoch, others.clone());
         for peer in others {
-            actions.push(Action::SendToPeer(peer, PeerRequest::KnownEpoch { poll }));
+            actions.push(Action::SendToPeer(
+                peer,
+                PeerRequest::KnownEpoch { poll_number: poll },
+            ));
         }
     }
 
     /// What this controller knows of the epoch, for a peer that asks.
     pub(super) fn known_epoch(&self, now: Time, poll: u64) -> KnownEpoch {
         KnownEpoch {
-            poll,
+            poll_number: poll,
             epoch: self.membership.fencing_token(),
-            key_value_store_reachable: self.store_health.is_answering(now),
+            is_key_value_store_reachable: self.store_health.is_answering(now),
         }
     }
 
--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -51,7 +51,7 @@
     fn check_submission(&self, body: &[u8]) -> Result<Option<JobSpec>, RefusedSubmission> {
         let spec = parse(body)?;
         let id = Some(spec.id);
-        let max_bytes = (self.settings.facts.state.value_kb * 1_024.0) as usize;
+        let max_bytes = (self.settings.facts.key_value_store.max_value_kib * 1_024.0) as usize;
         let spec_bytes = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
         if spec_bytes.saturating_add(STORED_JOB_OVERHEAD_BYTES) > max_bytes {
             let refusal = Malformed::TooLong.into();
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -79,7 +79,7 @@
         write.changes.push(Change::Put {
             key: final_state_key(id),
             value: final_state_value(JobState::Done),
-            lease: None,
+            lease_id: None,
         });
         Some(FinalWrite::FinishJob(id))
     }
@@ -95,7 +95,7 @@
                 write.changes.push(Change::Put {
                     key: key.clone(),
                     value,
-                    lease: None,
+                    lease_id: None,
                 });
                 ClaimChange::Put { key }
             }
@@ -155,7 +155,7 @@
     write.changes.push(Change::Put {
         key: open_job_key(id),
         value: serde_json::json!(job),
-        lease: None,
+        lease_id: None,
     });
 }
 
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -4,7 +4,7 @@
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{JobId, Revision};
 
-use crate::constants::key_value::{KV_RETRY_MS, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB};
+use crate::constants::key_value::{KV_RETRY_DELAY_MS, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB};
 use crate::jobs::{job_of_key, FinalStateEvidence};
 use crate::membership::EPOCH_KEY;
 use crate::scheduler::ClaimRecord;
@@ -45,7 +45,7 @@
         let interval_ms = if is_clear {
             self.write_queues.write_interval_ms(queue_id, now)
         } else {
-            KV_RETRY_MS
+            KV_RETRY_DELAY_MS
         };
         let queue = self.write_queues.queue(queue_id);
         if !queue.hedge.answered(number, is_clear) {
@@ -136,28 +136,31 @@
     /// whom they are void, and begins with what it reads.
     fn write_too_large(&mut self, queue_id: WriteQueueId, now: Time) {
         if self.lower_limits() {
-            let limits = &self.settings.facts.state;
+            let limits = &self.settings.facts.key_value_store;
             self.write_queues = WriteQueues::new(limits);
             self.partition.set_key_value_limits(limits);
             self.leave_epoch(now);
         } else {
             tracing::error!(queue = ?queue_id, "write of minimum size refused as too large");
             let queue = self.write_queues.queue(queue_id);
-            queue.timer.schedule_retry(now, KV_RETRY_MS);
+            queue.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
         }
     }
 
     /// Assumes half of the key-value store's limits from now on; false if they are at the minimum already.
     pub(super) fn lower_limits(&mut self) -> bool {
-        let limits = &mut self.settings.facts.state;
-        if limits.value_kb <= MIN_VALUE_KIB && limits.txn_ops <= MIN_TRANSACTION_CHANGES {
+        let limits = &mut self.settings.facts.key_value_store;
+        if limits.max_value_kib <= MIN_VALUE_KIB
+            && limits.max_transaction_changes <= MIN_TRANSACTION_CHANGES
+        {
             return false;
         }
-        limits.value_kb = (limits.value_kb / 2.0).max(MIN_VALUE_KIB);
-        limits.txn_ops = (limits.txn_ops / 2).max(MIN_TRANSACTION_CHANGES);
+        limits.max_value_kib = (limits.max_value_kib / 2.0).max(MIN_VALUE_KIB);
+        limits.max_transaction_changes =
+            (limits.max_transaction_changes / 2).max(MIN_TRANSACTION_CHANGES);
         tracing::warn!(
-            value_kb = limits.value_kb,
-            txn_ops = limits.txn_ops,
+            value_kb = limits.max_value_kib,
+            txn_ops = limits.max_transaction_changes,
             "write refused as too large, key-value limits halved"
         );
         true
@@ -187,7 +190,7 @@
         let version = match response {
             KvResponse::Found(pair) => pair.version,
             KvResponse::Missing => Revision(0),
-            _ => return timer.schedule_retry(now, KV_RETRY_MS),
+            _ => return timer.schedule_retry(now, KV_RETRY_DELAY_MS),
         };
         timer.schedule_retry(now, 0);
         self.partition.record_page_version_read(key, version);
--- a/crates/worksshunt-core/src/controller/write_queues.rs
+++ b/crates/worksshunt-core/src/controller/write_queues.rs
@@ -10,12 +10,12 @@
 use worksshunt_wire::{JobId, MachineId, Revision};
 
 use crate::constants::key_value::{
-    FINAL_WRITE_BACKLOG_S, FINAL_WRITE_SHARE, LEADER_PAGE_WRITE_SHARE, RECORD_WRITE_SHARE,
-    SUBMISSION_BATCH_WRITE_SHARE, THROTTLED_PAGE_WRITE_INTERVAL_MS, USER_WRITE_SHARE,
-    WRITE_REFUSAL_MEMORY_MS,
+    ATTEMPT_RECORD_WRITE_SHARE, FINAL_WRITE_BACKLOG_S, FINAL_WRITE_SHARE, LEADER_PAGE_WRITE_SHARE,
+    SUBMISSION_BATCH_WRITE_SHARE, THROTTLED_PAGE_WRITE_INTERVAL_MS,
+    THROTTLE_AFTER_REFUSED_WRITE_MS, USER_WRITE_SHARE,
 };
 use crate::constants::pages::PAGES_PER_WRITE;
-use crate::time::{Periodic, Time, TokenBucket};
+use crate::time::{PeriodicTimer, Time, TokenBucket};
 
 use super::hedged_request::HedgedRequest;
 use super::WriteQueueId;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(super) struct WriteQueue {
     /// When the next write may be sent.
-    pub timer: Periodic,
+    pub timer: PeriodicTimer,
     /// Copies of the write in flight.
     pub hedge: HedgedRequest,
     /// The write in flight, repeated unchanged until its outcome is clear.
@@ -69,7 +69,7 @@
 impl WriteQueue {
     fn new(change_tokens: TokenBucket) -> WriteQueue {
         WriteQueue {
-            timer: Periodic::default(),
+            timer: PeriodicTimer::default(),
             hedge: HedgedRequest::default(),
             in_flight: None,
             change_tokens,
@@ -78,7 +78,7 @@
 
     /// Starts anew in an epoch.
     fn begin_epoch(&mut self) {
-        self.timer = Periodic::default();
+        self.timer = PeriodicTimer::default();
         self.in_flight = None;
     }
 }
@@ -95,7 +95,7 @@
     /// Jobs of submission batches that have a key of their own by now, or are over.
     pub settled_jobs: BTreeSet<JobId>,
     /// Reading the version of an uncertain page.
-    pub page_version_timer: Periodic,
+    pub page_version_timer: PeriodicTimer,
     /// What the final write in flight consists of.
     pub final_writes_in_flight: Vec<FinalWrite>,
     /// More final writes wait than are written in [`FINAL_WRITE_BACKLOG_S`].
@@ -114,37 +114,37 @@
     /// Nothing is in flight.
     pub fn new(limits: &KeyValueLimits) -> WriteQueues {
         let share =
-            |share: f64, burst: usize| TokenBucket::new(limits.write_rps * share, burst as f64);
+            |share: f64, burst: usize| TokenBucket::new(limits.changes_per_s * share, burst as f64);
         WriteQueues {
-            attempt_records: WriteQueue::new(share(RECORD_WRITE_SHARE, PAGES_PER_WRITE)),
+            attempt_records: WriteQueue::new(share(ATTEMPT_RECORD_WRITE_SHARE, PAGES_PER_WRITE)),
             leader_pages: WriteQueue::new(share(LEADER_PAGE_WRITE_SHARE, PAGES_PER_WRITE)),
-            final_writes: WriteQueue::new(share(FINAL_WRITE_SHARE, limits.txn_ops)),
+            final_writes: WriteQueue::new(share(FINAL_WRITE_SHARE, limits.max_transaction_changes)),
             submission_batches: WriteQueue::new(share(
                 SUBMISSION_BATCH_WRITE_SHARE,
-                limits.txn_ops,
+                limits.max_transaction_changes,
             )),
             handled_batch: None,
             settled_jobs: BTreeSet::new(),
-            page_version_timer: Periodic::default(),
+            page_version_timer: PeriodicTimer::default(),
             final_writes_in_flight: Vec::new(),
             final_writes_behind: false,
             refused_at: None,
-            write_rps: limits.write_rps,
-            txn_ops: limits.txn_ops,
-            user_write_tokens: share(USER_WRITE_SHARE, limits.txn_ops),
+            write_rps: limits.changes_per_s,
+            txn_ops: limits.max_transaction_changes,
+            user_write_tokens: share(USER_WRITE_SHARE, limits.max_transaction_changes),
         }
     }
 
     /// Starts anew in an epoch with so many owners.
     pub fn begin_epoch(&mut self, owners: usize) {
-        let rate = self.write_rps * RECORD_WRITE_SHARE / owners.max(1) as f64;
+        let rate = self.write_rps * ATTEMPT_RECORD_WRITE_SHARE / owners.max(1) as f64;
         self.attempt_records = WriteQueue::new(TokenBucket::new(rate, PAGES_PER_WRITE as f64));
         self.leader_pages.begin_epoch();
         self.final_writes.begin_epoch();
         self.submission_batches.begin_epoch();
         self.handled_batch = None;
         self.settled_jobs.clear();
-        self.page_version_timer = Periodic::default();
+        self.page_version_timer = PeriodicTimer::default();
         self.final_writes_in_flight.clear();
     }
 
@@ -169,7 +169,7 @@
     /// How long a queue waits between two writes. Pages take any number of entries, so where the limit of changes is
     /// used up they are written less often and fuller: what that saves is for the ends of jobs.
     pub fn write_interval_ms(&self, queue_id: WriteQueueId, now: Time) -> u64 {
-        let is_recent = |at: Time| now.since(at) < WRITE_REFUSAL_MEMORY_MS;
+        let is_recent = |at: Time| now.since(at) < THROTTLE_AFTER_REFUSED_WRITE_MS;
         match queue_id {
             WriteQueueId::AttemptRecords | WriteQueueId::LeaderPages
                 if self.refused_at.is_some_and(is_recent) =>
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -57,7 +57,7 @@
     /// Sends a second copy of the queue's write, if its response is slow.
     fn hedge_queued_write(&mut self, queue_id: WriteQueueId, now: Time, actions: &mut Vec<Action>) {
         let queue = self.write_queues.queue(queue_id);
-        if !queue.timer.in_flight {
+        if !queue.timer.is_in_flight {
             return;
         }
         if let (Some(number), Some(write)) = (queue.hedge.hedge_due(now), &queue.in_flight) {
--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -45,10 +45,10 @@
     /// Processes an answer. The poll fails if the sender knows a newer epoch. It also fails if the sender reaches
     /// the key-value store: then the asker alone is cut off, and the others go on without it.
     pub fn record_response(&mut self, from: &ControllerName, known: &KnownEpoch) {
-        if known.poll != self.poll_number {
+        if known.poll_number != self.poll_number {
             return;
         }
-        self.contradicted |= known.epoch > self.epoch || known.key_value_store_reachable;
+        self.contradicted |= known.epoch > self.epoch || known.is_key_value_store_reachable;
         self.awaiting.remove(from);
     }
 
--- a/crates/worksshunt-core/src/epoch_confirmation/tests.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation/tests.rs
@@ -8,9 +8,9 @@
 
 fn known(poll: u64, epoch: u64) -> KnownEpoch {
     KnownEpoch {
-        poll,
+        poll_number: poll,
         epoch: Epoch(epoch),
-        key_value_store_reachable: false,
+        is_key_value_store_reachable: false,
     }
 }
 
@@ -40,7 +40,7 @@
 #[test]
 fn a_poll_fails_if_a_peer_knows_a_newer_epoch_or_reaches_the_key_value_store() {
     let reaches = |number| KnownEpoch {
-        key_value_store_reachable: true,
+        is_key_value_store_reachable: true,
         ..known(number, 4)
     };
     for contradiction in [known(1, 5), reaches(1)] {
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -32,7 +32,7 @@
     request: &ProvisionRequest,
     catalog: &Catalog,
 ) -> Vec<MachineSupply> {
-    let Some(machine_type) = catalog.get(&request.machine_type) else {
+    let Some(machine_type) = catalog.machine_type(&request.machine_type) else {
         return Vec::new();
     };
     let machine = MachineSupply {
@@ -40,7 +40,7 @@
         free: Resources::of_machine_type(machine_type),
         idle_machine: None,
     };
-    vec![machine; request.count as usize]
+    vec![machine; request.machine_count as usize]
 }
 
 /// Capacity reserved for demand that is expected.
@@ -86,7 +86,7 @@
 /// up, and for the largest job at any time.
 fn reserved_capacity(expected: &ExpectedDemand, catalog: &Catalog) -> Vec<Demand> {
     let job = &expected.job;
-    let offers = catalog.types.iter().flat_map(|machine_type| {
+    let offers = catalog.machine_types.iter().flat_map(|machine_type| {
         let zones = machine_type.zones.iter();
         zones
             .filter(|zone| job.allows_machine(&machine_type.name, zone, false))
@@ -97,7 +97,7 @@
         return Vec::new();
     };
     let tasks = expected_tasks(expected, boot_s);
-    if job.spec.spread && zones.len() > 1 {
+    if job.spec.needs_zone_spread && zones.len() > 1 {
         let tasks_per_zone = tasks.div_ceil(zones.len() as u32);
         let zones = zones.into_iter().cloned();
         zones
@@ -122,9 +122,10 @@
 /// Spare capacity of so many processors on on-demand machines, in all zones, for demand of which nothing is
 /// known yet. It is expressed as replicas that take a whole machine of the cheapest type.
 fn spare_capacity(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
-    let price_per_cpu = |machine_type: &MachineType| machine_type.price / machine_type.cpus;
+    let price_per_cpu =
+        |machine_type: &MachineType| machine_type.on_demand_price / machine_type.cpus;
     let types = catalog
-        .types
+        .machine_types
         .iter()
         .filter(|machine_type| machine_type.cpus > 0.0);
     let cheapest = types.min_by(|a, b| price_per_cpu(a).total_cmp(&price_per_cpu(b)));
@@ -202,7 +203,7 @@
             service_cpus += cpus * f64::from(demand.tasks_within_limit + demand.running_tasks);
             continue;
         }
-        let waiting_s = f64::from(demand.waiting_tasks) * demand.job.spec.estimate_s;
+        let waiting_s = f64::from(demand.waiting_tasks) * demand.job.spec.estimated_runtime_s;
         let team = teams.entry(&demand.job.spec.team).or_default();
         team.cpus_at_once += cpus * f64::from(demand.tasks_within_limit + demand.running_tasks);
         team.cpus_in_time += cpus * (waiting_s + demand.running_remaining_s) / demand.slack_s;
@@ -217,10 +218,10 @@
 /// Whether tasks of the demand may run on machines of the offer.
 pub(super) fn allows(demand: &Demand, offer: &InstanceOffer) -> bool {
     let job = &demand.job;
-    job.allows_machine(&offer.machine_type, &offer.zone, offer.spot)
+    job.allows_machine(&offer.machine_type, &offer.zone, offer.is_spot)
         && demand.zone.as_ref().is_none_or(|zone| *zone == offer.zone)
         && !demand.full_zones.contains(&offer.zone)
-        && (offer.spot || !demand.spot_only)
+        && (offer.is_spot || !demand.spot_only)
 }
 
 /// How many tasks with that need fit an empty machine with so much capacity.
--- a/crates/worksshunt-core/src/fleet/instance_offer.rs
+++ b/crates/worksshunt-core/src/fleet/instance_offer.rs
@@ -11,7 +11,7 @@
     /// Zone.
     pub zone: String,
     /// Whether it is a spot machine; otherwise on-demand.
-    pub spot: bool,
+    pub is_spot: bool,
 }
 
 impl From<&MachineStatus> for InstanceOffer {
@@ -19,7 +19,7 @@
         InstanceOffer {
             machine_type: status.machine_type.clone(),
             zone: status.zone.clone(),
-            spot: status.spot,
+            is_spot: status.is_spot,
         }
     }
 }
@@ -29,7 +29,7 @@
         InstanceOffer {
             machine_type: listed.machine_type.clone(),
             zone: listed.zone.clone(),
-            spot: listed.spot,
+            is_spot: listed.is_spot,
         }
     }
 }
@@ -39,7 +39,7 @@
         InstanceOffer {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
-            spot: request.spot,
+            is_spot: request.is_spot,
         }
     }
 }
--- a/crates/worksshunt-core/src/fleet/listing.rs
+++ b/crates/worksshunt-core/src/fleet/listing.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::cloud::MachineList;
 use worksshunt_wire::MachineId;
 
-use crate::constants::fleet::LIST_AGE_MARGIN_S;
+use crate::constants::fleet::MACHINE_LIST_AGE_MARGIN_S;
 
 /// Identifies a time frame: a set of pages that could be ordered by the machines they share. Times compare
 /// only within a frame.
@@ -99,7 +99,7 @@
     ) -> Vec<MachineId> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let end = match page.machines.last() {
-            Some(last) if page.more => Bound::Included(&last.id),
+            Some(last) if page.has_more => Bound::Included(&last.id),
             _ => Bound::Unbounded,
         };
         let mut on_page = page.machines.iter().map(|machine| &machine.id).peekable();
@@ -111,7 +111,7 @@
             }
             let is_later = moments
                 .get(&listed.frame)
-                .is_some_and(|moment| *moment > listed.last_listed_s + LIST_AGE_MARGIN_S);
+                .is_some_and(|moment| *moment > listed.last_listed_s + MACHINE_LIST_AGE_MARGIN_S);
             if is_later {
                 terminated.push(id.clone());
             }
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 use worksshunt_wire::settings::{CloudLimits, Workers};
 use worksshunt_wire::{Epoch, MachineId};
 
-use crate::constants::fleet::UNHEARD_HEARTBEAT_INTERVALS;
+use crate::constants::fleet::FIRST_HEARTBEAT_TIMEOUT_INTERVALS;
 use crate::constants::services::SILENT_RELEASE_INTERVAL_LEASES;
 use crate::resources::Resources;
 use crate::scheduler::{Demand, Forecast, MachineView};
@@ -102,7 +102,7 @@
                 as u64,
             first_heartbeat_timeout_ms: (workers.heartbeat_interval_s
                 * 1_000.0
-                * UNHEARD_HEARTBEAT_INTERVALS) as u64,
+                * FIRST_HEARTBEAT_TIMEOUT_INTERVALS) as u64,
         }
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// Number of machines it tracks.
-    pub fn size(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
     /// Continues in the next epoch under the same leader, which knows all machines that were provisioned.
-    pub fn carried_over(mut self, epoch: Epoch) -> Fleet {
+    pub fn into_next_epoch(mut self, epoch: Epoch) -> Fleet {
         self.epoch = epoch;
         self.provision_requests = 0;
         // Responses may have come while there was no leader: all requests are repeated, those to provision
@@ -171,7 +171,7 @@
     ) -> Vec<MachineSupply> {
         let schedulable = machines
             .iter()
-            .filter(|view| view.status.schedulable)
+            .filter(|view| view.status.is_schedulable)
             .map(|view| MachineSupply {
                 offer: InstanceOffer::from(&view.status),
                 free: view.free,
@@ -182,7 +182,7 @@
             .values()
             .filter(|tracked| tracked.is_expected_to_boot(now, self.first_heartbeat_timeout_ms))
             .filter_map(|tracked| {
-                let machine_type = catalog.get(&tracked.offer.machine_type)?;
+                let machine_type = catalog.machine_type(&tracked.offer.machine_type)?;
                 Some(MachineSupply {
                     offer: tracked.offer.clone(),
                     free: Resources::of_machine_type(machine_type),
@@ -195,7 +195,7 @@
     }
 
     /// Machines that get no new tasks.
-    pub fn draining(&self) -> BTreeSet<MachineId> {
+    pub fn draining_machines(&self) -> BTreeSet<MachineId> {
         self.machines
             .iter()
             .filter(|(_, tracked)| tracked.is_draining())
@@ -204,7 +204,7 @@
     }
 
     /// Machines known to be terminated.
-    pub fn terminated(&self) -> impl Iterator<Item = &MachineId> {
+    pub fn terminated_machines(&self) -> impl Iterator<Item = &MachineId> {
         self.terminated.keys()
     }
 }
@@ -213,7 +213,7 @@
 fn cpus_by_offer(supply: &[MachineSupply], catalog: &Catalog) -> BTreeMap<InstanceOffer, f64> {
     let mut cpus_by_offer: BTreeMap<InstanceOffer, f64> = BTreeMap::new();
     for MachineSupply { offer, .. } in supply {
-        let machine_type = catalog.get(&offer.machine_type);
+        let machine_type = catalog.machine_type(&offer.machine_type);
         let cpus = machine_type.map_or(0.0, |machine_type| machine_type.cpus);
         *cpus_by_offer.entry(offer.clone()).or_default() += cpus;
     }
--- a/crates/worksshunt-core/src/fleet/scale_in.rs
+++ b/crates/worksshunt-core/src/fleet/scale_in.rs
@@ -54,7 +54,7 @@
             }
         }
         self.release_in_flight = true;
-        Some(MachineIds { machines: ids })
+        Some(MachineIds { ids })
     }
 
     /// Drains the machines that are idle or silent. Returns those that can be released.
@@ -68,12 +68,12 @@
         // Only once it is no longer schedulable does a machine that is reported empty stay so.
         let drained: BTreeSet<&MachineId> = machines
             .iter()
-            .filter(|view| view.idle_since.is_some() && !view.status.schedulable)
+            .filter(|view| view.idle_since.is_some() && !view.status.is_schedulable)
             .map(|view| &view.status.id)
             .collect();
         let mut selected = Vec::new();
         for (id, tracked) in &mut self.machines {
-            let machine_type = catalog.get(&tracked.offer.machine_type);
+            let machine_type = catalog.machine_type(&tracked.offer.machine_type);
             let boot_s = machine_type.map_or(0.0, |machine_type| machine_type.boot_s);
             match tracked.stage() {
                 MachineStage::Up if tracked.is_idle(now, boot_s) && !reserved.contains(id) => {
@@ -98,9 +98,9 @@
 
     /// A release request was answered. `released` are the machines that are terminated by it; `None` if
     /// it failed, in which case it is repeated.
-    pub fn release_answered(&mut self, now: Time, released: Option<&MachineIds>) {
+    pub fn apply_release_response(&mut self, now: Time, released: Option<&MachineIds>) {
         self.release_in_flight = false;
-        for id in released.iter().flat_map(|released| &released.machines) {
+        for id in released.iter().flat_map(|released| &released.ids) {
             self.machines.remove(id);
             self.terminated.insert(id.clone(), now);
         }
--- a/crates/worksshunt-core/src/fleet/scale_out.rs
+++ b/crates/worksshunt-core/src/fleet/scale_out.rs
@@ -4,7 +4,7 @@
 
 use worksshunt_wire::cloud::{Catalog, MachineIds, MachineType, ProvisionRequest};
 
-use crate::constants::fleet::{MAX_MACHINES_PER_PROVISION_REQUEST, REFUSED_OFFER_PAUSE_MS};
+use crate::constants::fleet::{MAX_MACHINES_PER_PROVISION_REQUEST, REFUSED_OFFER_BACKOFF_MS};
 use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::resources::Resources;
 use crate::scheduler::Demand;
@@ -55,7 +55,7 @@
         if demand.job.is_service() {
             return by_tasks;
         }
-        let machine_type = self.catalog.get(&best.offer.machine_type);
+        let machine_type = self.catalog.machine_type(&best.offer.machine_type);
         let cpus_each = machine_type.map_or(0.0, |machine_type| machine_type.cpus);
         // Machines that are lost, suspected or silent are not in the supply and will not do the work.
         let usable_cpus: f64 = self
@@ -139,15 +139,15 @@
             request_name: format!("e{}-{}", self.epoch, self.provision_requests),
             machine_type: offer.machine_type,
             zone: offer.zone,
-            spot: offer.spot,
-            count: (count.ceil() as u32).clamp(1, MAX_MACHINES_PER_PROVISION_REQUEST),
+            is_spot: offer.is_spot,
+            machine_count: (count.ceil() as u32).clamp(1, MAX_MACHINES_PER_PROVISION_REQUEST),
         };
         tracing::info!(
             request = request.request_name,
             machine_type = request.machine_type,
             zone = request.zone,
-            spot = request.spot,
-            count = request.count,
+            spot = request.is_spot,
+            count = request.machine_count,
             "provisioning machines"
         );
         request
@@ -160,7 +160,7 @@
             *machines.entry(tracked.offer.zone.as_str()).or_default() += 1;
         }
         for PendingProvision { request, .. } in &self.pending_provisions {
-            *machines.entry(request.zone.as_str()).or_default() += request.count as usize;
+            *machines.entry(request.zone.as_str()).or_default() += request.machine_count as usize;
         }
         machines
     }
@@ -175,14 +175,14 @@
     ) -> Option<RankedOffer> {
         let need = demand.job.resources();
         let mut best: Option<RankedOffer> = None;
-        for machine_type in &plan.catalog.types {
+        for machine_type in &plan.catalog.machine_types {
             let tasks_per_machine =
                 tasks_per_machine(&Resources::of_machine_type(machine_type), &need);
             if tasks_per_machine < 1.0 {
                 continue;
             }
             for (offer, price) in offers_of(machine_type) {
-                let can_wait = !offer.spot && can_wait_for_spot(demand, machine_type);
+                let can_wait = !offer.is_spot && can_wait_for_spot(demand, machine_type);
                 if can_wait || self.is_refused(&offer, plan.now) || !allows(demand, &offer) {
                     continue;
                 }
@@ -210,15 +210,15 @@
     }
 
     /// A provision request was answered with machines.
-    pub fn provisioned(&mut self, now: Time, request: &str, provisioned: &MachineIds) {
+    pub fn apply_provision_response(&mut self, now: Time, request: &str, provisioned: &MachineIds) {
         let Some(request) = self.take_answered_request(request) else {
             return;
         };
         let offer = InstanceOffer::from(&request);
-        if (provisioned.machines.len() as u32) < request.count {
+        if (provisioned.ids.len() as u32) < request.machine_count {
             self.mark_offer_refused(now, offer.clone());
         }
-        for id in &provisioned.machines {
+        for id in &provisioned.ids {
             self.machines
                 .entry(id.clone())
                 .or_insert_with(|| TrackedMachine::new(offer.clone(), MachineStage::Booting, now));
@@ -226,7 +226,7 @@
     }
 
     /// A provision request was refused because the cloud has no such machines.
-    pub fn provision_refused(&mut self, now: Time, request: &str) {
+    pub fn apply_provision_refusal(&mut self, now: Time, request: &str) {
         if let Some(request) = self.take_answered_request(request) {
             self.mark_offer_refused(now, InstanceOffer::from(&request));
         }
@@ -236,15 +236,15 @@
         tracing::info!(
             machine_type = offer.machine_type,
             zone = offer.zone,
-            spot = offer.spot,
+            spot = offer.is_spot,
             "no capacity for this offer, not requested for a while"
         );
         self.refused_until
-            .insert(offer, now + REFUSED_OFFER_PAUSE_MS);
+            .insert(offer, now + REFUSED_OFFER_BACKOFF_MS);
     }
 
     /// A provision request got no response; it is repeated under its name.
-    pub fn provision_unanswered(&mut self, request: &str) {
+    pub fn retry_provision(&mut self, request: &str) {
         let mut pending = self.pending_provisions.iter_mut();
         if let Some(pending) = pending.find(|pending| pending.request.request_name == request) {
             pending.in_flight = false;
@@ -263,14 +263,14 @@
 fn offers_of(machine_type: &MachineType) -> impl Iterator<Item = (InstanceOffer, f64)> + '_ {
     let prices = [
         (true, machine_type.spot_price),
-        (false, Some(machine_type.price)),
+        (false, Some(machine_type.on_demand_price)),
     ];
     machine_type.zones.iter().flat_map(move |zone| {
         prices.into_iter().filter_map(move |(spot, price)| {
             let offer = InstanceOffer {
                 machine_type: machine_type.name.clone(),
                 zone: zone.clone(),
-                spot,
+                is_spot: spot,
             };
             Some((offer, price?))
         })
@@ -280,7 +280,7 @@
 /// Whether the demand waits for a spot machine of that type. An on-demand machine costs several times as much:
 /// work that may run on a spot machine waits for one, unless it has a deadline or there are none.
 fn can_wait_for_spot(demand: &Demand, machine_type: &MachineType) -> bool {
-    demand.job.spec.spot
+    demand.job.spec.allows_spot
         && demand.job.spec.deadline_s.is_none()
         && demand.has_spot_machines
         && machine_type.spot_price.is_some()
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -5,7 +5,7 @@
 use worksshunt_wire::cloud::{ListedMachine, ListedState, MachineList};
 
 use super::*;
-use crate::constants::fleet::MIN_PROVISION_REQUESTS;
+use crate::constants::fleet::MIN_PENDING_PROVISION_LIMIT;
 use crate::jobs::Job;
 
 fn catalog() -> Catalog {
@@ -25,7 +25,7 @@
         Time(0),
         &cloud,
         &workers,
-        MIN_PROVISION_REQUESTS,
+        MIN_PENDING_PROVISION_LIMIT,
     )
 }
 
@@ -34,13 +34,13 @@
         id: "i-000001".into(),
         machine_type: "m4".into(),
         zone: "a".into(),
-        spot: true,
+        is_spot: true,
         state,
         age_s,
     };
     [MachineList {
         machines: vec![machine],
-        more: false,
+        has_more: false,
     }]
 }
 
@@ -90,7 +90,7 @@
         for now in (0..20_000).step_by(1_000) {
             for request in plan(&mut fleet, now, &demand) {
                 if let CloudRequest::Provision(request) = request {
-                    fleet.provision_refused(Time(now), &request.request_name);
+                    fleet.apply_provision_refusal(Time(now), &request.request_name);
                     requested.insert(request.zone);
                 }
             }
@@ -111,11 +111,15 @@
             let CloudRequest::Provision(request) = request else {
                 panic!("{request:?}");
             };
-            requested += request.count;
-            let names =
-                (requested - request.count..requested).map(|n| MachineId(format!("i-{n:06}")));
+            requested += request.machine_count;
+            let names = (requested - request.machine_count..requested)
+                .map(|n| MachineId(format!("i-{n:06}")));
             let machines = names.collect();
-            fleet.provisioned(Time(now), &request.request_name, &MachineIds { machines });
+            fleet.apply_provision_response(
+                Time(now),
+                &request.request_name,
+                &MachineIds { ids: machines },
+            );
         }
     }
     assert_eq!(requested, 600, "four tasks on each");
@@ -125,14 +129,14 @@
 #[test]
 fn a_machine_that_is_up_counts_as_silent_only_from_its_first_sighting() {
     let mut fleet = fleet(2);
-    fleet.machine_list_read(Time(500_000), &listed(ListedState::Running, 400.0));
+    fleet.apply_machine_list(Time(500_000), &listed(ListedState::Running, 400.0));
     for now in [501_000, 520_000, 540_000] {
         assert_eq!(plan(&mut fleet, now, &[]), vec![], "at {now} ms");
     }
     plan(&mut fleet, 560_000, &[]);
     let requests = plan(&mut fleet, 561_000, &[]);
     assert!(
-        matches!(&requests[..], [CloudRequest::Release(names)] if names.machines.len() == 1),
+        matches!(&requests[..], [CloudRequest::Release(names)] if names.ids.len() == 1),
         "a machine that is never reported is released in the end: {requests:?}"
     );
 }
@@ -140,7 +144,7 @@
 #[test]
 fn a_machine_that_never_boots_is_released() {
     let mut fleet = fleet(2);
-    fleet.machine_list_read(Time(100_000), &listed(ListedState::Starting, 90.0));
+    fleet.apply_machine_list(Time(100_000), &listed(ListedState::Starting, 90.0));
     plan(&mut fleet, 100_000, &[]);
     let requests = plan(&mut fleet, 101_000, &[]);
     assert!(matches!(&requests[..], [CloudRequest::Release(_)]));
@@ -153,20 +157,20 @@
     let [CloudRequest::Provision(first)] = &first[..] else {
         panic!("{first:?}");
     };
-    assert!(first.spot && first.count == 2);
+    assert!(first.is_spot && first.machine_count == 2);
     assert_eq!(
         plan(&mut fleet, 1_000, &demand(8, Some(900.0))),
         vec![],
         "what was requested counts"
     );
-    fleet.provision_unanswered(&first.request_name);
+    fleet.retry_provision(&first.request_name);
     let again = plan(&mut fleet, 2_000, &demand(8, Some(900.0)));
     assert_eq!(
         again,
         vec![CloudRequest::Provision(first.clone())],
         "same name, same request"
     );
-    fleet.provision_refused(Time(3_000), &first.request_name);
+    fleet.apply_provision_refusal(Time(3_000), &first.request_name);
     let patient = plan(&mut fleet, 3_500, &demand(8, None));
     assert_eq!(
         patient,
@@ -175,6 +179,6 @@
     );
     let second = plan(&mut fleet, 4_000, &demand(8, Some(900.0)));
     assert!(
-        matches!(&second[..], [CloudRequest::Provision(r)] if !r.spot && r.request_name != first.request_name)
+        matches!(&second[..], [CloudRequest::Provision(r)] if !r.is_spot && r.request_name != first.request_name)
     );
 }
--- a/crates/worksshunt-core/src/fleet/tracking.rs
+++ b/crates/worksshunt-core/src/fleet/tracking.rs
@@ -14,7 +14,7 @@
 impl Fleet {
     /// Applies the pages of the machine list. A machine that was listed and is missing from a later list is
     /// terminated. One that was never listed is forgotten only if no partition reports it either.
-    pub fn machine_list_read(&mut self, now: Time, pages: &[MachineList]) {
+    pub fn apply_machine_list(&mut self, now: Time, pages: &[MachineList]) {
         self.remove_terminated(now, pages);
         let listed = || pages.iter().flat_map(|page| &page.machines);
         for machine in listed() {
@@ -76,7 +76,7 @@
     ) {
         for view in machines {
             let status = &view.status;
-            if status.lost || self.terminated.contains_key(&status.id) {
+            if status.is_lost || self.terminated.contains_key(&status.id) {
                 continue;
             }
             let tracked = self
@@ -84,7 +84,7 @@
                 .entry(status.id.clone())
                 .or_insert_with(|| TrackedMachine::new(status.into(), MachineStage::Up, now));
             tracked.mark_reported(&status.id, now);
-            if status.unreachable && tracked.stage() == MachineStage::Up {
+            if status.is_unreachable && tracked.stage() == MachineStage::Up {
                 tracing::info!(machine = %status.id, "machine unreachable, scaled in");
                 tracked.set_stage(&status.id, MachineStage::Draining);
             }
--- a/crates/worksshunt-core/src/job_api/http_response.rs
+++ b/crates/worksshunt-core/src/job_api/http_response.rs
@@ -83,8 +83,8 @@
             &JobStatus {
                 id,
                 state,
-                done: None,
-                running: None,
+                done_tasks: None,
+                running_tasks: None,
             },
         )
     }
--- a/crates/worksshunt-core/src/job_api/queue.rs
+++ b/crates/worksshunt-core/src/job_api/queue.rs
@@ -9,7 +9,7 @@
 use crate::constants::job_api::{SUBMISSION_BATCH_THRESHOLD, SUBMISSION_TIMEOUT_MS};
 use crate::constants::pages::PAGES_PER_WRITE;
 use crate::jobs::{final_state_key, open_job_key, submission_batch_value, Job};
-use crate::pages::page_bytes;
+use crate::pages::max_page_bytes;
 use crate::time::Time;
 
 use super::{JobRequest, RequestId};
@@ -158,7 +158,7 @@
             write.changes.push(Change::Put {
                 key: open_job_key(job.spec.id),
                 value: serde_json::json!(job),
-                lease: None,
+                lease_id: None,
             });
         }
     }
@@ -172,7 +172,7 @@
         next_batch_key: &mut impl FnMut() -> String,
     ) -> bool {
         // The key of each batch takes a condition as well.
-        let max_jobs = (limits.txn_ops * BATCHED_JOBS_PER_CHANGE)
+        let max_jobs = (limits.max_transaction_changes * BATCHED_JOBS_PER_CHANGE)
             .saturating_sub(PAGES_PER_WRITE)
             .max(1);
         let first = self.in_write.len();
@@ -182,7 +182,9 @@
             let Some(job_bytes) = self.add_next_submission(write, free_bytes) else {
                 break;
             };
-            free_bytes = free_bytes.min(page_bytes(limits)).saturating_sub(job_bytes);
+            free_bytes = free_bytes
+                .min(max_page_bytes(limits))
+                .saturating_sub(job_bytes);
         }
         let submissions = self.in_write[first..].iter();
         let jobs: Vec<&Job> = submissions.map(|submission| &*submission.job).collect();
@@ -197,7 +199,7 @@
         write.changes.push(Change::Put {
             key,
             value: submission_batch_value(&jobs),
-            lease: None,
+            lease_id: None,
         });
         true
     }
--- a/crates/worksshunt-core/src/job_api/resolution.rs
+++ b/crates/worksshunt-core/src/job_api/resolution.rs
@@ -147,8 +147,8 @@
     let status = JobStatus {
         id,
         state,
-        done: Some(progress.done),
-        running: Some(progress.running),
+        done_tasks: Some(progress.done),
+        running_tasks: Some(progress.running),
     };
     HttpResponse::json(200, &status)
 }
@@ -165,7 +165,7 @@
         changes: vec![Change::Put {
             key: final_state_key(id),
             value: cancelled_state_value(open.map(|open| &*open.job)),
-            lease: None,
+            lease_id: None,
         }],
     };
     if open.is_some() {
--- a/crates/worksshunt-core/src/job_api/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -3,7 +3,7 @@
 use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::JobId;
 
-use crate::constants::capacity::MIN_EXCHANGES;
+use crate::constants::capacity::MIN_IN_FLIGHT_REQUEST_LIMIT;
 use crate::constants::job_api::SUBMISSION_TIMEOUT_MS;
 use crate::constants::pages::PAGES_PER_WRITE;
 use crate::jobs::Job;
@@ -12,7 +12,7 @@
 use super::*;
 
 fn job_api_with(jobs: u64) -> JobApi {
-    let mut job_api = JobApi::new(MIN_EXCHANGES);
+    let mut job_api = JobApi::new(MIN_IN_FLIGHT_REQUEST_LIMIT);
     for id in 1..=jobs {
         job_api.queue_submission(Time(0), RequestId(id), small_job(id));
     }
@@ -71,7 +71,7 @@
 
 #[test]
 fn requests_are_refused_only_at_capacity() {
-    let mut job_api = job_api_with(MIN_EXCHANGES as u64 - 1);
+    let mut job_api = job_api_with(MIN_IN_FLIGHT_REQUEST_LIMIT as u64 - 1);
     assert!(!job_api.is_full());
     job_api.requeue_submissions(vec![PendingSubmission {
         received_at: Time(0),
--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -147,14 +147,14 @@
         ENTRY_BASE_BYTES + RUN_BYTES * self.runs().len() + zones
     }
 
-    fn join(&mut self, later: Completions) {
+    fn merge(&mut self, later: Completions) {
         self.tasks.extend(later.tasks);
         for (zone, tasks) in later.zones {
             *self.zones.entry(zone).or_default() += tasks;
         }
     }
 
-    fn page_value(entries: &BTreeMap<CompletionsKey, Completions>) -> Value {
+    fn encode_page(entries: &BTreeMap<CompletionsKey, Completions>) -> Value {
         let entries = entries
             .iter()
             .map(|(key, entry)| (key.job, entry.runs(), entry.zones.clone()))
@@ -183,7 +183,7 @@
         let index = tasks.first().copied().unwrap_or(0);
         let key = completions_key(TaskId { job, index });
         let entry = entries.entry(key).or_default();
-        entry.join(Completions { tasks, zones });
+        entry.merge(Completions { tasks, zones });
     }
     Some(entries)
 }
--- a/crates/worksshunt-core/src/jobs/job.rs
+++ b/crates/worksshunt-core/src/jobs/job.rs
@@ -33,7 +33,7 @@
             team: TeamName::default(),
             kind: JobKind::Service,
             priority: Priority::Prod,
-            tasks: 1,
+            task_count: 1,
             cpus: machine.cpus,
             gpus: machine.gpus,
             memory_gb: machine.memory_gb,
@@ -41,12 +41,12 @@
             image_gb: 0.0,
             machine_types: Some(vec![machine.name.clone()]),
             zone: None,
-            one_zone: false,
-            spread: false,
-            spot: false,
-            estimate_s: 0.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            needs_single_zone: false,
+            needs_zone_spread: false,
+            allows_spot: false,
+            estimated_runtime_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_duration_s: 0.0,
             deadline_s: None,
         };
         Job {
@@ -72,13 +72,13 @@
     /// The latest time, milliseconds since 1970, at which its last tasks can start and, by the estimate,
     /// still meet the deadline.
     pub fn latest_start_ms(&self) -> Option<u64> {
-        let estimate_ms = (self.spec.estimate_s * 1_000.0) as u64;
+        let estimate_ms = (self.spec.estimated_runtime_s * 1_000.0) as u64;
         Some(self.deadline_ms()?.saturating_sub(estimate_ms))
     }
 
     /// Whether its tasks may run on a machine of that type in that zone, spot (`spot`) or on-demand.
     pub fn allows_machine(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        (!spot || self.spec.spot)
+        (!spot || self.spec.allows_spot)
             && self
                 .spec
                 .zone
@@ -95,20 +95,20 @@
     /// (`on_demand_reserved`) while any are open and spot machines are up: services may not use spot
     /// machines and have to start within seconds.
     pub fn leaves_machine_to_others(&self, spot: bool, on_demand_reserved: bool) -> bool {
-        on_demand_reserved && !spot && self.spec.spot
+        on_demand_reserved && !spot && self.spec.allows_spot
     }
 
     /// Whether the zone of one of its tasks constrains the zones of the others.
     pub fn has_zone_constraint(&self) -> bool {
-        self.spec.one_zone || self.spec.spread
+        self.spec.needs_single_zone || self.spec.needs_zone_spread
     }
 
     /// The maximum number of its tasks in one zone.
     pub fn zone_limit(&self) -> u32 {
-        if self.spec.spread {
-            self.spec.tasks.div_ceil(2)
+        if self.spec.needs_zone_spread {
+            self.spec.task_count.div_ceil(2)
         } else {
-            self.spec.tasks
+            self.spec.task_count
         }
     }
 }
--- a/crates/worksshunt-core/src/jobs/job_cache.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -12,7 +12,7 @@
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::{JobId, Revision};
 
-use crate::constants::job_api::{CLOSED_JOBS_CACHED, FINAL_STATES_CACHED};
+use crate::constants::job_api::{MAX_CACHED_CLOSED_JOBS, MAX_CACHED_FINAL_STATES};
 
 use super::final_state::{FinalStateEvidence, KnownFinalState};
 use super::stored::{parse_job_key, read_submission_batch};
@@ -139,7 +139,7 @@
         }
         tracing::debug!(job = %id, ?state, ?evidence, "final state known");
         self.final_states_order.push_back(id);
-        if self.final_states_order.len() > FINAL_STATES_CACHED {
+        if self.final_states_order.len() > MAX_CACHED_FINAL_STATES {
             if let Some(oldest) = self.final_states_order.pop_front() {
                 self.final_states.remove(&oldest);
             }
@@ -154,7 +154,7 @@
 
     fn remember_closed(&mut self, open: OpenJob) {
         self.recently_closed.push_back(open.job);
-        if self.recently_closed.len() > CLOSED_JOBS_CACHED {
+        if self.recently_closed.len() > MAX_CACHED_CLOSED_JOBS {
             self.recently_closed.pop_front();
         }
     }
--- a/crates/worksshunt-core/src/jobs/tests.rs
+++ b/crates/worksshunt-core/src/jobs/tests.rs
@@ -29,9 +29,9 @@
             tasks: BTreeSet::from([index]),
             zones: BTreeMap::from([("a".to_owned(), 1)]),
         };
-        entries.entry(completions_key(task)).or_default().join(one);
+        entries.entry(completions_key(task)).or_default().merge(one);
     }
-    let value = Completions::page_value(&entries);
+    let value = Completions::encode_page(&entries);
     assert_eq!(read_completions(&value), Some(entries.clone()));
     let size: usize = entries
         .iter()
@@ -81,7 +81,7 @@
     let mut job_cache = JobCache::default();
     job_cache.load(&Listing {
         pairs: Vec::new(),
-        more: false,
+        has_more: false,
         revision: Revision(4),
     });
     let changes = job_cache.apply_changes(&response(6, &[&put, &delete]));
--- a/crates/worksshunt-core/src/machines/attempt.rs
+++ b/crates/worksshunt-core/src/machines/attempt.rs
@@ -5,10 +5,10 @@
 
 use std::rc::Rc;
 
-use worksshunt_wire::peer::Phase;
+use worksshunt_wire::peer::AttemptPhase;
 use worksshunt_wire::{Incarnation, TaskId};
 
-use crate::constants::services::STABLE_REPLICA_MS;
+use crate::constants::services::REPLICA_STABLE_AFTER_MS;
 use crate::jobs::Job;
 use crate::time::Time;
 
@@ -147,14 +147,14 @@
     /// Whether it is a replica that has been running for long enough to count as stable.
     pub fn is_stable_replica(&self, now: Time) -> bool {
         self.is_replica()
-            && matches!(self.state, AttemptState::Running(since) if now.since(since) >= STABLE_REPLICA_MS)
+            && matches!(self.state, AttemptState::Running(since) if now.since(since) >= REPLICA_STABLE_AFTER_MS)
     }
 
     /// Grace in seconds that the task needs to save its checkpoint; 0 if it saves none.
     pub fn checkpoint_grace_s(&self) -> f64 {
         self.job.as_ref().map_or(0.0, |job| {
-            if job.spec.checkpoint_s > 0.0 {
-                job.spec.save_s
+            if job.spec.checkpoint_interval_s > 0.0 {
+                job.spec.checkpoint_duration_s
             } else {
                 0.0
             }
@@ -165,16 +165,17 @@
     pub fn can_checkpoint_before(&self, deadline: Time, now: Time) -> bool {
         matches!(self.state, AttemptState::Running(_))
             && self.job.as_ref().is_some_and(|job| {
-                job.spec.checkpoint_s > 0.0 && now + (job.spec.save_s * 1_000.0) as u64 <= deadline
+                job.spec.checkpoint_interval_s > 0.0
+                    && now + (job.spec.checkpoint_duration_s * 1_000.0) as u64 <= deadline
             })
     }
 
     /// The phase that the leader gets for it.
-    pub fn reported_phase(&self) -> Phase {
+    pub fn reported_phase(&self) -> AttemptPhase {
         match self.state {
-            AttemptState::Running(_) => Phase::Running,
-            AttemptState::Completed => Phase::Completed,
-            _ => Phase::Placed,
+            AttemptState::Running(_) => AttemptPhase::Running,
+            AttemptState::Completed => AttemptPhase::Completed,
+            _ => AttemptPhase::Placed,
         }
     }
 }
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -3,7 +3,7 @@
 //! The events of the partition (placement, heartbeats, commands, expiry, directives) call these methods, so that the
 //! indexes, the record pages and the updates for the leader always change together with an attempt.
 
-use worksshunt_wire::peer::{Assignment, AttemptEnded, AttemptOutcome};
+use worksshunt_wire::peer::{Assignment, AttemptOutcome, EndedAttempt};
 use worksshunt_wire::{Attempt, JobId, MachineId};
 
 use crate::placement::OverCapacityOutcome;
@@ -49,7 +49,7 @@
         self.record_pages
             .remove(&attempt, now, outcome == AttemptOutcome::Lost);
         self.pending_updates.attempts.remove(&attempt);
-        self.pending_updates.ended_attempts.push(AttemptEnded {
+        self.pending_updates.ended_attempts.push(EndedAttempt {
             task: tracked.task,
             attempt,
             machine: Some(id.clone()),
@@ -132,7 +132,7 @@
 
     /// Returns an assignment to the leader that no machine took.
     pub(super) fn return_unplaced(&mut self, assignment: &Assignment) {
-        self.pending_updates.ended_attempts.push(AttemptEnded {
+        self.pending_updates.ended_attempts.push(EndedAttempt {
             task: assignment.task,
             attempt: assignment.attempt,
             machine: None,
--- a/crates/worksshunt-core/src/machines/expiry.rs
+++ b/crates/worksshunt-core/src/machines/expiry.rs
@@ -9,8 +9,8 @@
 use worksshunt_wire::MachineId;
 
 use crate::constants::partition_sync::ASSIGNMENT_QUEUE_TIMEOUT_MS;
-use crate::constants::readiness::UNREACHABLE_MIN_MACHINES;
-use crate::constants::workers::SWEEP_MACHINES_PER_TICK;
+use crate::constants::readiness::MIN_UNREACHABLE_MACHINES;
+use crate::constants::workers::MACHINES_CHECKED_PER_TICK;
 use crate::time::Time;
 
 use super::attempt::{AttemptState, TrackedAttempt};
@@ -78,7 +78,7 @@
             .machines
             .range::<MachineId, _>((start.clone(), Unbounded));
         // The last one of this tick, if others are left after it.
-        let mut ids = ids.map(|(id, _)| id).skip(SWEEP_MACHINES_PER_TICK - 1);
+        let mut ids = ids.map(|(id, _)| id).skip(MACHINES_CHECKED_PER_TICK - 1);
         let last = ids.next().filter(|_| ids.next().is_some()).cloned();
         self.sweep_cursor.clone_from(&last);
         let end = last.map_or(Unbounded, Included);
@@ -126,7 +126,7 @@
             }
             without_heartbeats += 1;
         }
-        without_heartbeats >= UNREACHABLE_MIN_MACHINES
+        without_heartbeats >= MIN_UNREACHABLE_MACHINES
     }
 
     /// Removes a lost machine on which nothing matters any more.
--- a/crates/worksshunt-core/src/machines/expiry/tests.rs
+++ b/crates/worksshunt-core/src/machines/expiry/tests.rs
@@ -14,19 +14,22 @@
 #[test]
 fn a_tick_examines_all_of_a_small_partition_and_a_large_one_in_turns() {
     assert_eq!(swept(0), [0; 4]);
-    assert_eq!(swept(SWEEP_MACHINES_PER_TICK), [SWEEP_MACHINES_PER_TICK; 4]);
     assert_eq!(
-        swept(SWEEP_MACHINES_PER_TICK + 1),
-        [SWEEP_MACHINES_PER_TICK, 1, SWEEP_MACHINES_PER_TICK, 1]
+        swept(MACHINES_CHECKED_PER_TICK),
+        [MACHINES_CHECKED_PER_TICK; 4]
     );
-    let three = SWEEP_MACHINES_PER_TICK * 2 + 5;
+    assert_eq!(
+        swept(MACHINES_CHECKED_PER_TICK + 1),
+        [MACHINES_CHECKED_PER_TICK, 1, MACHINES_CHECKED_PER_TICK, 1]
+    );
+    let three = MACHINES_CHECKED_PER_TICK * 2 + 5;
     assert_eq!(
         swept(three),
         [
-            SWEEP_MACHINES_PER_TICK,
-            SWEEP_MACHINES_PER_TICK,
+            MACHINES_CHECKED_PER_TICK,
+            MACHINES_CHECKED_PER_TICK,
             5,
-            SWEEP_MACHINES_PER_TICK
+            MACHINES_CHECKED_PER_TICK
         ]
     );
 }
@@ -34,12 +37,12 @@
 // Guards against machines past the first thousand that are held for ever.
 #[test]
 fn an_expired_lease_is_noticed_on_every_machine_of_a_large_partition() {
-    let mut partition = partition(SWEEP_MACHINES_PER_TICK * 2 + 5);
+    let mut partition = partition(MACHINES_CHECKED_PER_TICK * 2 + 5);
     let late = Time(lease_bound_ms(&workers()) + 1);
     partition.tick(late);
     assert_eq!(
         partition.machines.values().filter(|m| m.is_lost).count(),
-        SWEEP_MACHINES_PER_TICK
+        MACHINES_CHECKED_PER_TICK
     );
     partition.tick(late);
     partition.tick(late);
--- a/crates/worksshunt-core/src/machines/heartbeats.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats.rs
@@ -181,7 +181,7 @@
         if self.info.is_none() {
             self.info = MachineInfo::of(heartbeat, catalog);
         }
-        if let (Some(remaining_s), None) = (heartbeat.notice_s, self.reclaim_at) {
+        if let (Some(remaining_s), None) = (heartbeat.reclaim_notice_s, self.reclaim_at) {
             tracing::info!(machine = %heartbeat.machine, remaining_s, "reclaim notice received");
             self.reclaim_at = Some(now + (remaining_s.max(0.0) * 1_000.0) as u64);
         }
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/loading.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::peer::{AttemptEnded, AttemptOutcome};
+use worksshunt_wire::peer::{AttemptOutcome, EndedAttempt};
 use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
 
 use crate::constants::leases::EPOCH_LEASE_MS;
@@ -150,7 +150,7 @@
         }
         let is_gone = |record: &&&AttemptRecord| !machine.attempts.contains_key(&record.attempt);
         for gone in records.iter().filter(is_gone) {
-            self.pending_updates.ended_attempts.push(AttemptEnded {
+            self.pending_updates.ended_attempts.push(EndedAttempt {
                 task: gone.task,
                 attempt: gone.attempt,
                 machine: Some(id.clone()),
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -12,7 +12,7 @@
 
 use crate::constants::readiness::UNREACHABLE_HEARTBEAT_INTERVALS;
 use crate::constants::workers::{
-    FAULTY_MACHINE_JOBS, MISSED_HEARTBEAT_INTERVALS, UNREACHABLE_RELEASE_LEASES,
+    FAILED_JOBS_BEFORE_FAULTY, MISSED_HEARTBEAT_INTERVALS, UNREACHABLE_RELEASE_LEASES,
 };
 use crate::resources::Resources;
 use crate::time::Time;
@@ -37,11 +37,11 @@
     /// The machine that sent a heartbeat; none if its type is not in the catalog.
     pub fn of(heartbeat: &Heartbeat, catalog: &Catalog) -> Option<MachineInfo> {
         catalog
-            .get(&heartbeat.machine_type)
+            .machine_type(&heartbeat.machine_type)
             .map(|machine_type| MachineInfo {
                 machine_type: heartbeat.machine_type.clone(),
                 zone: heartbeat.zone.clone(),
-                spot: heartbeat.spot,
+                spot: heartbeat.is_spot,
                 capacity: Resources::of_machine_type(machine_type),
                 command_address: heartbeat.addr.clone(),
             })
@@ -222,7 +222,7 @@
             && !self.directive.draining
             && !self.has_unknown_tasks
             && self.reachability.is_confirmed()
-            && self.failing_jobs.len() < FAULTY_MACHINE_JOBS
+            && self.failing_jobs.len() < FAILED_JOBS_BEFORE_FAULTY
             && !self.has_reclaim_notice()
             && !self.misses_heartbeats(now, timeouts)
     }
--- a/crates/worksshunt-core/src/machines/partition.rs
+++ b/crates/worksshunt-core/src/machines/partition.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::settings::{KeyValueLimits, Workers};
 use worksshunt_wire::{Attempt, JobId, MachineId, Revision};
 
-use crate::pages::{page_bytes, PageWrite, Pages};
+use crate::pages::{max_page_bytes, PageWrite, Pages};
 use crate::placement::{OverCapacity, Parameters, Speed};
 use crate::records::AttemptRecord;
 use crate::resources::Resources;
@@ -57,7 +57,7 @@
 impl Partition {
     /// An empty partition.
     pub fn new(parameters: Parameters, workers: &Workers, limits: &KeyValueLimits) -> Partition {
-        let page_bytes = page_bytes(limits);
+        let page_bytes = max_page_bytes(limits);
         Partition {
             parameters,
             timeouts: MachineTimeouts::new(workers),
@@ -80,7 +80,7 @@
 
     /// The limits of the key-value store have changed; they apply from the next epoch on.
     pub fn set_key_value_limits(&mut self, limits: &KeyValueLimits) {
-        self.page_bytes = page_bytes(limits);
+        self.page_bytes = max_page_bytes(limits);
     }
 
     /// A tracked attempt and the machine it is on.
@@ -131,12 +131,12 @@
 
     /// The next write of records, of at most `max_pages` pages.
     pub fn next_record_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
-        self.record_pages.next_writes(now, max_pages)
+        self.record_pages.begin_writes(now, max_pages)
     }
 
     /// The records being written are durable, at that revision if it is known: their attempts may be launched.
     pub fn records_written(&mut self, revision: Option<Revision>) {
-        for attempt in self.record_pages.write_applied(revision) {
+        for attempt in self.record_pages.mark_write_applied(revision) {
             let Some((id, tracked)) = self.tracked_mut(attempt) else {
                 continue;
             };
@@ -155,7 +155,7 @@
 
     /// A page's version was read.
     pub fn record_page_version_read(&mut self, key: &str, version: Revision) {
-        self.record_pages.version_read(key, version);
+        self.record_pages.set_page_version(key, version);
     }
 
     /// One line about the placements over capacity since the last summary.
--- a/crates/worksshunt-core/src/machines/partition_sync.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync.rs
@@ -36,9 +36,9 @@
         let attempts = batch.attempts.iter();
         let status = PartitionStatus {
             epoch,
-            from: from.clone(),
+            owner: from.clone(),
             sequence: self.pending_updates.sequence + 1,
-            acknowledged: self.pending_updates.acknowledged,
+            acknowledged_sequence: self.pending_updates.acknowledged,
             machines: machines
                 .filter_map(|id| machine_status(id, self.machines.get(id)?, now))
                 .collect(),
@@ -77,7 +77,7 @@
 
     /// Applies the leader's directives. Those that answer another status than the last are ignored.
     pub fn apply_directives(&mut self, directives: &LeaderDirectives, now: Time) {
-        if directives.in_reply_to != self.pending_updates.sequence
+        if directives.request_sequence != self.pending_updates.sequence
             || self.pending_updates.in_flight.take().is_none()
         {
             return;
@@ -142,14 +142,14 @@
         id: id.clone(),
         machine_type: info.machine_type.clone(),
         zone: info.zone.clone(),
-        spot: info.spot,
-        schedulable: summary.is_schedulable,
+        is_spot: info.spot,
+        is_schedulable: summary.is_schedulable,
         idle_ms: machine.empty_since.map(|since| now.since(since)),
-        cpus: summary.free.cpus,
-        gpus: summary.free.gpus,
-        memory_gb: summary.free.memory_gb,
-        reclaim_notice: summary.condition.reclaim_notice,
-        unreachable: summary.condition.unreachable,
-        lost: summary.condition.lost,
+        free_cpus: summary.free.cpus,
+        free_gpus: summary.free.gpus,
+        free_memory_gb: summary.free.memory_gb,
+        has_reclaim_notice: summary.condition.reclaim_notice,
+        is_unreachable: summary.condition.unreachable,
+        is_lost: summary.condition.lost,
     })
 }
--- a/crates/worksshunt-core/src/machines/pending_updates.rs
+++ b/crates/worksshunt-core/src/machines/pending_updates.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_wire::peer::AttemptEnded;
+use worksshunt_wire::peer::EndedAttempt;
 use worksshunt_wire::{Attempt, MachineId};
 
-use crate::constants::partition_sync::{SYNC_MAX_CHANGES, SYNC_MAX_MACHINES};
+use crate::constants::partition_sync::{MAX_CHANGES_PER_SYNC, MAX_MACHINES_PER_SYNC};
 
 /// What the leader does not know yet, and what is in flight to it.
 #[derive(Debug, Default)]
@@ -14,7 +14,7 @@
     pub machines: BTreeSet<MachineId>,
     pub removed_machines: BTreeSet<MachineId>,
     pub attempts: BTreeSet<Attempt>,
-    pub ended_attempts: Vec<AttemptEnded>,
+    pub ended_attempts: Vec<EndedAttempt>,
     /// Number of the last status sent.
     pub sequence: u64,
     /// Number of the last directives applied.
@@ -29,7 +29,7 @@
     pub machines: BTreeSet<MachineId>,
     pub removed_machines: BTreeSet<MachineId>,
     pub attempts: BTreeSet<Attempt>,
-    pub ended_attempts: Vec<AttemptEnded>,
+    pub ended_attempts: Vec<EndedAttempt>,
 }
 
 /// Takes the first entries out of a set, at most `limit`.
@@ -55,11 +55,11 @@
 
     /// Takes out the updates of the next status. What is too much for one status is left for the next.
     pub fn take_batch(&mut self) -> UpdateBatch {
-        let ended = self.ended_attempts.len().min(SYNC_MAX_CHANGES);
+        let ended = self.ended_attempts.len().min(MAX_CHANGES_PER_SYNC);
         UpdateBatch {
-            machines: take_first(&mut self.machines, SYNC_MAX_MACHINES),
-            removed_machines: take_first(&mut self.removed_machines, SYNC_MAX_MACHINES),
-            attempts: take_first(&mut self.attempts, SYNC_MAX_CHANGES),
+            machines: take_first(&mut self.machines, MAX_MACHINES_PER_SYNC),
+            removed_machines: take_first(&mut self.removed_machines, MAX_MACHINES_PER_SYNC),
+            attempts: take_first(&mut self.attempts, MAX_CHANGES_PER_SYNC),
             ended_attempts: self.ended_attempts.drain(..ended).collect(),
         }
     }
--- a/crates/worksshunt-core/src/machines/pending_updates/tests.rs
+++ b/crates/worksshunt-core/src/machines/pending_updates/tests.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 
-fn ended(n: usize) -> AttemptEnded {
-    AttemptEnded {
+fn ended(n: usize) -> EndedAttempt {
+    EndedAttempt {
         task: TaskId {
             job: JobId(1),
             index: n as u32,
@@ -33,22 +33,22 @@
 
 #[test]
 fn as_much_as_a_status_takes_is_sent_at_once() {
-    let (left, batch) = batch_of(SYNC_MAX_MACHINES, SYNC_MAX_CHANGES);
+    let (left, batch) = batch_of(MAX_MACHINES_PER_SYNC, MAX_CHANGES_PER_SYNC);
     assert!(left.machines.is_empty() && left.attempts.is_empty() && left.ended_attempts.is_empty());
-    assert_eq!(batch.machines.len(), SYNC_MAX_MACHINES);
+    assert_eq!(batch.machines.len(), MAX_MACHINES_PER_SYNC);
     assert_eq!(
         (batch.attempts.len(), batch.ended_attempts.len()),
-        (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
+        (MAX_CHANGES_PER_SYNC, MAX_CHANGES_PER_SYNC)
     );
 }
 
 #[test]
 fn what_is_too_much_is_left_for_the_next_status_in_its_order() {
-    let (mut left, first) = batch_of(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
-    assert_eq!(first.machines.len(), SYNC_MAX_MACHINES);
+    let (mut left, first) = batch_of(MAX_MACHINES_PER_SYNC + 1, MAX_CHANGES_PER_SYNC + 2);
+    assert_eq!(first.machines.len(), MAX_MACHINES_PER_SYNC);
     assert_eq!(
         (first.attempts.len(), first.ended_attempts.len()),
-        (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
+        (MAX_CHANGES_PER_SYNC, MAX_CHANGES_PER_SYNC)
     );
     assert_eq!(
         (
@@ -61,16 +61,16 @@
     let second = left.take_batch();
     assert_eq!(
         second.ended_attempts,
-        vec![ended(SYNC_MAX_CHANGES), ended(SYNC_MAX_CHANGES + 1)]
+        vec![ended(MAX_CHANGES_PER_SYNC), ended(MAX_CHANGES_PER_SYNC + 1)]
     );
 }
 
 #[test]
 fn what_was_not_answered_is_sent_again_before_what_came_later() {
-    let (mut left, first) = batch_of(SYNC_MAX_MACHINES + 1, SYNC_MAX_CHANGES + 2);
+    let (mut left, first) = batch_of(MAX_MACHINES_PER_SYNC + 1, MAX_CHANGES_PER_SYNC + 2);
     left.in_flight = Some(first);
     left.requeue_unacknowledged();
-    assert_eq!(left.machines.len(), SYNC_MAX_MACHINES + 1);
-    let all: Vec<AttemptEnded> = (0..SYNC_MAX_CHANGES + 2).map(ended).collect();
+    assert_eq!(left.machines.len(), MAX_MACHINES_PER_SYNC + 1);
+    let all: Vec<EndedAttempt> = (0..MAX_CHANGES_PER_SYNC + 2).map(ended).collect();
     assert_eq!(left.ended_attempts, all);
 }
--- a/crates/worksshunt-core/src/machines/queued_placement.rs
+++ b/crates/worksshunt-core/src/machines/queued_placement.rs
@@ -40,7 +40,7 @@
         PlacementNeed {
             job: assignment.task.job,
             zone: assignment.zone.clone(),
-            claimed: assignment.claimed.clone(),
+            claimed: assignment.claimed_machine.clone(),
         }
     }
 }
@@ -74,7 +74,7 @@
         };
         let mut unplaceable = BTreeSet::new();
         for _ in 0..self.assignment_queue.queued.len() {
-            if budget.exhausted() {
+            if budget.is_exhausted() {
                 return;
             }
             let Some(queued) = self.assignment_queue.queued.pop_front() else {
@@ -123,7 +123,7 @@
             round.now,
         );
         if choice.over_capacity {
-            let band = self.parameters.size_band(job.spec.estimate_s);
+            let band = self.parameters.size_band(job.spec.estimated_runtime_s);
             self.over_capacity.placed(band);
             tracing::debug!(task = %assignment.task, machine = %choice.machine, "attempt placed over capacity");
             tracked.over_capacity_band = Some(band);
@@ -149,7 +149,7 @@
     ) -> Option<Choice> {
         let choose_by = |history| {
             choose(
-                job.spec.estimate_s,
+                job.spec.estimated_runtime_s,
                 self.candidates(round, assignment, job, history),
             )
         };
@@ -170,7 +170,7 @@
             .filter_map(move |(_, id)| {
                 let machine = self.machines.get(id)?;
                 let info = machine.info.as_ref()?;
-                let is_permitted = match &assignment.claimed {
+                let is_permitted = match &assignment.claimed_machine {
                     Some(claimed) => claimed == id,
                     None => !machine.directive.claimed,
                 };
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -82,7 +82,7 @@
         };
         if let (Some(job), false) = (&tracked.job, tracked.is_inherited) {
             let held_s = now.since(tracked.placed_at) as f64 / 1_000.0;
-            let estimate_s = job.spec.estimate_s;
+            let estimate_s = job.spec.estimated_runtime_s;
             tracing::debug!(task = %tracked.task, machine = %id, held_s, estimate_s, "attempt completed");
             self.speeds
                 .entry(id.clone())
@@ -137,7 +137,7 @@
 impl TrackedAttempt {
     /// Applies the status that the worker reports.
     fn apply_status(&mut self, status: &TaskStatus, now: Time) -> StatusEffect {
-        match (status.state, status.reason) {
+        match (status.state, status.exit_reason) {
             (TaskState::Fetching, _) => self.advance(AttemptState::Fetching),
             (TaskState::Running, _) => self.advance(AttemptState::Running(now)),
             (TaskState::Saving, _) => self.advance(AttemptState::Saving),
--- a/crates/worksshunt-core/src/machines/worker_lease.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::settings::Workers;
 
 use crate::constants::leases::{CLOCK_DRIFT_SHARE, WORKER_LEASE_MARGIN_MS};
-use crate::constants::workers::HEARTBEAT_DEADLINE_MS;
+use crate::constants::workers::HEARTBEAT_TIMEOUT_MS;
 use crate::time::Time;
 
 use super::sequence_number::SequenceNumber;
@@ -65,7 +65,7 @@
         if heartbeat > self.newest_message {
             Arrival::Newest
         } else if heartbeat > self.newest_heartbeat
-            && now.since(self.last_message_at) < HEARTBEAT_DEADLINE_MS
+            && now.since(self.last_message_at) < HEARTBEAT_TIMEOUT_MS
         {
             // It was sent before the newest message, and so has been in flight for longer than that one is known.
             Arrival::Overtaken
--- a/crates/worksshunt-core/src/machines/worker_lease/tests.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease/tests.rs
@@ -54,9 +54,9 @@
 
 #[test]
 fn a_heartbeat_that_its_worker_has_given_up_is_stale_although_never_seen() {
-    let last = Time(2_000 + HEARTBEAT_DEADLINE_MS - 1);
+    let last = Time(2_000 + HEARTBEAT_TIMEOUT_MS - 1);
     assert_eq!(lease().classify(first(6), last), Arrival::Overtaken);
-    let given_up = Time(2_000 + HEARTBEAT_DEADLINE_MS);
+    let given_up = Time(2_000 + HEARTBEAT_TIMEOUT_MS);
     assert_eq!(lease().classify(first(6), given_up), Arrival::Stale);
 }
 
--- a/crates/worksshunt-core/src/membership/proposals.rs
+++ b/crates/worksshunt-core/src/membership/proposals.rs
@@ -3,7 +3,7 @@
 use worksshunt_wire::key_value::CompareAndSwap;
 use worksshunt_wire::{Epoch, Revision};
 
-use crate::constants::leases::ADMIT_AFTER_READS;
+use crate::constants::leases::READS_BEFORE_MEMBER_ADMISSION;
 
 use super::control_keys::LiveMembers;
 use super::records::{put_if_unchanged, EpochRecord, Member, EPOCH_KEY};
@@ -56,7 +56,7 @@
     fn is_superseded(&self, present: &EpochRecord, live: &LiveMembers, services: bool) -> bool {
         let members = &present.members;
         let member_left = members.iter().any(|member| !live.all.contains(member));
-        let admits = |candidate: &Candidate| candidate.reads >= ADMIT_AFTER_READS;
+        let admits = |candidate: &Candidate| candidate.reads >= READS_BEFORE_MEMBER_ADMISSION;
         // Readiness of members that the epoch does not have yet is no reason for another one.
         let not_ready = live.without_partition.iter();
         let known_not_ready = not_ready.filter(|member| members.contains(member));
--- a/crates/worksshunt-core/src/membership/records.rs
+++ b/crates/worksshunt-core/src/membership/records.rs
@@ -39,7 +39,11 @@
             key: key.clone(),
             version,
         }],
-        changes: vec![Change::Put { key, value, lease }],
+        changes: vec![Change::Put {
+            key,
+            value,
+            lease_id: lease,
+        }],
     }
 }
 
--- a/crates/worksshunt-core/src/membership/tests.rs
+++ b/crates/worksshunt-core/src/membership/tests.rs
@@ -7,7 +7,7 @@
 fn listing(revision: u64, pairs: Vec<KeyValue>) -> Listing {
     Listing {
         pairs,
-        more: false,
+        has_more: false,
         revision: Revision(revision),
     }
 }
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -6,7 +6,7 @@
 use worksshunt_wire::settings::Objective;
 
 use crate::constants::fleet::{DEFAULT_SLACK_S, MAX_SLACK_S, MIN_SLACK_S};
-use crate::constants::scheduling::{GUARANTEE_LEAD_S, OBJECTIVE_AT_RISK_S};
+use crate::constants::scheduling::{GUARANTEE_AT_RISK_S, OBJECTIVE_AT_RISK_S};
 use crate::jobs::Job;
 
 /// Milliseconds of a second.
@@ -26,7 +26,9 @@
 impl ClassObjectives {
     fn add(&mut self, objective: &Objective) {
         match objective.kind.as_str() {
-            "deadline" => self.deadline_factors.push(objective.times.unwrap_or(1.0)),
+            "deadline" => self
+                .deadline_factors
+                .push(objective.deadline_factor.unwrap_or(1.0)),
             "finished" => self.finish_within_s.extend(objective.within_s),
             "wait" => self.start_within_s = objective.within_s,
             _ => {}
@@ -75,7 +77,7 @@
         }
         finish_within_s
             .into_iter()
-            .map(|within_s| within_s - job.spec.estimate_s)
+            .map(|within_s| within_s - job.spec.estimated_runtime_s)
             .chain(class.and_then(|class| class.start_within_s))
             .collect()
     }
@@ -98,7 +100,7 @@
     pub fn is_guarantee_at_risk(&self, job: &Job, wall_ms: u64) -> bool {
         let age_s = age_s(job, wall_ms);
         self.guarantee_within_s
-            .is_none_or(|within_s| age_s >= within_s - GUARANTEE_LEAD_S)
+            .is_none_or(|within_s| age_s >= within_s - GUARANTEE_AT_RISK_S)
     }
 
     /// The time that decides among jobs of one priority, milliseconds since 1970: its deadline; where its
--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -22,7 +22,7 @@
 
 use crate::constants::key_value::MAX_TRANSACTION_BYTES;
 use crate::constants::pages::{
-    PAGES_PER_WRITE, PAGE_FREE_DIVISOR, PAGE_MARGIN_DIVISOR, PAGE_REWRITE_DELAY_MS,
+    PAGES_PER_WRITE, PAGE_MARGIN_DIVISOR, PAGE_MIN_FREE_DIVISOR, PAGE_REWRITE_DELAY_MS,
     URGENT_ENTRY_WEIGHT,
 };
 use crate::time::Time;
@@ -30,8 +30,8 @@
 use page::{Page, PageState};
 
 /// Bytes a page may take, so that it keeps the value limit and a write of several pages the limit of a transaction.
-pub fn page_bytes(limits: &KeyValueLimits) -> usize {
-    let value_bytes = (limits.value_kb * 1_024.0) as usize;
+pub fn max_page_bytes(limits: &KeyValueLimits) -> usize {
+    let value_bytes = (limits.max_value_kib * 1_024.0) as usize;
     let max_bytes = value_bytes.min(MAX_TRANSACTION_BYTES / PAGES_PER_WRITE);
     max_bytes - max_bytes / PAGE_MARGIN_DIVISOR
 }
@@ -43,9 +43,9 @@
     /// Upper bound of the bytes it takes on a page.
     fn size_bytes(&self, key: &Self::Key) -> usize;
     /// Merges a later entry of the same key into this one.
-    fn join(&mut self, later: Self);
+    fn merge(&mut self, later: Self);
     /// A page's value in the store.
-    fn page_value(entries: &BTreeMap<Self::Key, Self>) -> Value;
+    fn encode_page(entries: &BTreeMap<Self::Key, Self>) -> Value;
 }
 
 /// One page to be written.
@@ -87,19 +87,19 @@
     }
 
     /// Adds a page found in the store, with its entries.
-    pub fn adopt_stored_page(
+    pub fn add_stored_page(
         &mut self,
         key: String,
         version: Revision,
         entries: BTreeMap<E::Key, E>,
     ) {
-        self.skip_number_of(&key);
+        self.reserve_page_number(&key);
         self.pages.push(Page::new(key, version, entries));
     }
 
     /// A page found in the store is not adopted: its number is not used for a new one. Otherwise the new page would
     /// conflict with it, which would be read as an earlier copy of the write, or be removed along with it.
-    pub fn skip_number_of(&mut self, key: &str) {
+    pub fn reserve_page_number(&mut self, key: &str) {
         let number = key
             .strip_prefix(&self.prefix)
             .and_then(|number| number.parse::<u64>().ok());
@@ -118,7 +118,7 @@
     /// Adds an entry, to be written.
     pub fn add(&mut self, key: E::Key, entry: E) {
         match self.pending.get_mut(&key) {
-            Some(pending) => pending.join(entry),
+            Some(pending) => pending.merge(entry),
             None => {
                 self.pending.insert(key, entry);
             }
@@ -147,7 +147,7 @@
     }
 
     /// The next write, of at most `max_pages` pages; empty while one is in flight.
-    pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
+    pub fn begin_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         let mut writes = Vec::new();
         if self.pages.iter().any(|p| p.state == PageState::Writing) {
             return writes;
@@ -179,7 +179,7 @@
     /// Index of the page that the next entries go to: of those with enough free bytes, the one from which a rewrite
     /// drops the most; else a new one.
     fn choose_page(&mut self) -> usize {
-        let max_filled = self.max_bytes - self.max_bytes / PAGE_FREE_DIVISOR;
+        let max_filled = self.max_bytes - self.max_bytes / PAGE_MIN_FREE_DIVISOR;
         let best = self
             .pages
             .iter()
@@ -189,7 +189,7 @@
             .map(|(index, _)| index);
         best.unwrap_or_else(|| {
             let key = format!("{}{}", self.prefix, self.next_number);
-            self.adopt_stored_page(key, Revision(0), BTreeMap::new());
+            self.add_stored_page(key, Revision(0), BTreeMap::new());
             self.pages.len() - 1
         })
     }
@@ -209,7 +209,7 @@
 
     /// The write in flight is durable, at that revision if it is known. Returns the keys of the
     /// entries it added.
-    pub fn write_applied(&mut self, revision: Option<Revision>) -> Vec<E::Key> {
+    pub fn mark_write_applied(&mut self, revision: Option<Revision>) -> Vec<E::Key> {
         // A page that was written empty is deleted; one whose entries were removed since the write still exists.
         let exists = |page: &Page<E>| !page.is_empty() || page.rewrite_at.is_some();
         self.pages
@@ -231,7 +231,7 @@
     }
 
     /// An uncertain page's version was read.
-    pub fn version_read(&mut self, key: &str, version: Revision) {
+    pub fn set_page_version(&mut self, key: &str, version: Revision) {
         for page in &mut self.pages {
             if page.key == key && page.state == PageState::Uncertain {
                 page.state = PageState::Stored(version);
--- a/crates/worksshunt-core/src/pages/page.rs
+++ b/crates/worksshunt-core/src/pages/page.rs
@@ -78,7 +78,7 @@
         match self.entries.get_mut(&key) {
             Some(existing) => {
                 let size_before = existing.size_bytes(&key);
-                existing.join(entry);
+                existing.merge(entry);
                 self.size_bytes = self.size_bytes + existing.size_bytes(&key) - size_before;
             }
             None => {
@@ -111,8 +111,8 @@
         } else {
             Change::Put {
                 key: key.clone(),
-                value: E::page_value(&self.entries),
-                lease: None,
+                value: E::encode_page(&self.entries),
+                lease_id: None,
             }
         };
         Some(PageWrite {
--- a/crates/worksshunt-core/src/pages/tests.rs
+++ b/crates/worksshunt-core/src/pages/tests.rs
@@ -13,11 +13,11 @@
         self.0
     }
 
-    fn join(&mut self, later: Entry) {
+    fn merge(&mut self, later: Entry) {
         *self = later;
     }
 
-    fn page_value(entries: &BTreeMap<u32, Entry>) -> Value {
+    fn encode_page(entries: &BTreeMap<u32, Entry>) -> Value {
         serde_json::json!(entries.keys().collect::<Vec<_>>())
     }
 }
@@ -44,41 +44,41 @@
     Change::Put {
         key: page.to_owned(),
         value: serde_json::json!(keys.collect::<Vec<_>>()),
-        lease: None,
+        lease_id: None,
     }
 }
 
 #[test]
 fn entries_that_fit_no_page_go_to_the_next_and_one_write_is_in_flight_at_a_time() {
     let mut pages = pending(25);
-    let writes = pages.next_writes(Time(0), 2);
+    let writes = pages.begin_writes(Time(0), 2);
     assert_eq!(keys(&writes), ["p/0", "p/1"]);
     assert_eq!(writes[0].change, put(0..10, "p/0"));
     assert_eq!(writes[1].change, put(10..20, "p/1"));
-    assert!(pages.next_writes(Time(0), 2).is_empty());
-    let written = pages.write_applied(Some(Revision(7)));
+    assert!(pages.begin_writes(Time(0), 2).is_empty());
+    let written = pages.mark_write_applied(Some(Revision(7)));
     assert_eq!(written, (0..20).collect::<Vec<_>>());
-    assert_eq!(keys(&pages.next_writes(Time(0), 2)), ["p/2"]);
+    assert_eq!(keys(&pages.begin_writes(Time(0), 2)), ["p/2"]);
 }
 
 #[test]
 fn an_entry_larger_than_a_page_gets_one_of_its_own() {
     let mut pages = pending(1);
     pages.add(1, Entry(MAX_BYTES + 1));
-    assert_eq!(keys(&pages.next_writes(Time(0), 4)), ["p/0", "p/1"]);
+    assert_eq!(keys(&pages.begin_writes(Time(0), 4)), ["p/0", "p/1"]);
 }
 
 #[test]
 fn a_page_is_rewritten_after_a_while_and_at_once_if_an_entry_would_mislead() {
     let mut pages = pending(3);
-    pages.next_writes(Time(0), 1);
-    pages.write_applied(Some(Revision(7)));
+    pages.begin_writes(Time(0), 1);
+    pages.mark_write_applied(Some(Revision(7)));
     pages.remove(&0, Time(0), false);
     assert!(pages
-        .next_writes(Time(PAGE_REWRITE_DELAY_MS - 1), 1)
+        .begin_writes(Time(PAGE_REWRITE_DELAY_MS - 1), 1)
         .is_empty());
     pages.remove(&1, Time(PAGE_REWRITE_DELAY_MS - 1), true);
-    let writes = pages.next_writes(Time(PAGE_REWRITE_DELAY_MS - 1), 1);
+    let writes = pages.begin_writes(Time(PAGE_REWRITE_DELAY_MS - 1), 1);
     assert_eq!(writes[0].condition.version, Revision(7));
     assert_eq!(writes[0].change, put(2..3, "p/0"));
 }
@@ -86,24 +86,24 @@
 #[test]
 fn an_empty_page_is_deleted_and_its_number_not_used_again() {
     let mut pages = pending(1);
-    pages.next_writes(Time(0), 1);
-    pages.write_applied(Some(Revision(7)));
+    pages.begin_writes(Time(0), 1);
+    pages.mark_write_applied(Some(Revision(7)));
     pages.remove(&0, Time(0), true);
-    let writes = pages.next_writes(Time(0), 1);
+    let writes = pages.begin_writes(Time(0), 1);
     let key = "p/0".to_owned();
     assert_eq!(writes[0].change, Change::Delete { key });
-    pages.write_applied(Some(Revision(8)));
+    pages.mark_write_applied(Some(Revision(8)));
     pages.add(1, Entry(10));
-    assert_eq!(keys(&pages.next_writes(Time(0), 1)), ["p/1"]);
+    assert_eq!(keys(&pages.begin_writes(Time(0), 1)), ["p/1"]);
 }
 
 #[test]
 fn a_page_that_lost_its_entries_during_its_write_is_deleted_by_the_next() {
     let mut pages = pending(1);
-    pages.next_writes(Time(0), 1);
+    pages.begin_writes(Time(0), 1);
     pages.remove(&0, Time(0), true);
-    pages.write_applied(Some(Revision(7)));
-    let writes = pages.next_writes(Time(0), 1);
+    pages.mark_write_applied(Some(Revision(7)));
+    let writes = pages.begin_writes(Time(0), 1);
     assert_eq!(writes[0].condition.version, Revision(7));
     let key = "p/0".to_owned();
     assert_eq!(writes[0].change, Change::Delete { key });
@@ -112,25 +112,25 @@
 #[test]
 fn a_page_of_unknown_version_is_not_written_until_that_is_read() {
     let mut pages = pending(1);
-    pages.next_writes(Time(0), 1);
-    pages.write_applied(None);
+    pages.begin_writes(Time(0), 1);
+    pages.mark_write_applied(None);
     assert_eq!(pages.uncertain_keys().collect::<Vec<_>>(), ["p/0"]);
     pages.remove(&0, Time(0), true);
-    assert!(pages.next_writes(Time(0), 1).is_empty());
-    pages.version_read("p/0", Revision(9));
-    let writes = pages.next_writes(Time(0), 1);
+    assert!(pages.begin_writes(Time(0), 1).is_empty());
+    pages.set_page_version("p/0", Revision(9));
+    let writes = pages.begin_writes(Time(0), 1);
     assert_eq!(writes[0].condition.version, Revision(9));
 }
 
 #[test]
 fn new_pages_are_numbered_after_those_found_in_the_store() {
     let mut pages = pending(0);
-    pages.adopt_stored_page("p/41".to_owned(), Revision(3), BTreeMap::new());
-    pages.adopt_stored_page("p/other".to_owned(), Revision(3), BTreeMap::new());
+    pages.add_stored_page("p/41".to_owned(), Revision(3), BTreeMap::new());
+    pages.add_stored_page("p/other".to_owned(), Revision(3), BTreeMap::new());
     for key in 0..25 {
         pages.add(key, Entry(10));
     }
-    let writes = pages.next_writes(Time(0), 3);
+    let writes = pages.begin_writes(Time(0), 3);
     assert_eq!(keys(&writes).last(), Some(&"p/42"));
 }
 
@@ -139,7 +139,7 @@
 #[test]
 fn the_number_of_a_page_that_is_not_adopted_is_not_used() {
     let mut pages = pending(1);
-    pages.skip_number_of("p/0");
-    pages.skip_number_of("p/other");
-    assert_eq!(keys(&pages.next_writes(Time(0), 1)), ["p/1"]);
+    pages.reserve_page_number("p/0");
+    pages.reserve_page_number("p/other");
+    assert_eq!(keys(&pages.begin_writes(Time(0), 1)), ["p/1"]);
 }
--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -23,8 +23,8 @@
 impl QuotaResources {
     fn guarantee_of(team: &Team) -> QuotaResources {
         QuotaResources {
-            cpus: team.cpus,
-            gpus: team.gpus,
+            cpus: team.guaranteed_cpus,
+            gpus: team.guaranteed_gpus,
         }
     }
 
@@ -102,7 +102,7 @@
 
     /// Processors guaranteed to all teams together.
     pub fn guaranteed_cpus(&self) -> f64 {
-        self.teams.values().map(|team| team.cpus).sum()
+        self.teams.values().map(|team| team.guaranteed_cpus).sum()
     }
 
     /// Whether one more task of the job keeps its team within its limit.
@@ -205,8 +205,8 @@
     /// Charges all tasks of the job to its team; whether the team's guarantee covers them beside what was
     /// charged before.
     pub fn charge_all_within_guarantee(&mut self, job: &Job) -> bool {
-        let is_covered = self.tasks_within_guarantee(job) >= job.spec.tasks;
-        self.charge_many(job, job.spec.tasks);
+        let is_covered = self.tasks_within_guarantee(job) >= job.spec.task_count;
+        self.charge_many(job, job.spec.task_count);
         is_covered
     }
 
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -101,11 +101,11 @@
         self.machine.0.len() + task_bytes + number_bytes + PUNCTUATION_BYTES
     }
 
-    fn join(&mut self, later: AttemptRecord) {
+    fn merge(&mut self, later: AttemptRecord) {
         *self = later;
     }
 
-    fn page_value(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
+    fn encode_page(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
         serde_json::json!(StoredPage {
             version: RECORD_FORMAT_VERSION,
             records: entries.values().map(StoredRecord::from).collect(),
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -28,7 +28,7 @@
             (record.attempt, record)
         })
         .collect();
-    let value = AttemptRecord::page_value(&entries);
+    let value = AttemptRecord::encode_page(&entries);
     let size: usize = entries
         .iter()
         .map(|(key, entry)| entry.size_bytes(key))
--- a/crates/worksshunt-core/src/scheduler/active_attempt.rs
+++ b/crates/worksshunt-core/src/scheduler/active_attempt.rs
@@ -4,7 +4,7 @@
 
 use std::rc::Rc;
 
-use worksshunt_wire::peer::{Assignment, Phase};
+use worksshunt_wire::peer::{Assignment, AttemptPhase};
 use worksshunt_wire::{Attempt, ControllerName, MachineId, TaskId};
 
 use crate::jobs::Job;
@@ -18,7 +18,7 @@
     pub job: Option<Rc<Job>>,
     /// The controller that owns the partition it was dispatched to.
     pub owner: ControllerName,
-    pub phase: Phase,
+    pub phase: AttemptPhase,
     /// Since when it runs, once it was reported as running.
     pub running_since: Option<Time>,
     /// The machine its owner has placed it on.
@@ -40,7 +40,7 @@
             task,
             job: None,
             owner,
-            phase: Phase::Queued,
+            phase: AttemptPhase::Queued,
             running_since: None,
             machine: None,
             zone: None,
@@ -52,7 +52,7 @@
 
     /// Whether its task completed.
     pub fn is_completed(&self) -> bool {
-        self.phase == Phase::Completed
+        self.phase == AttemptPhase::Completed
     }
 
     /// Milliseconds it has been running for; 0 before it runs.
@@ -66,7 +66,7 @@
             task: self.task,
             attempt,
             zone: self.zone.clone(),
-            claimed: self.claimed_machine.clone(),
+            claimed_machine: self.claimed_machine.clone(),
         })
     }
 }
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -4,13 +4,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::peer::{AttemptEnded, AttemptOutcome, Phase};
+use worksshunt_wire::peer::{AttemptOutcome, AttemptPhase, EndedAttempt};
 use worksshunt_wire::{Attempt, JobId, TaskId};
 
 use crate::constants::scheduling::{
-    FAILURES_BEFORE_BACKOFF, FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS,
+    FAILURES_BEFORE_BACKOFF, INITIAL_FAILURE_BACKOFF_MS, MAX_FAILURE_BACKOFF_MS,
 };
-use crate::constants::services::{REPLICA_BACKOFF_MAX_MS, STABLE_REPLICA_MS};
+use crate::constants::services::{MAX_REPLICA_BACKOFF_MS, REPLICA_STABLE_AFTER_MS};
 use crate::jobs::{completions_key, Completions, CompletionsKey};
 use crate::time::Time;
 
@@ -45,7 +45,7 @@
         outcome: AttemptOutcome,
         now: Time,
     ) -> Option<ActiveAttempt> {
-        self.set_phase(attempt, Phase::Queued, 0, now);
+        self.set_phase(attempt, AttemptPhase::Queued, 0, now);
         let removed = self.active_attempts.remove(&attempt)?;
         if let Some(job) = &removed.job {
             // What a completed attempt used was refunded when it completed.
@@ -66,7 +66,13 @@
     }
 
     /// The one place where an attempt's phase changes. A completed attempt stays so.
-    pub(super) fn set_phase(&mut self, attempt: Attempt, phase: Phase, ran_ms: u64, now: Time) {
+    pub(super) fn set_phase(
+        &mut self,
+        attempt: Attempt,
+        phase: AttemptPhase,
+        ran_ms: u64,
+        now: Time,
+    ) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
         };
@@ -75,13 +81,15 @@
         }
         if let Some(job_tasks) = self.jobs.get_mut(&active.task.job) {
             match (active.phase, phase) {
-                (Phase::Running, _) => job_tasks.running = job_tasks.running.saturating_sub(1),
-                (_, Phase::Running) => job_tasks.running += 1,
+                (AttemptPhase::Running, _) => {
+                    job_tasks.running = job_tasks.running.saturating_sub(1)
+                }
+                (_, AttemptPhase::Running) => job_tasks.running += 1,
                 _ => {}
             }
         }
         active.phase = phase;
-        active.running_since = (phase == Phase::Running).then(|| now - ran_ms);
+        active.running_since = (phase == AttemptPhase::Running).then(|| now - ran_ms);
     }
 
     /// Whether an attempt at the task is still needed, as far as this version of the program knows.
@@ -132,13 +140,13 @@
     }
 
     /// An attempt failed after running for `ran_ms`.
-    pub(super) fn task_failed(&mut self, now: Time, ended: &AttemptEnded, ran_ms: u64) {
+    pub(super) fn task_failed(&mut self, now: Time, ended: &EndedAttempt, ran_ms: u64) {
         let Some(job_tasks) = self.jobs.get_mut(&ended.task.job) else {
             return;
         };
         let is_service = job_tasks.job.is_service();
         // A replica that ran well is no sign that the next will not.
-        if is_service && ran_ms >= STABLE_REPLICA_MS {
+        if is_service && ran_ms >= REPLICA_STABLE_AFTER_MS {
             job_tasks.errors = 0;
         }
         job_tasks.errors += 1;
@@ -146,10 +154,10 @@
         // A job that fails everywhere must not keep machines busy with it.
         if let Some(doublings) = job_tasks.errors.checked_sub(FAILURES_BEFORE_BACKOFF) {
             let max_wait_ms = match is_service {
-                true => REPLICA_BACKOFF_MAX_MS,
-                false => FAILURE_BACKOFF_MAX_MS,
+                true => MAX_REPLICA_BACKOFF_MS,
+                false => MAX_FAILURE_BACKOFF_MS,
             };
-            let wait_ms = FAILURE_BACKOFF_MS
+            let wait_ms = INITIAL_FAILURE_BACKOFF_MS
                 .saturating_mul(1 << doublings.min(MAX_BACKOFF_DOUBLINGS))
                 .min(max_wait_ms);
             job_tasks.not_before = now + wait_ms;
--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -95,7 +95,7 @@
                 let machine = candidate.machine;
                 candidate.cpus_without_claim < job.spec.cpus
                     && !chosen.contains_key(&machine.id)
-                    && job.allows_machine(&machine.machine_type, &machine.zone, machine.spot)
+                    && job.allows_machine(&machine.machine_type, &machine.zone, machine.is_spot)
                     && zones
                         .as_ref()
                         .is_none_or(|zones| zones.contains(&machine.zone))
@@ -130,20 +130,22 @@
                 let smallest_task = smallest_task_cpus.get(&machine.id).copied();
                 Candidate {
                     machine,
-                    cpus_without_claim: machine.cpus.max(smallest_task.unwrap_or(0.0)),
+                    cpus_without_claim: machine.free_cpus.max(smallest_task.unwrap_or(0.0)),
                 }
             })
             .filter(|candidate| candidate.cpus_without_claim < max_task_cpus)
             .collect();
         candidates.sort_by(|a, b| {
             let (a, b) = (a.machine, b.machine);
-            b.cpus.total_cmp(&a.cpus).then(a.id.cmp(&b.id))
+            b.free_cpus.total_cmp(&a.free_cpus).then(a.id.cmp(&b.id))
         });
         candidates
     }
 
     fn is_claimable(&self, machine: &MachineStatus) -> bool {
-        machine.schedulable && !machine.reclaim_notice && !self.claims.contains_key(&machine.id)
+        machine.is_schedulable
+            && !machine.has_reclaim_notice
+            && !self.claims.contains_key(&machine.id)
     }
 
     /// Processors of the smallest task on each machine that has any.
@@ -177,7 +179,7 @@
             .partitions
             .values()
             .filter_map(|partition| partition.machines.get(machine))
-            .any(|view| view.status.schedulable);
+            .any(|view| view.status.is_schedulable);
         let job_tasks = self.jobs.get(&claim.job);
         let has_waiting = job_tasks.is_some_and(|tasks| tasks.waiting() > 0);
         !is_usable || (!has_waiting && !self.is_claim_used(machine))
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -7,7 +7,7 @@
 use worksshunt_wire::JobId;
 
 use crate::constants::scheduling::MIN_REMAINING_SHARE;
-use crate::constants::services::SPOT_ABSENCE_MS;
+use crate::constants::services::SPOT_UNAVAILABLE_AFTER_MS;
 use crate::jobs::Job;
 use crate::time::{Now, Time};
 
@@ -125,7 +125,7 @@
         let attempts = self.active_attempts.values();
         for active in attempts.filter(|attempt| !attempt.is_completed()) {
             let Some(job) = &active.job else { continue };
-            let estimate_s = job.spec.estimate_s;
+            let estimate_s = job.spec.estimated_runtime_s;
             let ran_s = active.running_ms(now) as f64 / 1_000.0;
             let remaining_s = (estimate_s - ran_s).max(estimate_s * MIN_REMAINING_SHARE);
             let running = by_job.entry(active.task.job).or_default();
@@ -139,7 +139,7 @@
     pub fn note_spot_machines(&mut self, now: Time) {
         if self
             .machines()
-            .any(|view| view.status.spot && view.status.schedulable)
+            .any(|view| view.status.is_spot && view.status.is_schedulable)
         {
             self.demand_history.spot_last_seen_at = now;
         }
@@ -147,7 +147,7 @@
 
     /// Whether there are spot machines, or may be soon.
     fn has_spot_machines(&self, now: Time) -> bool {
-        now.since(self.demand_history.spot_last_seen_at) < SPOT_ABSENCE_MS
+        now.since(self.demand_history.spot_last_seen_at) < SPOT_UNAVAILABLE_AFTER_MS
     }
 
     /// Whether jobs that may use spot machines leave on-demand machines to services.
--- a/crates/worksshunt-core/src/scheduler/dispatch.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -91,7 +91,7 @@
         };
         if job_tasks.last_dispatch_at.replace(now.steady).is_none() {
             let waited_ms = now.wall_ms.saturating_sub(job.accepted_ms);
-            tracing::debug!(job = %id, tasks = job.spec.tasks, class = job.spec.class, waited_ms, "first task of job dispatched");
+            tracing::debug!(job = %id, tasks = job.spec.task_count, class = job.spec.class, waited_ms, "first task of job dispatched");
         }
         job_tasks.stuck_since = None;
         let attempt = self.attempt_numbers.allocate();
--- a/crates/worksshunt-core/src/scheduler/forecast.rs
+++ b/crates/worksshunt-core/src/scheduler/forecast.rs
@@ -68,11 +68,11 @@
                 recent_jobs: 0,
                 arrival_window_ms: MIN_ARRIVAL_WINDOW_MS,
             });
-            class.max_replicas = class.max_replicas.max(job.spec.tasks);
+            class.max_replicas = class.max_replicas.max(job.spec.task_count);
             let age_ms = now.wall_ms.saturating_sub(job.accepted_ms);
             class.arrival_window_ms = class.arrival_window_ms.max(age_ms.min(ARRIVAL_WINDOW_MS));
             if age_ms < ARRIVAL_WINDOW_MS {
-                class.recent_replicas += job.spec.tasks;
+                class.recent_replicas += job.spec.task_count;
                 class.recent_jobs += 1;
             }
         }
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -82,7 +82,7 @@
         JobTasks {
             last_start_ms: objectives.last_start_ms(&job).unwrap_or(u64::MAX),
             ordering_time_ms: objectives.ordering_time_ms(&job).unwrap_or(u64::MAX),
-            done: CompletedTasks::new(job.spec.tasks),
+            done: CompletedTasks::new(job.spec.task_count),
             job,
             not_durable: BTreeSet::new(),
             active: BTreeMap::new(),
@@ -118,7 +118,7 @@
 
     /// How many tasks are neither done nor dispatched.
     pub(super) fn waiting(&self) -> u32 {
-        (self.job.spec.tasks - self.done.count()).saturating_sub(self.active_undone)
+        (self.job.spec.task_count - self.done.count()).saturating_sub(self.active_undone)
     }
 
     /// Whether waiting tasks have found no free resources.
@@ -128,7 +128,7 @@
 
     /// The first task that is neither done nor dispatched.
     pub(super) fn next_waiting(&mut self) -> Option<u32> {
-        while self.first_waiting < self.job.spec.tasks {
+        while self.first_waiting < self.job.spec.task_count {
             let index = self.first_waiting;
             if !self.done.contains(index) && !self.active.contains_key(&index) {
                 return Some(index);
@@ -173,6 +173,6 @@
 
     /// Whether all tasks are done.
     pub(super) fn is_complete(&self) -> bool {
-        self.done.count() == self.job.spec.tasks
+        self.done.count() == self.job.spec.task_count
     }
 }
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use worksshunt_wire::key_value::KeyValue;
-use worksshunt_wire::peer::Phase;
+use worksshunt_wire::peer::AttemptPhase;
 use worksshunt_wire::settings::Facts;
 use worksshunt_wire::{ControllerName, Epoch, JobId};
 
@@ -90,7 +90,7 @@
             next_claim: 0,
             round: SchedulingRound::default(),
             pending_writes: BTreeSet::new(),
-            pages: StoredPages::new(&facts.state),
+            pages: StoredPages::new(&facts.key_value_store),
             draining: BTreeSet::new(),
             unreadable_jobs: BTreeSet::new(),
             services: ServiceState::new(&facts.workers),
@@ -105,7 +105,7 @@
                 key = pair.key,
                 "completions page of another version dropped"
             );
-            self.pages.completions.skip_number_of(&pair.key);
+            self.pages.completions.reserve_page_number(&pair.key);
             self.pending_writes
                 .insert(PendingWrite::RemoveKey(pair.key.clone()));
             return;
@@ -118,7 +118,7 @@
         }
         self.pages
             .completions
-            .adopt_stored_page(pair.key.clone(), pair.version, entries);
+            .add_stored_page(pair.key.clone(), pair.version, entries);
         for key in closed_jobs_keys {
             self.pages.completions.remove(&key, now, false);
         }
@@ -150,7 +150,7 @@
             .iter()
             .map(|record| (record.attempt, record.clone()))
             .collect();
-        self.pages.former_records.adopt_stored_page(
+        self.pages.former_records.add_stored_page(
             page.stored.key.clone(),
             page.stored.version,
             entries,
@@ -172,9 +172,9 @@
         let job_tasks = self.jobs.get(&record.task.job);
         let is_done = job_tasks.is_some_and(|tasks| tasks.done.contains(record.task.index));
         active.phase = if is_done {
-            Phase::Completed
+            AttemptPhase::Completed
         } else {
-            Phase::Placed
+            AttemptPhase::Placed
         };
         active.machine = Some(record.machine.clone());
         active.job = cancelled.get(&record.task.job).cloned();
--- a/crates/worksshunt-core/src/scheduler/machine_view.rs
+++ b/crates/worksshunt-core/src/scheduler/machine_view.rs
@@ -41,7 +41,7 @@
     /// Applies its description by its owner.
     pub(super) fn update(&mut self, status: MachineStatus, now: Time) {
         self.idle_since = status.idle_ms.map(|idle_ms| now - idle_ms);
-        self.unusable_since = match status.schedulable {
+        self.unusable_since = match status.is_schedulable {
             true => None,
             false => self.unusable_since.or(Some(now)),
         };
@@ -63,11 +63,11 @@
 
     fn recompute_free(&mut self) {
         self.free = Resources::default();
-        if self.status.schedulable {
+        if self.status.is_schedulable {
             self.free = Resources {
-                cpus: self.status.cpus,
-                gpus: self.status.gpus,
-                memory_gb: self.status.memory_gb,
+                cpus: self.status.free_cpus,
+                gpus: self.status.free_gpus,
+                memory_gb: self.status.free_memory_gb,
             };
             self.free.allocate(&self.reserved);
         }
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -124,7 +124,7 @@
             return;
         };
         self.services.open.remove(&id);
-        self.remove_completions(id, closed.job.spec.tasks, now);
+        self.remove_completions(id, closed.job.spec.task_count, now);
         self.release_attempts_of_closed_job(closed);
         self.pending_writes.remove(&PendingWrite::FinishJob(id));
         self.release_claims_of(id);
--- a/crates/worksshunt-core/src/scheduler/partition_sync.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 
 use worksshunt_wire::peer::{
-    AttemptEnded, AttemptOutcome, AttemptStatus, LeaderDirectives, MachineDirectives,
-    PartitionStatus, Phase,
+    AttemptOutcome, AttemptPhase, AttemptStatus, EndedAttempt, LeaderDirectives, MachineDirectives,
+    PartitionStatus,
 };
 use worksshunt_wire::{Attempt, ControllerName, MachineId};
 
@@ -19,7 +19,7 @@
 impl Scheduler {
     /// Applies what has changed in a partition. A message that a later one has overtaken is ignored.
     pub fn apply_status(&mut self, now: Time, status: PartitionStatus) {
-        let Some(partition) = self.partitions.get_mut(&status.from) else {
+        let Some(partition) = self.partitions.get_mut(&status.owner) else {
             return;
         };
         if !partition.accept_message(now, &status) {
@@ -31,7 +31,7 @@
         for listed in &status.attempts {
             self.apply_attempt_status(now, listed, &status);
         }
-        if let Some(partition) = self.partitions.get_mut(&status.from) {
+        if let Some(partition) = self.partitions.get_mut(&status.owner) {
             for id in &status.removed_machines {
                 partition.remove_machine(id);
             }
@@ -42,7 +42,7 @@
         self.round.request();
     }
 
-    fn apply_ended_attempt(&mut self, now: Time, ended: &AttemptEnded) {
+    fn apply_ended_attempt(&mut self, now: Time, ended: &EndedAttempt) {
         let active = self.active_attempts.get(&ended.attempt);
         let ran_ms = active.map_or(0, |active| active.running_ms(now));
         let removed = self.remove_attempt(ended.attempt, ended.outcome, now);
@@ -62,13 +62,13 @@
         let attempt = listed.attempt;
         self.insert_attempt(
             attempt,
-            ActiveAttempt::new(listed.task, status.from.clone()),
+            ActiveAttempt::new(listed.task, status.owner.clone()),
         );
         self.attempt_placed(attempt, &listed.machine);
         let active = self.active_attempts.get(&attempt);
         let was_completed = active.is_some_and(ActiveAttempt::is_completed);
         self.set_phase(attempt, listed.phase, listed.running_ms, now);
-        if listed.phase == Phase::Completed {
+        if listed.phase == AttemptPhase::Completed {
             if !was_completed {
                 self.attempt_completed(attempt, status);
             }
--- a/crates/worksshunt-core/src/scheduler/partition_sync/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync/tests.rs
@@ -4,7 +4,7 @@
 use worksshunt_wire::settings::Facts;
 use worksshunt_wire::Epoch;
 
-use crate::constants::partition_sync::SYNC_MAX_CHANGES;
+use crate::constants::partition_sync::MAX_CHANGES_PER_SYNC;
 use crate::jobs::JobCache;
 use crate::scheduler::StoredState;
 
@@ -30,9 +30,9 @@
 fn status(owner: &ControllerName, sequence: u64, acknowledged: u64) -> PartitionStatus {
     PartitionStatus {
         epoch: Epoch(1),
-        from: owner.clone(),
+        owner: owner.clone(),
         sequence,
-        acknowledged,
+        acknowledged_sequence: acknowledged,
         machines: Vec::new(),
         removed_machines: Vec::new(),
         attempts: Vec::new(),
@@ -46,7 +46,7 @@
     let owner = ControllerName::from("n0");
     let mut scheduler = scheduler(&owner);
     let partition = scheduler.partitions.get_mut(&owner).expect("partition");
-    for n in 0..(SYNC_MAX_CHANGES + 3) as u64 {
+    for n in 0..(MAX_CHANGES_PER_SYNC + 3) as u64 {
         partition.enqueue(Directive::Stop(Attempt(n)));
         partition.enqueue(Directive::MarkDurable(Attempt(n)));
     }
@@ -55,7 +55,7 @@
     let first = scheduler.directives_for(Time(1), &owner, none());
     assert_eq!(
         (first.stop_attempts.len(), first.durable_attempts.len()),
-        (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
+        (MAX_CHANGES_PER_SYNC, MAX_CHANGES_PER_SYNC)
     );
     // Its owner has acted on the first answer.
     scheduler.apply_status(Time(2), status(&owner, 2, first.sequence));
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::{Attempt, MachineId};
 
 use crate::constants::partition_sync::{
-    PARTITION_SILENT_MS, PROGRESS_INTERVAL_MS, SYNC_MAX_CHANGES,
+    MAX_CHANGES_PER_SYNC, PARTITION_SILENCE_TIMEOUT_MS, PROGRESS_SYNC_INTERVAL_MS,
 };
 use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::jobs::Job;
@@ -100,7 +100,7 @@
 
     /// Whether its owner's messages arrive.
     pub fn is_responsive(&self, now: Time) -> bool {
-        now.since(self.last_message_at) < PARTITION_SILENT_MS
+        now.since(self.last_message_at) < PARTITION_SILENCE_TIMEOUT_MS
     }
 
     /// Whether it has described itself, and was answered, in this epoch.
@@ -115,10 +115,11 @@
             return false;
         }
         self.last_sequence = status.sequence;
-        self.acknowledged = status.acknowledged;
+        self.acknowledged = status.acknowledged_sequence;
         self.last_message_at = now;
-        self.outbox
-            .retain(|_, sent_in| sent_in.is_none_or(|sequence| sequence > status.acknowledged));
+        self.outbox.retain(|_, sent_in| {
+            sent_in.is_none_or(|sequence| sequence > status.acknowledged_sequence)
+        });
         true
     }
 
@@ -140,7 +141,7 @@
     pub fn next_message(&mut self) -> LeaderDirectives {
         self.directives_sent += 1;
         LeaderDirectives {
-            in_reply_to: self.last_sequence,
+            request_sequence: self.last_sequence,
             sequence: self.directives_sent,
             ..LeaderDirectives::default()
         }
@@ -154,7 +155,7 @@
         message: &mut LeaderDirectives,
     ) {
         for (directive, sent_in) in &mut self.outbox {
-            if directive.count_of_kind(message) >= SYNC_MAX_CHANGES {
+            if directive.count_of_kind(message) >= MAX_CHANGES_PER_SYNC {
                 continue;
             }
             *sent_in = Some(self.directives_sent);
@@ -192,7 +193,7 @@
     pub fn take_progress_due(&mut self, now: Time) -> bool {
         let is_due = self
             .progress_sent_at
-            .is_none_or(|sent_at| now.since(sent_at) >= PROGRESS_INTERVAL_MS);
+            .is_none_or(|sent_at| now.since(sent_at) >= PROGRESS_SYNC_INTERVAL_MS);
         if is_due {
             self.progress_sent_at = Some(now);
         }
--- a/crates/worksshunt-core/src/scheduler/partition_view/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view/tests.rs
@@ -7,15 +7,15 @@
         id: MachineId(format!("i-{n:06}")),
         machine_type: "m4".into(),
         zone: "a".into(),
-        spot: true,
-        schedulable: true,
+        is_spot: true,
+        is_schedulable: true,
         idle_ms: None,
-        cpus,
-        gpus: 0.0,
-        memory_gb: 8.0,
-        reclaim_notice: false,
-        unreachable: false,
-        lost: false,
+        free_cpus: cpus,
+        free_gpus: 0.0,
+        free_memory_gb: 8.0,
+        has_reclaim_notice: false,
+        is_unreachable: false,
+        is_lost: false,
     }
 }
 
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -45,8 +45,8 @@
 
     /// The pages under way are durable, at `revision` if it is known.
     pub fn page_writes_applied(&mut self, revision: Option<Revision>) {
-        self.pages.former_records.write_applied(revision);
-        for key in self.pages.completions.write_applied(revision) {
+        self.pages.former_records.mark_write_applied(revision);
+        for key in self.pages.completions.mark_write_applied(revision) {
             self.chunk_durable(key);
         }
     }
--- a/crates/worksshunt-core/src/scheduler/placement_targets.rs
+++ b/crates/worksshunt-core/src/scheduler/placement_targets.rs
@@ -98,12 +98,12 @@
         zones: Option<&BTreeSet<String>>,
     ) -> CandidateMachines<'a> {
         let need = job.resources();
-        let reserves_on_demand = job.spec.spot && self.reserves_on_demand_machines(now);
+        let reserves_on_demand = job.spec.allows_spot && self.reserves_on_demand_machines(now);
         let is_candidate = |view: &&MachineView| {
             let status = &view.status;
             view.free.fits(&need)
-                && !job.leaves_machine_to_others(status.spot, reserves_on_demand)
-                && job.allows_machine(&status.machine_type, &status.zone, status.spot)
+                && !job.leaves_machine_to_others(status.is_spot, reserves_on_demand)
+                && job.allows_machine(&status.machine_type, &status.zone, status.is_spot)
                 && zones.is_none_or(|zones| zones.contains(&status.zone))
                 && !self.claims.contains_key(&status.id)
                 && !self.draining.contains(&status.id)
@@ -136,7 +136,7 @@
                 .partitions
                 .iter()
                 .find_map(|(owner, partition)| Some((owner, partition.machines.get(machine)?)))?;
-            let is_usable = view.status.schedulable
+            let is_usable = view.status.is_schedulable
                 && view.free.fits(&need)
                 && zones.is_none_or(|zones| zones.contains(&view.status.zone));
             is_usable.then(|| PlacementTarget {
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -99,7 +99,7 @@
         let has_waited = |since| is_service || now.steady.since(since) >= PREEMPT_AFTER_MS;
         job_tasks.stuck_since.is_some_and(has_waited)
             && (is_service || !job.has_zone_constraint())
-            && !job.spec.one_zone
+            && !job.spec.needs_single_zone
             && self.quota.admits_one_more(job)
             && self.is_at_risk(job, now, self.quota.guarantees_one_more(job))
     }
@@ -117,7 +117,7 @@
         for StuckJob { job, waiting, .. } in stuck {
             let mut zones = self.remaining_tasks_by_zone(job);
             for _ in 0..*waiting {
-                if budget.exhausted() {
+                if budget.is_exhausted() {
                     return selection.chosen;
                 }
                 let is_guaranteed = selection.quota.guarantees_one_more(job);
--- a/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
+++ b/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
@@ -108,7 +108,7 @@
         let has_tasks_left = |zones: &BTreeMap<String, u32>| {
             zones.get(&machine.zone).is_some_and(|tasks| *tasks > 0)
         };
-        job.allows_machine(&machine.machine_type, &machine.zone, machine.spot)
+        job.allows_machine(&machine.machine_type, &machine.zone, machine.is_spot)
             && zones.is_none_or(has_tasks_left)
     }
 
@@ -253,7 +253,7 @@
 
 /// The work that is lost when an attempt is stopped that ran for `ran_ms`, milliseconds.
 fn work_lost_ms(job: &Job, ran_ms: u64) -> u64 {
-    match job.spec.checkpoint_s {
+    match job.spec.checkpoint_interval_s {
         // A replica does its work only while it runs, so it is stopped last.
         _ if job.is_service() => REPLICA_PREEMPTION_COST_MS,
         interval_s if interval_s > 0.0 => ran_ms.min((interval_s * 1_000.0) as u64),
@@ -266,7 +266,7 @@
     pub(super) fn preemption_candidates(&self, now: Time) -> PreemptionCandidates<'_> {
         let machines = self
             .machines()
-            .filter(|view| view.status.schedulable && !view.status.reclaim_notice)
+            .filter(|view| view.status.is_schedulable && !view.status.has_reclaim_notice)
             .filter(|view| !self.claims.contains_key(&view.status.id))
             .map(|view| {
                 let candidate = CandidateMachine {
--- a/crates/worksshunt-core/src/scheduler/round.rs
+++ b/crates/worksshunt-core/src/scheduler/round.rs
@@ -8,7 +8,7 @@
 
 use worksshunt_wire::JobId;
 
-use crate::constants::scheduling::{OLD_JOB_MS, OLD_JOB_STARVATION_MS, STARVATION_MS};
+use crate::constants::scheduling::{OLD_JOB_AGE_MS, OLD_JOB_STARVATION_MS, STARVATION_MS};
 use crate::constants::timers::ROUND_INTERVAL_MS;
 use crate::jobs::Job;
 use crate::time::{Budget, Now, Time};
@@ -90,7 +90,7 @@
             self.begin_round(now);
         }
         while let Some(turn) = self.round.next_turn() {
-            if budget.exhausted() || self.attempts_exhausted() {
+            if budget.is_exhausted() || self.attempts_exhausted() {
                 return;
             }
             self.dispatch_job(now, turn.pass, turn.job);
@@ -193,7 +193,7 @@
     let waited_ms = job_tasks
         .last_dispatch_at
         .map_or(age_ms, |dispatched_at| now.steady.since(dispatched_at));
-    let limit_ms = if age_ms >= OLD_JOB_MS {
+    let limit_ms = if age_ms >= OLD_JOB_AGE_MS {
         OLD_JOB_STARVATION_MS
     } else {
         STARVATION_MS
--- a/crates/worksshunt-core/src/scheduler/silent_machines.rs
+++ b/crates/worksshunt-core/src/scheduler/silent_machines.rs
@@ -39,7 +39,7 @@
         let is_silent = |view: &&MachineView| {
             view.unusable_since
                 .is_some_and(|since| now.since(since) >= self.services.silent_release_ms)
-                && !view.status.reclaim_notice
+                && !view.status.has_reclaim_notice
                 && with_replicas.contains(&view.status.id)
         };
         let is_isolated = |view: &&MachineView| {
--- a/crates/worksshunt-core/src/scheduler/stored_pages.rs
+++ b/crates/worksshunt-core/src/scheduler/stored_pages.rs
@@ -5,7 +5,7 @@
 use worksshunt_wire::Revision;
 
 use crate::jobs::{Completions, COMPLETIONS_PREFIX};
-use crate::pages::{page_bytes, PageWrite, Pages};
+use crate::pages::{max_page_bytes, PageWrite, Pages};
 use crate::records::{AttemptRecord, ATTEMPT_RECORDS_PREFIX};
 use crate::time::Time;
 
@@ -23,8 +23,8 @@
     /// No page yet.
     pub fn new(limits: &KeyValueLimits) -> StoredPages {
         StoredPages {
-            completions: Pages::new(COMPLETIONS_PREFIX.to_owned(), page_bytes(limits)),
-            former_records: Pages::new(ATTEMPT_RECORDS_PREFIX.to_owned(), page_bytes(limits)),
+            completions: Pages::new(COMPLETIONS_PREFIX.to_owned(), max_page_bytes(limits)),
+            former_records: Pages::new(ATTEMPT_RECORDS_PREFIX.to_owned(), max_page_bytes(limits)),
             former_records_first: false,
         }
     }
@@ -35,14 +35,14 @@
     pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.former_records_first = !self.former_records_first;
         if self.former_records_first {
-            let mut writes = self.former_records.next_writes(now, max_pages);
+            let mut writes = self.former_records.begin_writes(now, max_pages);
             let remaining = max_pages - writes.len();
-            writes.extend(self.completions.next_writes(now, remaining));
+            writes.extend(self.completions.begin_writes(now, remaining));
             writes
         } else {
-            let mut writes = self.completions.next_writes(now, max_pages);
+            let mut writes = self.completions.begin_writes(now, max_pages);
             let remaining = max_pages - writes.len();
-            writes.extend(self.former_records.next_writes(now, remaining));
+            writes.extend(self.former_records.begin_writes(now, remaining));
             writes
         }
     }
@@ -55,7 +55,7 @@
 
     /// A page's version was read.
     pub fn version_read(&mut self, key: &str, version: Revision) {
-        self.completions.version_read(key, version);
-        self.former_records.version_read(key, version);
+        self.completions.set_page_version(key, version);
+        self.former_records.set_page_version(key, version);
     }
 }
--- a/crates/worksshunt-core/src/scheduler/workload_log.rs
+++ b/crates/worksshunt-core/src/scheduler/workload_log.rs
@@ -1,6 +1,6 @@
 //! The regular log line about the leader's load.
 
-use worksshunt_wire::peer::Phase;
+use worksshunt_wire::peer::AttemptPhase;
 
 use super::job_tasks::JobTasks;
 use super::{MachineView, Scheduler};
@@ -24,9 +24,9 @@
 impl Scheduler {
     /// Logs how many jobs, tasks, attempts and machines there are, and what is free.
     pub fn log_load(&self) {
-        let usable = || self.machines().filter(|view| view.status.schedulable);
+        let usable = || self.machines().filter(|view| view.status.is_schedulable);
         let all = MachineTotals::of(usable());
-        let on_demand = MachineTotals::of(usable().filter(|view| !view.status.spot));
+        let on_demand = MachineTotals::of(usable().filter(|view| !view.status.is_spot));
         let waiting: u32 = self.jobs.values().map(JobTasks::waiting).sum();
         let stuck = self.jobs.values().filter(|tasks| tasks.is_stuck()).count();
         let in_phase = |phase| {
@@ -37,8 +37,8 @@
             jobs = self.jobs.len(), waiting, stuck,
             machines = all.machines, free_cpus = all.free_cpus,
             on_demand_machines = on_demand.machines, on_demand_free_cpus = on_demand.free_cpus,
-            queued = in_phase(Phase::Queued), placed = in_phase(Phase::Placed),
-            running = in_phase(Phase::Running), completed = in_phase(Phase::Completed),
+            queued = in_phase(AttemptPhase::Queued), placed = in_phase(AttemptPhase::Placed),
+            running = in_phase(AttemptPhase::Running), completed = in_phase(AttemptPhase::Completed),
             used_cpus = %self.quota, claims = self.claims.len(),
             "scheduler load"
         );
--- a/crates/worksshunt-core/src/scheduler/zone_constraints.rs
+++ b/crates/worksshunt-core/src/scheduler/zone_constraints.rs
@@ -85,7 +85,7 @@
             true => done_by_zone,
             false => &tasks_by_zone,
         };
-        let allowed = match job.spec.one_zone {
+        let allowed = match job.spec.needs_single_zone {
             // An attempt somewhere unknown (inherited, its machine silent) may be in any zone.
             true if unplaced_tasks > 0 => Some(BTreeSet::new()),
             true if !binding.is_empty() => Some(binding.keys().cloned().collect()),
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -101,7 +101,7 @@
     let spec: JobSpec =
         serde_json::from_value(value).map_err(|error| Malformed::Field(error.to_string()))?;
     check_amounts(&spec)?;
-    if spec.tasks == 0 || spec.tasks > MAX_TASKS_PER_JOB {
+    if spec.task_count == 0 || spec.task_count > MAX_TASKS_PER_JOB {
         return Err(Malformed::TaskCount);
     }
     Ok(spec)
@@ -114,9 +114,9 @@
         ("Gpus", spec.gpus),
         ("RamGb", spec.memory_gb),
         ("SizeGb", spec.image_gb),
-        ("CalculoS", spec.estimate_s),
-        ("RespaldoS", spec.checkpoint_s),
-        ("GuardadoS", spec.save_s),
+        ("CalculoS", spec.estimated_runtime_s),
+        ("RespaldoS", spec.checkpoint_interval_s),
+        ("GuardadoS", spec.checkpoint_duration_s),
         ("EntregaS", spec.deadline_s.unwrap_or(0.0)),
     ];
     let invalid = amounts
@@ -135,7 +135,7 @@
 pub fn check_possible(spec: &JobSpec, catalog: &Catalog, quota: &Quota) -> Result<(), Refusal> {
     check_team_limit(spec, quota)?;
     let need = Resources::of_task(spec);
-    let mut types = catalog.types.iter();
+    let mut types = catalog.machine_types.iter();
     if types.any(|machine_type| can_run_on(spec, &need, machine_type)) {
         Ok(())
     } else {
@@ -151,7 +151,7 @@
     // Replicas run all at once, other tasks one after the other if need be.
     let (concurrent_tasks, impossible) = match spec.kind {
         JobKind::Array => (1.0, Impossible::TaskExceedsLimit),
-        JobKind::Service => (f64::from(spec.tasks), Impossible::ReplicasExceedLimit),
+        JobKind::Service => (f64::from(spec.task_count), Impossible::ReplicasExceedLimit),
     };
     let exceeds =
         |per_task: f64, limit: f64| per_task * concurrent_tasks > limit + ROUNDING_TOLERANCE;
--- a/crates/worksshunt-core/src/submissions/tests.rs
+++ b/crates/worksshunt-core/src/submissions/tests.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_valid_submission_is_parsed() {
     let spec = parse(submission().to_string().as_bytes()).expect("a job");
-    assert_eq!((spec.id, spec.tasks), (JobId(1), 1));
+    assert_eq!((spec.id, spec.task_count), (JobId(1), 1));
 }
 
 #[test]
--- a/crates/worksshunt-core/src/time.rs
+++ b/crates/worksshunt-core/src/time.rs
@@ -43,15 +43,15 @@
 /// The time that a round of decisions may take.
 pub struct Budget<'a> {
     /// When it ends.
-    pub until: Time,
+    pub deadline: Time,
     /// Reads the clock again.
     pub clock: &'a dyn Fn() -> Time,
 }
 
 impl Budget<'_> {
     /// Whether no time is left.
-    pub fn exhausted(&self) -> bool {
-        (self.clock)() >= self.until
+    pub fn is_exhausted(&self) -> bool {
+        (self.clock)() >= self.deadline
     }
 }
 
@@ -93,28 +93,28 @@
 
 /// A timer of requests that are sent at intervals, one at a time, and sooner again after a failure.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Periodic {
+pub struct PeriodicTimer {
     /// The next request is not sent before.
-    pub next: Time,
+    pub next_at: Time,
     /// A request is not answered yet.
-    pub in_flight: bool,
+    pub is_in_flight: bool,
 }
 
-impl Periodic {
+impl PeriodicTimer {
     /// Whether the next request is due.
     pub fn is_due(&self, now: Time) -> bool {
-        !self.in_flight && now >= self.next
+        !self.is_in_flight && now >= self.next_at
     }
 
     /// A request is sent; the next one follows after `interval_ms` at the earliest.
     pub fn mark_sent(&mut self, now: Time, interval_ms: u64) {
-        self.in_flight = true;
-        self.next = now + interval_ms;
+        self.is_in_flight = true;
+        self.next_at = now + interval_ms;
     }
 
     /// The request was answered, or given up; the next one follows after `wait_ms`.
     pub fn schedule_retry(&mut self, now: Time, wait_ms: u64) {
-        self.in_flight = false;
-        self.next = now + wait_ms;
+        self.is_in_flight = false;
+        self.next_at = now + wait_ms;
     }
 }
--- a/crates/worksshunt-core/tests/scenarios/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -268,7 +268,7 @@
 fn records_of_former_epochs_go_while_tasks_complete() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
-        settings.facts.state.write_rps = 6.0;
+        settings.facts.key_value_store.changes_per_s = 6.0;
     }
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(4_000);
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -226,8 +226,8 @@
 fn large_full_fleet(machines: usize) -> (Cluster, Vec<MachineId>) {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
-        settings.facts.teams[1].cpus_max = 10_000.0;
-        settings.facts.state.write_rps = 60.0;
+        settings.facts.teams[1].max_cpus = 10_000.0;
+        settings.facts.key_value_store.changes_per_s = 60.0;
     }
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.capacity = machines;
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -12,7 +12,7 @@
 use worksshunt_core::membership::EpochRecord;
 use worksshunt_core::records;
 use worksshunt_wire::key_value::KeyValue;
-use worksshunt_wire::peer::{AttemptOutcome, PeerRequest, PeerResponse, Phase};
+use worksshunt_wire::peer::{AttemptOutcome, AttemptPhase, PeerRequest, PeerResponse};
 use worksshunt_wire::{JobId, Revision};
 
 use crate::{long_job, ready};
@@ -49,14 +49,20 @@
         panic!("{:?}", requests[0]);
     };
     assert_eq!(
-        (status.epoch.0, status.sequence, status.acknowledged),
+        (
+            status.epoch.0,
+            status.sequence,
+            status.acknowledged_sequence
+        ),
         (7, 9, 8)
     );
     assert!(
-        status.machines[0].lost && status.machines[0].spot && !status.machines[0].reclaim_notice
+        status.machines[0].is_lost
+            && status.machines[0].is_spot
+            && !status.machines[0].has_reclaim_notice
     );
-    let phases: Vec<Phase> = status.attempts.iter().map(|a| a.phase).collect();
-    use Phase::{Completed, Placed, Queued, Running};
+    let phases: Vec<AttemptPhase> = status.attempts.iter().map(|a| a.phase).collect();
+    use AttemptPhase::{Completed, Placed, Queued, Running};
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
     let ends: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
     use AttemptOutcome::{Acknowledged, Failed, Lost, Stopped, Unplaced};
@@ -81,14 +87,14 @@
         "a/" => {
             let on = records::read(pair).expect("records");
             let entries = on.into_iter().map(|r| (r.attempt, r)).collect();
-            let written = worksshunt_core::pages::PageEntry::page_value(&entries);
+            let written = worksshunt_core::pages::PageEntry::encode_page(&entries);
             assert_eq!(written, *value);
         }
         "d/" => {
             let entries = read_completions(value).expect("completions");
             assert!(!entries.is_empty());
             assert_eq!(
-                worksshunt_core::pages::PageEntry::page_value(&entries),
+                worksshunt_core::pages::PageEntry::encode_page(&entries),
                 *value
             );
         }
@@ -275,7 +281,7 @@
             let kb = SMALL_LIMITS.value_bytes as f64 / 1_024.0;
             let next = json!({ "value_kb": kb, "txn_ops": SMALL_LIMITS.changes });
             let next = serde_json::from_value(next).expect("limits");
-            cluster.settings[controller].facts.state.next = Some(next);
+            cluster.settings[controller].facts.key_value_store.announced = Some(next);
         }
         cluster.start(controller);
     }
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -36,7 +36,7 @@
         team: "blue".into(),
         kind: JobKind::Array,
         priority: Priority::Urgent,
-        tasks,
+        task_count: tasks,
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.5,
@@ -44,12 +44,12 @@
         image_gb: 1.25,
         machine_types: Some(vec!["m4".into()]),
         zone: Some("a".into()),
-        one_zone: true,
-        spread: false,
-        spot: true,
-        estimate_s: 10.5,
-        checkpoint_s: 60.5,
-        save_s: 0.5,
+        needs_single_zone: true,
+        needs_zone_spread: false,
+        allows_spot: true,
+        estimated_runtime_s: 10.5,
+        checkpoint_interval_s: 60.5,
+        checkpoint_duration_s: 0.5,
         deadline_s: Some(3_600.5),
     };
     Job {
@@ -65,8 +65,8 @@
     job.spec.machine_types = None;
     job.spec.zone = None;
     job.spec.deadline_s = None;
-    job.spec.one_zone = false;
-    job.spec.spread = true;
+    job.spec.needs_single_zone = false;
+    job.spec.needs_zone_spread = true;
     job
 }
 
@@ -125,7 +125,7 @@
 fn empty_listing() -> Listing {
     Listing {
         pairs: Vec::new(),
-        more: false,
+        has_more: false,
         revision: Revision(1),
     }
 }
@@ -163,7 +163,7 @@
     };
     let listing = Listing {
         pairs: vec![own, pair("c/n/n2")],
-        more: false,
+        has_more: false,
         revision: Revision(3),
     };
     let MembershipAction::Propose(write) = reader.process_control_keys(Time(2), &listing) else {
@@ -243,13 +243,13 @@
     let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<Attempt, AttemptRecord> {
         page.iter().map(|r| (r.attempt, r.clone())).collect()
     };
-    written("a/4.n1.3", &AttemptRecord::page_value(&by_attempt(&page)));
+    written("a/4.n1.3", &AttemptRecord::encode_page(&by_attempt(&page)));
     let first_release = [recorded("i-000001", task(1, 2), 67_108_866, 1)];
     let read = records::read(&pair("a/i-000001")).expect("a machine's record");
     assert_eq!(read, first_release);
     // With an incarnation that differs from every other number in the store.
     let page = [recorded("i-000009", task(3, 4), 5, 6)];
-    let value = AttemptRecord::page_value(&by_attempt(&page));
+    let value = AttemptRecord::encode_page(&by_attempt(&page));
     let text = r#"{"on":[["i-000009","j-000003/4",5,6]],"v":2}"#;
     assert_eq!(value.to_string(), text);
     let pair = KeyValue {
@@ -271,13 +271,13 @@
     };
     let mut entries = BTreeMap::from([(key(0), entry)]);
     assert_eq!(read_completions(&stored("d/0")), Some(entries.clone()));
-    written("d/0", &Completions::page_value(&entries));
+    written("d/0", &Completions::encode_page(&entries));
     let later = Completions {
         tasks: BTreeSet::from([TASKS_PER_COMPLETIONS_ENTRY + 1]),
         zones: BTreeMap::new(),
     };
     entries.insert(key(1), later);
-    let value = Completions::page_value(&entries);
+    let value = Completions::encode_page(&entries);
     let one = TASKS_PER_COMPLETIONS_ENTRY + 1;
     let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
     let text = format!(r#"{{"done":[{first},["j-000001",[[{one},{one}]],{{}}]],"v":2}}"#);
@@ -294,12 +294,12 @@
         "k/i-000001.4.12"
     );
     let catalog = Catalog {
-        types: vec![MachineType {
+        machine_types: vec![MachineType {
             name: "m4".into(),
             cpus: 4.0,
             gpus: 0.0,
             memory_gb: 16.0,
-            price: 1.5,
+            on_demand_price: 1.5,
             spot_price: Some(0.5),
             boot_s: 5.0,
             image_pull_gb_per_s: 1.25,
@@ -324,7 +324,7 @@
         reader.member_key_written(Revision(1));
         let listing = Listing {
             pairs: others.iter().map(|other| key(other)).collect(),
-            more: false,
+            has_more: false,
             revision: Revision(2),
         };
         reader.process_control_keys(Time(1), &listing)
--- a/crates/worksshunt-measure/src/loopback/cloud.rs
+++ b/crates/worksshunt-measure/src/loopback/cloud.rs
@@ -61,7 +61,7 @@
             .plan
             .machines
             .saturating_sub(self.machines.borrow().len());
-        let count = free.min(request.count as usize);
+        let count = free.min(request.machine_count as usize);
         if count == 0 {
             return HttpResponse::error(503, "no capacity");
         }
@@ -81,11 +81,11 @@
             self.executor.spawn(running).detach();
             machines.push(id);
         }
-        HttpResponse::json(200, &MachineIds { machines })
+        HttpResponse::json(200, &MachineIds { ids: machines })
     }
 
     fn terminate(&self, request: &MachineIds) -> HttpResponse {
-        for id in &request.machines {
+        for id in &request.ids {
             if let Some(machine) = self.machines.borrow_mut().remove(id) {
                 machine.worker.terminate(&self.observer);
             }
@@ -99,7 +99,7 @@
             id: id.clone(),
             machine_type: MACHINE_TYPE.into(),
             zone: machine.worker.zone.clone(),
-            spot: machine.worker.spot,
+            is_spot: machine.worker.spot,
             state: if machine.worker.is_booted() {
                 ListedState::Running
             } else {
@@ -111,7 +111,13 @@
         let mut machines: Vec<ListedMachine> = after.take(PAGE + 1).map(listed).collect();
         let more = machines.len() > PAGE;
         machines.truncate(PAGE);
-        HttpResponse::json(200, &MachineList { machines, more })
+        HttpResponse::json(
+            200,
+            &MachineList {
+                machines,
+                has_more: more,
+            },
+        )
     }
 
     /// Answers a request.
--- a/crates/worksshunt-measure/src/loopback/controllers.rs
+++ b/crates/worksshunt-measure/src/loopback/controllers.rs
@@ -118,11 +118,11 @@
         let mut settings = large_settings(node, machines);
         settings.client_listen = address(port(node)).to_string();
         settings.internal_addr = address(port(node) + PEER_PORT_OFFSET).to_string();
-        for peer in &mut settings.known {
+        for peer in &mut settings.peers {
             let other: usize = peer.host_name.0[1..].parse().unwrap_or(0);
             peer.endpoint = address(port(other) + PEER_PORT_OFFSET).to_string();
         }
-        settings.services.state = address(KV_STORE_PORT).to_string();
+        settings.services.key_value_store = address(KV_STORE_PORT).to_string();
         settings.services.cloud = address(CLOUD_PORT).to_string();
         settings.facts.workers.heartbeat_interval_s = HEARTBEAT_INTERVAL.as_secs_f64();
         settings.facts.workers.lease_s = WORKER_LEASE.as_secs_f64();
--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -82,12 +82,17 @@
     /// Executes a request and encodes the response.
     fn respond(&self, request: &KvRequest) -> HttpResponse {
         match self.apply(request) {
-            KvResponse::LeaseGranted(lease) => HttpResponse::json(200, &Lease { lease }),
+            KvResponse::LeaseGranted(lease) => HttpResponse::json(200, &Lease { id: lease }),
             KvResponse::LeaseRenewed => HttpResponse::json(200, &()),
             KvResponse::Found(pair) => HttpResponse::json(200, &pair),
             KvResponse::Committed(revision) => HttpResponse::json(200, &StoreRevision { revision }),
             KvResponse::WatchResponse(changes) => HttpResponse::json(200, &changes),
-            KvResponse::Conflict(failed) => HttpResponse::json(409, &Conflict { failed }),
+            KvResponse::Conflict(failed) => HttpResponse::json(
+                409,
+                &Conflict {
+                    failed_keys: failed,
+                },
+            ),
             KvResponse::Missing => HttpResponse::json(
                 404,
                 &StoreRevision {
@@ -113,7 +118,7 @@
         pairs.truncate(limit);
         let page = Listing {
             pairs,
-            more,
+            has_more: more,
             revision: all.revision,
         };
         HttpResponse::json(200, &page)
--- a/crates/worksshunt-measure/src/loopback/key_value_store/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store/tests.rs
@@ -37,7 +37,7 @@
     let change = Change::Put {
         key: EPOCH_KEY.to_owned(),
         value: epoch,
-        lease: None,
+        lease_id: None,
     };
     let request = CompareAndSwap {
         expected: vec![],
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -82,7 +82,7 @@
             id,
             address: worker_address(number),
             zone: request.zone.clone(),
-            spot: request.spot,
+            spot: request.is_spot,
             state: RefCell::new(WorkerState {
                 incarnation: Incarnation(1),
                 sequence: 0,
@@ -124,11 +124,11 @@
             addr: self.address.to_string(),
             machine_type: MACHINE_TYPE.into(),
             zone: self.zone.clone(),
-            spot: self.spot,
+            is_spot: self.spot,
             incarnation: state.incarnation,
             sequence: state.sequence,
             fencing_token: state.fencing_token,
-            notice_s: None,
+            reclaim_notice_s: None,
         }
     }
 
--- a/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
@@ -77,7 +77,7 @@
     /// Turns to the controller that a redirect names; to the next one if it names none or the same again.
     fn follow_redirect(&self, body: &[u8], plan: &Plan) -> Duration {
         let redirect = serde_json::from_slice::<Redirect>(body).ok();
-        let name = redirect.and_then(|redirect| redirect.report_to);
+        let name = redirect.and_then(|redirect| redirect.controller);
         let named = name.and_then(|name| plan.nodes.iter().position(|node| node.name == name.0));
         match named.filter(|node| *node != self.controller.get()) {
             Some(node) => {
--- a/crates/worksshunt-measure/src/loopback/worker/tasks.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/tasks.rs
@@ -102,8 +102,8 @@
             } else {
                 TaskState::Ended
             },
-            reason: task.reason,
-            saved: None,
+            exit_reason: task.reason,
+            is_checkpoint_saved: None,
         };
         self.0.iter().map(status).collect()
     }
--- a/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
@@ -38,7 +38,7 @@
     tasks
         .statuses()
         .iter()
-        .map(|status| status.reason)
+        .map(|status| status.exit_reason)
         .collect()
 }
 
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use http_types::Method;
-use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE;
+use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE_SIZE;
 use worksshunt_core::controller::CloudResponse;
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_wire::cloud::{MachineIds, MachineList, ProvisionRequest};
@@ -96,7 +96,7 @@
     let mut pages: Vec<MachineList> = Vec::new();
     loop {
         let page = list_page(client, pages.last(), deadline).await?;
-        let is_last = !page.more || page.machines.is_empty();
+        let is_last = !page.has_more || page.machines.is_empty();
         pages.push(page);
         if is_last {
             return Ok(CloudResponse::List(pages));
@@ -113,12 +113,12 @@
     let last = previous.and_then(|page| page.machines.last());
     let since = last.map(|machine| format!("&Since={}", machine.id));
     let since = since.unwrap_or_default();
-    let path = format!("/machines?Most={MACHINE_LIST_PAGE}{since}");
+    let path = format!("/machines?Most={MACHINE_LIST_PAGE_SIZE}{since}");
     let response = client.call(Method::Get, &path, None, deadline).await?;
     match response.status {
         200 => {
             let page: MachineList = decode(&response.body)?;
-            check_page(page.machines.len(), MACHINE_LIST_PAGE)?;
+            check_page(page.machines.len(), MACHINE_LIST_PAGE_SIZE)?;
             Ok(page)
         }
         status => Err(RequestError::UnexpectedStatus(status)),
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -16,7 +16,7 @@
 
 fn names(names: &[&str]) -> MachineIds {
     MachineIds {
-        machines: names.iter().map(|name| MachineId::from(*name)).collect(),
+        ids: names.iter().map(|name| MachineId::from(*name)).collect(),
     }
 }
 
@@ -40,8 +40,8 @@
         request_name: "n0.7.12".to_owned(),
         machine_type: "m8".to_owned(),
         zone: "b".to_owned(),
-        spot: true,
-        count: 3,
+        is_spot: true,
+        machine_count: 3,
     });
     let sent = r#"{"Modelo":"m8","Number":3,"Patio":"b","Pedido":"n0.7.12","Prestados":true}"#;
     let provision = |status, body| {
@@ -107,13 +107,13 @@
         id: MachineId(format!("i-{n:06}")),
         machine_type: "m4".into(),
         zone: "a".into(),
-        spot: true,
+        is_spot: true,
         state: ListedState::Running,
         age_s: 1.0,
     };
     MachineList {
         machines: (0..machines).map(listed).collect(),
-        more: false,
+        has_more: false,
     }
 }
 
@@ -127,9 +127,9 @@
 
 #[test]
 fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let CloudResponse::List(pages) = listed(MACHINE_LIST_PAGE) else {
+    let CloudResponse::List(pages) = listed(MACHINE_LIST_PAGE_SIZE) else {
         panic!("the longest page was refused");
     };
-    assert_eq!(pages[0].machines.len(), MACHINE_LIST_PAGE);
-    assert_eq!(listed(MACHINE_LIST_PAGE + 1), CloudResponse::NoAnswer);
+    assert_eq!(pages[0].machines.len(), MACHINE_LIST_PAGE_SIZE);
+    assert_eq!(listed(MACHINE_LIST_PAGE_SIZE + 1), CloudResponse::NoAnswer);
 }
