--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -61,7 +61,7 @@
     let response = call.await?;
     match response.status {
         200 => Ok(KvResponse::LeaseGranted(
-            decode::<Lease>(&response.body)?.lease,
+            decode::<Lease>(&response.body)?.id,
         )),
         status => Err(RequestError::UnexpectedStatus(status)),
     }
@@ -111,12 +111,12 @@
         let last_key = pairs.last().map(|pair| pair.key.as_str());
         let page = list_page(client, prefix, last_key, deadline).await?;
         let revision = *first_revision.get_or_insert(page.revision);
-        let is_last = !page.more || page.pairs.is_empty();
+        let is_last = !page.has_more || page.pairs.is_empty();
         pairs.extend(page.pairs);
         if is_last {
             return Ok(KvResponse::Listing(Listing {
                 pairs,
-                more: false,
+                has_more: false,
                 revision,
             }));
         }
@@ -158,7 +158,7 @@
             Ok(KvResponse::Committed(committed.revision))
         }
         409 => Ok(KvResponse::Conflict(
-            decode::<Conflict>(&response.body)?.failed,
+            decode::<Conflict>(&response.body)?.failed_keys,
         )),
         400 if contains(&response.body, NO_SUCH_LEASE) => Ok(KvResponse::NoSuchLease),
         400 => {
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -82,7 +82,7 @@
     );
     let expected = Listing {
         pairs: vec![pair("j/a"), pair("j/b"), pair("j/c")],
-        more: false,
+        has_more: false,
         revision: Revision(7),
     };
     assert_eq!(listing, KvResponse::Listing(expected));
@@ -96,7 +96,7 @@
     };
     let empty = Listing {
         pairs: Vec::new(),
-        more: false,
+        has_more: false,
         revision: Revision(7),
     };
     // More to come after an empty page would be asked for without end.
@@ -118,7 +118,7 @@
             Change::Put {
                 key: "c/n/n0".to_owned(),
                 value: serde_json::json!([1]),
-                lease: Some(9),
+                lease_id: Some(9),
             },
             Change::Delete {
                 key: "k/i-000003".to_owned(),
@@ -215,7 +215,7 @@
     };
     let page = Listing {
         pairs: (0..keys).map(pair).collect(),
-        more: false,
+        has_more: false,
         revision: Revision(7),
     };
     with_response(HttpResponse::json(200, &page), |client| async move {
--- a/crates/worksshunt-net/src/lib.rs
+++ b/crates/worksshunt-net/src/lib.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use async_io::Async;
-use worksshunt_core::constants::capacity::ACCEPT_RETRY_MS;
+use worksshunt_core::constants::capacity::ACCEPT_RETRY_DELAY_MS;
 
 use connections::Connections;
 
@@ -65,7 +65,7 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 tracing::debug!(%error, "cannot accept a connection");
-                async_io::Timer::after(Duration::from_millis(ACCEPT_RETRY_MS)).await;
+                async_io::Timer::after(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
                 continue;
             }
         };
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE;
+use worksshunt_core::constants::fleet::MACHINE_LIST_PAGE_SIZE;
 use worksshunt_core::controller::{CloudResponse, Event};
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_core::time::Time;
@@ -48,18 +48,18 @@
         if let Some(provisioned) = self.cloud.provisioned.get(&request.request_name) {
             return CloudResponse::Machines(provisioned.clone());
         }
-        if request.spot && self.faults.cloud.no_spot {
+        if request.is_spot && self.faults.cloud.no_spot {
             return CloudResponse::NoCapacity;
         }
         let free = self.capacity.saturating_sub(self.workers.len());
-        let count = free.min(request.count as usize);
+        let count = free.min(request.machine_count as usize);
         if count == 0 {
             return CloudResponse::NoCapacity;
         }
         let machines = (0..count)
-            .map(|_| self.machine(&request.zone, request.spot, self.boot_ms))
+            .map(|_| self.machine(&request.zone, request.is_spot, self.boot_ms))
             .collect();
-        let provisioned = MachineIds { machines };
+        let provisioned = MachineIds { ids: machines };
         self.cloud
             .provisioned
             .insert(request.request_name.clone(), provisioned.clone());
@@ -67,7 +67,7 @@
     }
 
     fn release_machines(&mut self, released: &MachineIds) -> CloudResponse {
-        for id in &released.machines {
+        for id in &released.ids {
             if self.workers.remove(id).is_some() {
                 self.released_machines.push(id.clone());
             }
@@ -78,7 +78,7 @@
     /// Whether the cloud's rate admits a request. A list is as many calls as it has pages.
     fn cloud_rate_allows(&mut self, request: &CloudRequest) -> bool {
         let calls = match request {
-            CloudRequest::ListMachines => self.workers.len() / MACHINE_LIST_PAGE + 1,
+            CloudRequest::ListMachines => self.workers.len() / MACHINE_LIST_PAGE_SIZE + 1,
             _ => 1,
         };
         self.usage.cloud_calls += calls as u64;
@@ -103,14 +103,15 @@
             .collect();
         let page = |machines: &[ListedMachine]| MachineList {
             machines: machines.to_vec(),
-            more: true,
+            has_more: true,
         };
-        let mut pages: Vec<MachineList> = machines.chunks(MACHINE_LIST_PAGE).map(page).collect();
+        let mut pages: Vec<MachineList> =
+            machines.chunks(MACHINE_LIST_PAGE_SIZE).map(page).collect();
         match pages.last_mut() {
-            Some(last) => last.more = false,
+            Some(last) => last.has_more = false,
             None => pages.push(MachineList {
                 machines: Vec::new(),
-                more: false,
+                has_more: false,
             }),
         }
         pages
@@ -121,7 +122,7 @@
             id: id.clone(),
             machine_type: "m4".into(),
             zone: worker.zone.clone(),
-            spot: worker.spot,
+            is_spot: worker.spot,
             state: if self.now >= worker.up_at {
                 ListedState::Running
             } else {
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -177,7 +177,7 @@
         revision: *revision,
     };
     match reply {
-        KvResponse::LeaseGranted(lease) => Message::json("lease granted", &Lease { lease: *lease }),
+        KvResponse::LeaseGranted(lease) => Message::json("lease granted", &Lease { id: *lease }),
         KvResponse::LeaseRenewed => Message::empty("lease renewed"),
         KvResponse::NoSuchLease => Message::empty("no such lease"),
         KvResponse::Found(pair) => Message::json("found", pair),
@@ -186,7 +186,12 @@
         KvResponse::Committed(revision) => Message::json("committed", &at(revision)),
         KvResponse::Conflict(keys) => {
             let failed = keys.clone();
-            Message::json("conflict", &Conflict { failed })
+            Message::json(
+                "conflict",
+                &Conflict {
+                    failed_keys: failed,
+                },
+            )
         }
         KvResponse::WatchResponse(changes) => Message::json("changes", changes),
         KvResponse::RevisionCompacted => Message::empty("revision compacted"),
--- a/crates/worksshunt-simulation/src/fixtures.rs
+++ b/crates/worksshunt-simulation/src/fixtures.rs
@@ -37,16 +37,16 @@
     let cpus = machines as f64 * MACHINE_CPUS;
     for team in &mut settings.facts.teams {
         let share = if team.name.0 == "red" { 0.25 } else { 0.5 };
-        team.cpus = cpus * share / 2.0;
-        team.cpus_max = if team.name.0 == "white" {
+        team.guaranteed_cpus = cpus * share / 2.0;
+        team.max_cpus = if team.name.0 == "white" {
             0.0
         } else {
             cpus * share
         };
     }
-    settings.facts.state.rps = 500.0;
-    settings.facts.state.write_rps = 60.0;
-    settings.facts.cloud.rps = 8.0;
+    settings.facts.key_value_store.requests_per_s = 500.0;
+    settings.facts.key_value_store.changes_per_s = 60.0;
+    settings.facts.cloud.requests_per_s = 8.0;
     settings.facts.limits.sockets = machines * 3;
     settings
 }
--- a/crates/worksshunt-simulation/src/heartbeats.rs
+++ b/crates/worksshunt-simulation/src/heartbeats.rs
@@ -9,7 +9,7 @@
 use crate::links::Link;
 use crate::network::PendingRequest;
 use crate::worker::Worker;
-use crate::{Cluster, CONTROLLERS, HEARTBEAT_DEADLINE_MS, INSPECTION_INTERVAL_MS};
+use crate::{Cluster, CONTROLLERS, HEARTBEAT_TIMEOUT_MS, INSPECTION_INTERVAL_MS};
 
 /// When a worker whose leader has changed sends its next heartbeat, ms.
 const NEW_EPOCH_HEARTBEAT_MS: u64 = 500;
@@ -34,7 +34,7 @@
         };
         let slow_ms = self.faults.heartbeats.slow_ms.get(&sent.machine).copied();
         let deadline = SimulationEvent::HeartbeatDeadline(sent);
-        self.schedule_at(now + HEARTBEAT_DEADLINE_MS, deadline);
+        self.schedule_at(now + HEARTBEAT_TIMEOUT_MS, deadline);
         if self.faults.heartbeats.copies_for_next_leader {
             self.copies_for_next_leader.push(heartbeat.clone());
         }
@@ -190,7 +190,7 @@
             }
             STATUS_MISDIRECTED => {
                 let redirect: Redirect = serde_json::from_str(&response.body).expect("JSON");
-                let name = redirect.report_to.expect("a controller").0;
+                let name = redirect.controller.expect("a controller").0;
                 worker.controller = name[1..].parse().expect("a number");
                 worker.next_heartbeat_at = now;
             }
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -26,7 +26,7 @@
         let change = Change::Put {
             key: key.to_owned(),
             value,
-            lease: None,
+            lease_id: None,
         };
         let write = CompareAndSwap {
             expected: Vec::new(),
--- a/crates/worksshunt-simulation/src/invariants/mod.rs
+++ b/crates/worksshunt-simulation/src/invariants/mod.rs
@@ -79,8 +79,8 @@
         let facts = &settings.facts;
         self.cancel_ms = (facts.workers.cancel_s * 1_000.0) as u64;
         // 0 means none.
-        let limited = facts.teams.iter().filter(|team| team.cpus_max > 0.0);
-        let limit = |team: &Team| (team.name.0.clone(), team.cpus_max);
+        let limited = facts.teams.iter().filter(|team| team.max_cpus > 0.0);
+        let limit = |team: &Team| (team.name.0.clone(), team.max_cpus);
         self.team_limits = limited.map(limit).collect();
     }
 
--- a/crates/worksshunt-simulation/src/invariants/tasks.rs
+++ b/crates/worksshunt-simulation/src/invariants/tasks.rs
@@ -50,7 +50,7 @@
         let Some(spec) = self.jobs.get(&id) else {
             return false;
         };
-        (0..spec.tasks).all(|index| self.has_completed(TaskId { job: id, index }))
+        (0..spec.task_count).all(|index| self.has_completed(TaskId { job: id, index }))
     }
 
     fn cancelled_at(&self, id: JobId) -> Option<u64> {
@@ -88,13 +88,14 @@
         for other in on_machines {
             *zones.entry(&other.zone).or_default() += 1;
             let is_wrong_zone = spec.zone.as_ref().is_some_and(|zone| *zone != other.zone);
-            if other.machine == *machine && (is_wrong_zone || (other.spot && !spec.spot)) {
+            if other.machine == *machine && (is_wrong_zone || (other.spot && !spec.allows_spot)) {
                 self.record_violation("wrong_place", &format!("{task}"));
             }
         }
-        let max_per_zone = spec.tasks.div_ceil(2);
-        let is_crowded = spec.spread && zones.values().any(|tasks| *tasks > max_per_zone);
-        if is_crowded || (spec.one_zone && zones.len() > 1) {
+        let max_per_zone = spec.task_count.div_ceil(2);
+        let is_crowded =
+            spec.needs_zone_spread && zones.values().any(|tasks| *tasks > max_per_zone);
+        if is_crowded || (spec.needs_single_zone && zones.len() > 1) {
             self.record_violation("wrong_place", &format!("{task}: zones {zones:?}"));
         }
     }
@@ -161,7 +162,7 @@
     fn has_waiting_task(&self, id: JobId, spec: &JobSpec, audit: &JobAudit) -> bool {
         let on_machines = audit.of_job(id).iter();
         let on_machines: BTreeSet<u32> = on_machines.map(|on| on.task.index).collect();
-        (0..spec.tasks).any(|index| {
+        (0..spec.task_count).any(|index| {
             !on_machines.contains(&index) && !self.has_completed(TaskId { job: id, index })
         })
     }
@@ -175,7 +176,7 @@
     /// Whether the job's tasks have to start wherever they fit: their zones are free, no user has cancelled them and
     /// the scenario does not let them fail.
     fn has_to_progress(&self, id: JobId, spec: &JobSpec, failing_jobs: &BTreeSet<JobId>) -> bool {
-        let zones_matter = spec.one_zone || spec.spread;
+        let zones_matter = spec.needs_single_zone || spec.needs_zone_spread;
         let history = self.histories.get(&id);
         let is_withdrawn = history.is_some_and(|history| history.is_withdrawn);
         !zones_matter && !is_withdrawn && !failing_jobs.contains(&id)
@@ -196,7 +197,7 @@
 fn fits(spec: &JobSpec, free_capacity: &[FreeCapacity]) -> bool {
     free_capacity.iter().any(|free| {
         free.cpus >= spec.cpus
-            && (spec.spot || !free.spot)
+            && (spec.allows_spot || !free.spot)
             && spec.zone.as_ref().is_none_or(|zone| zone == free.zone)
     })
 }
--- a/crates/worksshunt-simulation/src/key_value_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_service.rs
@@ -1,6 +1,6 @@
 //! The key-value store as controllers reach it: over a network, with rates, limits and faults.
 
-use worksshunt_core::constants::key_value::KV_DEADLINE_MS;
+use worksshunt_core::constants::key_value::KV_REQUEST_TIMEOUT_MS;
 use worksshunt_core::controller::{Event, KvRequest, KvResponse};
 use worksshunt_core::time::{Time, TokenBucket};
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
@@ -65,7 +65,7 @@
         let is_write = matches!(request, KvRequest::CompareAndSwap(_));
         if is_write && self.faults.key_value.hold_writes.contains(&controller) {
             self.key_value.held_writes.push(request);
-            let gives_up_at = self.now + KV_DEADLINE_MS;
+            let gives_up_at = self.now + KV_REQUEST_TIMEOUT_MS;
             self.answer_key_value(gives_up_at, caller, KvResponse::NoAnswer);
             return;
         }
--- a/crates/worksshunt-simulation/src/key_value_store.rs
+++ b/crates/worksshunt-simulation/src/key_value_store.rs
@@ -121,7 +121,7 @@
             .filter(|expected| self.key_revision(&expected.key) != expected.version)
             .map(|expected| expected.key.clone())
             .collect();
-        let has_no_lease = |change: &Change| matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
+        let has_no_lease = |change: &Change| matches!(change, Change::Put { lease_id: Some(lease), .. } if !self.leases.contains_key(lease));
         if write.changes.iter().any(has_no_lease) {
             return KvResponse::NoSuchLease;
         }
@@ -131,7 +131,11 @@
         self.revision += 1;
         for change in &write.changes {
             match change {
-                Change::Put { key, value, lease } => self.put(key, value, *lease),
+                Change::Put {
+                    key,
+                    value,
+                    lease_id: lease,
+                } => self.put(key, value, *lease),
                 Change::Delete { key } => self.delete(key),
             }
         }
@@ -204,7 +208,7 @@
                 .filter(|(key, _)| key.starts_with(prefix))
                 .map(|(key, stored)| stored.with_key(key))
                 .collect(),
-            more: false,
+            has_more: false,
             revision: Revision(self.revision),
         }
     }
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -67,7 +67,7 @@
 /// Interval of heartbeats, ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 2_500;
 /// How long a worker waits for the response to a heartbeat, ms.
-const HEARTBEAT_DEADLINE_MS: u64 = 4_000;
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 /// Processors of a machine.
 const MACHINE_CPUS: f64 = 4.0;
 /// Interval at which the cluster inspects itself, ms.
@@ -216,10 +216,13 @@
         let facts = &cluster.settings[0].facts;
         let bucket = |rate: f64| TokenBucket::new(rate, rate);
         cluster.key_value_rates = Some(KeyValueRates {
-            requests: bucket(facts.state.rps),
-            changes: bucket(facts.state.write_rps),
+            requests: bucket(facts.key_value_store.requests_per_s),
+            changes: bucket(facts.key_value_store.changes_per_s),
         });
-        cluster.cloud_rate = Some(TokenBucket::new(facts.cloud.rps, facts.cloud.rps * 2.0));
+        cluster.cloud_rate = Some(TokenBucket::new(
+            facts.cloud.requests_per_s,
+            facts.cloud.requests_per_s * 2.0,
+        ));
         cluster.worker_step_ms = 250;
         cluster.capacity = machines;
         cluster.nominal_boot_s = 25.0;
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use worksshunt_core::constants::workers::DIRECT_COMMAND_DEADLINE_MS;
+use worksshunt_core::constants::workers::DIRECT_COMMAND_TIMEOUT_MS;
 use worksshunt_core::controller::Action;
 use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_core::machines::DirectCommands;
@@ -106,7 +106,7 @@
 
     fn send_commands(&mut self, from: ControllerRun, commands: DirectCommands) {
         self.usage.command_requests += 1;
-        let deadline_at = self.now + DIRECT_COMMAND_DEADLINE_MS;
+        let deadline_at = self.now + DIRECT_COMMAND_TIMEOUT_MS;
         let arrives_at = self.arrival_time(Link::Worker(from.index));
         if arrives_at > deadline_at {
             self.commands_timed_out(from, commands.clone(), deadline_at);
--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -1,6 +1,6 @@
 //! Requests between controllers and their responses.
 
-use worksshunt_core::constants::partition_sync::{MAX_FRAME_BYTES, SYNC_DEADLINE_MS};
+use worksshunt_core::constants::partition_sync::{MAX_FRAME_BYTES, SYNC_TIMEOUT_MS};
 use worksshunt_core::controller::Event;
 use worksshunt_core::job_api::RequestId;
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
@@ -21,7 +21,7 @@
         let to: usize = to.0[1..].parse().expect("a number");
         let id = self.pending_requests.next_id();
         if let PeerRequest::Sync(_) = request {
-            let deadline_at = self.now + SYNC_DEADLINE_MS;
+            let deadline_at = self.now + SYNC_TIMEOUT_MS;
             self.schedule_at(deadline_at, SimulationEvent::PeerDeadline { from, id });
             if self.usage.sync(&request) > MAX_FRAME_BYTES {
                 // The receiver refuses the frame and does not respond.
@@ -53,7 +53,7 @@
             && self.is_in_partitioned_zone(from.index) == self.is_in_partitioned_zone(to);
         let Some(receiver) = self.current_run(to).filter(|_| is_reached) else {
             if let PeerRequest::Sync(_) = request {
-                let deadline_at = self.now + SYNC_DEADLINE_MS;
+                let deadline_at = self.now + SYNC_TIMEOUT_MS;
                 self.deliver_at(deadline_at, from, Event::PeerResponse(None));
             }
             return;
--- a/crates/worksshunt-simulation/src/worker.rs
+++ b/crates/worksshunt-simulation/src/worker.rs
@@ -83,19 +83,19 @@
             task: task.task,
             attempt: *attempt,
             state: task.state,
-            reason: task.reason,
-            saved: None,
+            exit_reason: task.reason,
+            is_checkpoint_saved: None,
         };
         Heartbeat {
             machine: id.clone(),
             addr: "10.1.0.1:9000".into(),
             machine_type: "m4".into(),
             zone: self.zone.clone(),
-            spot: self.spot,
+            is_spot: self.spot,
             incarnation: Incarnation(self.incarnation),
             sequence: self.sequence,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks: self.tasks.iter().map(status).collect(),
         }
     }
--- a/crates/worksshunt-wire/src/cloud.rs
+++ b/crates/worksshunt-wire/src/cloud.rs
@@ -23,7 +23,7 @@
     pub memory_gb: f64,
     /// On-demand price per hour.
     #[serde(rename = "Rate")]
-    pub price: f64,
+    pub on_demand_price: f64,
     /// Spot price per hour.
     #[serde(rename = "LowPrice", default)]
     pub spot_price: Option<f64>,
@@ -43,19 +43,22 @@
 pub struct Catalog {
     /// All machine types.
     #[serde(rename = "Modelos")]
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
 }
 
 impl Catalog {
     /// The shortest nominal boot time of all types, seconds.
     pub fn shortest_boot_s(&self) -> f64 {
-        let boots = self.types.iter().map(|machine_type| machine_type.boot_s);
+        let boots = self
+            .machine_types
+            .iter()
+            .map(|machine_type| machine_type.boot_s);
         boots.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// The type of that name.
-    pub fn get(&self, name: &str) -> Option<&MachineType> {
-        let mut types = self.types.iter();
+    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        let mut types = self.machine_types.iter();
         types.find(|machine_type| machine_type.name == name)
     }
 }
@@ -74,10 +77,10 @@
     pub zone: String,
     /// Spot or on demand.
     #[serde(rename = "Prestados")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// How many.
     #[serde(rename = "Number")]
-    pub count: u32,
+    pub machine_count: u32,
 }
 
 /// Names of machines: the response to provisioning, the body of a release.
@@ -85,7 +88,7 @@
 pub struct MachineIds {
     /// The names.
     #[serde(rename = "Estibas")]
-    pub machines: Vec<MachineId>,
+    pub ids: Vec<MachineId>,
 }
 
 /// State of a machine in the cloud's list.
@@ -114,7 +117,7 @@
     pub zone: String,
     /// Spot or on demand.
     #[serde(rename = "Prestados")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// State.
     #[serde(rename = "Estado")]
     pub state: ListedState,
@@ -131,5 +134,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     #[serde(rename = "More", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/crates/worksshunt-wire/src/key_value.rs
+++ b/crates/worksshunt-wire/src/key_value.rs
@@ -30,7 +30,7 @@
     pub pairs: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(rename = "More", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The store's revision.
     #[serde(rename = "Corte")]
     pub revision: Revision,
@@ -61,7 +61,7 @@
         value: Value,
         /// The lease it is attached to.
         #[serde(rename = "Permiso", skip_serializing_if = "Option::is_none", default)]
-        lease: Option<u64>,
+        lease_id: Option<u64>,
     },
     /// Remove a key.
     Delete {
@@ -103,7 +103,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// The keys that differed.
-    pub failed: Vec<String>,
+    #[serde(rename = "failed")]
+    pub failed_keys: Vec<String>,
 }
 
 /// Request for a lease.
@@ -119,7 +120,7 @@
 pub struct Lease {
     /// Its id.
     #[serde(rename = "Permiso")]
-    pub lease: u64,
+    pub id: u64,
 }
 
 /// One event of a watch.
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -12,7 +12,7 @@
 
 /// State of an attempt, as the owner of its partition knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Phase {
+pub enum AttemptPhase {
     /// Assigned to the partition, not on a machine yet.
     Queued,
     /// On a machine, or on its way there.
@@ -33,7 +33,7 @@
     /// Its machine.
     pub machine: MachineId,
     /// Its state.
-    pub phase: Phase,
+    pub phase: AttemptPhase,
     /// How long it has run, milliseconds.
     pub running_ms: u64,
 }
@@ -52,23 +52,23 @@
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
-    pub spot: bool,
+    pub is_spot: bool,
     /// Whether it may take tasks now.
-    pub schedulable: bool,
+    pub is_schedulable: bool,
     /// For how many milliseconds no task has been, or may have been, on it; none if one may be now.
     pub idle_ms: Option<u64>,
     /// Free processors.
-    pub cpus: f64,
+    pub free_cpus: f64,
     /// Free accelerators.
-    pub gpus: f64,
+    pub free_gpus: f64,
     /// Free memory, GB.
-    pub memory_gb: f64,
+    pub free_memory_gb: f64,
     /// Whether the cloud gave notice to reclaim it.
-    pub reclaim_notice: bool,
+    pub has_reclaim_notice: bool,
     /// Whether its worker sends heartbeats but has not answered direct commands for long.
-    pub unreachable: bool,
+    pub is_unreachable: bool,
     /// Whether the lease of its worker has certainly expired.
-    pub lost: bool,
+    pub is_lost: bool,
 }
 
 /// How an attempt ended.
@@ -88,7 +88,7 @@
 
 /// An attempt that is certainly gone.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct AttemptEnded {
+pub struct EndedAttempt {
     /// The task.
     pub task: TaskId,
     /// The attempt.
@@ -105,11 +105,11 @@
     /// The epoch.
     pub epoch: Epoch,
     /// The owner.
-    pub from: ControllerName,
+    pub owner: ControllerName,
     /// Sequence number; the leader ignores a message that a later one has overtaken.
     pub sequence: u64,
     /// Sequence number of the last response that the owner has acted on.
-    pub acknowledged: u64,
+    pub acknowledged_sequence: u64,
     /// Machines that changed.
     pub machines: Vec<MachineStatus>,
     /// Machines that no longer belong to it.
@@ -117,7 +117,7 @@
     /// Attempts that changed.
     pub attempts: Vec<AttemptStatus>,
     /// Attempts that ended.
-    pub ended_attempts: Vec<AttemptEnded>,
+    pub ended_attempts: Vec<EndedAttempt>,
 }
 
 /// A task assigned to a partition.
@@ -130,7 +130,7 @@
     /// The zone it must use, where its job's other tasks determine that.
     pub zone: Option<String>,
     /// The machine it must use, where the leader has reserved one.
-    pub claimed: Option<MachineId>,
+    pub claimed_machine: Option<MachineId>,
 }
 
 /// What the leader wants of a partition's machines; always complete.
@@ -150,7 +150,7 @@
     /// The epoch.
     pub epoch: Epoch,
     /// Sequence number of the message this answers.
-    pub in_reply_to: u64,
+    pub request_sequence: u64,
     /// Sequence number of this response.
     pub sequence: u64,
     /// New tasks.
@@ -176,7 +176,7 @@
     /// not know the message drops the connection, which counts as no response.
     KnownEpoch {
         /// Number of the poll, by which the sender tells its responses apart.
-        poll: u64,
+        poll_number: u64,
     },
 }
 
@@ -184,11 +184,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct KnownEpoch {
     /// Number of the poll that this answers.
-    pub poll: u64,
+    pub poll_number: u64,
     /// The newest epoch it has learnt of since it started; 0 for none.
     pub epoch: Epoch,
     /// Whether the key-value store answered it lately.
-    pub key_value_store_reachable: bool,
+    pub is_key_value_store_reachable: bool,
 }
 
 /// A response on the peer link.
--- a/crates/worksshunt-wire/src/settings.rs
+++ b/crates/worksshunt-wire/src/settings.rs
@@ -13,13 +13,15 @@
     /// This controller's name.
     pub host_name: ControllerName,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Address and port for users, workers and health checks.
     pub client_listen: String,
     /// Address and port for the other controllers.
     pub internal_addr: String,
     /// The other controllers.
-    pub known: Vec<Peer>,
+    #[serde(rename = "known")]
+    pub peers: Vec<Peer>,
     /// Addresses of cloud and key-value store.
     pub services: Services,
     /// Facts of the deployment.
@@ -32,7 +34,8 @@
     /// Its name.
     pub host_name: ControllerName,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Its internal address and port.
     pub endpoint: String,
 }
@@ -43,7 +46,8 @@
     /// The cloud.
     pub cloud: String,
     /// The key-value store.
-    pub state: String,
+    #[serde(rename = "state")]
+    pub key_value_store: String,
 }
 
 /// Facts of the deployment.
@@ -57,7 +61,8 @@
     /// Intervals and deadlines of the workers.
     pub workers: Workers,
     /// Limits of the key-value store.
-    pub state: KeyValueLimits,
+    #[serde(rename = "state")]
+    pub key_value_store: KeyValueLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of the process.
@@ -76,8 +81,8 @@
     #[serde(default)]
     pub within_s: Option<f64>,
     /// Multiple of the job's deadline.
-    #[serde(default)]
-    pub times: Option<f64>,
+    #[serde(rename = "times", default)]
+    pub deadline_factor: Option<f64>,
 }
 
 /// A team's guarantee and limit (its quota).
@@ -86,13 +91,17 @@
     /// Its name.
     pub name: TeamName,
     /// Guaranteed processors.
-    pub cpus: f64,
+    #[serde(rename = "cpus")]
+    pub guaranteed_cpus: f64,
     /// Limit of processors; 0: no limit.
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max")]
+    pub max_cpus: f64,
     /// Guaranteed accelerators.
-    pub gpus: f64,
+    #[serde(rename = "gpus")]
+    pub guaranteed_gpus: f64,
     /// Limit of accelerators; 0: no limit.
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max")]
+    pub max_gpus: f64,
 }
 
 /// Limits of what a team's tasks use at a time; infinite where there is none.
@@ -109,8 +118,8 @@
     pub fn limits(&self) -> TeamLimits {
         let limit = |stated: f64| if stated > 0.0 { stated } else { f64::INFINITY };
         TeamLimits {
-            cpus: limit(self.cpus_max),
-            gpus: limit(self.gpus_max),
+            cpus: limit(self.max_cpus),
+            gpus: limit(self.max_gpus),
         }
     }
 }
@@ -131,34 +140,42 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValueLimits {
     /// Requests per second.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
     /// Changes per second.
-    pub write_rps: f64,
+    #[serde(rename = "write_rps")]
+    pub changes_per_s: f64,
     /// Largest value, KiB.
-    pub value_kb: f64,
+    #[serde(rename = "value_kb")]
+    pub max_value_kib: f64,
     /// Changes per transaction.
-    pub txn_ops: usize,
+    #[serde(rename = "txn_ops")]
+    pub max_transaction_changes: usize,
     /// Limits that come into force later, without notice.
-    #[serde(default)]
-    pub next: Option<NextKeyValueLimits>,
+    #[serde(rename = "next", default)]
+    pub announced: Option<NextKeyValueLimits>,
 }
 
 impl KeyValueLimits {
     /// The lower of each limit in force and the one announced, so that both are kept.
     pub fn lowest(&self) -> KeyValueLimits {
-        let next = self.next.clone().unwrap_or_default();
+        let announced = self.announced.clone().unwrap_or_default();
         KeyValueLimits {
-            rps: next.rps.map_or(self.rps, |rps| rps.min(self.rps)),
-            write_rps: next
-                .write_rps
-                .map_or(self.write_rps, |rps| rps.min(self.write_rps)),
-            value_kb: next
-                .value_kb
-                .map_or(self.value_kb, |kb| kb.min(self.value_kb)),
-            txn_ops: next
-                .txn_ops
-                .map_or(self.txn_ops, |ops| ops.min(self.txn_ops)),
-            next: None,
+            requests_per_s: announced
+                .requests_per_s
+                .map_or(self.requests_per_s, |rate| rate.min(self.requests_per_s)),
+            changes_per_s: announced
+                .changes_per_s
+                .map_or(self.changes_per_s, |rate| rate.min(self.changes_per_s)),
+            max_value_kib: announced
+                .max_value_kib
+                .map_or(self.max_value_kib, |kib| kib.min(self.max_value_kib)),
+            max_transaction_changes: announced
+                .max_transaction_changes
+                .map_or(self.max_transaction_changes, |changes| {
+                    changes.min(self.max_transaction_changes)
+                }),
+            announced: None,
         }
     }
 }
@@ -167,24 +184,25 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct NextKeyValueLimits {
     /// Requests per second.
-    #[serde(default)]
-    pub rps: Option<f64>,
+    #[serde(rename = "rps", default)]
+    pub requests_per_s: Option<f64>,
     /// Changes per second.
-    #[serde(default)]
-    pub write_rps: Option<f64>,
+    #[serde(rename = "write_rps", default)]
+    pub changes_per_s: Option<f64>,
     /// Largest value, KiB.
-    #[serde(default)]
-    pub value_kb: Option<f64>,
+    #[serde(rename = "value_kb", default)]
+    pub max_value_kib: Option<f64>,
     /// Changes per transaction.
-    #[serde(default)]
-    pub txn_ops: Option<usize>,
+    #[serde(rename = "txn_ops", default)]
+    pub max_transaction_changes: Option<usize>,
 }
 
 /// Limits of the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
     /// How far the machine list lags behind, seconds.
     pub list_lag_s: f64,
 }
@@ -195,6 +213,6 @@
     /// Sockets it may have open.
     pub sockets: usize,
     /// Memory it may use, MB, where the platform limits it.
-    #[serde(default)]
-    pub mem_mb: Option<f64>,
+    #[serde(rename = "mem_mb", default)]
+    pub memory_mb: Option<f64>,
 }
--- a/crates/worksshunt-wire/src/user.rs
+++ b/crates/worksshunt-wire/src/user.rs
@@ -51,7 +51,7 @@
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "Piezas")]
-    pub tasks: u32,
+    pub task_count: u32,
     /// Processors each task takes.
     #[serde(rename = "Cores")]
     pub cpus: f64,
@@ -75,22 +75,22 @@
     pub zone: Option<String>,
     /// All tasks must be in one zone.
     #[serde(rename = "SamePlace")]
-    pub one_zone: bool,
+    pub needs_single_zone: bool,
     /// At most half of the tasks, rounded up, in one zone.
     #[serde(rename = "Spread")]
-    pub spread: bool,
+    pub needs_zone_spread: bool,
     /// May use spot machines.
     #[serde(rename = "Prestados")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Owner's estimate of a task's run time, seconds.
     #[serde(rename = "CalculoS")]
-    pub estimate_s: f64,
+    pub estimated_runtime_s: f64,
     /// Checkpoint interval, seconds; 0 means the task makes no checkpoints.
     #[serde(rename = "RespaldoS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time a task needs for a checkpoint when it is stopped, seconds.
     #[serde(rename = "GuardadoS")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// When the job should be complete, seconds from submission.
     #[serde(rename = "EntregaS", default)]
     pub deadline_s: Option<f64>,
@@ -123,9 +123,9 @@
     #[serde(rename = "Estado")]
     pub state: JobState,
     /// Tasks done, for display.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub done: Option<u32>,
+    #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
+    pub done_tasks: Option<u32>,
     /// Tasks running, for display.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub running: Option<u32>,
+    #[serde(rename = "running", default, skip_serializing_if = "Option::is_none")]
+    pub running_tasks: Option<u32>,
 }
--- a/crates/worksshunt-wire/src/worker.rs
+++ b/crates/worksshunt-wire/src/worker.rs
@@ -58,10 +58,10 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(rename = "Motivo", default, skip_serializing_if = "Option::is_none")]
-    pub reason: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether a checkpoint was made when it was stopped.
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub is_checkpoint_saved: Option<bool>,
 }
 
 /// A worker's heartbeat, with the status of all its tasks.
@@ -81,7 +81,7 @@
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "Prestados")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// Incarnation.
     #[serde(rename = "Jornada")]
     pub incarnation: Incarnation,
@@ -93,7 +93,7 @@
     pub fencing_token: Epoch,
     /// Seconds until the cloud reclaims the machine.
     #[serde(rename = "AvisoS", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "Piezas")]
     pub tasks: Vec<TaskStatus>,
@@ -180,5 +180,5 @@
 pub struct Redirect {
     /// The controller, if known.
     #[serde(rename = "Capataz", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<ControllerName>,
+    pub controller: Option<ControllerName>,
 }
--- a/crates/worksshunt-wire/tests/wire_format/cloud.rs
+++ b/crates/worksshunt-wire/tests/wire_format/cloud.rs
@@ -9,12 +9,12 @@
 
 fn compare_catalogs(fixtures: &mut Fixtures) {
     let catalog = |spot_price, image_pull_gb_per_s| Catalog {
-        types: vec![MachineType {
+        machine_types: vec![MachineType {
             name: "m8".into(),
             cpus: 8.5,
             gpus: 2.0,
             memory_gb: 64.25,
-            price: 3.5,
+            on_demand_price: 3.5,
             spot_price,
             boot_s: 45.0,
             image_pull_gb_per_s,
@@ -31,13 +31,13 @@
         request_name: "n0.7.12".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
-        spot,
-        count: 3,
+        is_spot: spot,
+        machine_count: 3,
     };
     fixtures.same("rental of spot machines", provision(true));
     fixtures.same("rental of ordinary machines", provision(false));
     let names = machines(&["i-000041", "i-000042"]);
-    fixtures.same("machine names", MachineIds { machines: names });
+    fixtures.same("machine names", MachineIds { ids: names });
 }
 
 fn compare_machine_lists(fixtures: &mut Fixtures) {
@@ -45,7 +45,7 @@
         id: id.into(),
         machine_type: "m8".into(),
         zone: "a".into(),
-        spot,
+        is_spot: spot,
         state,
         age_s: 12.5,
     };
@@ -55,7 +55,7 @@
             listed("i-000002", ListedState::Running, false),
             listed("i-000003", ListedState::Failed, true),
         ],
-        more: true,
+        has_more: true,
     };
     fixtures.same("machine list", machine_list);
     fixtures.reads("machine list, fields absent", MachineList::default());
--- a/crates/worksshunt-wire/tests/wire_format/key_value.rs
+++ b/crates/worksshunt-wire/tests/wire_format/key_value.rs
@@ -13,7 +13,7 @@
     let put = |lease| Change::Put {
         key: "c/n/n0".into(),
         value: json!([1, "x"]),
-        lease,
+        lease_id: lease,
     };
     CompareAndSwap {
         expected: vec![ExpectedRevision {
@@ -62,7 +62,7 @@
             value: json!({ "at": 5 }),
             version: Revision(31),
         }],
-        more,
+        has_more: more,
         revision: Revision(77),
     };
     fixtures.same("pair", listing(true).pairs.remove(0));
@@ -72,9 +72,14 @@
     let revision = Revision(78);
     fixtures.same("at revision", StoreRevision { revision });
     let failed = vec!["c/epoch".into(), "d/4".into()];
-    fixtures.same("conflict", Conflict { failed });
+    fixtures.same(
+        "conflict",
+        Conflict {
+            failed_keys: failed,
+        },
+    );
     fixtures.same("lease request", LeaseRequest { ttl_ms: 6_000 });
-    fixtures.same("lease", Lease { lease: 19 });
+    fixtures.same("lease", Lease { id: 19 });
     compare_watch_responses(&mut fixtures);
     fixtures.all_compared();
 }
--- a/crates/worksshunt-wire/tests/wire_format/peer.rs
+++ b/crates/worksshunt-wire/tests/wire_format/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between controllers.
 
 use worksshunt_wire::peer::{
-    Assignment, AttemptEnded, AttemptOutcome, AttemptStatus, KnownEpoch, LeaderDirectives,
-    MachineDirectives, MachineStatus, PartitionStatus, PeerRequest, PeerResponse, Phase,
+    Assignment, AttemptOutcome, AttemptPhase, AttemptStatus, EndedAttempt, KnownEpoch,
+    LeaderDirectives, MachineDirectives, MachineStatus, PartitionStatus, PeerRequest, PeerResponse,
 };
 use worksshunt_wire::{Attempt, ControllerName, Epoch, JobId, MachineId};
 
@@ -14,15 +14,15 @@
         id: "i-000041".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
-        spot: false,
-        schedulable: false,
+        is_spot: false,
+        is_schedulable: false,
         idle_ms,
-        cpus: 1.5,
-        gpus: 2.5,
-        memory_gb: 3.5,
-        reclaim_notice: false,
-        unreachable: false,
-        lost: false,
+        free_cpus: 1.5,
+        free_gpus: 2.5,
+        free_memory_gb: 3.5,
+        has_reclaim_notice: false,
+        is_unreachable: false,
+        is_lost: false,
     }
 }
 
@@ -30,11 +30,11 @@
 fn machine_statuses() -> Vec<MachineStatus> {
     // Every flag is set on a machine of its own, so that none can take another's place.
     let flags: [fn(&mut MachineStatus); 5] = [
-        |machine| machine.spot = true,
-        |machine| machine.schedulable = true,
-        |machine| machine.reclaim_notice = true,
-        |machine| machine.unreachable = true,
-        |machine| machine.lost = true,
+        |machine| machine.is_spot = true,
+        |machine| machine.is_schedulable = true,
+        |machine| machine.has_reclaim_notice = true,
+        |machine| machine.is_unreachable = true,
+        |machine| machine.is_lost = true,
     ];
     let flagged = flags.map(|set| {
         let mut machine = machine_status(None);
@@ -55,7 +55,7 @@
         phase,
         running_ms: 1_234,
     };
-    let ended = |index, machine: Option<&str>, outcome| AttemptEnded {
+    let ended = |index, machine: Option<&str>, outcome| EndedAttempt {
         task: task(413, index),
         attempt: Attempt(400 + u64::from(index)),
         machine: machine.map(MachineId::from),
@@ -63,16 +63,16 @@
     };
     PartitionStatus {
         epoch: Epoch(5),
-        from: "n1".into(),
+        owner: "n1".into(),
         sequence: 9,
-        acknowledged: 8,
+        acknowledged_sequence: 8,
         machines: machine_statuses(),
         removed_machines: machines(&["i-000050", "i-000051"]),
         attempts: vec![
-            attempt_status(0, Phase::Queued),
-            attempt_status(1, Phase::Placed),
-            attempt_status(2, Phase::Running),
-            attempt_status(3, Phase::Completed),
+            attempt_status(0, AttemptPhase::Queued),
+            attempt_status(1, AttemptPhase::Placed),
+            attempt_status(2, AttemptPhase::Running),
+            attempt_status(3, AttemptPhase::Completed),
         ],
         ended_attempts: vec![
             ended(0, Some("i-000060"), AttemptOutcome::Failed),
@@ -89,11 +89,11 @@
         task: task(412, index),
         attempt: Attempt(500 + u64::from(index)),
         zone: zone.map(str::to_owned),
-        claimed: claimed.map(MachineId::from),
+        claimed_machine: claimed.map(MachineId::from),
     };
     LeaderDirectives {
         epoch: Epoch(5),
-        in_reply_to: 9,
+        request_sequence: 9,
         sequence: 11,
         assignments: vec![
             assignment(4, Some("b"), Some("i-000070")),
@@ -115,7 +115,10 @@
     let mut fixtures = Fixtures::hex(include_str!("../fixtures/peer.txt"));
     fixtures.same_frame("request-sync", PeerRequest::Sync(partition_status()));
     fixtures.same_frame("request-store-health", PeerRequest::KeyValueHealth);
-    fixtures.same_frame("request-known-epoch", PeerRequest::KnownEpoch { poll: 21 });
+    fixtures.same_frame(
+        "request-known-epoch",
+        PeerRequest::KnownEpoch { poll_number: 21 },
+    );
     fixtures.same_frame("answer-sync", PeerResponse::Sync(leader_directives()));
     let without_options = LeaderDirectives {
         machine_directives: None,
@@ -131,18 +134,18 @@
     fixtures.same_frame("answer-store-down", PeerResponse::KeyValueHealth(false));
     let known = |store_is_reachable| {
         PeerResponse::KnownEpoch(KnownEpoch {
-            poll: 21,
+            poll_number: 21,
             epoch: Epoch(5),
-            key_value_store_reachable: store_is_reachable,
+            is_key_value_store_reachable: store_is_reachable,
         })
     };
     fixtures.same_frame("answer-known-epoch-store-up", known(true));
     fixtures.same_frame("answer-known-epoch-store-down", known(false));
     // One byte each, so that a difference names the variant.
-    fixtures.same_frame("phase-queued", Phase::Queued);
-    fixtures.same_frame("phase-placed", Phase::Placed);
-    fixtures.same_frame("phase-running", Phase::Running);
-    fixtures.same_frame("phase-completed", Phase::Completed);
+    fixtures.same_frame("phase-queued", AttemptPhase::Queued);
+    fixtures.same_frame("phase-placed", AttemptPhase::Placed);
+    fixtures.same_frame("phase-running", AttemptPhase::Running);
+    fixtures.same_frame("phase-completed", AttemptPhase::Completed);
     fixtures.same_frame("end-error", AttemptOutcome::Failed);
     fixtures.same_frame("end-stopped", AttemptOutcome::Stopped);
     fixtures.same_frame("end-lost", AttemptOutcome::Lost);
--- a/crates/worksshunt-wire/tests/wire_format/settings.rs
+++ b/crates/worksshunt-wire/tests/wire_format/settings.rs
@@ -10,10 +10,10 @@
 fn team(name: &str, first: f64) -> Team {
     Team {
         name: name.into(),
-        cpus: first,
-        cpus_max: first + 1.0,
-        gpus: first + 2.0,
-        gpus_max: first + 3.0,
+        guaranteed_cpus: first,
+        max_cpus: first + 1.0,
+        guaranteed_gpus: first + 2.0,
+        max_gpus: first + 3.0,
     }
 }
 
@@ -26,20 +26,20 @@
             lease_s: 16.25,
             cancel_s: 30.75,
         },
-        state: KeyValueLimits {
-            rps: 500.5,
-            write_rps: 60.5,
-            value_kb: 64.5,
-            txn_ops: 20,
-            next,
+        key_value_store: KeyValueLimits {
+            requests_per_s: 500.5,
+            changes_per_s: 60.5,
+            max_value_kib: 64.5,
+            max_transaction_changes: 20,
+            announced: next,
         },
         cloud: CloudLimits {
-            rps: 5.5,
+            requests_per_s: 5.5,
             list_lag_s: 6.25,
         },
         limits: ProcessLimits {
             sockets: 1_000,
-            mem_mb: None,
+            memory_mb: None,
         },
     }
 }
@@ -47,21 +47,21 @@
 fn settings(objectives: Vec<Objective>, next: Option<NextKeyValueLimits>) -> Settings {
     let peer = |name: &str, site: &str, endpoint: &str| Peer {
         host_name: name.into(),
-        site: site.into(),
+        zone: site.into(),
         endpoint: endpoint.into(),
     };
     Settings {
         host_name: "n0".into(),
-        site: "a".into(),
+        zone: "a".into(),
         client_listen: "10.0.0.1:8000".into(),
         internal_addr: "10.0.0.1:8001".into(),
-        known: vec![
+        peers: vec![
             peer("n1", "b", "10.0.0.2:8001"),
             peer("n2", "c", "10.0.0.3:8001"),
         ],
         services: Services {
             cloud: "10.2.0.1:1".into(),
-            state: "10.2.0.2:1".into(),
+            key_value_store: "10.2.0.2:1".into(),
         },
         facts: facts(objectives, next),
     }
@@ -74,7 +74,7 @@
         kind: kind.into(),
         class: class.map(str::to_owned),
         within_s,
-        times,
+        deadline_factor: times,
     };
     let objectives = || {
         vec![
@@ -83,13 +83,13 @@
         ]
     };
     let next = NextKeyValueLimits {
-        rps: Some(400.5),
-        write_rps: Some(50.5),
-        value_kb: Some(32.5),
-        txn_ops: Some(10),
+        requests_per_s: Some(400.5),
+        changes_per_s: Some(50.5),
+        max_value_kib: Some(32.5),
+        max_transaction_changes: Some(10),
     };
     let mut full = settings(objectives(), Some(next));
-    full.facts.limits.mem_mb = Some(512.5);
+    full.facts.limits.memory_mb = Some(512.5);
     fixtures.same("settings", full);
     let empty = Some(NextKeyValueLimits::default());
     fixtures.same(
--- a/crates/worksshunt-wire/tests/wire_format/user.rs
+++ b/crates/worksshunt-wire/tests/wire_format/user.rs
@@ -12,7 +12,7 @@
         team: "red".into(),
         kind,
         priority,
-        tasks: 40,
+        task_count: 40,
         cpus: 1.5,
         gpus: 0.5,
         memory_gb: 6.25,
@@ -20,12 +20,12 @@
         image_gb: 2.75,
         machine_types: Some(vec!["m4".into(), "m8".into()]),
         zone: Some("a".into()),
-        one_zone: true,
-        spread: false,
-        spot: true,
-        estimate_s: 600.5,
-        checkpoint_s: 60.25,
-        save_s: 4.5,
+        needs_single_zone: true,
+        needs_zone_spread: false,
+        allows_spot: true,
+        estimated_runtime_s: 600.5,
+        checkpoint_interval_s: 60.25,
+        checkpoint_duration_s: 4.5,
         deadline_s: Some(3_600.5),
     }
 }
@@ -38,15 +38,15 @@
     fixtures.same("array, urgent", spec(JobKind::Array, Priority::Urgent));
     // No two of the three flags are alike in both, so that none can take another's place.
     let service = JobSpec {
-        one_zone: false,
-        spread: true,
+        needs_single_zone: false,
+        needs_zone_spread: true,
         ..spec(JobKind::Service, Priority::Prod)
     };
     fixtures.same("service, prod", service);
     let bare = JobSpec {
         machine_types: None,
         zone: None,
-        spot: false,
+        allows_spot: false,
         deadline_s: None,
         ..spec(JobKind::Array, Priority::Low)
     };
@@ -55,8 +55,8 @@
     let status = |state, done, running| JobStatus {
         id: JobId(412),
         state,
-        done,
-        running,
+        done_tasks: done,
+        running_tasks: running,
     };
     fixtures.same("pending", status(JobState::Pending, None, None));
     fixtures.same("running", status(JobState::Running, Some(7), Some(5)));
--- a/crates/worksshunt-wire/tests/wire_format/worker.rs
+++ b/crates/worksshunt-wire/tests/wire_format/worker.rs
@@ -14,8 +14,8 @@
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
         state,
-        reason,
-        saved,
+        exit_reason: reason,
+        is_checkpoint_saved: saved,
     };
     let ended = |index, reason, saved| task_status(index, TaskState::Ended, Some(reason), saved);
     Heartbeat {
@@ -23,11 +23,11 @@
         addr: "10.1.0.1:9000".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
-        spot,
+        is_spot: spot,
         incarnation: Incarnation(3),
         sequence: 17,
         fencing_token: Epoch(5),
-        notice_s,
+        reclaim_notice_s: notice_s,
         tasks: vec![
             task_status(0, TaskState::Fetching, None, None),
             task_status(1, TaskState::Running, None, None),
@@ -76,7 +76,9 @@
         commands: commands(),
     };
     fixtures.same("orders", batch);
-    let redirect = |report_to| Redirect { report_to };
+    let redirect = |report_to| Redirect {
+        controller: report_to,
+    };
     fixtures.same("redirect", redirect(Some("n2".into())));
     fixtures.same("redirect to nobody", redirect(None));
     fixtures.all_compared();
--- a/crates/worksshunt/src/client.rs
+++ b/crates/worksshunt/src/client.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use http_types::Method;
-use worksshunt_core::constants::job_api::CLIENT_DEADLINE_MS;
+use worksshunt_core::constants::job_api::CLIENT_RESPONSE_TIMEOUT_MS;
 use worksshunt_net::client::HttpClient;
 
 /// Exit code: done.
@@ -54,7 +54,7 @@
 
 fn call(server: SocketAddr, method: Method, path: &str, body: Option<String>) -> ExitCode {
     let client = HttpClient::new(server, 1);
-    let deadline = Duration::from_millis(CLIENT_DEADLINE_MS);
+    let deadline = Duration::from_millis(CLIENT_RESPONSE_TIMEOUT_MS);
     match async_io::block_on(client.call(method, path, body, deadline)) {
         Ok(response) => {
             println!("{}", String::from_utf8_lossy(&response.body));
--- a/crates/worksshunt/src/options/check.rs
+++ b/crates/worksshunt/src/options/check.rs
@@ -24,7 +24,7 @@
     let facts = &settings.facts;
     check_teams(&facts.teams)?;
     check_workers(&facts.workers)?;
-    check_key_value_limits(&facts.state, settings.known.len() + 1)?;
+    check_key_value_limits(&facts.key_value_store, settings.peers.len() + 1)?;
     check_cloud_limits(&facts.cloud)?;
     check_minimum("facts.limits.sockets", facts.limits.sockets, MIN_SOCKETS)
 }
@@ -78,7 +78,7 @@
     check_address("client_listen", &settings.client_listen)?;
     check_address("internal_addr", &settings.internal_addr)?;
     check_address("services.cloud", &settings.services.cloud)?;
-    check_address("services.state", &settings.services.state)?;
+    check_address("services.state", &settings.services.key_value_store)?;
     if settings.client_listen == settings.internal_addr {
         return Err(FieldProblem::SameAsClientAddress.of("internal_addr"));
     }
@@ -87,7 +87,7 @@
 
 fn check_peers(settings: &Settings) -> Result<(), FieldError> {
     let mut names = BTreeSet::from([&settings.host_name]);
-    for peer in &settings.known {
+    for peer in &settings.peers {
         check_address("known.endpoint", &peer.endpoint)?;
         if !names.insert(&peer.host_name) {
             return Err(FieldProblem::Duplicate(peer.host_name.to_string()).of("known.host_name"));
@@ -103,10 +103,10 @@
             return Err(FieldProblem::Duplicate(team.name.to_string()).of("facts.teams.name"));
         }
         let limits = team.limits();
-        check_team_limit("facts.teams.cpus_max", team, team.cpus_max)?;
-        check_guarantee("facts.teams.cpus", team, team.cpus, limits.cpus)?;
-        check_team_limit("facts.teams.gpus_max", team, team.gpus_max)?;
-        check_guarantee("facts.teams.gpus", team, team.gpus, limits.gpus)?;
+        check_team_limit("facts.teams.cpus_max", team, team.max_cpus)?;
+        check_guarantee("facts.teams.cpus", team, team.guaranteed_cpus, limits.cpus)?;
+        check_team_limit("facts.teams.gpus_max", team, team.max_gpus)?;
+        check_guarantee("facts.teams.gpus", team, team.guaranteed_gpus, limits.gpus)?;
     }
     Ok(())
 }
@@ -148,32 +148,32 @@
 
 /// Checks the limits in force and those announced for later.
 fn check_key_value_limits(today: &KeyValueLimits, controllers: usize) -> Result<(), FieldError> {
-    let next = today.next.clone().unwrap_or_default();
+    let next = today.announced.clone().unwrap_or_default();
     for (field, rate) in [
-        ("facts.state.rps", Some(today.rps)),
-        ("facts.state.write_rps", Some(today.write_rps)),
-        ("facts.state.next.rps", next.rps),
-        ("facts.state.next.write_rps", next.write_rps),
+        ("facts.state.rps", Some(today.requests_per_s)),
+        ("facts.state.write_rps", Some(today.changes_per_s)),
+        ("facts.state.next.rps", next.requests_per_s),
+        ("facts.state.next.write_rps", next.changes_per_s),
     ] {
         rate.map_or(Ok(()), |rate| check_positive(field, rate))?;
     }
     for (field, rate) in [
-        ("facts.state.rps", Some(today.rps)),
-        ("facts.state.next.rps", next.rps),
+        ("facts.state.rps", Some(today.requests_per_s)),
+        ("facts.state.next.rps", next.requests_per_s),
     ] {
         rate.map_or(Ok(()), |rate| check_request_rate(field, rate, controllers))?;
     }
     for (field, size) in [
-        ("facts.state.value_kb", Some(today.value_kb)),
-        ("facts.state.next.value_kb", next.value_kb),
+        ("facts.state.value_kb", Some(today.max_value_kib)),
+        ("facts.state.next.value_kb", next.max_value_kib),
     ] {
         if size.is_some_and(|kib| !kib.is_finite() || kib < MIN_VALUE_KIB) {
             return Err(FieldProblem::InvalidValueSize.of(field));
         }
     }
     for (field, changes) in [
-        ("facts.state.txn_ops", Some(today.txn_ops)),
-        ("facts.state.next.txn_ops", next.txn_ops),
+        ("facts.state.txn_ops", Some(today.max_transaction_changes)),
+        ("facts.state.next.txn_ops", next.max_transaction_changes),
     ] {
         changes.map_or(Ok(()), |changes| {
             check_minimum(field, changes, MIN_TRANSACTION_CHANGES)
@@ -201,7 +201,7 @@
 }
 
 fn check_cloud_limits(limits: &CloudLimits) -> Result<(), FieldError> {
-    check_positive("facts.cloud.rps", limits.rps)?;
+    check_positive("facts.cloud.rps", limits.requests_per_s)?;
     if !(limits.list_lag_s.is_finite() && limits.list_lag_s >= 0.0) {
         return Err(FieldProblem::InvalidDuration.of("facts.cloud.list_lag_s"));
     }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -14,13 +14,13 @@
 use async_io::{Async, Timer};
 use worksshunt_core::capacity::Capacity;
 use worksshunt_core::constants::capacity::{
-    CLOUD_CONNECTIONS, IDLE_HEARTBEAT_INTERVALS, KV_CONNECTIONS, MIN_IDLE_CONNECTION_MS,
-    PEER_CONNECTIONS,
+    CLOUD_CONNECTIONS, IDLE_CONNECTION_HEARTBEAT_INTERVALS, KV_CONNECTIONS,
+    MIN_IDLE_CONNECTION_TIMEOUT_MS, PEER_CONNECTIONS,
 };
-use worksshunt_core::constants::fleet::CLOUD_DEADLINE_MS;
-use worksshunt_core::constants::partition_sync::SYNC_DEADLINE_MS;
+use worksshunt_core::constants::fleet::CLOUD_REQUEST_TIMEOUT_MS;
+use worksshunt_core::constants::partition_sync::SYNC_TIMEOUT_MS;
 use worksshunt_core::constants::timers::TICK_MS;
-use worksshunt_core::constants::workers::DIRECT_COMMAND_DEADLINE_MS;
+use worksshunt_core::constants::workers::DIRECT_COMMAND_TIMEOUT_MS;
 use worksshunt_core::controller::{Action, Controller, Event, KvPurpose, KvRequest};
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_core::job_api::{HttpResponse, RequestId};
@@ -47,8 +47,9 @@
 
 /// How long a connection of a client or worker may be idle: some intervals of a worker's heartbeats.
 fn idle_connection_timeout(settings: &Settings) -> Duration {
-    let intervals_s = settings.facts.workers.heartbeat_interval_s * IDLE_HEARTBEAT_INTERVALS;
-    Duration::from_secs_f64(intervals_s).max(Duration::from_millis(MIN_IDLE_CONNECTION_MS))
+    let intervals_s =
+        settings.facts.workers.heartbeat_interval_s * IDLE_CONNECTION_HEARTBEAT_INTERVALS;
+    Duration::from_secs_f64(intervals_s).max(Duration::from_millis(MIN_IDLE_CONNECTION_TIMEOUT_MS))
 }
 
 /// Runs a controller until it is killed.
@@ -61,15 +62,18 @@
     let peer_listener = listen(&settings.internal_addr)?;
     let capacity = Capacity::new(&settings);
     let idle_timeout = idle_connection_timeout(&settings);
-    let peers = peer_clients(&settings.known)?;
+    let peers = peer_clients(&settings.peers)?;
     tracing::info!(
-        name = %settings.host_name, zone = settings.site, listen = settings.client_listen,
+        name = %settings.host_name, zone = settings.zone, listen = settings.client_listen,
         "starting"
     );
     let executor = Rc::new(Executor::new());
     let service = Rc::new(Service {
         executor: Rc::clone(&executor),
-        key_value_store: HttpClient::new(parse_address(&settings.services.state)?, KV_CONNECTIONS),
+        key_value_store: HttpClient::new(
+            parse_address(&settings.services.key_value_store)?,
+            KV_CONNECTIONS,
+        ),
         cloud: HttpClient::new(parse_address(&settings.services.cloud)?, CLOUD_CONNECTIONS),
         workers: Workers::new(capacity.worker_connections),
         peers,
@@ -208,7 +212,7 @@
     fn call_cloud(self: &Rc<Self>, request: CloudRequest) {
         let this = Rc::clone(self);
         self.spawn(async move {
-            let deadline = Duration::from_millis(CLOUD_DEADLINE_MS);
+            let deadline = Duration::from_millis(CLOUD_REQUEST_TIMEOUT_MS);
             let response = cloud::call(&this.cloud, &request, deadline).await;
             this.dispatch(Event::CloudResponse(request, response));
         });
@@ -217,7 +221,7 @@
     fn send_commands(self: &Rc<Self>, commands: DirectCommands) {
         let this = Rc::clone(self);
         self.spawn(async move {
-            let deadline = Duration::from_millis(DIRECT_COMMAND_DEADLINE_MS);
+            let deadline = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
             let outcome = this.workers.call(&commands, deadline).await;
             this.dispatch(Event::CommandsAnswered(commands, outcome));
         });
@@ -242,7 +246,7 @@
             tracing::error!(%peer, "not among the known controllers");
             return None;
         };
-        let deadline = Duration::from_millis(SYNC_DEADLINE_MS);
+        let deadline = Duration::from_millis(SYNC_TIMEOUT_MS);
         let result = client.call(request, deadline).await;
         result
             .inspect_err(|error| tracing::debug!(%peer, %error, "peer request failed"))
