--- a/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use http_types::Method;
 use worksshunt_net::client::{ClientResponse, HttpClient};
-use worksshunt_net::within;
+use worksshunt_net::with_timeout;
 use worksshunt_wire::worker::{HeartbeatResponse, Redirect};
 use worksshunt_wire::Incarnation;
 
@@ -128,7 +128,7 @@
             self.advance(plan, observer);
             let sent_at = Instant::now();
             let delay = self.send_heartbeat(&client, plan, observer).await;
-            let _ = within(delay, self.wake.1.recv()).await;
+            let _ = with_timeout(delay, self.wake.1.recv()).await;
             Timer::at((sent_at + MIN_HEARTBEAT_INTERVAL).min(Instant::now() + delay)).await;
         }
     }
--- a/crates/worksshunt-net/src/client.rs
+++ b/crates/worksshunt-net/src/client.rs
@@ -1,6 +1,6 @@
-//! An HTTP client for one server: a bounded number of kept connections, a deadline for each call.
+//! HTTP client of one server, with a bounded connection pool and a timeout for each call.
 //!
-//! The clients of the key-value store, the cloud, the workers and the command line are built on it.
+//! Used by the clients of the key-value store, the cloud and the workers, and by the command line.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
@@ -10,68 +10,69 @@
 use async_lock::Semaphore;
 use http_types::{Method, Request, Response, Url};
 
-use crate::{within, DeadlineExceeded, Stream};
+use crate::{with_timeout, Stream, TimedOut};
 
-/// Why a call has no response.
+/// Error of a call that has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The deadline passed.
+    /// No response within the timeout; the server may have executed the request.
     #[error(transparent)]
-    DeadlineExceeded(#[from] DeadlineExceeded),
-    /// The connection could not be made: the request was not sent.
+    TimedOut(#[from] TimedOut),
+    /// The connection could not be opened; the request was not sent.
     #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The path does not make a URL.
+    /// Address and path do not form a valid URL.
     #[error(transparent)]
     InvalidUrl(#[from] http_types::url::ParseError),
-    /// The connection failed, or the response was not HTTP.
+    /// The connection failed or the response is not valid HTTP; the server may have executed the request.
     #[error("{0}")]
     Http(http_types::Error),
 }
 
-/// A server's response to a call.
+/// Response of a server, read completely.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The whole body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// A client of one server.
+/// HTTP client of one server, with a connection pool.
 pub struct HttpClient {
     address: SocketAddr,
     idle_connections: RefCell<Vec<Stream>>,
-    slots: Semaphore,
+    connection_slots: Semaphore,
 }
 
 impl HttpClient {
-    /// A client that holds at most `max_connections` connections.
+    /// Creates a client that opens at most `max_connections` connections; calls beyond them wait.
     pub fn new(address: SocketAddr, max_connections: usize) -> HttpClient {
         HttpClient {
             address,
             idle_connections: RefCell::new(Vec::new()),
-            slots: Semaphore::new(max_connections),
+            connection_slots: Semaphore::new(max_connections),
         }
     }
 
-    /// Calls the server. `path` starts with a slash and may carry a query.
+    /// Sends a request and reads the whole response. `path` starts with a slash and may contain a query. The timeout
+    /// includes the wait for a free connection.
     ///
     /// # Errors
     ///
-    /// [`CallError::Connect`] if the request was certainly not sent; after any other error the server may have
-    /// carried it out.
+    /// [`CallError::Connect`] if the request was definitely not sent; after any other error the server may have
+    /// executed it.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<String>,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<ClientResponse, CallError> {
-        within(deadline, async {
-            let _slot = self.slots.acquire().await;
-            // In a box, because the state of an exchange takes some kilobytes, which every future around
-            // it would hold twice, from before it begins until after it has ended.
+        with_timeout(timeout, async {
+            let _slot = self.connection_slots.acquire().await;
+            // Boxed: the future of an exchange takes several kilobytes, which each enclosing future would
+            // otherwise reserve twice.
             Box::pin(self.exchange(method, path, body)).await
         })
         .await?
@@ -84,8 +85,8 @@
         body: Option<String>,
     ) -> Result<ClientResponse, CallError> {
         let idle_connection = self.idle_connections.borrow_mut().pop();
-        // A kept connection may have been closed by the server meanwhile. A read can simply be
-        // sent again; for a write the caller has to know that the outcome is open.
+        // The server may have closed an idle connection. A GET is retried on a new connection; for a write
+        // the caller has to learn that the outcome is unknown.
         if let Some(stream) = idle_connection {
             let result = self.send(stream, method, path, body.clone()).await;
             if result.is_ok() || method != Method::Get {
@@ -123,16 +124,16 @@
     }
 }
 
-/// Whether the server closes the connection after this response.
+/// Whether the `Connection` header says that the server closes the connection after this response.
 fn closes_connection(response: &Response) -> bool {
     let header = response.header("Connection");
     header.is_some_and(|values| values.last().as_str().eq_ignore_ascii_case("close"))
 }
 
-/// Opens a connection on which small messages are sent at once.
+/// Opens a connection without Nagle's algorithm, so that small messages are sent immediately.
 pub(crate) async fn connect(address: SocketAddr) -> std::io::Result<Async<TcpStream>> {
     let stream = Async::<TcpStream>::connect(address).await?;
-    // Without it only latency is worse.
+    // A failure only increases latency.
     let _ = stream.get_ref().set_nodelay(true);
     Ok(stream)
 }
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -1,7 +1,8 @@
-//! Client of the cloud: one function per request.
+//! Client of the cloud provider's API: one function per request.
 //!
-//! The service calls it for each such action of the controller. Any request may be repeated: a provisioning request
-//! has a name, and releasing a machine twice is harmless. So an unclear outcome and a refusal are not told apart.
+//! The service calls it for the controller's cloud requests. All requests are idempotent: a provisioning request has a
+//! name, and releasing a machine twice has no effect. Requests that failed and requests with an unknown outcome are
+//! therefore not distinguished.
 
 use std::time::Duration;
 
@@ -12,36 +13,32 @@
 use worksshunt_wire::cloud::{MachineIds, MachineList, ProvisionRequest};
 
 use crate::client::HttpClient;
-use crate::response::{check_page, contains, decode, RequestError};
+use crate::response::{check_page_size, contains_text, decode, RequestError};
 
-/// The service, as logs name it.
-const SERVICE: &str = "cloud";
-/// What the cloud says when it has no machine of that type left in that zone.
+/// Name of the service in log lines.
+const SERVICE_NAME: &str = "cloud";
+/// Error text of the cloud when a zone has no machine of the requested type left.
 const NO_CAPACITY: &str = "no capacity";
 
-/// Carries out one request.
-pub async fn call(
-    client: &HttpClient,
-    request: &CloudRequest,
-    deadline: Duration,
-) -> CloudResponse {
+/// Sends a request and returns the outcome.
+pub async fn call(client: &HttpClient, request: &CloudRequest, timeout: Duration) -> CloudResponse {
     let result = match request {
-        CloudRequest::ReadCatalog => read_catalog(client, deadline).await,
-        CloudRequest::ListMachines => list_machines(client, deadline).await,
-        CloudRequest::Provision(request) => provision(client, request, deadline).await,
-        CloudRequest::Release(machines) => release(client, machines, deadline).await,
+        CloudRequest::ReadCatalog => read_catalog(client, timeout).await,
+        CloudRequest::ListMachines => list_machines(client, timeout).await,
+        CloudRequest::Provision(request) => provision(client, request, timeout).await,
+        CloudRequest::Release(machines) => release(client, machines, timeout).await,
     };
     result.unwrap_or_else(|error| {
-        error.log(SERVICE);
+        error.log(SERVICE_NAME);
         CloudResponse::NoAnswer
     })
 }
 
 async fn read_catalog(
     client: &HttpClient,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<CloudResponse, RequestError> {
-    let response = client.call(Method::Get, "/catalog", None, deadline).await?;
+    let response = client.call(Method::Get, "/catalog", None, timeout).await?;
     match response.status {
         200 => Ok(CloudResponse::Catalog(decode(&response.body)?)),
         status => Err(RequestError::UnexpectedStatus(status)),
@@ -51,13 +48,13 @@
 async fn provision(
     client: &HttpClient,
     request: &ProvisionRequest,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<CloudResponse, RequestError> {
     let body = serde_json::json!(request).to_string();
-    let call = client.call(Method::Post, "/machines", Some(body), deadline);
+    let call = client.call(Method::Post, "/machines", Some(body), timeout);
     let response = call.await?;
     match response.status {
-        // Names that cannot be read come with the next machine list.
+        // Ids that cannot be decoded are ignored: the next machine list contains the machines.
         200 => Ok(CloudResponse::Machines(
             decode(&response.body).unwrap_or_default(),
         )),
@@ -68,34 +65,34 @@
 async fn release(
     client: &HttpClient,
     machines: &MachineIds,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<CloudResponse, RequestError> {
     let body = serde_json::json!(machines).to_string();
-    let call = client.call(Method::Post, "/machines/return", Some(body), deadline);
+    let call = client.call(Method::Post, "/machines/return", Some(body), timeout);
     let response = call.await?;
     match response.status {
-        // Only that it was done matters; the body says nothing more.
+        // The body is not needed: status 200 means that all machines were released.
         200 => Ok(CloudResponse::Machines(machines.clone())),
         status => rejected(status, &response.body),
     }
 }
 
-/// The result of a change that was not made.
+/// Outcome of a change with a status other than 200.
 fn rejected(status: u16, body: &[u8]) -> Result<CloudResponse, RequestError> {
     match status {
-        503 if contains(body, NO_CAPACITY) => Ok(CloudResponse::NoCapacity),
+        503 if contains_text(body, NO_CAPACITY) => Ok(CloudResponse::NoCapacity),
         _ => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
-/// The whole machine list, read page by page.
+/// Reads all pages of the machine list.
 async fn list_machines(
     client: &HttpClient,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<CloudResponse, RequestError> {
     let mut pages: Vec<MachineList> = Vec::new();
     loop {
-        let page = list_page(client, pages.last(), deadline).await?;
+        let page = list_page(client, pages.last(), timeout).await?;
         let is_last = !page.has_more || page.machines.is_empty();
         pages.push(page);
         if is_last {
@@ -104,21 +101,21 @@
     }
 }
 
-/// One page of the machine list, after the last machine of the page before.
+/// Reads the page of the machine list that follows `previous`, or the first page.
 async fn list_page(
     client: &HttpClient,
     previous: Option<&MachineList>,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<MachineList, RequestError> {
     let last = previous.and_then(|page| page.machines.last());
     let since = last.map(|machine| format!("&Since={}", machine.id));
     let since = since.unwrap_or_default();
     let path = format!("/machines?Most={MACHINE_LIST_PAGE_SIZE}{since}");
-    let response = client.call(Method::Get, &path, None, deadline).await?;
+    let response = client.call(Method::Get, &path, None, timeout).await?;
     match response.status {
         200 => {
             let page: MachineList = decode(&response.body)?;
-            check_page(page.machines.len(), MACHINE_LIST_PAGE_SIZE)?;
+            check_page_size(page.machines.len(), MACHINE_LIST_PAGE_SIZE)?;
             Ok(page)
         }
         status => Err(RequestError::UnexpectedStatus(status)),
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -1,27 +1,27 @@
-//! Tests of `cloud`: the bytes of every request, what each answer means, pages of the machine list.
+//! Tests of `cloud`: the bytes of each request, the outcome of each response, paging of the machine list.
 
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_wire::cloud::{Catalog, ListedMachine, ListedState, MachineIds, ProvisionRequest};
 use worksshunt_wire::MachineId;
 
 use super::*;
-use crate::test_server::{with_exchanges, with_response, Exchange, DEADLINE};
+use crate::test_server::{with_exchanges, with_response, Exchange, TIMEOUT};
 
-/// The outcome of a request that is sent and answered in these exchanges.
+/// The outcome of a request that is sent with these exchanges.
 fn outcome(request: &CloudRequest, exchanges: &[Exchange]) -> CloudResponse {
     with_exchanges(exchanges, |address| async move {
-        call(&HttpClient::new(address, 1), request, DEADLINE).await
+        call(&HttpClient::new(address, 1), request, TIMEOUT).await
     })
 }
 
-fn names(names: &[&str]) -> MachineIds {
+fn machine_ids(ids: &[&str]) -> MachineIds {
     MachineIds {
-        ids: names.iter().map(|name| MachineId::from(*name)).collect(),
+        ids: ids.iter().map(|id| MachineId::from(*id)).collect(),
     }
 }
 
 #[test]
-fn the_catalogue_is_read() {
+fn catalog_is_read() {
     let read = |status, body| {
         let exchange = Exchange::new("GET /catalog HTTP/1.1", "", status, body);
         outcome(&CloudRequest::ReadCatalog, &[exchange])
@@ -52,9 +52,12 @@
     };
     assert_eq!(
         provision(200, r#"{"Estibas":["i-1","i-2"]}"#),
-        CloudResponse::Machines(names(&["i-1", "i-2"]))
+        CloudResponse::Machines(machine_ids(&["i-1", "i-2"]))
+    );
+    assert_eq!(
+        provision(200, "{}"),
+        CloudResponse::Machines(machine_ids(&[]))
     );
-    assert_eq!(provision(200, "{}"), CloudResponse::Machines(names(&[])));
     assert_eq!(
         provision(503, r#"{"error":"no capacity"}"#),
         CloudResponse::NoCapacity
@@ -65,13 +68,13 @@
 
 #[test]
 fn machines_are_released() {
-    let request = CloudRequest::Release(names(&["i-1", "i-2"]));
+    let request = CloudRequest::Release(machine_ids(&["i-1", "i-2"]));
     let release = |status, body| {
         let sent = r#"{"Estibas":["i-1","i-2"]}"#;
         let line = "POST /machines/return HTTP/1.1";
         outcome(&request, &[Exchange::new(line, sent, status, body)])
     };
-    let released = CloudResponse::Machines(names(&["i-1", "i-2"]));
+    let released = CloudResponse::Machines(machine_ids(&["i-1", "i-2"]));
     assert_eq!(release(200, ""), released);
     assert_eq!(release(200, r#"{"Estibas":["i-1"]}"#), released);
     assert_eq!(release(503, "no capacity"), CloudResponse::NoCapacity);
@@ -79,16 +82,16 @@
 }
 
 #[test]
-fn machines_are_listed_page_by_page() {
-    let first = r#"{"Estibas":[{"Ref":"i-1","Modelo":"m4","Patio":"a","Prestados":true,"Estado":"running","AgeS":1.0}],"More":true}"#;
-    let list = |second: (u16, &str)| {
+fn machine_list_is_read_page_by_page() {
+    let first_page = r#"{"Estibas":[{"Ref":"i-1","Modelo":"m4","Patio":"a","Prestados":true,"Estado":"running","AgeS":1.0}],"More":true}"#;
+    let list = |second_response: (u16, &str)| {
         let exchanges = [
-            Exchange::new("GET /machines?Most=500 HTTP/1.1", "", 200, first),
+            Exchange::new("GET /machines?Most=500 HTTP/1.1", "", 200, first_page),
             Exchange::new(
                 "GET /machines?Most=500&Since=i-1 HTTP/1.1",
                 "",
-                second.0,
-                second.1,
+                second_response.0,
+                second_response.1,
             ),
         ];
         outcome(&CloudRequest::ListMachines, &exchanges)
@@ -103,7 +106,7 @@
 }
 
 fn page(machines: usize) -> MachineList {
-    let listed = |n: usize| ListedMachine {
+    let machine = |n: usize| ListedMachine {
         id: MachineId(format!("i-{n:06}")),
         machine_type: "m4".into(),
         zone: "a".into(),
@@ -112,24 +115,27 @@
         age_s: 1.0,
     };
     MachineList {
-        machines: (0..machines).map(listed).collect(),
+        machines: (0..machines).map(machine).collect(),
         has_more: false,
     }
 }
 
 /// The response to a list request whose only page has that many machines.
-fn listed(machines: usize) -> CloudResponse {
-    let reply = HttpResponse::json(200, &page(machines));
-    with_response(reply, |client| async move {
-        call(&client, &CloudRequest::ListMachines, DEADLINE).await
+fn list_single_page(machines: usize) -> CloudResponse {
+    let response = HttpResponse::json(200, &page(machines));
+    with_response(response, |client| async move {
+        call(&client, &CloudRequest::ListMachines, TIMEOUT).await
     })
 }
 
 #[test]
-fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let CloudResponse::List(pages) = listed(MACHINE_LIST_PAGE_SIZE) else {
-        panic!("the longest page was refused");
+fn page_beyond_the_requested_size_is_rejected() {
+    let CloudResponse::List(pages) = list_single_page(MACHINE_LIST_PAGE_SIZE) else {
+        panic!("a page of the requested size was rejected");
     };
     assert_eq!(pages[0].machines.len(), MACHINE_LIST_PAGE_SIZE);
-    assert_eq!(listed(MACHINE_LIST_PAGE_SIZE + 1), CloudResponse::NoAnswer);
+    assert_eq!(
+        list_single_page(MACHINE_LIST_PAGE_SIZE + 1),
+        CloudResponse::NoAnswer
+    );
 }
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -1,7 +1,7 @@
 //! Client of the key-value store: one function per request.
 //!
-//! The service calls it for each such action of the controller. A request whose outcome is unclear is told apart
-//! from one that was certainly not executed: a write may only be repeated blindly in the second case.
+//! The service calls it for the controller's requests to the store. The response tells a request that was definitely
+//! not executed from one whose outcome is unknown: a write may be retried without checking only in the first case.
 
 use std::time::Duration;
 
@@ -15,36 +15,36 @@
 use worksshunt_wire::Revision;
 
 use crate::client::{CallError, HttpClient};
-use crate::response::{check_page, contains, decode, RequestError};
+use crate::response::{check_page_size, contains_text, decode, RequestError};
 
-/// The service, as logs name it.
-const SERVICE: &str = "key-value store";
-/// What the store says of a change attached to a lease that has expired.
+/// Name of the service in log lines.
+const SERVICE_NAME: &str = "key-value store";
+/// Error text of the store when a change refers to an expired lease.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// Carries out one request.
-pub async fn call(client: &HttpClient, request: KvRequest, deadline: Duration) -> KvResponse {
+/// Sends a request and returns the outcome.
+pub async fn call(client: &HttpClient, request: KvRequest, timeout: Duration) -> KvResponse {
     let result = match request {
-        KvRequest::GrantLease => grant_lease(client, deadline).await,
-        KvRequest::RenewLease(lease) => renew_lease(client, lease, deadline).await,
-        KvRequest::Get(key) => get(client, &key, deadline).await,
-        KvRequest::List(prefix) => list(client, &prefix, deadline).await,
+        KvRequest::GrantLease => grant_lease(client, timeout).await,
+        KvRequest::RenewLease(lease) => renew_lease(client, lease, timeout).await,
+        KvRequest::Get(key) => get(client, &key, timeout).await,
+        KvRequest::List(prefix) => list(client, &prefix, timeout).await,
         KvRequest::CompareAndSwap(transaction) => {
-            compare_and_swap(client, &transaction, deadline).await
+            compare_and_swap(client, &transaction, timeout).await
         }
         KvRequest::Watch {
             prefix,
             since,
             wait_ms,
-        } => watch(client, &prefix, since, wait_ms, deadline).await,
+        } => watch(client, &prefix, since, wait_ms, timeout).await,
     };
     result.unwrap_or_else(|error| match error {
-        // Over the store's limits; it has not executed the request.
+        // The request is over the limits of the store, which did not execute it.
         RequestError::UnexpectedStatus(429 | 503) => KvResponse::Refused,
         error => {
-            error.log(SERVICE);
+            error.log(SERVICE_NAME);
             match error {
-                // Never sent, so never executed.
+                // The request was not sent, so it was not executed.
                 RequestError::Call(CallError::Connect(_)) => KvResponse::Refused,
                 _ => KvResponse::NoAnswer,
             }
@@ -52,12 +52,12 @@
     })
 }
 
-async fn grant_lease(client: &HttpClient, deadline: Duration) -> Result<KvResponse, RequestError> {
+async fn grant_lease(client: &HttpClient, timeout: Duration) -> Result<KvResponse, RequestError> {
     let request = LeaseRequest {
         ttl_ms: MEMBER_LEASE_TTL_MS,
     };
     let body = serde_json::json!(request).to_string();
-    let call = client.call(Method::Post, "/holds", Some(body), deadline);
+    let call = client.call(Method::Post, "/holds", Some(body), timeout);
     let response = call.await?;
     match response.status {
         200 => Ok(KvResponse::LeaseGranted(
@@ -70,10 +70,10 @@
 async fn renew_lease(
     client: &HttpClient,
     lease: u64,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<KvResponse, RequestError> {
     let path = format!("/holds/{lease}/renew");
-    let response = client.call(Method::Post, &path, None, deadline).await?;
+    let response = client.call(Method::Post, &path, None, timeout).await?;
     match response.status {
         200 => Ok(KvResponse::LeaseRenewed),
         404 => Ok(KvResponse::NoSuchLease),
@@ -84,14 +84,14 @@
 async fn get(
     client: &HttpClient,
     key: &str,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<KvResponse, RequestError> {
     let path = format!("/kv/{key}");
-    let response = client.call(Method::Get, &path, None, deadline).await?;
+    let response = client.call(Method::Get, &path, None, timeout).await?;
     match response.status {
         200 => Ok(KvResponse::Found(decode(&response.body)?)),
         404 => {
-            // A 404 without revision is not about the key.
+            // A 404 without a revision does not mean that the key is missing.
             decode::<StoreRevision>(&response.body)?;
             Ok(KvResponse::Missing)
         }
@@ -99,17 +99,17 @@
     }
 }
 
-/// All keys of a prefix, read page by page, at the revision of the first page.
+/// Reads all pages of the keys with a prefix. The listing has the revision of the first page.
 async fn list(
     client: &HttpClient,
     prefix: &str,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<KvResponse, RequestError> {
     let mut pairs: Vec<KeyValue> = Vec::new();
     let mut first_revision = None;
     loop {
         let last_key = pairs.last().map(|pair| pair.key.as_str());
-        let page = list_page(client, prefix, last_key, deadline).await?;
+        let page = list_page(client, prefix, last_key, timeout).await?;
         let revision = *first_revision.get_or_insert(page.revision);
         let is_last = !page.has_more || page.pairs.is_empty();
         pairs.extend(page.pairs);
@@ -123,21 +123,21 @@
     }
 }
 
-/// One page of the keys of a prefix, after the last key of the page before.
+/// Reads one page of the keys with a prefix: those after `last_key`, or the first page.
 async fn list_page(
     client: &HttpClient,
     prefix: &str,
     last_key: Option<&str>,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<Listing, RequestError> {
     let since = last_key.map(|key| format!("&Since={key}"));
     let since = since.unwrap_or_default();
     let path = format!("/kv?Starts={prefix}{since}&Most={KV_LIST_PAGE_KEYS}");
-    let response = client.call(Method::Get, &path, None, deadline).await?;
+    let response = client.call(Method::Get, &path, None, timeout).await?;
     match response.status {
         200 => {
             let page: Listing = decode(&response.body)?;
-            check_page(page.pairs.len(), KV_LIST_PAGE_KEYS)?;
+            check_page_size(page.pairs.len(), KV_LIST_PAGE_KEYS)?;
             Ok(page)
         }
         status => Err(RequestError::UnexpectedStatus(status)),
@@ -147,10 +147,10 @@
 async fn compare_and_swap(
     client: &HttpClient,
     transaction: &CompareAndSwap,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<KvResponse, RequestError> {
     let body = serde_json::json!(transaction).to_string();
-    let call = client.call(Method::Post, "/txn", Some(body), deadline);
+    let call = client.call(Method::Post, "/txn", Some(body), timeout);
     let response = call.await?;
     match response.status {
         200 => {
@@ -160,26 +160,26 @@
         409 => Ok(KvResponse::Conflict(
             decode::<Conflict>(&response.body)?.failed_keys,
         )),
-        400 if contains(&response.body, NO_SUCH_LEASE) => Ok(KvResponse::NoSuchLease),
+        400 if contains_text(&response.body, NO_SUCH_LEASE) => Ok(KvResponse::NoSuchLease),
         400 => {
             let response = String::from_utf8_lossy(&response.body);
-            tracing::warn!(%response, "transaction rejected by the key-value store");
+            tracing::warn!(%response, "key-value store rejected a transaction; handled as too large");
             Ok(KvResponse::TooLarge)
         }
         status => Err(RequestError::UnexpectedStatus(status)),
     }
 }
 
-/// Changes of a prefix after a revision; the store waits up to `wait_ms` for the first.
+/// Reads the changes of keys with a prefix after a revision. The store waits up to `wait_ms` for the first change.
 async fn watch(
     client: &HttpClient,
     prefix: &str,
     since: Revision,
     wait_ms: u64,
-    deadline: Duration,
+    timeout: Duration,
 ) -> Result<KvResponse, RequestError> {
     let path = format!("/follow?Starts={prefix}&Since={since}&WaitMs={wait_ms}");
-    let response = client.call(Method::Get, &path, None, deadline).await?;
+    let response = client.call(Method::Get, &path, None, timeout).await?;
     match response.status {
         200 => Ok(KvResponse::WatchResponse(decode(&response.body)?)),
         410 => Ok(KvResponse::RevisionCompacted),
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -1,21 +1,21 @@
-//! Tests of `key_value`: the bytes of every request, what each answer means, pages of keys.
+//! Tests of `key_value`: the bytes of each request, the outcome of each response, paging of listings.
 
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_wire::key_value::{Change, ExpectedRevision, WatchEvent, WatchResponse};
 use worksshunt_wire::Revision;
 
 use super::*;
-use crate::test_server::{with_exchanges, with_response, Exchange, DEADLINE};
+use crate::test_server::{with_exchanges, with_response, Exchange, TIMEOUT};
 
-/// The outcome of a request that is sent and answered in these exchanges.
+/// The outcome of a request that is sent with these exchanges.
 fn outcome(request: KvRequest, exchanges: &[Exchange]) -> KvResponse {
     with_exchanges(exchanges, |address| async move {
-        call(&HttpClient::new(address, 1), request, DEADLINE).await
+        call(&HttpClient::new(address, 1), request, TIMEOUT).await
     })
 }
 
 #[test]
-fn a_lease_is_requested_and_renewed() {
+fn lease_is_granted_and_renewed() {
     let grant = |status, body| {
         let sent = r#"{"TtlMs":4000}"#;
         let exchange = Exchange::new("POST /holds HTTP/1.1", sent, status, body);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_key_is_read() {
+fn key_is_read() {
     let get = |status, body| {
         let exchange = Exchange::new("GET /kv/c/epoch HTTP/1.1", "", status, body);
         outcome(KvRequest::Get("c/epoch".to_owned()), &[exchange])
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn keys_are_listed_page_by_page_at_the_revision_of_the_first() {
+fn listing_has_the_revision_of_its_first_page() {
     let pair = |key: &str| KeyValue {
         key: key.to_owned(),
         value: serde_json::json!(1),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_empty_page_ends_a_listing_and_a_failed_one_gives_none() {
+fn listing_ends_at_an_empty_page_and_fails_on_an_error() {
     let list = |status, body| {
         let exchange = Exchange::new("GET /kv?Starts=j/&Most=1000 HTTP/1.1", "", status, body);
         outcome(KvRequest::List("j/".to_owned()), &[exchange])
@@ -99,7 +99,7 @@
         has_more: false,
         revision: Revision(7),
     };
-    // More to come after an empty page would be asked for without end.
+    // Guards against an endless loop: an empty page ends the listing even if it says `More`.
     assert_eq!(
         list(200, r#"{"Pairs":[],"More":true,"Corte":7}"#),
         KvResponse::Listing(empty)
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_transaction_is_sent_and_each_outcome_told_apart() {
+fn transaction_outcomes_are_distinguished() {
     let transaction = transaction();
     let sent = r#"{"If":[{"K":"c/epoch","Sello":13}],"Then":[{"Permiso":9,"Set":"c/n/n0","V":[1]},{"Remove":"k/i-000003"}]}"#;
     let commit = |status, body| {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn changes_are_watched() {
+fn watch_returns_changes() {
     let watch = |status, body| {
         let line = "GET /follow?Starts=j/&Since=77&WaitMs=2500 HTTP/1.1";
         let request = KvRequest::Watch {
@@ -172,7 +172,7 @@
         };
         outcome(request, &[Exchange::new(line, "", status, body)])
     };
-    let removed = WatchResponse {
+    let deletion = WatchResponse {
         revision: Revision(80),
         events: vec![WatchEvent::Delete {
             key: "j/a".to_owned(),
@@ -184,7 +184,7 @@
             200,
             r#"{"Corte":80,"Events":[{"Remove":"j/a","Sello":80}]}"#
         ),
-        KvResponse::WatchResponse(removed)
+        KvResponse::WatchResponse(deletion)
     );
     assert_eq!(watch(410, "{}"), KvResponse::RevisionCompacted);
     assert_eq!(watch(429, "{}"), KvResponse::Refused);
@@ -192,22 +192,22 @@
 }
 
 #[test]
-fn a_request_that_never_left_is_refused_and_one_without_answer_is_unclear() {
+fn unsent_request_differs_from_unanswered_request() {
     let port = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = port.local_addr().expect("an address");
     drop(port);
     let client = HttpClient::new(address, 1);
-    let call = call(&client, KvRequest::GrantLease, DEADLINE);
+    let call = call(&client, KvRequest::GrantLease, TIMEOUT);
     assert_eq!(async_io::block_on(call), KvResponse::Refused);
     assert_eq!(
         outcome(KvRequest::RenewLease(1), &[]),
         KvResponse::NoAnswer,
-        "the connection was closed unanswered"
+        "the connection was closed without a response"
     );
 }
 
 /// The response to a list request whose only page has that many keys.
-fn listed(keys: usize) -> KvResponse {
+fn list_single_page(keys: usize) -> KvResponse {
     let pair = |n: usize| KeyValue {
         key: format!("a/{n:06}"),
         value: serde_json::json!(n),
@@ -219,18 +219,21 @@
         revision: Revision(7),
     };
     with_response(HttpResponse::json(200, &page), |client| async move {
-        call(&client, KvRequest::List("a/".to_owned()), DEADLINE).await
+        call(&client, KvRequest::List("a/".to_owned()), TIMEOUT).await
     })
 }
 
 #[test]
-fn a_page_is_taken_up_to_its_limit_and_refused_beyond_it() {
-    let KvResponse::Listing(listing) = listed(KV_LIST_PAGE_KEYS) else {
-        panic!("the longest page was refused");
+fn page_beyond_the_requested_size_is_rejected() {
+    let KvResponse::Listing(listing) = list_single_page(KV_LIST_PAGE_KEYS) else {
+        panic!("a page of the requested size was rejected");
     };
     assert_eq!(
         (listing.pairs.len(), listing.revision),
         (KV_LIST_PAGE_KEYS, Revision(7))
     );
-    assert_eq!(listed(KV_LIST_PAGE_KEYS + 1), KvResponse::NoAnswer);
+    assert_eq!(
+        list_single_page(KV_LIST_PAGE_KEYS + 1),
+        KvResponse::NoAnswer
+    );
 }
--- a/crates/worksshunt-net/src/lib.rs
+++ b/crates/worksshunt-net/src/lib.rs
@@ -1,8 +1,8 @@
-//! Input and output of worksshunt: executor, HTTP server, clients, peer link.
+//! Network I/O of worksshunt: executor, HTTP server, HTTP clients, link between controllers.
 //!
-//! Nothing in here decides anything: the core crate says what to send and what a response means. Every connection
-//! count is bounded and every call has a deadline. The service's binary calls it, and so do the stand-ins with
-//! which real controllers are measured.
+//! Contains no scheduling logic: the core crate decides which requests to send and interprets the responses. The
+//! number of connections is bounded, and each call has a timeout. Used by the service and by the fake services of
+//! the measurements.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -25,34 +25,35 @@
 mod test_server;
 pub mod worker;
 
-/// The executor everything runs on: one thread, because a controller has a fraction of a core.
+/// Single-threaded executor of all tasks: a controller is allotted less than one core.
 pub type Executor = async_executor::LocalExecutor<'static>;
 
-/// A connection that can be shared between a reader and a writer.
+/// TCP connection that a reader and a writer can share.
 pub type Stream = async_dup::Arc<Async<TcpStream>>;
 
-/// The deadline passed.
+/// A future did not complete within its timeout.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("deadline passed")]
-pub struct DeadlineExceeded;
+#[error("timed out")]
+pub struct TimedOut;
 
-/// Waits for a future, but no longer than the deadline.
+/// Runs a future for at most `timeout`.
 ///
 /// # Errors
 ///
-/// [`DeadlineExceeded`] if the future has not ended by then; it is dropped.
-pub async fn within<T>(
-    deadline: Duration,
+/// [`TimedOut`] if the future has not completed by then; it is dropped.
+pub async fn with_timeout<T>(
+    timeout: Duration,
     future: impl Future<Output = T>,
-) -> Result<T, DeadlineExceeded> {
+) -> Result<T, TimedOut> {
     futures_lite::future::or(async { Ok(future.await) }, async {
-        async_io::Timer::after(deadline).await;
-        Err(DeadlineExceeded)
+        async_io::Timer::after(timeout).await;
+        Err(TimedOut)
     })
     .await
 }
 
-/// Accepts connections for ever, up to the limit at a time, and serves each in a task of its own.
+/// Accepts connections until the task is dropped and serves each in its own task. Pauses while the limit of open
+/// connections is reached.
 pub(crate) async fn accept<F: Future<Output = ()> + 'static>(
     executor: Rc<Executor>,
     listener: Async<TcpListener>,
@@ -60,24 +61,24 @@
     serve: impl Fn(Async<TcpStream>, SocketAddr) -> F,
 ) {
     loop {
-        connections.wait_for_free().await;
-        let (stream, from) = match listener.accept().await {
+        connections.wait_for_free_slot().await;
+        let (stream, remote_address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                tracing::debug!(%error, "cannot accept a connection");
+                tracing::debug!(%error, "cannot accept a connection; retrying after a delay");
                 async_io::Timer::after(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
                 continue;
             }
         };
-        // Nothing else acquires any, so the one that was free still is.
+        // Cannot fail: only this loop acquires slots, and one was free before `accept`.
         let Some(slot) = connections.try_acquire() else {
             continue;
         };
         let _ = stream.get_ref().set_nodelay(true);
-        let served = serve(stream, from);
+        let connection = serve(stream, remote_address);
         executor
             .spawn(async move {
-                served.await;
+                connection.await;
                 drop(slot);
             })
             .detach();
--- a/crates/worksshunt-net/src/peer.rs
+++ b/crates/worksshunt-net/src/peer.rs
@@ -1,7 +1,7 @@
-//! The link between controllers: borsh messages in frames of four bytes of length, little-endian.
+//! Link between controllers: borsh messages, each prefixed by its length as a 32-bit little-endian integer.
 //!
-//! One exchange at a time on a connection. The service owns a [`PeerClient`] for each other controller and serves
-//! their requests with [`serve`].
+//! A connection carries one request and its response at a time. The service owns a [`PeerClient`] for each other
+//! controller and serves their requests with [`serve`].
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -18,44 +18,46 @@
 
 use crate::client::connect;
 use crate::connections::Connections;
-use crate::{accept, within, DeadlineExceeded, Executor};
+use crate::{accept, with_timeout, Executor, TimedOut};
 
-/// Bytes of a frame's length.
-const LENGTH_BYTES: usize = 4;
+/// Size of the length prefix of a frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a frame could not be sent or read.
+/// Error while sending or reading a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// It is longer than a peer accepts.
-    #[error("a frame of {0} bytes is over the limit of {MAX_FRAME_BYTES}")]
+    /// The message has this many bytes, more than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes exceeds the limit of {MAX_FRAME_BYTES}")]
     TooLong(usize),
-    /// The connection failed, or what came is no message of this version.
+    /// The connection failed, or the bytes received are not a message that this version can decode.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Why a call has no response.
+/// Error of a call that has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerCallError {
-    /// The deadline passed.
+    /// No response within the timeout; the peer may have handled the request.
     #[error(transparent)]
-    DeadlineExceeded(#[from] DeadlineExceeded),
-    /// The connection could not be made: the request was not sent.
+    TimedOut(#[from] TimedOut),
+    /// The connection could not be opened; the request was not sent.
     #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The connection failed, or the response was no message of this version.
+    /// The request could not be sent, or the response could not be read.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
 impl FrameError {
-    /// Logs it, as a warning where the messages have outgrown the link.
+    /// Logs the error: a frame that is too long as a warning, a failed connection at debug level.
     fn log(&self, peer: SocketAddr) {
         match self {
             FrameError::TooLong(bytes) => {
-                tracing::warn!(%peer, bytes, max_bytes = MAX_FRAME_BYTES, "frame too long");
+                tracing::warn!(%peer, bytes, max_bytes = MAX_FRAME_BYTES, "frame too long; connection closed");
+            }
+            FrameError::Io(error) => {
+                tracing::debug!(%peer, %error, "peer connection closed")
             }
-            FrameError::Io(error) => tracing::debug!(%peer, %error, "peer connection ended"),
         }
     }
 }
@@ -69,7 +71,7 @@
         return Err(FrameError::TooLong(body.len()));
     }
     let length = body.len() as u32;
-    let mut frame = Vec::with_capacity(body.len() + LENGTH_BYTES);
+    let mut frame = Vec::with_capacity(body.len() + LENGTH_PREFIX_BYTES);
     frame.extend_from_slice(&length.to_le_bytes());
     frame.extend_from_slice(&body);
     stream.write_all(&frame).await?;
@@ -79,7 +81,7 @@
 async fn read_frame<T: BorshDeserialize>(
     stream: &mut (impl AsyncRead + Unpin),
 ) -> Result<T, FrameError> {
-    let mut length = [0; LENGTH_BYTES];
+    let mut length = [0; LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut length).await?;
     let length = u32::from_le_bytes(length) as usize;
     if length > MAX_FRAME_BYTES {
@@ -90,14 +92,14 @@
     Ok(borsh::from_slice(&body)?)
 }
 
-/// A client of one peer, with one connection.
+/// Client of one peer, which keeps one connection open.
 pub struct PeerClient {
     address: SocketAddr,
     idle_connection: RefCell<Option<Async<TcpStream>>>,
 }
 
 impl PeerClient {
-    /// A client of the peer at that address.
+    /// Creates a client without opening a connection.
     pub fn new(address: SocketAddr) -> PeerClient {
         PeerClient {
             address,
@@ -105,18 +107,18 @@
         }
     }
 
-    /// Sends a request to the peer and waits for its response. A call that fails or exceeds the deadline drops its
-    /// connection, so that a late response can never be taken for that of another call.
+    /// Sends a request to the peer and waits for its response. A call that fails or times out drops its connection,
+    /// so that a delayed response is never read as the response to another call.
     ///
     /// # Errors
     ///
-    /// The connection cannot be made or fails, the deadline passes, or the response is no message of this version.
+    /// The connection cannot be opened or fails, the call times out, or this version cannot decode the response.
     pub async fn call(
         &self,
         request: &PeerRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<PeerResponse, PeerCallError> {
-        within(deadline, self.exchange(request)).await?
+        with_timeout(timeout, self.exchange(request)).await?
     }
 
     async fn exchange(&self, request: &PeerRequest) -> Result<PeerResponse, PeerCallError> {
@@ -135,11 +137,11 @@
     }
 }
 
-/// Answers the requests of peers; without a response the connection is dropped.
+/// Function that returns the response to a peer's request; on `None` the connection is closed.
 pub type PeerHandler =
     Rc<dyn Fn(PeerRequest) -> Pin<Box<dyn Future<Output = Option<PeerResponse>>>>>;
 
-/// Accepts connections of peers for ever, at most `max_connections` at a time.
+/// Accepts connections of peers until the task is dropped, at most `max_connections` at a time.
 pub async fn serve(
     executor: Rc<Executor>,
     listener: Async<TcpListener>,
@@ -147,23 +149,23 @@
     handler: PeerHandler,
 ) {
     let connections = Connections::new(max_connections);
-    accept(executor, listener, connections, |stream, from| {
-        connection(stream, from, Rc::clone(&handler))
+    accept(executor, listener, connections, |stream, peer| {
+        serve_connection(stream, peer, Rc::clone(&handler))
     })
     .await;
 }
 
-async fn connection(mut stream: Async<TcpStream>, from: SocketAddr, handler: PeerHandler) {
+async fn serve_connection(mut stream: Async<TcpStream>, peer: SocketAddr, handler: PeerHandler) {
     loop {
         let request = match read_frame(&mut stream).await {
             Ok(request) => request,
-            Err(error) => return error.log(from),
+            Err(error) => return error.log(peer),
         };
         let Some(response) = handler(request).await else {
-            return tracing::debug!(%from, "peer connection ended");
+            return tracing::debug!(%peer, "no response to a peer's request; connection closed");
         };
         if let Err(error) = write_frame(&mut stream, &response).await {
-            return error.log(from);
+            return error.log(peer);
         }
     }
 }
--- a/crates/worksshunt-net/src/response.rs
+++ b/crates/worksshunt-net/src/response.rs
@@ -1,58 +1,64 @@
-//! Reading of responses: what the clients of key-value store, cloud and workers have in common.
+//! Decoding and errors of responses, shared by the clients of the key-value store, the cloud and the workers.
 
 use serde::de::DeserializeOwned;
 
 use crate::client::CallError;
 
-/// Why a request has no result that can be used.
+/// Error of a request without a usable result.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// There is no response.
+    /// The call has no response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The response has a status that means nothing for this request.
+    /// The protocol does not define this status for the request.
     #[error("unexpected status {0}")]
     UnexpectedStatus(u16),
-    /// The body is not what the status promises.
+    /// The body does not have the structure that the status requires.
     #[error("malformed response: {0}")]
-    Malformed(#[from] serde_json::Error),
-    /// A page of a listing has more items than were asked for.
-    #[error("a page of {items} items is over the limit of {limit}")]
+    MalformedBody(#[from] serde_json::Error),
+    /// A page of a listing has more items than requested.
+    #[error("page of {items} items exceeds the requested maximum of {limit}")]
     PageTooLong {
-        /// Items of the page.
+        /// Number of items in the page.
         items: usize,
-        /// Items that were asked for.
+        /// Maximum number of items that the request allowed.
         limit: usize,
     },
 }
 
 impl RequestError {
-    /// Logs it, as a warning where the service ignores a limit that was sent to it.
+    /// Logs the error: a page that is too long as a warning, since the service ignored the requested limit, and
+    /// everything else at debug level.
     pub(crate) fn log(&self, service: &'static str) {
         match self {
             RequestError::PageTooLong { items, limit } => {
-                tracing::warn!(service, items, limit, "page of a listing too long");
+                tracing::warn!(
+                    service,
+                    items,
+                    limit,
+                    "page of a listing is longer than requested; response ignored"
+                );
             }
             error => tracing::debug!(service, %error, "request failed"),
         }
     }
 }
 
-/// Reads a JSON body.
+/// Decodes a JSON body.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, RequestError> {
     Ok(serde_json::from_slice(body)?)
 }
 
-/// Checks that a page of a listing is not longer than was asked for.
-pub(crate) fn check_page(items: usize, limit: usize) -> Result<(), RequestError> {
+/// Checks that a page of a listing has at most the requested number of items.
+pub(crate) fn check_page_size(items: usize, limit: usize) -> Result<(), RequestError> {
     if items > limit {
         return Err(RequestError::PageTooLong { items, limit });
     }
     Ok(())
 }
 
-/// Whether a body contains a text by which the protocol tells errors of one status apart.
-pub(crate) fn contains(body: &[u8], text: &str) -> bool {
+/// Whether a body contains `text`. The protocol distinguishes errors of the same status by their text.
+pub(crate) fn contains_text(body: &[u8], text: &str) -> bool {
     let text = text.as_bytes();
     body.windows(text.len()).any(|part| part == text)
 }
--- a/crates/worksshunt-net/src/server.rs
+++ b/crates/worksshunt-net/src/server.rs
@@ -1,6 +1,6 @@
-//! The HTTP server of users, workers and health checks, and of the stand-ins in measurements.
+//! HTTP server for users, workers and health checks, and for the fake services of the measurements.
 //!
-//! Owns the connections of one listener; the service starts it with the handler of all requests.
+//! [`serve`] owns the connections of one listener and passes each request to a [`Handler`].
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -16,23 +16,23 @@
 use worksshunt_core::job_api::HttpResponse;
 
 use crate::connections::Connections;
-use crate::{accept, within, Executor, Stream};
+use crate::{accept, with_timeout, Executor, Stream};
 
-/// A request as the handler sees it.
+/// Request as passed to the handler.
 #[derive(Debug)]
 pub struct HttpRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path without query.
+    /// Path without the query.
     pub path: String,
-    /// The query, in its order.
+    /// Query parameters in the order of the URL.
     pub query: Vec<QueryParameter>,
-    /// Body; none if it is longer than allowed.
+    /// Body; `None` if it exceeds [`MAX_BODY_BYTES`].
     pub body: Option<Vec<u8>>,
 }
 
 impl HttpRequest {
-    /// The first value with that name in the query.
+    /// First value of the query parameter `name`.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         let mut parameters = self.query.iter();
         let found = parameters.find(|parameter| parameter.name == name);
@@ -40,20 +40,20 @@
     }
 }
 
-/// A name and its value in the query of a request.
+/// Name and value of a query parameter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueryParameter {
-    /// The name.
+    /// Name, percent-decoded.
     pub name: String,
-    /// The value, decoded.
+    /// Value, percent-decoded.
     pub value: String,
 }
 
-/// Answers requests.
+/// Function that returns the response to a request.
 pub type Handler = Rc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = HttpResponse>>>>;
 
-/// Accepts connections for ever, at most `max_connections` at a time. One on which nothing comes for as long as
-/// `idle_timeout` is closed: its peer may be dead or cut off.
+/// Accepts connections until the task is dropped, at most `max_connections` at a time. Closes a connection that
+/// receives nothing for `idle_timeout`, as its client may be dead or disconnected.
 pub async fn serve(
     executor: Rc<Executor>,
     listener: Async<TcpListener>,
@@ -62,28 +62,22 @@
     handler: Handler,
 ) {
     let connections = Connections::new(max_connections);
-    let serve_connection = |stream, from| {
+    let on_accept = |stream, client_address| {
         let (connections, handler) = (Rc::clone(&connections), Rc::clone(&handler));
-        connection(
+        serve_connection(
             Stream::new(stream),
-            from,
+            client_address,
             idle_timeout,
             connections,
             handler,
         )
     };
-    accept(
-        executor,
-        listener,
-        Rc::clone(&connections),
-        serve_connection,
-    )
-    .await;
+    accept(executor, listener, Rc::clone(&connections), on_accept).await;
 }
 
-async fn connection(
+async fn serve_connection(
     stream: Stream,
-    from: SocketAddr,
+    client_address: SocketAddr,
     idle_timeout: Duration,
     connections: Rc<Connections>,
     handler: Handler,
@@ -92,33 +86,42 @@
         let handler = Rc::clone(&handler);
         let connections = Rc::clone(&connections);
         async move {
-            let request = read_request(request, from).await?;
-            // The rest of an oversized body was not read.
-            let is_whole = request.body.is_some();
+            let request = read_request(request, client_address).await?;
+            // The rest of an oversized body is unread, so the connection cannot be reused.
+            let is_body_complete = request.body.is_some();
             let response = handler(request).await;
-            Ok(encode(response, is_whole && !connections.are_short()))
+            let keep_alive = is_body_complete && !connections.is_near_limit();
+            Ok(encode(response, keep_alive))
         }
     });
     loop {
-        // Thousands of connections are idle at any time. Buffers, and the state of decoding, are there
-        // only while there is something to read.
-        match within(idle_timeout, stream.readable()).await {
+        // Waits without buffers and decoder state, to save memory: thousands of connections are idle at a time.
+        match with_timeout(idle_timeout, stream.readable()).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => return tracing::debug!(%from, %error, "connection ended"),
-            Err(error) => return tracing::debug!(%from, %error, "idle connection closed"),
+            Ok(Err(error)) => {
+                return tracing::debug!(client = %client_address, %error, "connection closed after an error")
+            }
+            Err(error) => {
+                return tracing::debug!(client = %client_address, %error, "idle connection closed")
+            }
         }
         match Box::pin(server.accept_one()).await {
             Ok(ConnectionStatus::KeepAlive) => {}
             Ok(ConnectionStatus::Close) => return,
-            Err(error) => return tracing::debug!(%from, %error, "connection ended"),
+            Err(error) => {
+                return tracing::debug!(client = %client_address, %error, "connection closed after an error")
+            }
         }
     }
 }
 
-/// Reads a request with its body, up to the limit of bodies.
-async fn read_request(mut request: Request, from: SocketAddr) -> std::io::Result<HttpRequest> {
+/// Reads a request with its body.
+async fn read_request(
+    mut request: Request,
+    client_address: SocketAddr,
+) -> std::io::Result<HttpRequest> {
     let declared_bytes = request.len().unwrap_or(0);
-    let body = read_body(request.take_body(), declared_bytes, from).await?;
+    let body = read_body(request.take_body(), declared_bytes, client_address).await?;
     let parameter = |(name, value)| QueryParameter { name, value };
     let query = request.url().query_pairs().into_owned();
     Ok(HttpRequest {
@@ -129,11 +132,11 @@
     })
 }
 
-/// A body, or none if it is over the limit.
+/// Reads a body; `None` if its declared or actual length exceeds [`MAX_BODY_BYTES`].
 async fn read_body(
     body: Body,
     declared_bytes: usize,
-    from: SocketAddr,
+    client_address: SocketAddr,
 ) -> std::io::Result<Option<Vec<u8>>> {
     let mut bytes = Vec::new();
     let mut limited = body.take(MAX_BODY_BYTES as u64 + 1);
@@ -143,12 +146,13 @@
         return Ok(Some(bytes));
     }
     tracing::info!(
-        %from, declared_bytes, read_bytes, max_bytes = MAX_BODY_BYTES, "request body too long"
+        client = %client_address, declared_bytes, read_bytes, max_bytes = MAX_BODY_BYTES,
+        "request body too long; rejected"
     );
     Ok(None)
 }
 
-/// The response as it is sent; without `keep_alive` its connection is closed after it.
+/// Encodes a response. Without `keep_alive` the connection is closed after it.
 fn encode(response: HttpResponse, keep_alive: bool) -> Response {
     let status = StatusCode::try_from(response.status).unwrap_or(StatusCode::InternalServerError);
     let mut encoded = Response::new(status);
--- a/crates/worksshunt-net/src/server/tests.rs
+++ b/crates/worksshunt-net/src/server/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of `server`: what a handler is handed, and the bytes of its answer.
+//! Tests of `server`: the handler's input and the bytes of the response.
 
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Read, Write};
 
 use super::*;
-use crate::test_server::DEADLINE;
+use crate::test_server::TIMEOUT;
 
-/// Sends these bytes and returns the answer, its header lines sorted and without the date.
-fn exchange(address: SocketAddr, request: &str) -> String {
+/// Sends these bytes and returns the response, with sorted headers and without the `Date` header.
+fn send_raw(address: SocketAddr, request: &str) -> String {
     let mut connection = std::net::TcpStream::connect(address).expect("connected");
-    let limit = Some(DEADLINE);
-    connection.set_read_timeout(limit).expect("a limit");
+    let timeout = Some(TIMEOUT);
+    connection.set_read_timeout(timeout).expect("a timeout");
     connection.write_all(request.as_bytes()).expect("sent");
     let mut reader = BufReader::new(connection);
     let mut status_line = String::new();
@@ -38,13 +38,13 @@
     format!("{}\n{}\n{body}", status_line.trim_end(), headers.join("\n"))
 }
 
-/// What the handler is handed and what the client receives, for one request.
-fn served(request: String, reply: HttpResponse) -> (String, String) {
+/// The handler's input, and the response that the client receives, for one request.
+fn serve_request(request: String, handler_response: HttpResponse) -> (String, String) {
     let executor = Rc::new(Executor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
-    let handed = Rc::new(RefCell::new(String::new()));
-    let into = Rc::clone(&handed);
+    let handler_input = Rc::new(RefCell::new(String::new()));
+    let recorded_input = Rc::clone(&handler_input);
     let handler: Handler = Rc::new(move |request| {
         let body = request
             .body
@@ -53,64 +53,66 @@
         let pairs = parameters.map(|parameter| (parameter.name, parameter.value));
         let query: Vec<(String, String)> = pairs.collect();
         let parts = (request.method, request.path, query, body);
-        *into.borrow_mut() = format!("{parts:?}");
-        let reply = reply.clone();
-        Box::pin(async move { reply })
+        *recorded_input.borrow_mut() = format!("{parts:?}");
+        let response = handler_response.clone();
+        Box::pin(async move { response })
     });
-    let serving = serve(Rc::clone(&executor), listener, 16, DEADLINE, handler);
+    let serving = serve(Rc::clone(&executor), listener, 16, TIMEOUT, handler);
     executor.spawn(serving).detach();
-    let (done, received) = async_channel::bounded(1);
+    let (sender, receiver) = async_channel::bounded(1);
     let client = std::thread::spawn(move || {
-        let answer = exchange(address, &request);
-        let _ = done.send_blocking(answer);
+        let response = send_raw(address, &request);
+        let _ = sender.send_blocking(response);
     });
-    let answer = async_io::block_on(executor.run(received.recv())).expect("an answer");
+    let response = async_io::block_on(executor.run(receiver.recv())).expect("a response");
     client.join().expect("ended");
-    let handed = handed.take();
-    (handed, answer)
+    let handler_input = handler_input.take();
+    (handler_input, response)
 }
 
 #[test]
-fn method_path_query_and_body_are_handed_on() {
+fn handler_receives_method_path_query_and_body() {
     let request =
         "POST /v2/runs?Most=5&Since=j/a HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\n{}";
-    let (handed, answer) = served(request.to_owned(), HttpResponse::json(200, &[1]));
+    let (handler_input, response) =
+        serve_request(request.to_owned(), HttpResponse::json(200, &[1]));
     assert_eq!(
-        handed,
+        handler_input,
         r#"(Post, "/v2/runs", [("Most", "5"), ("Since", "j/a")], Some("{}"))"#
     );
     assert_eq!(
-        answer,
+        response,
         "HTTP/1.1 200 OK\ncontent-length: 3\ncontent-type: application/json\n[1]"
     );
 }
 
 #[test]
-fn an_error_says_when_to_come_back() {
+fn retry_later_response_has_a_retry_after_header() {
     let request = "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n";
-    let (handed, answer) = served(request.to_owned(), HttpResponse::retry_later("not ready"));
-    assert_eq!(handed, r#"(Get, "/healthz", [], Some(""))"#);
+    let (handler_input, response) =
+        serve_request(request.to_owned(), HttpResponse::retry_later("not ready"));
+    assert_eq!(handler_input, r#"(Get, "/healthz", [], Some(""))"#);
     assert_eq!(
-        answer,
+        response,
         "HTTP/1.1 503 Service Unavailable\ncontent-length: 21\ncontent-type: application/json\n\
          retry-after: 1\n{\"error\":\"not ready\"}"
     );
 }
 
 #[test]
-fn a_body_over_the_limit_is_not_handed_on_and_its_connection_ends() {
+fn oversized_body_is_dropped_and_the_connection_closed() {
     let request = |length: usize| {
         let body = "x".repeat(length);
         format!("POST /v2/runs HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}")
     };
-    let reply = || HttpResponse::error(400, "body over 64 KiB");
-    let (handed, answer) = served(request(MAX_BODY_BYTES), reply());
-    assert!(handed.starts_with(r#"(Post, "/v2/runs", [], Some("xxx"#));
-    assert!(!answer.contains("connection: close"), "{answer}");
-    let (handed, answer) = served(request(MAX_BODY_BYTES + 1), reply());
-    assert_eq!(handed, r#"(Post, "/v2/runs", [], None)"#);
+    let handler_response = || HttpResponse::error(400, "body over 64 KiB");
+    let (handler_input, response) = serve_request(request(MAX_BODY_BYTES), handler_response());
+    assert!(handler_input.starts_with(r#"(Post, "/v2/runs", [], Some("xxx"#));
+    assert!(!response.contains("connection: close"), "{response}");
+    let (handler_input, response) = serve_request(request(MAX_BODY_BYTES + 1), handler_response());
+    assert_eq!(handler_input, r#"(Post, "/v2/runs", [], None)"#);
     assert_eq!(
-        answer,
+        response,
         "HTTP/1.1 400 Bad Request\nconnection: close\ncontent-length: 28\n\
          content-type: application/json\n{\"error\":\"body over 64 KiB\"}"
     );
--- a/crates/worksshunt-net/src/test_server.rs
+++ b/crates/worksshunt-net/src/test_server.rs
@@ -1,5 +1,5 @@
-//! Servers on the loopback interface for tests of clients: one sends the same response to every request, one sends
-//! responses in turn and compares the bytes of the requests.
+//! Servers on the loopback interface for tests of clients: one sends the same response to every request, the other
+//! sends a sequence of responses and compares the requests with the expected ones.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -14,10 +14,10 @@
 use crate::client::HttpClient;
 use crate::{server, Executor};
 
-/// How long a call may take.
-pub const DEADLINE: Duration = Duration::from_secs(2);
+/// Timeout of a call.
+pub const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The result of a client's call to a server that sends this response to every request.
+/// Returns the result of a call to a server that sends this response to every request.
 pub fn with_response<T, F: Future<Output = T>>(
     response: HttpResponse,
     call: impl FnOnce(Rc<HttpClient>) -> F,
@@ -29,13 +29,13 @@
         let response = response.clone();
         Box::pin(async move { response })
     });
-    let serving = server::serve(Rc::clone(&executor), listener, 4, DEADLINE, handler);
-    executor.spawn(serving).detach();
+    let server = server::serve(Rc::clone(&executor), listener, 4, TIMEOUT, handler);
+    executor.spawn(server).detach();
     let client = Rc::new(HttpClient::new(address, 1));
     async_io::block_on(executor.run(call(client)))
 }
 
-/// A request, byte for byte as a client sent it.
+/// Request line, content type and body of a request, as received.
 #[derive(Debug)]
 struct SentRequest {
     request_line: String,
@@ -43,7 +43,7 @@
     body: String,
 }
 
-/// Reads one request from a connection; none if the client closed it.
+/// Reads one request; `None` if the client closed the connection.
 fn read_request(connection: &mut impl BufRead) -> Option<SentRequest> {
     let mut request_line = String::new();
     connection.read_line(&mut request_line).ok()?;
@@ -71,10 +71,10 @@
     })
 }
 
-/// A request that a client is expected to send, and the response to it.
+/// Expected request of a client, and the response to send.
 #[derive(Debug, Clone, Copy)]
 pub struct Exchange<'a> {
-    /// Method, path with query, and version.
+    /// Method, path with query, and HTTP version.
     pub request_line: &'a str,
     /// Body of the request.
     pub request_body: &'a str,
@@ -85,7 +85,7 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// Request line and body, and status and body of the response.
+    /// Creates an exchange from the request line and body, and the status and body of the response.
     pub fn new(
         request_line: &'a str,
         request_body: &'a str,
@@ -101,8 +101,8 @@
     }
 }
 
-/// Sends the responses on one connection, and returns the requests.
-fn record(listener: &TcpListener, responses: &[(u16, String)]) -> Vec<SentRequest> {
+/// Accepts one connection, sends the responses in order and returns the requests.
+fn send_responses(listener: &TcpListener, responses: &[(u16, String)]) -> Vec<SentRequest> {
     let (mut connection, _) = listener.accept().expect("a connection");
     let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
     let mut requests = Vec::new();
@@ -119,8 +119,8 @@
     requests
 }
 
-/// The result of a client's calls to a server at that address. The client has to send exactly the requests of
-/// `exchanges`, and receives their responses.
+/// Returns the result of a client's calls to a server that sends the responses of `exchanges` in order. Checks that the
+/// client sends exactly their requests.
 pub fn with_exchanges<T, F: Future<Output = T>>(
     exchanges: &[Exchange],
     call: impl FnOnce(SocketAddr) -> F,
@@ -129,9 +129,9 @@
     let address = listener.local_addr().expect("an address");
     let response = |exchange: &Exchange| (exchange.status, exchange.response_body.to_owned());
     let responses: Vec<(u16, String)> = exchanges.iter().map(response).collect();
-    let server = std::thread::spawn(move || record(&listener, &responses));
+    let server = std::thread::spawn(move || send_responses(&listener, &responses));
     let result = async_io::block_on(call(address));
-    let requests = server.join().expect("recorded");
+    let requests = server.join().expect("requests");
     let sent: Vec<(&str, &str)> = requests
         .iter()
         .map(|request| (request.request_line.as_str(), request.body.as_str()))
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -1,7 +1,7 @@
-//! Client of the workers: direct commands.
+//! HTTP clients of the workers, for direct commands.
 //!
-//! The service owns one [`Workers`] and calls it for each such action of the controller. Commands that never left
-//! are told apart from those without answer, which a worker may still carry out.
+//! The service owns one [`WorkerClients`] and sends the controller's direct commands with it. The outcome tells
+//! commands that were never sent from commands without a response, which the worker may still execute.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,53 +16,53 @@
 use crate::client::{CallError, HttpClient};
 use crate::response::{decode, RequestError};
 
-/// Clients of the workers that were sent commands lately, with one connection each.
-pub struct Workers {
-    max_connections: usize,
+/// HTTP clients of the workers that were recently sent commands, with one connection each.
+pub struct WorkerClients {
+    max_clients: usize,
     clients: RefCell<BTreeMap<SocketAddr, Rc<HttpClient>>>,
 }
 
-impl Workers {
-    /// At most `max_connections` connections are kept.
-    pub fn new(max_connections: usize) -> Workers {
-        Workers {
-            max_connections,
+impl WorkerClients {
+    /// Creates a set that keeps at most `max_clients` clients, and so as many connections.
+    pub fn new(max_clients: usize) -> WorkerClients {
+        WorkerClients {
+            max_clients,
             clients: RefCell::new(BTreeMap::new()),
         }
     }
 
-    /// Sends commands to a worker.
-    pub async fn call(
+    /// Sends commands to a worker and returns the outcome.
+    pub async fn send_commands(
         &self,
         commands: &DirectCommands,
-        deadline: Duration,
+        timeout: Duration,
     ) -> DirectCommandsOutcome {
         let machine = &commands.machine;
         let Ok(address) = commands.address.parse() else {
             let address = &commands.address;
-            tracing::error!(%machine, address, "invalid worker address");
+            tracing::error!(%machine, address, "invalid worker address; direct commands not sent");
             return DirectCommandsOutcome::NotSent;
         };
-        match self.send(address, &commands.batch, deadline).await {
+        match self.post_commands(address, &commands.batch, timeout).await {
             Ok(heartbeat) => DirectCommandsOutcome::Answered(heartbeat),
             Err(RequestError::Call(CallError::Connect(_))) => DirectCommandsOutcome::NotSent,
             Err(error) => {
-                tracing::debug!(%machine, %error, "direct commands failed");
+                tracing::debug!(%machine, %error, "direct commands failed; the worker may still execute them");
                 DirectCommandsOutcome::NoAnswer
             }
         }
     }
 
-    /// Sends commands; the response is the worker's heartbeat after them, also when it refused them.
-    async fn send(
+    /// Posts commands. The worker responds with a heartbeat, also with 409 if it rejected the commands.
+    async fn post_commands(
         &self,
         address: SocketAddr,
         batch: &CommandBatch,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<Heartbeat, RequestError> {
-        let client = self.client(address);
+        let client = self.client_for(address);
         let body = serde_json::json!(batch).to_string();
-        let call = client.call(Method::Post, "/orders", Some(body), deadline);
+        let call = client.call(Method::Post, "/orders", Some(body), timeout);
         let response = call.await?;
         match response.status {
             200 | 409 => decode(&response.body),
@@ -70,10 +70,10 @@
         }
     }
 
-    fn client(&self, address: SocketAddr) -> Rc<HttpClient> {
+    fn client_for(&self, address: SocketAddr) -> Rc<HttpClient> {
         let mut clients = self.clients.borrow_mut();
-        if clients.len() >= self.max_connections && !clients.contains_key(&address) {
-            evict_one(&mut clients, address);
+        if clients.len() >= self.max_clients && !clients.contains_key(&address) {
+            evict_client(&mut clients, address);
         }
         let client = clients
             .entry(address)
@@ -82,11 +82,11 @@
     }
 }
 
-/// Drops one client, as connections to machines long gone have to end some day: the one after the new address,
-/// so that all take turns.
-fn evict_one(clients: &mut BTreeMap<SocketAddr, Rc<HttpClient>>, new_address: SocketAddr) {
-    let next = clients.range(new_address..).next();
-    let evicted = next.or_else(|| clients.first_key_value());
+/// Drops the client with the next address after `new_address`, or the first one if there is none. Evictions thus
+/// spread over all addresses, so that clients of terminated machines do not stay forever.
+fn evict_client(clients: &mut BTreeMap<SocketAddr, Rc<HttpClient>>, new_address: SocketAddr) {
+    let next_client = clients.range(new_address..).next();
+    let evicted = next_client.or_else(|| clients.first_key_value());
     if let Some(address) = evicted.map(|(address, _)| *address) {
         clients.remove(&address);
     }
--- a/crates/worksshunt/src/client.rs
+++ b/crates/worksshunt/src/client.rs
@@ -1,6 +1,6 @@
-//! The command line's client of the users' interface: one request, its answer on standard output.
+//! Commands for users: each sends one request to a controller and prints the response body to standard output.
 //!
-//! The exit code tells scripts what to do next; see the constants.
+//! The exit code tells scripts how to proceed; see the constants.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -12,27 +12,27 @@
 use worksshunt_core::constants::job_api::CLIENT_RESPONSE_TIMEOUT_MS;
 use worksshunt_net::client::HttpClient;
 
-/// Exit code: done.
-const DONE: u8 = 0;
-/// Exit code: refused for good, or the job's file cannot be read.
-const REFUSED: u8 = 3;
-/// Exit code: no such job.
-const NO_SUCH_JOB: u8 = 4;
-/// Exit code: not served now, try again later.
-const RETRY_LATER: u8 = 5;
+/// Exit code: the controller executed the request.
+const EXIT_SUCCESS: u8 = 0;
+/// Exit code: the request is invalid, or the job file cannot be read; retrying does not help.
+const EXIT_REJECTED: u8 = 3;
+/// Exit code: the job does not exist.
+const EXIT_NO_SUCH_JOB: u8 = 4;
+/// Exit code: no response, or a temporary error; retry later.
+const EXIT_RETRY_LATER: u8 = 5;
 
-/// Submits the job in a file, or on standard input if the file is `-`.
+/// Submits the job in a JSON file, or on standard input if `file` is `-`.
 pub fn submit(server: SocketAddr, file: &Path) -> ExitCode {
     match read_job(file) {
         Ok(job) => call(server, Method::Post, "/v2/runs", Some(job)),
         Err(error) => {
             eprintln!("worksshunt: {}: {error}", file.display());
-            ExitCode::from(REFUSED)
+            ExitCode::from(EXIT_REJECTED)
         }
     }
 }
 
-/// Shows a job's state.
+/// Prints the state of a job.
 pub fn status(server: SocketAddr, id: &str) -> ExitCode {
     call(server, Method::Get, &format!("/v2/runs/{id}"), None)
 }
@@ -54,25 +54,25 @@
 
 fn call(server: SocketAddr, method: Method, path: &str, body: Option<String>) -> ExitCode {
     let client = HttpClient::new(server, 1);
-    let deadline = Duration::from_millis(CLIENT_RESPONSE_TIMEOUT_MS);
-    match async_io::block_on(client.call(method, path, body, deadline)) {
+    let timeout = Duration::from_millis(CLIENT_RESPONSE_TIMEOUT_MS);
+    match async_io::block_on(client.call(method, path, body, timeout)) {
         Ok(response) => {
             println!("{}", String::from_utf8_lossy(&response.body));
             ExitCode::from(exit_code(response.status))
         }
         Err(error) => {
             eprintln!("worksshunt: {server}: {error}");
-            ExitCode::from(RETRY_LATER)
+            ExitCode::from(EXIT_RETRY_LATER)
         }
     }
 }
 
-/// The exit code for an HTTP status. 429 asks to come back later.
+/// Returns the exit code for an HTTP status. 429 (too many requests) is a temporary error.
 fn exit_code(status: u16) -> u8 {
     match status {
-        200 | 201 => DONE,
-        404 => NO_SUCH_JOB,
-        400..=428 => REFUSED,
-        _ => RETRY_LATER,
+        200 | 201 => EXIT_SUCCESS,
+        404 => EXIT_NO_SUCH_JOB,
+        400..=428 => EXIT_REJECTED,
+        _ => EXIT_RETRY_LATER,
     }
 }
--- a/crates/worksshunt/src/main.rs
+++ b/crates/worksshunt/src/main.rs
@@ -1,7 +1,7 @@
-//! worksshunt, a cluster scheduler: the command line.
+//! Command line of worksshunt, a cluster scheduler.
 //!
-//! Parses the arguments and starts a controller ([`service`]), checks settings ([`options`]) or sends one request to
-//! a controller ([`client`]).
+//! Runs a controller ([`service`]), checks settings ([`options`]) or sends a user's request to a controller
+//! ([`client`]).
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,10 +15,10 @@
 mod options;
 mod service;
 
-/// Exit code: the settings are wrong (also used by the argument parser).
-const BAD_SETTINGS: u8 = 2;
-/// Exit code: the service could not run.
-const FAILED: u8 = 1;
+/// Exit code: invalid settings or arguments (clap exits with the same code).
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit code: the controller could not start.
+const EXIT_SERVICE_FAILED: u8 = 1;
 
 #[derive(Parser)]
 #[command(
@@ -30,7 +30,7 @@
     /// Run a controller with this settings file (JSON).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' own settings (TOML).
+    /// Operator options file (TOML).
     #[arg(long, value_name = "FILE", env = "WORKSSHUNT_OPTIONS")]
     options: Option<PathBuf>,
     #[command(subcommand)]
@@ -39,12 +39,12 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check settings and exit.
+    /// Check a settings file and exit.
     Check {
-        /// The settings file (JSON).
+        /// Settings file (JSON).
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// The operators' own settings (TOML).
+        /// Operator options file (TOML).
         #[arg(long, value_name = "FILE", env = "WORKSSHUNT_OPTIONS")]
         options: Option<PathBuf>,
     },
@@ -53,15 +53,15 @@
         /// Address of a controller, for example 10.0.0.1:8080.
         #[arg(long)]
         server: std::net::SocketAddr,
-        /// The job; - for standard input.
+        /// Job file (JSON); - for standard input.
         file: PathBuf,
     },
-    /// Show a job's state.
+    /// Print the state of a job.
     Status {
         /// Address of a controller.
         #[arg(long)]
         server: std::net::SocketAddr,
-        /// The job's id.
+        /// Job id.
         id: String,
     },
     /// Cancel a job.
@@ -69,7 +69,7 @@
         /// Address of a controller.
         #[arg(long)]
         server: std::net::SocketAddr,
-        /// The job's id.
+        /// Job id.
         id: String,
     },
 }
@@ -84,13 +84,13 @@
         (Some(Command::Status { server, id }), _) => client::status(server, &id),
         (Some(Command::Withdraw { server, id }), _) => client::cancel(server, &id),
         (None, None) => {
-            eprintln!("worksshunt: nothing to do; see --help");
-            ExitCode::from(BAD_SETTINGS)
+            eprintln!("worksshunt: no --config and no command; see --help");
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
     }
 }
 
-/// Logs to standard error, at the level of the environment variable `LOG_LEVEL`: `error`, `info` or `debug`.
+/// Logs to standard error, at the level in the environment variable `LOG_LEVEL`: `error`, `info` (default) or `debug`.
 fn init_logging() {
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let level = match level.as_str() {
@@ -102,43 +102,43 @@
         .with_target("worksshunt", level)
         .with_target("worksshunt_core", level)
         .with_target("worksshunt_net", level);
-    let to_standard_error = tracing_subscriber::fmt::layer()
+    let stderr_layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false);
     tracing_subscriber::registry()
-        .with(to_standard_error)
+        .with(stderr_layer)
         .with(filter)
         .init();
 }
 
-/// Runs a controller until it is killed.
+/// Runs a controller until the process is killed.
 fn run(config: &Path, options: Option<&Path>) -> ExitCode {
     let (settings, parameters) = match options::load(config, options) {
-        Ok(loaded) => loaded,
-        Err(error) => return bad_settings(&error),
+        Ok(settings_and_parameters) => settings_and_parameters,
+        Err(error) => return report_invalid_settings(&error),
     };
     match service::run(settings, parameters) {
         Ok(never) => match never {},
         Err(error) => {
-            tracing::error!(%error, "service failed");
-            ExitCode::from(FAILED)
+            tracing::error!(%error, "controller cannot start; exiting");
+            ExitCode::from(EXIT_SERVICE_FAILED)
         }
     }
 }
 
-/// Checks settings and says what is wrong with them.
+/// Checks the settings files and prints the result.
 fn check(config: &Path, options: Option<&Path>) -> ExitCode {
     match options::load(config, options) {
         Ok((settings, _)) => {
             let (file, controller) = (config.display(), settings.host_name);
-            println!("{file}: settings of {controller} are fine");
+            println!("{file}: settings of {controller} are valid");
             ExitCode::SUCCESS
         }
-        Err(error) => bad_settings(&error),
+        Err(error) => report_invalid_settings(&error),
     }
 }
 
-fn bad_settings(error: &options::SettingsError) -> ExitCode {
+fn report_invalid_settings(error: &options::SettingsError) -> ExitCode {
     eprintln!("worksshunt: {error}");
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(EXIT_INVALID_SETTINGS)
 }
--- a/crates/worksshunt/src/options.rs
+++ b/crates/worksshunt/src/options.rs
@@ -1,6 +1,6 @@
-//! Reads and checks settings: the platform's JSON file and the operators' TOML.
+//! Reads and checks the settings file of the platform (JSON) and the options file of the operators (TOML).
 //!
-//! Called once by `main`, before the service starts, and by the command that only checks settings.
+//! Called by `main` before the service starts, and by the `check` command.
 
 use std::path::Path;
 
@@ -15,17 +15,17 @@
 pub use error::SettingsError;
 use error::SettingsProblem;
 
-/// Milliseconds of a second.
+/// Milliseconds per second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// The operators' own settings. Unknown keys are refused.
+/// Options file of the operators. Unknown keys are rejected.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Options {
     placement: PlacementOptions,
 }
 
-/// The design's open parameters.
+/// Placement parameters that operators may override; `None` keeps the default.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct PlacementOptions {
@@ -36,11 +36,11 @@
     summary_interval_s: Option<f64>,
 }
 
-/// Reads and checks both files.
+/// Reads and checks both files; without an options file all parameters have their defaults.
 ///
 /// # Errors
 ///
-/// The first problem found, with the file it is in.
+/// The first problem found, with the path of its file.
 pub fn load(
     config: &Path,
     options: Option<&Path>,
@@ -77,12 +77,12 @@
 fn parse_parameters(text: &str) -> Result<Parameters, SettingsProblem> {
     let options: Options = toml::from_str(text)?;
     let defaults = Parameters::default();
-    let given = options.placement;
+    let overrides = options.placement;
     let parameters = Parameters {
-        window_s: given.window_s.unwrap_or(defaults.window_s),
-        start_speed: given.start_speed.unwrap_or(defaults.start_speed),
-        size_bands_s: given.size_bands_s.unwrap_or(defaults.size_bands_s),
-        summary_every_ms: given
+        window_s: overrides.window_s.unwrap_or(defaults.window_s),
+        start_speed: overrides.start_speed.unwrap_or(defaults.start_speed),
+        size_bands_s: overrides.size_bands_s.unwrap_or(defaults.size_bands_s),
+        summary_every_ms: overrides
             .summary_interval_s
             .map_or(defaults.summary_every_ms, |interval_s| {
                 (interval_s * MS_PER_S) as u64
@@ -90,7 +90,7 @@
     };
     check_positive("placement.window_s", parameters.window_s)?;
     check_positive("placement.start_speed", parameters.start_speed)?;
-    if let Some(interval_s) = given.summary_interval_s {
+    if let Some(interval_s) = overrides.summary_interval_s {
         check_positive("placement.summary_s", interval_s)?;
     }
     check_ascending("placement.size_bands_s", &parameters.size_bands_s)?;
--- a/crates/worksshunt/src/options/check.rs
+++ b/crates/worksshunt/src/options/check.rs
@@ -1,6 +1,6 @@
-//! Checks of values that the types of the settings allow and the service cannot work with.
+//! Validation of the settings and options beyond their types.
 //!
-//! [`load`](super::load) calls them after the files have been parsed. The first problem found is returned.
+//! [`load`](super::load) calls these checks after parsing. Each returns the first problem found.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// The first field with a value that is not allowed.
+/// The first field with an invalid value.
 pub fn check_settings(settings: &Settings) -> Result<(), FieldError> {
     check_addresses(settings)?;
     check_peers(settings)?;
@@ -38,11 +38,11 @@
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        Err(FieldProblem::NotPositive(value).of(field))
+        Err(FieldProblem::NotPositive(value).for_field(field))
     }
 }
 
-/// Checks that bounds of bands are finite, above zero and in ascending order.
+/// Checks that the bounds of bands are finite, above zero and in ascending order.
 ///
 /// # Errors
 ///
@@ -53,13 +53,13 @@
     if bounds.iter().all(is_positive) && bounds.windows(2).all(is_ascending) {
         Ok(())
     } else {
-        Err(FieldProblem::NotAscending.of(field))
+        Err(FieldProblem::NotAscending.for_field(field))
     }
 }
 
 fn check_minimum(field: &'static str, value: usize, minimum: usize) -> Result<(), FieldError> {
     if value < minimum {
-        return Err(FieldProblem::BelowMinimum { value, minimum }.of(field));
+        return Err(FieldProblem::BelowMinimum { value, minimum }.for_field(field));
     }
     Ok(())
 }
@@ -67,20 +67,20 @@
 fn check_address(field: &'static str, text: &str) -> Result<(), FieldError> {
     match text.parse::<SocketAddr>() {
         Ok(_) => Ok(()),
-        Err(_) => Err(FieldProblem::InvalidAddress(text.to_owned()).of(field)),
+        Err(_) => Err(FieldProblem::InvalidAddress(text.to_owned()).for_field(field)),
     }
 }
 
 fn check_addresses(settings: &Settings) -> Result<(), FieldError> {
     if settings.host_name.0.is_empty() || settings.host_name.0.contains([' ', '/']) {
-        return Err(FieldProblem::InvalidName.of("host_name"));
+        return Err(FieldProblem::InvalidName.for_field("host_name"));
     }
     check_address("client_listen", &settings.client_listen)?;
     check_address("internal_addr", &settings.internal_addr)?;
     check_address("services.cloud", &settings.services.cloud)?;
     check_address("services.state", &settings.services.key_value_store)?;
     if settings.client_listen == settings.internal_addr {
-        return Err(FieldProblem::SameAsClientAddress.of("internal_addr"));
+        return Err(FieldProblem::SameAsClientAddress.for_field("internal_addr"));
     }
     Ok(())
 }
@@ -90,7 +90,9 @@
     for peer in &settings.peers {
         check_address("known.endpoint", &peer.endpoint)?;
         if !names.insert(&peer.host_name) {
-            return Err(FieldProblem::Duplicate(peer.host_name.to_string()).of("known.host_name"));
+            return Err(
+                FieldProblem::Duplicate(peer.host_name.to_string()).for_field("known.host_name")
+            );
         }
     }
     Ok(())
@@ -100,7 +102,9 @@
     let mut names = BTreeSet::new();
     for team in teams {
         if !names.insert(&team.name) {
-            return Err(FieldProblem::Duplicate(team.name.to_string()).of("facts.teams.name"));
+            return Err(
+                FieldProblem::Duplicate(team.name.to_string()).for_field("facts.teams.name")
+            );
         }
         let limits = team.limits();
         check_team_limit("facts.teams.cpus_max", team, team.max_cpus)?;
@@ -116,10 +120,11 @@
         return Ok(());
     }
     let team = team.name.to_string();
-    Err(FieldProblem::InvalidTeamLimit { limit, team }.of(field))
+    Err(FieldProblem::InvalidTeamLimit { limit, team }.for_field(field))
 }
 
-/// A team's guarantee lies within its limit. A limit of 0 is none, so any guarantee lies within it.
+/// Checks that a team's guarantee lies within `limit`, which is infinite if the team has no limit (a configured limit
+/// of 0).
 fn check_guarantee(
     field: &'static str,
     team: &Team,
@@ -134,7 +139,7 @@
         team: team.name.to_string(),
         limit,
     };
-    Err(problem.of(field))
+    Err(problem.for_field(field))
 }
 
 fn check_workers(workers: &Workers) -> Result<(), FieldError> {
@@ -146,43 +151,46 @@
     check_positive("facts.workers.cancel_s", workers.cancel_s)
 }
 
-/// Checks the limits in force and those announced for later.
-fn check_key_value_limits(today: &KeyValueLimits, controllers: usize) -> Result<(), FieldError> {
-    let next = today.announced.clone().unwrap_or_default();
+/// Checks the current limits and the announced ones.
+fn check_key_value_limits(current: &KeyValueLimits, controllers: usize) -> Result<(), FieldError> {
+    let announced = current.announced.clone().unwrap_or_default();
     for (field, rate) in [
-        ("facts.state.rps", Some(today.requests_per_s)),
-        ("facts.state.write_rps", Some(today.changes_per_s)),
-        ("facts.state.next.rps", next.requests_per_s),
-        ("facts.state.next.write_rps", next.changes_per_s),
+        ("facts.state.rps", Some(current.requests_per_s)),
+        ("facts.state.write_rps", Some(current.changes_per_s)),
+        ("facts.state.next.rps", announced.requests_per_s),
+        ("facts.state.next.write_rps", announced.changes_per_s),
     ] {
         rate.map_or(Ok(()), |rate| check_positive(field, rate))?;
     }
     for (field, rate) in [
-        ("facts.state.rps", Some(today.requests_per_s)),
-        ("facts.state.next.rps", next.requests_per_s),
+        ("facts.state.rps", Some(current.requests_per_s)),
+        ("facts.state.next.rps", announced.requests_per_s),
     ] {
         rate.map_or(Ok(()), |rate| check_request_rate(field, rate, controllers))?;
     }
     for (field, size) in [
-        ("facts.state.value_kb", Some(today.max_value_kib)),
-        ("facts.state.next.value_kb", next.max_value_kib),
+        ("facts.state.value_kb", Some(current.max_value_kib)),
+        ("facts.state.next.value_kb", announced.max_value_kib),
     ] {
         if size.is_some_and(|kib| !kib.is_finite() || kib < MIN_VALUE_KIB) {
-            return Err(FieldProblem::InvalidValueSize.of(field));
+            return Err(FieldProblem::InvalidValueSize.for_field(field));
         }
     }
-    for (field, changes) in [
-        ("facts.state.txn_ops", Some(today.max_transaction_changes)),
-        ("facts.state.next.txn_ops", next.max_transaction_changes),
+    for (field, max_changes) in [
+        ("facts.state.txn_ops", Some(current.max_transaction_changes)),
+        (
+            "facts.state.next.txn_ops",
+            announced.max_transaction_changes,
+        ),
     ] {
-        changes.map_or(Ok(()), |changes| {
-            check_minimum(field, changes, MIN_TRANSACTION_CHANGES)
+        max_changes.map_or(Ok(()), |max_changes| {
+            check_minimum(field, max_changes, MIN_TRANSACTION_CHANGES)
         })?;
     }
     Ok(())
 }
 
-/// Controllers have to renew their leases and confirm the epoch however slow the store is.
+/// Checks that the store accepts enough requests for all controllers to renew their leases and confirm the epoch.
 fn check_request_rate(
     field: &'static str,
     requests_per_s: f64,
@@ -195,7 +203,7 @@
             minimum,
             controllers,
         };
-        return Err(problem.of(field));
+        return Err(problem.for_field(field));
     }
     Ok(())
 }
@@ -203,7 +211,7 @@
 fn check_cloud_limits(limits: &CloudLimits) -> Result<(), FieldError> {
     check_positive("facts.cloud.rps", limits.requests_per_s)?;
     if !(limits.list_lag_s.is_finite() && limits.list_lag_s >= 0.0) {
-        return Err(FieldProblem::InvalidDuration.of("facts.cloud.list_lag_s"));
+        return Err(FieldProblem::InvalidDuration.for_field("facts.cloud.list_lag_s"));
     }
     Ok(())
 }
--- a/crates/worksshunt/src/options/error.rs
+++ b/crates/worksshunt/src/options/error.rs
@@ -1,124 +1,124 @@
-//! What can be wrong with the settings and the operators' options.
+//! Errors of the settings file and the options file.
 //!
-//! [`load`](super::load) returns these errors, and `main` prints them: one line that names the file, and the field
-//! where that is known.
+//! [`load`](super::load) returns these errors, and `main` prints them: one line with the path of the file and, if
+//! known, the field.
 
 use std::path::PathBuf;
 
 use worksshunt_core::constants::key_value::MIN_VALUE_KIB;
 
-/// A settings file that cannot be used.
+/// Error of a settings or options file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {}", file.display(), one_line(problem))]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// What is wrong with it.
+    /// Problem of the file.
     #[source]
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with a settings file.
+/// Problem of a settings or options file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsProblem {
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
-    /// It is not JSON of the expected structure.
+    /// The file is not valid JSON or does not have the expected structure.
     #[error(transparent)]
     MalformedJson(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the settings.
+    /// There is text after the JSON value.
     #[error(transparent)]
     TrailingCharacters(#[from] serde_json::Error),
-    /// It is not TOML of the expected structure.
+    /// The file is not valid TOML or does not have the expected structure.
     #[error(transparent)]
     MalformedToml(#[from] toml::de::Error),
-    /// A field has a value that is not allowed.
+    /// A field has an invalid value.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
 
-/// A field with a value that is not allowed.
+/// Invalid value of a field.
 #[derive(Debug, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct FieldError {
-    /// The field, with the fields it is inside of, as in `facts.state.rps`.
+    /// Path of the field, for example `facts.state.rps`.
     pub field: &'static str,
-    /// What is wrong with its value.
+    /// Problem of its value.
     #[source]
     pub problem: FieldProblem,
 }
 
-/// What is wrong with a field's value.
+/// Problem of a field's value.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldProblem {
-    /// A name that cannot be part of a key.
-    #[error("empty, or with a space or slash")]
+    /// A controller name that cannot be part of a key in the key-value store.
+    #[error("must not be empty or contain a space or slash")]
     InvalidName,
-    /// Not an address and port.
-    #[error("{0:?} is not an address and port")]
+    /// Not an IP address with a port.
+    #[error("{0:?} is not an IP address with a port")]
     InvalidAddress(String),
-    /// The internal address is that of the clients.
-    #[error("the same as client_listen")]
+    /// The address for peers is also the address for clients.
+    #[error("must differ from client_listen")]
     SameAsClientAddress,
-    /// A name that has been used before.
-    #[error("{0} twice")]
+    /// A name that occurs more than once.
+    #[error("duplicate name {0}")]
     Duplicate(String),
     /// Zero, negative, infinite or not a number.
     #[error("{0} is not a positive number")]
     NotPositive(f64),
-    /// A team's limit that is negative, infinite or not a number.
-    #[error("{limit} of {team} is not a number from 0 up")]
+    /// The limit of a team is negative, infinite or not a number.
+    #[error("{limit} of team {team} is not a finite number of at least 0")]
     InvalidTeamLimit {
-        /// The limit.
+        /// Value of the limit.
         limit: f64,
-        /// The team's name.
+        /// Name of the team.
         team: String,
     },
-    /// A team's guarantee that is negative or above its limit.
-    #[error("{guarantee} of {team} is not from 0 to {limit}")]
+    /// The guarantee of a team is negative, not a number or above the team's limit.
+    #[error("{guarantee} of team {team} is not between 0 and {limit}")]
     GuaranteeOutOfRange {
-        /// The guarantee.
+        /// Value of the guarantee.
         guarantee: f64,
-        /// The team's name.
+        /// Name of the team.
         team: String,
-        /// The limit; infinite where there is none.
+        /// Limit; infinite if the team has none.
         limit: f64,
     },
-    /// A key-value store too slow to keep the controllers' leases and epochs.
+    /// The key-value store accepts too few requests for the controllers to renew their leases and confirm the epoch.
     #[error(
-        "{requests_per_s} is below the {minimum} that leases and epochs of {controllers} controllers take"
+        "{requests_per_s} is below {minimum}, the minimum for leases and epochs of {controllers} controllers"
     )]
     TooFewRequests {
-        /// Requests per second that the store takes.
+        /// Requests per second that the store accepts.
         requests_per_s: f64,
-        /// Requests per second that the controllers send at least.
+        /// Requests per second that the controllers need.
         minimum: f64,
         /// Number of controllers.
         controllers: usize,
     },
-    /// A largest value that is too small, infinite or not a number.
-    #[error("not a number from {MIN_VALUE_KIB} up")]
+    /// The size limit of a value is too small, infinite or not a number.
+    #[error("must be a finite number of at least {MIN_VALUE_KIB}")]
     InvalidValueSize,
-    /// A number of things below the least that the service works with.
-    #[error("{value} is below {minimum}")]
+    /// A count below the minimum that the service needs.
+    #[error("{value} is below the minimum of {minimum}")]
     BelowMinimum {
-        /// The number.
+        /// Value of the field.
         value: usize,
-        /// The least that is allowed.
+        /// Smallest allowed value.
         minimum: usize,
     },
-    /// Negative, infinite or not a number.
-    #[error("not a duration")]
+    /// A duration that is negative, infinite or not a number.
+    #[error("must be a finite number of seconds of at least 0")]
     InvalidDuration,
-    /// Bounds of bands that are not positive, or not in ascending order.
-    #[error("not positive and ascending")]
+    /// Bounds of size bands that are not finite, positive and in ascending order.
+    #[error("bounds must be finite, positive and in ascending order")]
     NotAscending,
 }
 
 impl FieldProblem {
-    /// The problem as that of a field.
-    pub fn of(self, field: &'static str) -> FieldError {
+    /// Creates the error for `field`, the path of the field.
+    pub fn for_field(self, field: &'static str) -> FieldError {
         FieldError {
             field,
             problem: self,
@@ -126,7 +126,7 @@
     }
 }
 
-/// A problem's text without its line breaks; a TOML error quotes the file over several lines.
+/// Formats a problem without line breaks: a TOML error has several lines.
 fn one_line(problem: &SettingsProblem) -> String {
     problem.to_string().trim().replace('\n', " ")
 }
--- a/crates/worksshunt/src/options/tests.rs
+++ b/crates/worksshunt/src/options/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of what is refused in settings, and how it is named.
+//! Tests of `options`: invalid settings are rejected with an error that names the field.
 
 use super::*;
 
-fn valid() -> serde_json::Value {
+fn valid_settings() -> serde_json::Value {
     serde_json::json!({
         "host_name": "estiba-0", "site": "z", "client_listen": "127.0.0.1:1",
         "internal_addr": "127.0.0.1:2", "news": true,
@@ -18,8 +18,8 @@
     })
 }
 
-fn problem(change: impl FnOnce(&mut serde_json::Value)) -> Result<(), String> {
-    let mut value = valid();
+fn check_changed(change: impl FnOnce(&mut serde_json::Value)) -> Result<(), String> {
+    let mut value = valid_settings();
     change(&mut value);
     parse_settings(&value.to_string())
         .map(|_| ())
@@ -27,17 +27,17 @@
 }
 
 #[test]
-fn settings_with_unknown_fields_are_fine() {
-    assert_eq!(problem(|_| {}), Ok(()));
+fn settings_with_unknown_fields_are_accepted() {
+    assert_eq!(check_changed(|_| {}), Ok(()));
     for next in [
         serde_json::Value::Null,
         serde_json::json!({}),
         serde_json::json!({"value_kb": 2.0, "news": 1}),
         serde_json::json!({"txn_ops": 6, "write_rps": 1e6}),
     ] {
-        let given = next.clone();
+        let announced = next.clone();
         assert_eq!(
-            problem(|v| v["facts"]["state"]["next"] = given),
+            check_changed(|v| v["facts"]["state"]["next"] = announced),
             Ok(()),
             "{next}"
         );
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn contradictions_are_named_by_field() {
+fn error_names_the_invalid_field() {
     type Change = fn(&mut serde_json::Value);
     let cases: [(&str, Change); 9] = [
         ("facts.teams.cpus_max", |v| {
@@ -77,52 +77,55 @@
         }),
     ];
     for (field, change) in cases {
-        let error = problem(change).expect_err(field);
+        let error = check_changed(change).expect_err(field);
         assert!(error.contains(field), "{error}");
     }
 }
 
 #[test]
-fn operators_settings_refuse_unknown_keys_and_bad_values() {
-    let given = parse_parameters("[placement]\nwindow_s = 60.0\n").expect("valid");
-    assert_eq!(given.window_s, 60.0);
-    assert_eq!(given.start_speed, Parameters::default().start_speed);
-    for bad in [
+fn options_with_unknown_keys_or_invalid_values_are_rejected() {
+    let parameters = parse_parameters("[placement]\nwindow_s = 60.0\n").expect("valid");
+    assert_eq!(parameters.window_s, 60.0);
+    assert_eq!(parameters.start_speed, Parameters::default().start_speed);
+    for invalid in [
         "windows = 1",
         "[placement]\nwindow = 1.0",
         "[placement]\nwindow_s = -1.0",
         "[placement]\nsize_bands_s = [2.0, 1.0]",
         "not toml",
     ] {
-        assert!(parse_parameters(bad).is_err(), "{bad}");
+        assert!(parse_parameters(invalid).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn a_state_service_too_slow_for_leases_is_refused_just_below_what_they_take() {
-    // Two controllers.
-    assert_eq!(problem(|v| v["facts"]["state"]["rps"] = 4.0.into()), Ok(()));
-    let error = problem(|v| v["facts"]["state"]["rps"] = 3.9.into());
+fn request_rate_below_the_minimum_for_leases_is_rejected() {
+    // The settings have two controllers.
+    assert_eq!(
+        check_changed(|v| v["facts"]["state"]["rps"] = 4.0.into()),
+        Ok(())
+    );
+    let error = check_changed(|v| v["facts"]["state"]["rps"] = 3.9.into());
     assert!(error
-        .expect_err("too slow")
+        .expect_err("rate too low")
         .starts_with("facts.state.rps: 3.9 "));
-    let error = problem(|v| v["facts"]["state"]["next"] = serde_json::json!({"rps": 1.0}));
+    let error = check_changed(|v| v["facts"]["state"]["next"] = serde_json::json!({"rps": 1.0}));
     assert!(error
-        .expect_err("too slow")
+        .expect_err("rate too low")
         .starts_with("facts.state.next.rps: 1 "));
 }
 
-// Guards against a service that does not start where a team has a guarantee and no limit.
+// Guards against rejecting a guarantee of a team without a limit.
 #[test]
-fn a_guarantee_lies_within_a_limit_of_zero_which_is_none() {
+fn limit_of_zero_allows_any_guarantee() {
     let no_limit = |v: &mut serde_json::Value| v["facts"]["teams"][0]["cpus_max"] = 0.0.into();
-    assert_eq!(problem(no_limit), Ok(()));
+    assert_eq!(check_changed(no_limit), Ok(()));
 }
 
 #[test]
-fn fields_that_are_missing_or_of_another_type_are_named_with_their_place() {
-    let team = |field: &'static str, value: serde_json::Value| {
-        problem(move |v| v["facts"]["teams"][0][field] = value).expect_err(field)
+fn error_of_a_missing_or_mistyped_field_has_its_path() {
+    let team_error = |field: &'static str, value: serde_json::Value| {
+        check_changed(move |v| v["facts"]["teams"][0][field] = value).expect_err(field)
     };
     for (field, value) in [
         ("cpus", serde_json::json!("many")),
@@ -130,11 +133,11 @@
         ("gpus", serde_json::json!([1.0])),
         ("name", serde_json::json!(7)),
     ] {
-        let error = team(field, value);
-        let place = format!("facts.teams[0].{field}");
-        assert!(error.contains(&place) && !error.contains('\n'), "{error}");
+        let error = team_error(field, value);
+        let path = format!("facts.teams[0].{field}");
+        assert!(error.contains(&path) && !error.contains('\n'), "{error}");
     }
-    let error = problem(|v| {
+    let error = check_changed(|v| {
         v["facts"]["teams"][0]
             .as_object_mut()
             .expect("a team")
@@ -145,67 +148,74 @@
         error.contains("facts.teams[0]") && error.contains("gpus_max"),
         "{error}"
     );
-    let trailing = parse_settings(&format!("{} x", valid()));
-    assert!(trailing.is_err(), "something after the settings");
+    let trailing = parse_settings(&format!("{} x", valid_settings()));
+    assert!(trailing.is_err(), "text after the settings was accepted");
 }
 
-/// The text of a problem, and a change to valid settings that causes it.
-type ProblemText = (&'static str, fn(&mut serde_json::Value));
+/// Error text, and a change to valid settings that causes it.
+type ErrorCase = (&'static str, fn(&mut serde_json::Value));
 
-fn assert_texts(cases: &[ProblemText]) {
+fn assert_error_texts(cases: &[ErrorCase]) {
     for (text, change) in cases {
-        assert_eq!(problem(change), Err((*text).to_owned()));
+        assert_eq!(check_changed(change), Err((*text).to_owned()));
     }
 }
 
 #[test]
-fn every_problem_of_names_addresses_and_teams_has_its_text() {
-    assert_texts(&[
-        ("host_name: empty, or with a space or slash", |v| {
-            v["host_name"] = "a/b".into()
-        }),
+fn error_texts_of_names_addresses_and_teams() {
+    assert_error_texts(&[
+        (
+            "host_name: must not be empty or contain a space or slash",
+            |v| v["host_name"] = "a/b".into(),
+        ),
         (
-            "client_listen: \"nowhere\" is not an address and port",
+            "client_listen: \"nowhere\" is not an IP address with a port",
             |v| v["client_listen"] = "nowhere".into(),
         ),
-        ("internal_addr: \"1\" is not an address and port", |v| {
-            v["internal_addr"] = "1".into()
-        }),
-        ("services.cloud: \"\" is not an address and port", |v| {
-            v["services"]["cloud"] = "".into()
-        }),
-        ("services.state: \"a:b\" is not an address and port", |v| {
-            v["services"]["state"] = "a:b".into()
-        }),
-        ("internal_addr: the same as client_listen", |v| {
+        (
+            "internal_addr: \"1\" is not an IP address with a port",
+            |v| v["internal_addr"] = "1".into(),
+        ),
+        (
+            "services.cloud: \"\" is not an IP address with a port",
+            |v| v["services"]["cloud"] = "".into(),
+        ),
+        (
+            "services.state: \"a:b\" is not an IP address with a port",
+            |v| v["services"]["state"] = "a:b".into(),
+        ),
+        ("internal_addr: must differ from client_listen", |v| {
             v["internal_addr"] = "127.0.0.1:1".into()
         }),
-        ("known.endpoint: \"here\" is not an address and port", |v| {
-            v["known"][0]["endpoint"] = "here".into()
-        }),
-        ("known.host_name: estiba-0 twice", |v| {
+        (
+            "known.endpoint: \"here\" is not an IP address with a port",
+            |v| v["known"][0]["endpoint"] = "here".into(),
+        ),
+        ("known.host_name: duplicate name estiba-0", |v| {
             v["known"][0]["host_name"] = "estiba-0".into()
         }),
-        ("facts.teams.name: t twice", |v| {
+        ("facts.teams.name: duplicate name t", |v| {
             let team = v["facts"]["teams"][0].clone();
             v["facts"]["teams"] = serde_json::json!([team.clone(), team])
         }),
         (
-            "facts.teams.cpus_max: -1 of t is not a number from 0 up",
+            "facts.teams.cpus_max: -1 of team t is not a finite number of at least 0",
             |v| v["facts"]["teams"][0]["cpus_max"] = (-1.0).into(),
         ),
-        ("facts.teams.gpus: -1 of t is not from 0 to inf", |v| {
-            v["facts"]["teams"][0]["gpus"] = (-1.0).into()
-        }),
-        ("facts.teams.cpus: 3 of t is not from 0 to 2", |v| {
-            v["facts"]["teams"][0]["cpus"] = 3.0.into()
-        }),
+        (
+            "facts.teams.gpus: -1 of team t is not between 0 and inf",
+            |v| v["facts"]["teams"][0]["gpus"] = (-1.0).into(),
+        ),
+        (
+            "facts.teams.cpus: 3 of team t is not between 0 and 2",
+            |v| v["facts"]["teams"][0]["cpus"] = 3.0.into(),
+        ),
     ]);
 }
 
 #[test]
-fn every_problem_of_intervals_and_limits_has_its_text() {
-    assert_texts(&[
+fn error_texts_of_intervals_and_limits() {
+    assert_error_texts(&[
         (
             "facts.workers.heartbeat_interval_s: 0 is not a positive number",
             |v| v["facts"]["workers"]["report_s"] = 0.0.into(),
@@ -219,32 +229,35 @@
             |v| v["facts"]["state"]["next"] = serde_json::json!({"write_rps": 0.0}),
         ),
         (
-            "facts.state.rps: 3.9 is below the 4 that leases and epochs of 2 controllers take",
+            "facts.state.rps: 3.9 is below 4, the minimum for leases and epochs of 2 controllers",
             |v| v["facts"]["state"]["rps"] = 3.9.into(),
         ),
-        ("facts.state.value_kb: not a number from 1 up", |v| {
-            v["facts"]["state"]["value_kb"] = 0.5.into()
-        }),
-        ("facts.state.next.value_kb: not a number from 1 up", |v| {
-            v["facts"]["state"]["next"] = serde_json::json!({"value_kb": 0.5})
-        }),
-        ("facts.state.txn_ops: 1 is below 2", |v| {
+        (
+            "facts.state.value_kb: must be a finite number of at least 1",
+            |v| v["facts"]["state"]["value_kb"] = 0.5.into(),
+        ),
+        (
+            "facts.state.next.value_kb: must be a finite number of at least 1",
+            |v| v["facts"]["state"]["next"] = serde_json::json!({"value_kb": 0.5}),
+        ),
+        ("facts.state.txn_ops: 1 is below the minimum of 2", |v| {
             v["facts"]["state"]["txn_ops"] = 1.into()
         }),
         ("facts.cloud.rps: 0 is not a positive number", |v| {
             v["facts"]["cloud"]["rps"] = 0.0.into()
         }),
-        ("facts.cloud.list_lag_s: not a duration", |v| {
-            v["facts"]["cloud"]["list_lag_s"] = (-1.0).into()
-        }),
-        ("facts.limits.sockets: 1 is below 64", |v| {
+        (
+            "facts.cloud.list_lag_s: must be a finite number of seconds of at least 0",
+            |v| v["facts"]["cloud"]["list_lag_s"] = (-1.0).into(),
+        ),
+        ("facts.limits.sockets: 1 is below the minimum of 64", |v| {
             v["facts"]["limits"]["sockets"] = 1.into()
         }),
     ]);
 }
 
 #[test]
-fn every_problem_of_options_has_its_text() {
+fn error_texts_of_options() {
     for (options, text) in [
         (
             "window_s = -1.0",
@@ -260,7 +273,7 @@
         ),
         (
             "size_bands_s = [2.0, 1.0]",
-            "placement.size_bands_s: not positive and ascending",
+            "placement.size_bands_s: bounds must be finite, positive and in ascending order",
         ),
     ] {
         let error = parse_parameters(&format!("[placement]\n{options}\n")).expect_err(text);
@@ -269,13 +282,13 @@
 }
 
 #[test]
-fn a_problem_is_one_line_that_begins_with_the_file() {
+fn error_is_one_line_that_begins_with_the_file() {
     let directory = std::env::temp_dir();
     let name = format!("worksshunt-settings-{}", std::process::id());
     let file = directory.join(name);
-    let error = |text: &str, options: bool| {
+    let error_text = |text: &str, is_options_file: bool| {
         std::fs::write(&file, text).expect("written");
-        let error = if options {
+        let error = if is_options_file {
             load_file(&file, parse_parameters).expect_err("options")
         } else {
             load_file(&file, parse_settings).expect_err("settings")
@@ -285,15 +298,15 @@
         error.strip_prefix(&prefix).expect("the file").to_owned()
     };
     assert_eq!(
-        error("", false),
+        error_text("", false),
         "EOF while parsing a value at line 1 column 0"
     );
     assert_eq!(
-        error(&format!("{} x", valid()), false),
+        error_text(&format!("{} x", valid_settings()), false),
         "trailing characters at line 1 column 510"
     );
     assert_eq!(
-        error("windows = 1", true),
+        error_text("windows = 1", true),
         "TOML parse error at line 1, column 1   | 1 | windows = 1   | ^^^^^^^ unknown field \
          `windows`, expected `placement`"
     );
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -1,7 +1,7 @@
-//! Wires a controller to the network: requests and responses in as events, the controller's actions out.
+//! Connects a controller to the network: passes requests and responses to it as events and performs its actions.
 //!
-//! Owns the controller, the clients of all outside services and the requests that wait for a response. `main` runs
-//! it. Everything is on one thread, so no event comes while another is handled.
+//! Owns the controller, the clients of the key-value store, the cloud, the workers and the peers, and the requests
+//! that wait for a response. `main` runs it. All tasks run on one thread, so events are handled one at a time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::peer::PeerClient;
 use worksshunt_net::server::HttpRequest;
-use worksshunt_net::worker::Workers;
+use worksshunt_net::worker::WorkerClients;
 use worksshunt_net::{cloud, key_value, peer, server, Executor};
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 use worksshunt_wire::settings::Settings;
@@ -45,18 +45,18 @@
 
 pub use addresses::RunError;
 
-/// How long a connection of a client or worker may be idle: some intervals of a worker's heartbeats.
+/// Idle timeout of client and worker connections: several heartbeat intervals of a worker.
 fn idle_connection_timeout(settings: &Settings) -> Duration {
     let intervals_s =
         settings.facts.workers.heartbeat_interval_s * IDLE_CONNECTION_HEARTBEAT_INTERVALS;
     Duration::from_secs_f64(intervals_s).max(Duration::from_millis(MIN_IDLE_CONNECTION_TIMEOUT_MS))
 }
 
-/// Runs a controller until it is killed.
+/// Runs a controller until the process is killed.
 ///
 /// # Errors
 ///
-/// An address that is not one, or on which it is impossible to listen.
+/// An address in the settings is invalid, or a port cannot be opened.
 pub fn run(settings: Settings, parameters: Parameters) -> Result<Infallible, RunError> {
     let client_listener = listen(&settings.client_listen)?;
     let peer_listener = listen(&settings.internal_addr)?;
@@ -75,13 +75,13 @@
             KV_CONNECTIONS,
         ),
         cloud: HttpClient::new(parse_address(&settings.services.cloud)?, CLOUD_CONNECTIONS),
-        workers: Workers::new(capacity.worker_connections),
+        workers: WorkerClients::new(capacity.worker_connections),
         peers,
         controller: RefCell::new(Controller::new(settings, parameters)),
         started_at: Instant::now(),
         last_request_id: Cell::new(0),
-        pending_clients: PendingResponses::new(),
-        pending_peers: PendingResponses::new(),
+        pending_client_responses: PendingResponses::new(),
+        pending_peer_responses: PendingResponses::new(),
     });
     service.serve_clients(client_listener, capacity.connections, idle_timeout);
     service.serve_peers(peer_listener);
@@ -93,23 +93,23 @@
     }))
 }
 
-/// A controller with its connections.
+/// A controller with its connections and its pending requests.
 struct Service {
     executor: Rc<Executor>,
     key_value_store: HttpClient,
     cloud: HttpClient,
-    workers: Workers,
+    workers: WorkerClients,
     peers: BTreeMap<ControllerName, PeerClient>,
     controller: RefCell<Controller>,
-    /// Zero of the controller's steady time.
+    /// Origin of the controller's monotonic time.
     started_at: Instant,
     last_request_id: Cell<u64>,
-    pending_clients: PendingResponses<HttpResponse>,
-    pending_peers: PendingResponses<PeerResponse>,
+    pending_client_responses: PendingResponses<HttpResponse>,
+    pending_peer_responses: PendingResponses<PeerResponse>,
 }
 
 impl Service {
-    /// Serves users, workers and health checks.
+    /// Serves users, workers, health checks and metrics on `listener`.
     fn serve_clients(
         self: &Rc<Self>,
         listener: Async<TcpListener>,
@@ -131,7 +131,7 @@
         ));
     }
 
-    /// Serves the other controllers.
+    /// Serves the other controllers on `listener`.
     fn serve_peers(self: &Rc<Self>, listener: Async<TcpListener>) {
         let this = Rc::clone(self);
         let handler: peer::PeerHandler = Rc::new(move |request| {
@@ -154,7 +154,7 @@
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
             steady: self.steady_time(),
-            wall_ms: wall.map_or(0, |since| since.as_millis() as u64),
+            wall_ms: wall.map_or(0, |unix_time| unix_time.as_millis() as u64),
         }
     }
 
@@ -163,7 +163,7 @@
         RequestId(self.last_request_id.get())
     }
 
-    /// Lets the controller handle an event and carries out its actions.
+    /// Passes an event to the controller and performs the resulting actions.
     fn dispatch(self: &Rc<Self>, event: Event) {
         let actions = self
             .controller
@@ -176,8 +176,10 @@
 
     fn perform(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Respond(id, response) => self.pending_clients.complete(id, response),
-            Action::RespondToPeer(id, response) => self.pending_peers.complete(id, response),
+            Action::Respond(id, response) => self.pending_client_responses.complete(id, response),
+            Action::RespondToPeer(id, response) => {
+                self.pending_peer_responses.complete(id, response)
+            }
             Action::CallKeyValueStore {
                 purpose,
                 request,
@@ -195,12 +197,12 @@
         self: &Rc<Self>,
         purpose: KvPurpose,
         request: KvRequest,
-        deadline: Duration,
+        timeout: Duration,
     ) {
         let this = Rc::clone(self);
         let sent_at = self.steady_time();
         self.spawn(async move {
-            let response = key_value::call(&this.key_value_store, request, deadline).await;
+            let response = key_value::call(&this.key_value_store, request, timeout).await;
             this.dispatch(Event::KeyValueResponse {
                 purpose,
                 sent_at,
@@ -212,8 +214,8 @@
     fn call_cloud(self: &Rc<Self>, request: CloudRequest) {
         let this = Rc::clone(self);
         self.spawn(async move {
-            let deadline = Duration::from_millis(CLOUD_REQUEST_TIMEOUT_MS);
-            let response = cloud::call(&this.cloud, &request, deadline).await;
+            let timeout = Duration::from_millis(CLOUD_REQUEST_TIMEOUT_MS);
+            let response = cloud::call(&this.cloud, &request, timeout).await;
             this.dispatch(Event::CloudResponse(request, response));
         });
     }
@@ -221,8 +223,8 @@
     fn send_commands(self: &Rc<Self>, commands: DirectCommands) {
         let this = Rc::clone(self);
         self.spawn(async move {
-            let deadline = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
-            let outcome = this.workers.call(&commands, deadline).await;
+            let timeout = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
+            let outcome = this.workers.send_commands(&commands, timeout).await;
             this.dispatch(Event::CommandsAnswered(commands, outcome));
         });
     }
@@ -243,11 +245,11 @@
         request: &PeerRequest,
     ) -> Option<PeerResponse> {
         let Some(client) = self.peers.get(peer) else {
-            tracing::error!(%peer, "not among the known controllers");
+            tracing::error!(%peer, "peer is not in the settings; request not sent");
             return None;
         };
-        let deadline = Duration::from_millis(SYNC_TIMEOUT_MS);
-        let result = client.call(request, deadline).await;
+        let timeout = Duration::from_millis(SYNC_TIMEOUT_MS);
+        let result = client.call(request, timeout).await;
         result
             .inspect_err(|error| tracing::debug!(%peer, %error, "peer request failed"))
             .ok()
@@ -259,7 +261,7 @@
             Ok(event) => event,
             Err(response) => return response,
         };
-        let response = self.pending_clients.register(id);
+        let response = self.pending_client_responses.register(id);
         self.dispatch(event);
         response
             .recv()
@@ -269,14 +271,14 @@
 
     async fn handle_peer_request(self: Rc<Self>, request: PeerRequest) -> Option<PeerResponse> {
         let id = self.next_request_id();
-        let response = self.pending_peers.register(id);
+        let response = self.pending_peer_responses.register(id);
         self.dispatch(Event::PeerRequest(id, request));
         response.recv().await.ok()
     }
 }
 
-/// The event of a peer's response. The controller has to know of a sync that was not answered; an answer of
-/// another kind, or none, to the other requests is none.
+/// Event for the response of a peer, or for its absence. A sync without a response is an event too, as the controller
+/// has to process it; other requests without a response of their kind result in no event.
 fn peer_event(
     peer: ControllerName,
     request: &PeerRequest,
--- a/crates/worksshunt/src/service/addresses.rs
+++ b/crates/worksshunt/src/service/addresses.rs
@@ -1,6 +1,4 @@
-//! Addresses of the settings, as listeners and clients.
-//!
-//! It owns no state; the service opens its ports and makes the clients of its peers with it when it starts.
+//! Creates listeners and peer clients from the addresses in the settings, when the service starts.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -10,41 +8,42 @@
 use worksshunt_wire::settings::Peer;
 use worksshunt_wire::ControllerName;
 
-/// Why the service could not run.
+/// Error that prevents the service from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A port could not be opened.
+    /// The port at this address could not be opened.
     #[error("cannot listen on {0}: {1}")]
     Listen(String, #[source] std::io::Error),
-    /// An address is not one; the settings check should have found it.
-    #[error("not an address: {0}")]
-    Address(String),
+    /// The text is not an address with a port. The settings check rejects such addresses earlier.
+    #[error("not an IP address with a port: {0}")]
+    InvalidAddress(String),
 }
 
-/// Reads an address with its port.
+/// Parses an address with a port.
 ///
 /// # Errors
 ///
-/// The text is not one.
+/// [`RunError::InvalidAddress`] for any other text.
 pub fn parse_address(text: &str) -> Result<SocketAddr, RunError> {
-    text.parse().map_err(|_| RunError::Address(text.to_owned()))
+    text.parse()
+        .map_err(|_| RunError::InvalidAddress(text.to_owned()))
 }
 
 /// Opens a port.
 ///
 /// # Errors
 ///
-/// An address that is not one, or on which it is impossible to listen.
+/// The address is invalid, or the port cannot be opened.
 pub fn listen(text: &str) -> Result<Async<TcpListener>, RunError> {
     Async::<TcpListener>::bind(parse_address(text)?)
         .map_err(|error| RunError::Listen(text.to_owned(), error))
 }
 
-/// Clients of the other controllers, by name.
+/// Creates the clients of the other controllers, by controller name.
 ///
 /// # Errors
 ///
-/// An address that is not one.
+/// The address of a peer is invalid.
 pub fn peer_clients(peers: &[Peer]) -> Result<BTreeMap<ControllerName, PeerClient>, RunError> {
     let client = |peer: &Peer| {
         let client = PeerClient::new(parse_address(&peer.endpoint)?);
--- a/crates/worksshunt/src/service/pending_responses.rs
+++ b/crates/worksshunt/src/service/pending_responses.rs
@@ -1,7 +1,7 @@
 //! Requests of clients and peers that the controller has not answered yet.
 //!
-//! A connection's task waits here for the response while the controller works on the request; the service hands the
-//! response over when the controller returns it as an action.
+//! The task of a connection waits for the response while the controller processes the request. The service completes
+//! the request when the controller returns the response as an action.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,30 +9,30 @@
 use async_channel::{Receiver, Sender};
 use worksshunt_core::job_api::RequestId;
 
-/// The tasks that wait for a response, by the id of their request.
+/// Channels to the tasks that wait for a response, by request id.
 pub struct PendingResponses<T> {
     senders: RefCell<BTreeMap<RequestId, Sender<T>>>,
 }
 
 impl<T> PendingResponses<T> {
-    /// None are pending.
+    /// Creates an empty set.
     pub fn new() -> PendingResponses<T> {
         PendingResponses {
             senders: RefCell::new(BTreeMap::new()),
         }
     }
 
-    /// Registers a request; its response can be received from the channel.
+    /// Registers a request and returns the channel that receives its response.
     pub fn register(&self, request: RequestId) -> Receiver<T> {
         let (sender, receiver) = async_channel::bounded(1);
         self.senders.borrow_mut().insert(request, sender);
         receiver
     }
 
-    /// Hands a response to the task that waits for it, if it still does.
+    /// Sends a response to the task that waits for it, if the connection is still open.
     pub fn complete(&self, request: RequestId, response: T) {
         if let Some(sender) = self.senders.borrow_mut().remove(&request) {
-            // It fails only if the connection has ended.
+            // Fails only if the connection was closed.
             let _ = sender.try_send(response);
         }
     }
--- a/crates/worksshunt/src/service/routes.rs
+++ b/crates/worksshunt/src/service/routes.rs
@@ -1,15 +1,16 @@
-//! Routes of the HTTP interface: which event of the controller a request is.
+//! Routes of the HTTP interface: maps requests to events of the controller.
 
 use http_types::Method;
 use worksshunt_core::controller::Event;
 use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_net::server::HttpRequest;
 
-/// The controller's event for a request.
+/// Returns the controller's event for a request.
 ///
 /// # Errors
 ///
-/// The response to a request that fits no route: 404 for the path, 405 for the method, 400 for a body over the limit.
+/// The response to a request without a route: 400 for an oversized body, 404 for an unknown path, 405 for a wrong
+/// method.
 pub fn route(request_id: RequestId, request: HttpRequest) -> Result<Event, HttpResponse> {
     let segments: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
     let Some(body) = request.body else {
@@ -20,18 +21,18 @@
         ["healthz"] => (Method::Get, Event::Health(request_id)),
         ["checkin"] => (Method::Post, Event::Heartbeat { request_id, body }),
         ["v2", "runs"] => (Method::Post, Event::Submit { request_id, body }),
-        ["v2", "runs", job] => (
+        ["v2", "runs", job_id] => (
             Method::Get,
             Event::Status {
                 request_id,
-                job_id: (*job).to_owned(),
+                job_id: (*job_id).to_owned(),
             },
         ),
-        ["v2", "runs", job, "withdraw"] => (
+        ["v2", "runs", job_id, "withdraw"] => (
             Method::Post,
             Event::Cancel {
                 request_id,
-                job_id: (*job).to_owned(),
+                job_id: (*job_id).to_owned(),
             },
         ),
         _ => return Err(HttpResponse::error(404, "no such path")),
--- a/crates/worksshunt/tests/http_interface/command_line.rs
+++ b/crates/worksshunt/tests/http_interface/command_line.rs
@@ -1,4 +1,4 @@
-//! What the command line client sends, and how it exits.
+//! Tests of the command line client: its request and its exit code.
 
 use std::io::{BufReader, Write};
 use std::net::TcpListener;
@@ -6,8 +6,8 @@
 
 use crate::message::read_message;
 
-/// What the command line client sends, and its exit code for the answer.
-fn command_line(arguments: &[&str], input: &str, status: u16) -> (String, String, Option<i32>) {
+/// Request line, request body and exit code of the command line client when the server responds with `status`.
+fn run_command(arguments: &[&str], input: &str, status: u16) -> (String, String, Option<i32>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut process = Command::new(env!("CARGO_BIN_EXE_worksshunt"))
@@ -23,24 +23,24 @@
     let (mut connection, _) = listener.accept().expect("a connection");
     let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
     let request = read_message(&mut reader).expect("a request");
-    let answer = format!("HTTP/1.1 {status} x\r\ncontent-length: 4\r\n\r\nbody");
-    connection.write_all(answer.as_bytes()).expect("sent");
+    let response = format!("HTTP/1.1 {status} x\r\ncontent-length: 4\r\n\r\nbody");
+    connection.write_all(response.as_bytes()).expect("sent");
     let output = process.wait_with_output().expect("ended");
     assert_eq!(String::from_utf8_lossy(&output.stdout), "body\n");
     (request.first_line, request.body, output.status.code())
 }
 
 #[test]
-fn the_command_line_sends_one_request_and_exits_by_its_status() {
-    let submit = command_line(&["submit", "-"], "{\"a\":1}", 201);
+fn exit_code_follows_from_the_response_status() {
+    let submit = run_command(&["submit", "-"], "{\"a\":1}", 201);
     let line = "POST /v2/runs HTTP/1.1";
     assert_eq!(submit, (line.to_owned(), "{\"a\":1}".to_owned(), Some(0)));
-    let status = command_line(&["status", "j-000412"], "", 404);
+    let status = run_command(&["status", "j-000412"], "", 404);
     let line = "GET /v2/runs/j-000412 HTTP/1.1";
     assert_eq!(status, (line.to_owned(), String::new(), Some(4)));
     let line = "POST /v2/runs/j-000412/withdraw HTTP/1.1";
-    for (answered, code) in [(200, 0), (400, 3), (422, 3), (428, 3), (429, 5), (503, 5)] {
-        let withdraw = command_line(&["withdraw", "j-000412"], "", answered);
+    for (response_status, code) in [(200, 0), (400, 3), (422, 3), (428, 3), (429, 5), (503, 5)] {
+        let withdraw = run_command(&["withdraw", "j-000412"], "", response_status);
         assert_eq!(withdraw, (line.to_owned(), String::new(), Some(code)));
     }
 }
--- a/crates/worksshunt/tests/http_interface/controller.rs
+++ b/crates/worksshunt/tests/http_interface/controller.rs
@@ -1,4 +1,4 @@
-//! A controller between stand-ins, and its answers to requests.
+//! A controller process with fake services, and its responses to requests.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,14 +7,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
+use crate::fake_services::{cloud, start_fake_service};
 use crate::message::{read_message, Message};
-use crate::stand_ins::{cloud, stand_in};
-use crate::DEADLINE;
+use crate::TIMEOUT;
 
-/// Controllers started so far.
-static STARTED: AtomicUsize = AtomicUsize::new(0);
+/// Number of controllers started in this process.
+static STARTED_CONTROLLERS: AtomicUsize = AtomicUsize::new(0);
 
-/// A controller, which ends with the test.
+/// Controller process, killed when dropped.
 pub struct Controller {
     process: Child,
     address: SocketAddr,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Two different ports that are free at this moment.
+/// Returns two different addresses whose ports are free at the moment.
 fn free_addresses() -> (SocketAddr, SocketAddr) {
     let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = |listener: &TcpListener| listener.local_addr().expect("an address");
@@ -39,18 +39,21 @@
     (address(&first), address(&second))
 }
 
-/// Starts a controller between stand-ins and waits until it listens.
+/// Starts a controller with fake services and waits until it listens.
 pub fn start(store: fn(&str) -> Option<(u16, &'static str)>) -> Controller {
-    let (store, cloud) = (stand_in(store), stand_in(cloud));
-    let since = Instant::now();
+    let (store, cloud) = (start_fake_service(store), start_fake_service(cloud));
+    let started_at = Instant::now();
     loop {
         let mut controller = spawn(store, cloud);
-        if controller.listens(since) {
+        if controller.wait_until_listening(started_at) {
             return controller;
         }
-        // Something else may have taken a port that was free before; the next ones are others.
-        let log = controller.logged();
-        assert!(log.contains("cannot listen on"), "it has ended: {log}");
+        // Another program may have taken the port since; retries with other ports.
+        let log = controller.read_log();
+        assert!(
+            log.contains("cannot listen on"),
+            "the controller exited: {log}"
+        );
     }
 }
 
@@ -68,8 +71,8 @@
             "limits": {"sockets": 1000}
         }
     });
-    // Not by the port: two tests may be given the same one after the other.
-    let number = STARTED.fetch_add(1, Ordering::Relaxed);
+    // Not the port: two tests may get the same port one after the other.
+    let number = STARTED_CONTROLLERS.fetch_add(1, Ordering::Relaxed);
     let name = format!("worksshunt-{}-{number}", std::process::id());
     let file = std::env::temp_dir().join(name);
     let (settings_file, log) = (file.with_extension("json"), file.with_extension("log"));
@@ -91,38 +94,42 @@
 }
 
 impl Controller {
-    /// Waits until it has logged that it listens on its ports; false if it has ended before. An answer would not
-    /// do: it may come from another program that has taken the port.
-    fn listens(&mut self, since: Instant) -> bool {
-        while !self.logged().contains("starting") {
+    /// Waits until the log shows that the controller listens on its ports; false if it exited before. A response on the
+    /// port would not prove it: another program may have taken the port.
+    fn wait_until_listening(&mut self, started_at: Instant) -> bool {
+        while !self.read_log().contains("starting") {
             if self.process.try_wait().expect("a state").is_some() {
                 return false;
             }
-            assert!(since.elapsed() < DEADLINE, "not started: {}", self.logged());
+            assert!(
+                started_at.elapsed() < TIMEOUT,
+                "not started: {}",
+                self.read_log()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
         true
     }
 
-    fn logged(&self) -> String {
+    fn read_log(&self) -> String {
         std::fs::read_to_string(&self.log).expect("a log")
     }
 
     fn send(&self, request_line: &str, body: &str) -> Message {
         let mut connection = TcpStream::connect(self.address).expect("connected");
         connection
-            .set_read_timeout(Some(DEADLINE))
-            .expect("a limit");
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("a timeout");
         let length = body.len();
         let request =
             format!("{request_line} HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
         connection.write_all(request.as_bytes()).expect("sent");
-        let answer = read_message(&mut BufReader::new(connection));
-        answer.unwrap_or_else(|| panic!("{request_line}: no answer: {}", self.logged()))
+        let response = read_message(&mut BufReader::new(connection));
+        response.unwrap_or_else(|| panic!("{request_line}: no response: {}", self.read_log()))
     }
 
-    /// Status line, body and `Retry-After` of the answer to a request.
-    pub fn answer(&self, request_line: &str, body: &str) -> (String, String, Option<String>) {
+    /// Sends a request and returns status line, body and `Retry-After` of the response.
+    pub fn request(&self, request_line: &str, body: &str) -> (String, String, Option<String>) {
         let message = self.send(request_line, body);
         let json = "content-type: application/json".to_owned();
         assert!(message.headers.contains(&json), "{message:?}");
@@ -136,11 +143,13 @@
     }
 }
 
-pub fn fixed(status_line: &str, body: &str) -> (String, String, Option<String>) {
+/// Expected response without `Retry-After`.
+pub fn response_without_retry(status_line: &str, body: &str) -> (String, String, Option<String>) {
     (status_line.to_owned(), body.to_owned(), None)
 }
 
-pub fn retry(body: &str) -> (String, String, Option<String>) {
+/// Expected response with status 503 and `Retry-After`.
+pub fn retry_later_response(body: &str) -> (String, String, Option<String>) {
     let status_line = "HTTP/1.1 503 Service Unavailable".to_owned();
     (status_line, body.to_owned(), Some("1".to_owned()))
 }
--- a/crates/worksshunt/tests/http_interface/stand_ins.rs
+++ b/crates/worksshunt/tests/http_interface/fake_services.rs
@@ -1,26 +1,27 @@
-//! Stand-ins of the key-value store and the cloud.
+//! Fake key-value store and cloud.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use crate::message::read_message;
 
-/// Answers everything on a port of its own, until the test has ended.
-pub fn stand_in(answer: fn(&str) -> Option<(u16, &'static str)>) -> SocketAddr {
+/// Serves requests on a free port until the test process exits. `respond` returns status and body for a request line;
+/// `None` leaves the request without a response.
+pub fn start_fake_service(respond: fn(&str) -> Option<(u16, &'static str)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for connection in listener.incoming().map_while(Result::ok) {
-            std::thread::spawn(move || serve(connection, answer));
+            std::thread::spawn(move || serve(connection, respond));
         }
     });
     address
 }
 
-fn serve(mut connection: TcpStream, answer: fn(&str) -> Option<(u16, &'static str)>) {
+fn serve(mut connection: TcpStream, respond: fn(&str) -> Option<(u16, &'static str)>) {
     let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
     while let Some(request) = read_message(&mut reader) {
-        let Some((status, body)) = answer(&request.first_line) else {
+        let Some((status, body)) = respond(&request.first_line) else {
             continue;
         };
         let length = body.len();
@@ -31,7 +32,7 @@
     }
 }
 
-/// A key-value store without a key.
+/// Key-value store without keys.
 pub fn empty_store(request_line: &str) -> Option<(u16, &'static str)> {
     let (method, path) = request_line.split_once(' ').expect("a method");
     match (method, path.split(['?', ' ']).next()) {
@@ -40,7 +41,7 @@
         ("POST", Some("/txn")) => Some((200, r#"{"Corte":2}"#)),
         ("GET", Some("/kv")) => Some((200, r#"{"Pairs":[],"Corte":1}"#)),
         ("GET", Some("/follow")) if path.contains("&WaitMs=0 ") => Some((200, r#"{"Corte":1}"#)),
-        // A watch that waits is not answered: nothing changes.
+        // A waiting watch gets no response, as nothing changes.
         ("GET", Some("/follow")) => None,
         ("GET", Some(_)) => Some((404, r#"{"Corte":1}"#)),
         _ => Some((500, "{}")),
--- a/crates/worksshunt/tests/http_interface/main.rs
+++ b/crates/worksshunt/tests/http_interface/main.rs
@@ -1,14 +1,13 @@
-//! The HTTP interface of the program itself, byte for byte: a controller runs between stand-ins of the key-value
-//! store and the cloud.
+//! Tests of the HTTP interface of the program, byte for byte: a controller runs with a fake key-value store and cloud.
 
 use std::time::Duration;
 
 mod command_line;
 mod controller;
+mod fake_services;
 mod message;
 mod readiness;
 mod routes;
-mod stand_ins;
 
-/// How long anything may take.
-const DEADLINE: Duration = Duration::from_secs(20);
+/// Timeout of a request and of the controller's start.
+const TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/worksshunt/tests/http_interface/message.rs
+++ b/crates/worksshunt/tests/http_interface/message.rs
@@ -1,8 +1,8 @@
-//! Messages of HTTP as they stand on a connection.
+//! HTTP messages as read from a connection.
 
 use std::io::BufRead;
 
-/// A request or an answer: its first line, its header lines without the date, and its body.
+/// Request or response: first line, sorted header lines without `Date`, and body.
 #[derive(Debug, PartialEq)]
 pub struct Message {
     pub first_line: String,
@@ -10,7 +10,7 @@
     pub body: String,
 }
 
-/// Reads a message; none if the connection has ended.
+/// Reads a message; `None` if the connection was closed.
 pub fn read_message(connection: &mut impl BufRead) -> Option<Message> {
     let mut first_line = String::new();
     connection.read_line(&mut first_line).ok()?;
--- a/crates/worksshunt/tests/http_interface/routes.rs
+++ b/crates/worksshunt/tests/http_interface/routes.rs
@@ -1,21 +1,21 @@
-//! Requests that no route serves.
+//! Tests of requests without a route.
 
-use crate::controller::{fixed, retry, start};
-use crate::stand_ins::unreachable_store;
+use crate::controller::{response_without_retry, retry_later_response, start};
+use crate::fake_services::unreachable_store;
 
 #[test]
-fn requests_that_fit_no_route_are_refused() {
+fn requests_without_a_route_are_rejected() {
     let controller = start(unreachable_store);
-    let no_path = fixed("HTTP/1.1 404 Not Found", r#"{"error":"no such path"}"#);
+    let no_path = response_without_retry("HTTP/1.1 404 Not Found", r#"{"error":"no such path"}"#);
     for line in [
         "GET /",
         "GET /nothing",
         "GET /v2",
         "POST /v2/runs/j-000412/x",
     ] {
-        assert_eq!(controller.answer(line, ""), no_path, "{line}");
+        assert_eq!(controller.request(line, ""), no_path, "{line}");
     }
-    let wrong_method = fixed(
+    let wrong_method = response_without_retry(
         "HTTP/1.1 405 Method Not Allowed",
         r#"{"error":"wrong method"}"#,
     );
@@ -27,17 +27,20 @@
         "GET /v2/runs/j-000412/withdraw",
         "PUT /v2/runs",
     ] {
-        assert_eq!(controller.answer(line, ""), wrong_method, "{line}");
+        assert_eq!(controller.request(line, ""), wrong_method, "{line}");
     }
-    let over = "x".repeat(64 * 1024 + 1);
-    let too_long = fixed(
+    let oversized_body = "x".repeat(64 * 1024 + 1);
+    let too_long = response_without_retry(
         "HTTP/1.1 400 Bad Request",
         r#"{"error":"body over 64 KiB"}"#,
     );
-    assert_eq!(controller.answer("POST /v2/runs", &over), too_long);
-    // The query is not looked at.
     assert_eq!(
-        controller.answer("GET /healthz?x=1", ""),
-        retry(r#"{"error":"not ready"}"#)
+        controller.request("POST /v2/runs", &oversized_body),
+        too_long
+    );
+    // The query is ignored.
+    assert_eq!(
+        controller.request("GET /healthz?x=1", ""),
+        retry_later_response(r#"{"error":"not ready"}"#)
     );
 }
