--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -1,4 +1,4 @@
-//! The write that accepts submissions: one at a time, hedged, within the users' share of the write limit.
+//! The write that accepts submissions: hedged, one in flight at a time, limited to the user share of the write limit.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
@@ -9,72 +9,73 @@
 use crate::jobs::{final_state_key, is_submission_batch, open_job_key, submission_batch_key};
 use crate::time::{Periodic, Time};
 
-use super::hedged_request::{second_copy, HedgedRequest};
+use super::hedged_request::{hedge_action, HedgedRequest};
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
-/// The write in flight that accepts submissions, and when the next may be sent.
+/// State of the write that accepts submissions.
 #[derive(Debug, Default)]
 pub(super) struct AcceptWrite {
     timer: Periodic,
     hedge: HedgedRequest,
-    in_flight: CompareAndSwap,
-    /// Submission batches named by this process so far, which numbers their keys.
-    batches_named: u64,
+    /// The last write sent, for its second copy.
+    last_write: CompareAndSwap,
+    /// Number in the key of the last submission batch of this process; 0 before the first.
+    last_batch_number: u64,
 }
 
 impl Controller {
-    /// Sends the second copy of a slow write, or the next write.
+    /// Sends the second copy of a slow write, and the next write if none is in flight.
     pub(super) fn advance_accept_write(&mut self, now: Time, actions: &mut Vec<Action>) {
         let accept = &mut self.job_api.accept_write;
         let tokens = &mut self.write_queues.user_write_tokens;
-        if let Some(number) = accept.hedge.hedge_due(now) {
-            let write = &accept.in_flight;
+        if let Some(number) = accept.hedge.take_due_hedge(now) {
+            let write = &accept.last_write;
             tokens.take(write.changes.len());
-            actions.push(second_copy(KvPurpose::AcceptSubmissions(number), write));
+            actions.push(hedge_action(KvPurpose::AcceptSubmissions(number), write));
         }
         if !accept.timer.is_due(now) || !self.job_api.requests.write_due() {
             return;
         }
         let limits = &self.settings.facts.state;
         let max_changes = tokens.available(now).min(limits.txn_ops);
-        let (me, batches_named) = (self.membership.name(), &mut accept.batches_named);
+        let (own_name, last_batch_number) = (self.membership.name(), &mut accept.last_batch_number);
         let next_batch_key = self.membership.lease().map(|lease| {
             move || {
-                *batches_named += 1;
-                submission_batch_key(me, lease, *batches_named)
+                *last_batch_number += 1;
+                submission_batch_key(own_name, lease, *last_batch_number)
             }
         });
         let requests = &mut self.job_api.requests;
         if let Some(write) = requests.next_write(max_changes, limits, next_batch_key) {
             tokens.take(write.changes.len());
             accept.timer.mark_sent(now, 0);
-            let number = accept.hedge.first_sent(now);
-            accept.in_flight = write.clone();
+            let number = accept.hedge.start_write(now);
+            accept.last_write = write.clone();
             let request = KvRequest::CompareAndSwap(write);
             call_store(actions, KvPurpose::AcceptSubmissions(number), request);
         }
     }
 
-    /// A copy of the write was answered, or not.
-    pub(super) fn submissions_answered(
+    /// Processes the response to a copy of the write. After an unknown outcome the users are asked to submit again.
+    pub(super) fn process_accept_write_response(
         &mut self,
         number: u64,
         now: Time,
         response: KvResponse,
         actions: &mut Vec<Action>,
     ) {
-        let is_clear = matches!(
+        let is_conclusive = matches!(
             response,
             KvResponse::Committed(_) | KvResponse::Conflict(_) | KvResponse::TooLarge
         );
         let accept = &mut self.job_api.accept_write;
-        if !accept.hedge.answered(number, is_clear) {
+        if !accept.hedge.record_response(number, is_conclusive) {
             return;
         }
         accept.timer.schedule_retry(now, 0);
         let jobs = self.job_api.requests.write_answered();
         match response {
-            // Nobody else writes this process's submission batches: an earlier copy was applied.
+            // Only this process writes this key, so another copy of the write was applied.
             KvResponse::Conflict(failed) if failed.iter().any(|key| is_submission_batch(key)) => {
                 accept_all(jobs, actions);
             }
@@ -84,25 +85,26 @@
                 self.lower_limits();
                 self.retry_accept_write(now, jobs);
             }
-            // Certainly not executed, most likely for the limit: there is time for another try.
-            KvResponse::Refused if !self.store_health.is_silent(now) => {
+            // Not executed, most likely because of the rate limit, so it is safe to retry.
+            KvResponse::Refused if !self.store_health.is_unresponsive(now) => {
                 self.retry_accept_write(now, jobs);
             }
             _ => {
                 ask_to_resubmit(jobs, actions);
-                self.give_up_job_requests(actions);
+                self.fail_job_requests(actions);
             }
         }
     }
 
-    /// Queues the submissions of a write that was not executed for the next one, after a pause.
+    /// Queues the submissions of a write that was not executed again, for a write after [`KV_RETRY_MS`].
     fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
         accept.timer.schedule_retry(now, KV_RETRY_MS);
         self.job_api.requests.requeue_submissions(jobs);
     }
 
-    /// Some jobs of a write are known already: those wait for a read, the others for the next write.
+    /// Queues the submissions of a conflicting write again: jobs whose ID already exists for a read, which returns
+    /// their state, and the others for the next write.
     fn requeue_conflicting(
         &mut self,
         now: Time,
@@ -137,7 +139,7 @@
     }
 }
 
-/// Asks the users to submit again: whether the jobs were accepted is not known, and a repeated submission is safe.
+/// Asks the users to submit again. Whether the jobs were accepted is unknown, but submissions are idempotent.
 fn ask_to_resubmit(jobs: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
     for submission in jobs {
         let response = HttpResponse::retry_later("not accepted yet");
--- a/crates/worksshunt-core/src/controller/catalog.rs
+++ b/crates/worksshunt-core/src/controller/catalog.rs
@@ -1,5 +1,5 @@
-//! The catalogue of machine types: read from the cloud, and kept in the key-value store for restarts during an
-//! outage of the cloud.
+//! The catalog of machine types: read from the cloud, and stored in the key-value store for restarts during an outage
+//! of the cloud.
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
@@ -11,23 +11,23 @@
 
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
-/// Key of the catalogue kept for restarts during an outage of the cloud.
+/// Key of the stored catalog.
 const CATALOG_KEY: &str = "t/catalog";
 
-/// The catalogue as this controller knows it.
+/// The catalog, and the state of reading and storing it.
 #[derive(Default)]
 pub(super) struct CatalogState {
-    /// The one in use; none before it was read for the first time.
+    /// Catalog in use; `None` until the first is read.
     pub current: Option<Catalog>,
-    /// The catalogue as it is in the key-value store, where known.
+    /// Catalog in the key-value store, or one that is too large to store; `None` if unknown.
     pub stored: Option<Catalog>,
     read_timer: Periodic,
-    /// Settings that fall short of the fleet were logged.
-    shortfalls_logged: bool,
+    /// Whether the shortfalls of the settings have been logged.
+    has_logged_shortfalls: bool,
 }
 
 impl Controller {
-    /// Reads the catalogue of the cloud, and until there is one also that of the key-value store.
+    /// Reads the catalog from the cloud when due, and also from the key-value store while none is in use.
     pub(super) fn refresh_catalog(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.catalog.read_timer.is_due(now) {
             return;
@@ -40,7 +40,7 @@
         actions.push(Action::CallCloud(CloudRequest::ReadCatalog));
     }
 
-    /// Writes the catalogue in use to the key-value store, if nothing is known to be there.
+    /// Writes the catalog in use to the key-value store, unless one is known to be stored.
     pub(super) fn store_catalog(&mut self, actions: &mut Vec<Action>) {
         let (Some(catalog), None) = (&self.catalog.current, &self.catalog.stored) else {
             return;
@@ -57,8 +57,8 @@
         call_store(actions, purpose, KvRequest::CompareAndSwap(write));
     }
 
-    /// The cloud returned its catalogue, or did not.
-    pub(super) fn cloud_catalog_answered(&mut self, now: Time, catalog: Option<Catalog>) {
+    /// Processes the catalog from the cloud; `None` after a failed request.
+    pub(super) fn process_cloud_catalog(&mut self, now: Time, catalog: Option<Catalog>) {
         let Some(catalog) = catalog else {
             self.catalog
                 .read_timer
@@ -70,25 +70,30 @@
         self.catalog.current = Some(catalog);
     }
 
-    /// The stored catalogue was read, or not. One from the cloud is newer.
-    pub(super) fn stored_catalog_answered(&mut self, response: KvResponse) {
+    /// Processes the response to the read of the stored catalog. It is ignored if one is already in use, since the
+    /// cloud's is newer.
+    pub(super) fn process_stored_catalog(&mut self, response: KvResponse) {
         if let (KvResponse::Found(pair), None) = (response, &self.catalog.current) {
             self.catalog.current = serde_json::from_value(pair.value).ok();
             self.catalog.stored.clone_from(&self.catalog.current);
         }
     }
 
-    /// The catalogue was written, or not.
-    pub(super) fn catalog_write_answered(&mut self, catalog: Catalog, response: &KvResponse) {
-        // One that is larger than a value may be is done without.
+    /// Processes the response to the write of the catalog.
+    pub(super) fn process_catalog_write_response(
+        &mut self,
+        catalog: Catalog,
+        response: &KvResponse,
+    ) {
+        // A catalog that exceeds the value limit is not stored, and the write is not repeated.
         if let KvResponse::Committed(_) | KvResponse::TooLarge = response {
             self.catalog.stored = Some(catalog);
         }
     }
 
-    /// Logs once which settings fall short of the fleet that the guarantees imply.
+    /// Logs once which limits in the settings are too low for the fleet that the guaranteed quotas require.
     fn warn_of_shortfalls(&mut self, catalog: &Catalog) {
-        if std::mem::replace(&mut self.catalog.shortfalls_logged, true) {
+        if std::mem::replace(&mut self.catalog.has_logged_shortfalls, true) {
             return;
         }
         for shortfall in shortfalls(&self.settings, catalog) {
@@ -100,7 +105,7 @@
                     machines,
                     sockets_needed,
                     sockets = self.settings.facts.limits.sockets,
-                    "fewer sockets than guaranteed machines: workers of a single controller share connections"
+                    "fewer sockets than guaranteed machines; with a single controller, workers share connections"
                 ),
                 Shortfall::KeyValueWrites {
                     machines,
@@ -109,7 +114,7 @@
                     machines,
                     write_rps_needed,
                     write_rps = self.settings.facts.state.write_rps,
-                    "write rate too low: recording launches on all guaranteed machines exceeds the worker lease"
+                    "write limit too low to record launches on all guaranteed machines within the worker lease"
                 ),
             }
         }
--- a/crates/worksshunt-core/src/controller/cloud_responses.rs
+++ b/crates/worksshunt-core/src/controller/cloud_responses.rs
@@ -1,4 +1,4 @@
-//! The cloud's responses, each to what the request was for.
+//! Dispatch of the cloud's responses by request, and their processing.
 
 use worksshunt_wire::cloud::{MachineIds, MachineList};
 
@@ -21,26 +21,26 @@
                     CloudResponse::Catalog(catalog) => Some(catalog),
                     _ => None,
                 };
-                self.cloud_catalog_answered(now, catalog);
+                self.process_cloud_catalog(now, catalog);
             }
             CloudRequest::ListMachines => {
                 let pages = match response {
                     CloudResponse::List(pages) => Some(pages),
                     _ => None,
                 };
-                self.machine_list_answered(now, pages);
+                self.process_machine_list(now, pages);
             }
             CloudRequest::Provision(request) => {
-                self.provision_answered(now, &request.request_name, response);
+                self.process_provision_response(now, &request.request_name, response);
             }
             CloudRequest::Release(names) => {
                 let released = matches!(response, CloudResponse::Machines(_)).then_some(names);
-                self.release_answered(now, released);
+                self.process_release_response(now, released);
             }
         }
     }
 
-    fn machine_list_answered(&mut self, now: Time, pages: Option<Vec<MachineList>>) {
+    fn process_machine_list(&mut self, now: Time, pages: Option<Vec<MachineList>>) {
         self.leader_duties.machine_list_timer.in_flight = false;
         if let (Some(pages), Some(leader)) = (pages, &mut self.leader) {
             leader.fleet.machine_list_read(now, &pages);
@@ -48,14 +48,19 @@
         }
     }
 
-    fn provision_answered(&mut self, now: Time, request_name: &str, response: CloudResponse) {
+    fn process_provision_response(
+        &mut self,
+        now: Time,
+        request_name: &str,
+        response: CloudResponse,
+    ) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         match response {
             CloudResponse::Machines(names) => {
                 leader.fleet.provisioned(now, request_name, &names);
-                // One request may not have been enough.
+                // More machines may be needed than one request provisions.
                 self.leader_duties.fleet_timer.next = now;
             }
             CloudResponse::NoCapacity => leader.fleet.provision_refused(now, request_name),
@@ -63,8 +68,8 @@
         }
     }
 
-    /// The cloud has released these machines; none: it is not known to have.
-    fn release_answered(&mut self, now: Time, released: Option<&MachineIds>) {
+    /// Processes a release response. `released` is `None` if the outcome is unknown.
+    fn process_release_response(&mut self, now: Time, released: Option<&MachineIds>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -73,7 +78,7 @@
         let is_full_request =
             |names: &MachineIds| names.machines.len() >= MAX_MACHINES_PER_RELEASE_REQUEST;
         if released.is_some_and(is_full_request) {
-            // More machines may wait to be released than one request takes.
+            // More machines may have to be released than one request can contain.
             self.leader_duties.fleet_timer.next = now;
         }
     }
--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -1,4 +1,5 @@
-//! From loading to serving: partition, scheduler and fleet are built from what the epoch's members have read.
+//! Transition from loading to serving: builds the partition, and on the leader the scheduler and the fleet, from the
+//! loaded records.
 
 use worksshunt_wire::{ControllerName, Epoch};
 
@@ -13,7 +14,7 @@
 use super::{Controller, Leader, PartitionEpoch};
 
 impl Controller {
-    /// Everything is read: this controller serves from now on, and leads if it is the epoch's leader.
+    /// Starts serving after the last load step, and leading if this controller is the epoch's leader.
     pub(super) fn begin_serving(&mut self, now: Time) {
         let Some(epoch) = self.membership.epoch().cloned() else {
             return;
@@ -42,11 +43,11 @@
         owners: &[ControllerName],
         record_pages: &[RecordPage],
     ) {
-        let me = self.membership.name();
+        let own_name = self.membership.name();
         let previous_owners = self
             .partition_epoch
             .take()
-            .filter(|previous| previous.number == epoch_before(epoch))
+            .filter(|previous| previous.number == previous_epoch_number(epoch))
             .map_or(Vec::new(), |previous| previous.owners);
         let records: Vec<AttemptRecord> = record_pages
             .iter()
@@ -56,12 +57,12 @@
             now,
             &EpochStart {
                 epoch: epoch.number,
-                controller: me,
+                controller: own_name,
                 records: &records,
                 job_cache: &self.job_cache,
             },
-            |machine| owner(machine, owners) == Some(me),
-            |machine| owner(machine, &previous_owners) == Some(me),
+            |machine| owner(machine, owners) == Some(own_name),
+            |machine| owner(machine, &previous_owners) == Some(own_name),
         );
         self.partition_epoch = Some(PartitionEpoch {
             number: epoch.number,
@@ -81,7 +82,9 @@
         let mut scheduler =
             Scheduler::load(now, epoch.number, owners, facts, &self.job_cache, stored);
         let fleet = match previous_fleet {
-            Some(fleet) if fleet.epoch() == epoch_before(epoch) => fleet.carried_over(epoch.number),
+            Some(fleet) if fleet.epoch() == previous_epoch_number(epoch) => {
+                fleet.carried_over(epoch.number)
+            }
             _ => {
                 let max_requests = self.capacity.provision_requests;
                 Fleet::new(
@@ -98,11 +101,15 @@
             scheduler.limit_attempts(max_attempts);
         }
         self.leader = Some(Leader { scheduler, fleet });
-        tracing::info!(epoch = %epoch.number, members = owners.len(), "leading");
+        tracing::info!(
+            epoch = %epoch.number,
+            partition_owners = owners.len(),
+            "leadership acquired; scheduling started"
+        );
     }
 }
 
-/// The number before the epoch's.
-fn epoch_before(epoch: &EpochRecord) -> Epoch {
+/// The number of the epoch before `epoch`.
+fn previous_epoch_number(epoch: &EpochRecord) -> Epoch {
     Epoch(epoch.number.0 - 1)
 }
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -1,4 +1,4 @@
-//! What a read of the control keys calls for: entering a new epoch, leaving one, proposing the next.
+//! Epoch transitions after a read of the control keys: entering a new epoch, leaving one, proposing the next.
 
 use worksshunt_wire::key_value::Listing;
 
@@ -9,7 +9,7 @@
 use super::{call_store, Action, Controller, KvPurpose, KvRequest};
 
 impl Controller {
-    /// Processes a read of the control keys.
+    /// Processes a listing of the control keys.
     pub(super) fn process_control_keys(
         &mut self,
         times: RequestTimes,
@@ -20,7 +20,7 @@
         match self.membership.process_control_keys(times.sent_at, listing) {
             MembershipAction::Unchanged => {}
             MembershipAction::MemberKeyGone => {
-                tracing::info!("member key missing, joining again");
+                tracing::info!("own member key not found; joining again with a new lease");
                 self.leave_epoch(now);
             }
             MembershipAction::NewEpoch => self.enter_epoch(now, actions),
@@ -35,22 +35,23 @@
         }
     }
 
-    /// Gives up the lease, and with it leadership and partition.
+    /// Gives up the lease, the leadership and the partition. The controller then joins again as a new member.
     pub(super) fn leave_epoch(&mut self, now: Time) {
         self.membership.lease_lost();
         self.leader = None;
         self.drop_partition(now);
     }
 
+    /// Starts loading a new epoch, or drops the partition if this controller is not a member of it.
     fn enter_epoch(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let fleet = self.leader.take().map(|leader| leader.fleet);
-        self.epoch_load = self.epoch_load.restarted(fleet);
-        self.readiness.leader_answered(now);
-        let owners = self
+        let current_fleet = self.leader.take().map(|leader| leader.fleet);
+        self.epoch_load = self.epoch_load.restart(current_fleet);
+        self.readiness.record_leader_response(now);
+        let owner_count = self
             .membership
             .epoch()
             .map_or(0, |epoch| epoch.partition_owners().len());
-        self.write_queues.begin_epoch(owners);
+        self.write_queues.begin_epoch(owner_count);
         self.partition_sync.begin_epoch();
         self.leader_duties.begin_epoch();
         if self.membership.state() == MemberState::Loading {
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -1,7 +1,7 @@
-//! The events that a controller processes and the actions that it returns.
+//! Events that a controller processes, and actions that it returns.
 //!
-//! The service of the binary and the simulation turn what comes over the network into an [`Event`] and carry out
-//! each [`Action`]; its response comes back as another event.
+//! The caller (the service of the binary, or the simulation) converts network traffic to [`Event`]s and executes each
+//! [`Action`]. The response to a request that it sends for an action arrives as a later event.
 
 use worksshunt_wire::cloud::{Catalog, MachineIds, MachineList};
 use worksshunt_wire::key_value::{CompareAndSwap, KeyValue, Listing, WatchResponse};
@@ -16,248 +16,248 @@
 /// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvRequest {
-    /// A new lease.
+    /// Grants a new lease.
     GrantLease,
-    /// Renew a lease.
+    /// Renews the lease with this ID.
     RenewLease(u64),
-    /// Read one key.
+    /// Reads one key.
     Get(String),
-    /// Read all keys of a prefix.
+    /// Reads all keys with a prefix.
     List(String),
-    /// Write if the expected revisions hold.
+    /// Applies changes if all expected revisions hold.
     CompareAndSwap(CompareAndSwap),
-    /// Changes of a prefix after a revision.
+    /// Reads the changes of keys with a prefix after a revision.
     Watch {
-        /// The prefix.
+        /// Prefix of the keys.
         prefix: String,
-        /// The revision after which changes are wanted.
+        /// Revision after which changes are returned.
         since: Revision,
-        /// How long to wait for the first change, in milliseconds.
+        /// Maximum wait for the first change, in milliseconds; 0 returns at once.
         wait_ms: u64,
     },
 }
 
-/// The key-value store's response.
+/// The outcome of a request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvResponse {
-    /// The lease granted.
+    /// A lease was granted; its ID.
     LeaseGranted(u64),
     /// The lease was renewed.
     LeaseRenewed,
-    /// There is no such lease.
+    /// The lease does not exist, or has expired.
     NoSuchLease,
-    /// A key's value.
+    /// The key exists.
     Found(KeyValue),
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
-    /// All keys of the prefix, at the revision of the first page.
+    /// All keys with the prefix, at the revision of the first page.
     Listing(Listing),
-    /// The write was applied, at that revision.
+    /// The changes were applied at this revision.
     Committed(Revision),
-    /// The expected revisions of these keys did not hold.
+    /// Not executed: the expected revisions of these keys did not hold.
     Conflict(Vec<String>),
-    /// The changes.
+    /// The changes of a watched prefix.
     WatchResponse(WatchResponse),
-    /// The changes after the revision are no longer kept.
+    /// The store has compacted the changes after the requested revision.
     RevisionCompacted,
-    /// Not executed: larger than the limits.
+    /// Not executed: the write exceeds the limits of the key-value store.
     TooLarge,
-    /// Not executed.
+    /// Not executed: rate-limited, unavailable or not connected.
     Refused,
-    /// No response that shows whether it was executed.
-    NoAnswer,
+    /// Timed out or failed: the request may or may not have been executed.
+    OutcomeUnknown,
 }
 
 impl KvResponse {
-    /// Whether the key-value store has executed the request, or stated why it does not.
+    /// Whether the key-value store executed the request or stated why it did not.
     pub(super) fn is_definite(&self) -> bool {
-        !matches!(self, KvResponse::Refused | KvResponse::NoAnswer)
+        !matches!(self, KvResponse::Refused | KvResponse::OutcomeUnknown)
     }
 }
 
-/// What a request to the key-value store is for; comes back with its response.
+/// Why a request to the key-value store is made. The caller returns it unchanged with the response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvPurpose {
-    /// The controller's lease.
+    /// Obtain the membership lease.
     GrantLease,
-    /// Its renewal.
+    /// Renew the membership lease with this ID.
     RenewLease(u64),
-    /// The member key.
+    /// Write the member key.
     WriteMemberKey,
-    /// The control keys.
+    /// Read the control keys: the epoch and the member keys.
     ReadControlKeys,
-    /// The next epoch.
+    /// Write the next epoch.
     ProposeEpoch,
-    /// The first reading of the open jobs.
+    /// List all open jobs to load the job cache.
     ListOpenJobs,
-    /// The long watch of the open jobs.
+    /// Wait for changes of the open jobs.
     WatchOpenJobs,
-    /// The catch-up read of the open jobs.
+    /// Read the changes of the open jobs that pending user requests wait for.
     CatchUpOpenJobs,
-    /// A step of loading an epoch.
+    /// Execute a step of loading an epoch.
     LoadEpoch {
-        /// The epoch.
+        /// Epoch that is loaded.
         epoch: Epoch,
-        /// The step.
+        /// Step of the load.
         step: LoadStep,
     },
-    /// The final state of a job on record, at the start of an epoch.
+    /// Read the final state of a job that has attempt records, while an epoch is loaded.
     LoadFinalState {
-        /// The epoch.
+        /// Epoch that is loaded.
         epoch: Epoch,
-        /// The job.
+        /// Job that is not open.
         job: JobId,
     },
-    /// A conditional write of an epoch.
+    /// Send a write of a write queue.
     QueuedWrite {
-        /// The queue.
+        /// Queue of the write.
         queue: WriteQueueId,
-        /// The epoch.
+        /// Epoch that the write is conditional on.
         epoch: Epoch,
-        /// The write's number in its queue.
+        /// Number of the write in its queue; copies of a write share it.
         number: u64,
     },
-    /// The version of a page that was written at an unknown one.
+    /// Read the version of a page whose last write has an unknown revision.
     ReadPageVersion {
-        /// The epoch.
+        /// Epoch in which the page was written.
         epoch: Epoch,
-        /// The key of the page.
+        /// Key of the page.
         key: String,
     },
-    /// A final state whose read had to be put off.
+    /// Read a final state after its lookup was deferred by the read limit.
     LookUpFinalState(JobId),
-    /// Submissions, by the number of their write.
+    /// Accept submissions; the number of the write.
     AcceptSubmissions(u64),
-    /// A cancellation.
+    /// Write the cancellation of a job.
     CancelJob(JobRequest),
-    /// The final state that a request waits for.
+    /// Read the final state that a user request waits for.
     ReadFinalState(JobRequest),
-    /// The catalogue as it was last stored.
+    /// Read the stored catalog.
     ReadCatalog,
-    /// Storing the catalogue.
+    /// Store the catalog.
     StoreCatalog(Catalog),
 }
 
-/// Which of an epoch's conditional writes.
+/// A queue of conditional writes of an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteQueueId {
     /// Attempt records of the own partition.
     AttemptRecords,
-    /// Completions, and attempt records of former epochs (leader).
+    /// Pages of completions, and attempt records of earlier epochs (leader only).
     LeaderPages,
-    /// Ends of jobs, claims, and keys to be removed (leader).
+    /// Job completions, claims, and deletions of obsolete keys (leader only).
     FinalWrites,
-    /// Keys of their own for jobs of submission batches (leader).
+    /// Separate keys for jobs of submission batches (leader only).
     SubmissionBatches,
 }
 
-/// Steps of loading an epoch.
+/// A step of loading an epoch, in the order of execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadStep {
-    /// The attempt records.
+    /// Read the attempt records.
     AttemptRecords,
-    /// Completed tasks (leader).
+    /// Read the completed tasks (leader only).
     Completions,
-    /// Claims (leader).
+    /// Read the claims (leader only).
     Claims,
-    /// The open jobs, read after the records: a job on a record but not open is over.
+    /// Read the open jobs. This follows the records, so a job that has records but is not open is closed.
     OpenJobs,
-    /// Final states of jobs on record that are over, and what their tasks use (leader).
+    /// Read the final states of closed jobs that have records (leader only).
     FinalStates,
 }
 
-/// The cloud's response.
+/// The outcome of a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudResponse {
-    /// Machines provisioned, or released.
+    /// The machines that were provisioned or released.
     Machines(MachineIds),
-    /// No machines are available.
+    /// The cloud has no such machines available.
     NoCapacity,
-    /// The machine list.
+    /// All pages of the machine list.
     List(Vec<MachineList>),
-    /// The catalogue.
+    /// The catalog of machine types.
     Catalog(Catalog),
-    /// No response, or one that cannot be used.
-    NoAnswer,
+    /// No response, or an unusable one: the request may or may not have been executed.
+    Failed,
 }
 
 /// An event that a controller processes.
 #[derive(Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// A periodic tick, at which due timers run.
     Tick,
-    /// A submission.
+    /// A user submits a job.
     Submit {
-        /// The request.
+        /// Identifies the response.
         request_id: RequestId,
-        /// The body as received.
+        /// Request body, not yet validated.
         body: Vec<u8>,
     },
-    /// A request for a job's status.
+    /// A user requests the status of a job.
     Status {
-        /// The request.
+        /// Identifies the response.
         request_id: RequestId,
-        /// The job's id as the user wrote it.
+        /// Job ID from the request path, not yet validated.
         job_id: String,
     },
-    /// A cancellation.
+    /// A user cancels a job.
     Cancel {
-        /// The request.
+        /// Identifies the response.
         request_id: RequestId,
-        /// The job's id as the user wrote it.
+        /// Job ID from the request path, not yet validated.
         job_id: String,
     },
     /// A request for the metrics.
     Metrics(RequestId),
     /// A health check.
     Health(RequestId),
-    /// A worker's heartbeat.
+    /// A worker sends a heartbeat.
     Heartbeat {
-        /// The request.
+        /// Identifies the response.
         request_id: RequestId,
-        /// The body as received.
+        /// Request body, not yet validated.
         body: Vec<u8>,
     },
-    /// The key-value store has answered a request, or has not.
+    /// A request to the key-value store succeeded, failed or timed out.
     KeyValueResponse {
-        /// What the request is for.
+        /// Purpose from the [`Action::CallKeyValueStore`].
         purpose: KvPurpose,
         /// When the request was sent.
         sent_at: Time,
-        /// The response.
+        /// Outcome of the request.
         response: KvResponse,
     },
-    /// The cloud has answered a request, or has not.
+    /// A request to the cloud succeeded, failed or timed out.
     CloudResponse(CloudRequest, CloudResponse),
-    /// Direct commands to a worker were answered, or not.
-    CommandsAnswered(DirectCommands, DirectCommandsOutcome),
-    /// A peer's request.
+    /// Direct commands to a worker were answered, could not be sent or timed out.
+    DirectCommandsOutcome(DirectCommands, DirectCommandsOutcome),
+    /// A peer sends a request.
     PeerRequest(RequestId, PeerRequest),
-    /// The leader has answered a partition's status; none: it has not.
+    /// The leader's response to a partition status; `None` if the request failed or timed out.
     PeerResponse(Option<PeerResponse>),
-    /// A peer has answered whether it reaches the key-value store.
+    /// A peer's response on whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
-    /// A peer has answered with what it knows of the epoch.
+    /// A peer's response with the newest epoch that it knows.
     PeerKnownEpoch(ControllerName, KnownEpoch),
 }
 
-/// What a controller has its process do.
+/// An action that the caller of [`Controller::handle`](super::Controller::handle) executes.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    /// Respond to a user or a worker.
+    /// Respond to a user, a worker or a probe.
     Respond(RequestId, HttpResponse),
     /// Send a request to the key-value store.
     CallKeyValueStore {
-        /// What the request is for.
+        /// Purpose to return with the response.
         purpose: KvPurpose,
-        /// The request.
+        /// Request to send.
         request: KvRequest,
-        /// How long to wait for the response, in milliseconds.
+        /// Time limit for the response, in milliseconds.
         deadline_ms: u64,
     },
     /// Send a request to the cloud.
     CallCloud(CloudRequest),
-    /// Send commands straight to a worker.
+    /// Send commands directly to a worker.
     SendCommands(DirectCommands),
     /// Send a request to a peer.
     SendToPeer(ControllerName, PeerRequest),
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -1,8 +1,8 @@
-//! Final states of jobs, read for users who ask about a job that is not open.
+//! Reads of final states for user requests about jobs that are not open.
 //!
-//! Such reads keep to a share of the key-value store's limit. If it went to whoever asks first, some requests could
-//! always find it used up by the same others; so a read that had to be deferred is queued, and the next request for
-//! that job finds its result in the job cache.
+//! These reads are limited to a share of the key-value store's request limit. A request that exceeds it is rejected,
+//! and its lookup is queued, so that the retried request finds the final state in the job cache. Without the queue,
+//! other requests could use up the share each time and starve it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -13,39 +13,39 @@
 use crate::jobs::{final_state_key, read_final_state, FinalStateEvidence};
 use crate::time::Time;
 
-use super::store_outage::STORE_SILENT;
+use super::store_outage::STORE_UNRESPONSIVE;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
-/// Lookups that were put off.
+/// Lookups deferred by the read limit.
 #[derive(Debug, Default)]
 pub(super) struct FinalStateLookups {
-    /// Jobs whose final state is to be read as soon as the share of reads allows, in the order of the requests.
+    /// Jobs whose lookup waits for the read limit, in the order of the requests.
     queued: VecDeque<JobId>,
-    /// Those, and the ones whose read is in flight.
-    unanswered: BTreeSet<JobId>,
+    /// Jobs whose lookup is queued or in flight.
+    pending: BTreeSet<JobId>,
 }
 
 impl FinalStateLookups {
-    /// Queues a lookup, unless there is one for the job or too many wait.
+    /// Queues a lookup, unless one is pending for the job or [`FINAL_STATES_CACHED`] are queued.
     fn queue(&mut self, id: JobId) {
-        if self.queued.len() < FINAL_STATES_CACHED && self.unanswered.insert(id) {
+        if self.queued.len() < FINAL_STATES_CACHED && self.pending.insert(id) {
             self.queued.push_back(id);
         }
     }
 
-    /// A lookup was answered clearly.
-    fn answered(&mut self, id: JobId) {
-        self.unanswered.remove(&id);
+    /// Removes a lookup that has a result.
+    fn complete(&mut self, id: JobId) {
+        self.pending.remove(&id);
     }
 
-    /// A lookup was not answered: it is made again.
+    /// Queues a failed lookup again.
     fn retry(&mut self, id: JobId) {
         self.queued.push_back(id);
     }
 }
 
 impl Controller {
-    /// Sends lookups that were put off, as many as the share of reads allows.
+    /// Sends deferred lookups, as many as the read limit allows.
     pub(super) fn advance_final_state_lookups(&mut self, now: Time, actions: &mut Vec<Action>) {
         let job_api = &mut self.job_api;
         while job_api.read_tokens.available(now) > 0 {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads the final state for a request, or puts that off if the share of reads is used up.
+    /// Reads the final state for a request. If the read limit is exhausted, defers the lookup and rejects the request.
     pub(super) fn look_up_final_state(
         &mut self,
         now: Time,
@@ -78,25 +78,25 @@
         call_store(actions, KvPurpose::ReadFinalState(job_request), request);
     }
 
-    /// A lookup that was put off was answered, or not.
-    pub(super) fn final_state_lookup_answered(&mut self, id: JobId, response: KvResponse) {
+    /// Processes the response of a deferred lookup: caches the final state, or queues the lookup again after a failure.
+    pub(super) fn process_deferred_lookup_response(&mut self, id: JobId, response: KvResponse) {
         let lookups = &mut self.job_api.final_state_lookups;
         match response {
             KvResponse::Found(pair) => {
-                lookups.answered(id);
+                lookups.complete(id);
                 if let Some(state) = read_final_state(&pair.value) {
                     let evidence = FinalStateEvidence::Read(pair.version);
-                    self.metrics.final_state_learnt(evidence);
+                    self.metrics.count_final_state(evidence);
                     self.job_cache.remember_final(id, state, evidence);
                 }
             }
-            KvResponse::Missing => lookups.answered(id),
+            KvResponse::Missing => lookups.complete(id),
             _ => lookups.retry(id),
         }
     }
 
-    /// The final state that a request waits for was read, or not.
-    pub(super) fn final_state_answered(
+    /// Processes the response of the lookup that a request waits for.
+    pub(super) fn process_final_state_response(
         &mut self,
         now: Time,
         job_request: JobRequest,
@@ -107,13 +107,16 @@
             KvResponse::Found(pair) => match read_final_state(&pair.value) {
                 Some(state) => {
                     let evidence = FinalStateEvidence::Read(pair.version);
-                    self.metrics.final_state_learnt(evidence);
+                    self.metrics.count_final_state(evidence);
                     self.job_cache
                         .remember_final(job_request.id, state, evidence);
                     final_state_response(&job_request, state)
                 }
                 None => {
-                    tracing::error!(key = pair.key, "unreadable final state");
+                    tracing::error!(
+                        key = pair.key,
+                        "cannot read a final state in the store; asking the client to retry"
+                    );
                     HttpResponse::retry_later("unreadable state")
                 }
             },
@@ -121,7 +124,7 @@
                 let step = resolve_without_final_state(job_request, &self.job_cache);
                 return self.apply_job_request_step(now, step, actions);
             }
-            _ => HttpResponse::retry_later(STORE_SILENT),
+            _ => HttpResponse::retry_later(STORE_UNRESPONSIVE),
         };
         actions.push(Action::Respond(job_request.request_id, response));
     }
--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats: each goes to the controller that owns the machine.
+//! Heartbeats of workers. The controller that owns the machine processes them; the others redirect the worker to it.
 
 use worksshunt_wire::worker::{Heartbeat, HeartbeatResponse, Redirect};
 use worksshunt_wire::Epoch;
@@ -13,11 +13,11 @@
 use super::Controller;
 
 impl Controller {
-    /// Processes a heartbeat if this controller owns the machine and may act, and returns the response.
-    pub(super) fn heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
+    /// Processes a heartbeat if this controller owns the machine and may act. Returns the response.
+    pub(super) fn process_heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
         let heartbeat = match parse_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
-            Err(error) => return self.refuse_heartbeat(&error),
+            Err(error) => return self.reject_heartbeat(&error),
         };
         let owners = self
             .membership
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Refuses a malformed heartbeat. Only the first is logged, since a faulty worker sends one after the other.
-    fn refuse_heartbeat(&mut self, error: &MalformedHeartbeat) -> HttpResponse {
-        if !std::mem::replace(&mut self.malformed_heartbeat_logged, true) {
-            tracing::warn!(%error, "malformed heartbeat; further ones are not logged");
+    /// Rejects a malformed heartbeat. Only the first is logged, since a faulty worker keeps sending them.
+    fn reject_heartbeat(&mut self, error: &MalformedHeartbeat) -> HttpResponse {
+        if !std::mem::replace(&mut self.has_logged_malformed_heartbeat, true) {
+            tracing::warn!(%error, "rejected a malformed heartbeat; further ones are not logged");
         }
         HttpResponse::error(400, &error.to_string())
     }
 }
 
-/// Why a heartbeat is rejected.
+/// Reason why a heartbeat is malformed. The text is part of the response to the worker.
 #[derive(Debug, thiserror::Error)]
 enum MalformedHeartbeat {
     #[error(transparent)]
@@ -69,10 +69,10 @@
     }
 }
 
-/// Whether the machine's name may become part of a key of the key-value store.
+/// Whether a machine name is allowed as part of a key of the key-value store.
 fn is_key_component(name: &str) -> bool {
-    let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '/';
-    (1..=MAX_MACHINE_NAME_BYTES).contains(&name.len()) && name.chars().all(is_plain)
+    let is_allowed = |c: char| !c.is_whitespace() && !c.is_control() && c != '/';
+    (1..=MAX_MACHINE_NAME_BYTES).contains(&name.len()) && name.chars().all(is_allowed)
 }
 
 fn heartbeat_response(outcome: HeartbeatOutcome, fencing_token: Epoch) -> HttpResponse {
--- a/crates/worksshunt-core/src/controller/hedged_request.rs
+++ b/crates/worksshunt-core/src/controller/hedged_request.rs
@@ -1,4 +1,4 @@
-//! Hedged writes: a second copy of a write that is slow to be answered.
+//! Hedged writes: sends a second copy of a write whose response is slow.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
@@ -7,56 +7,59 @@
 
 use super::{Action, KvPurpose, KvRequest};
 
-/// Counts the copies in flight of one write. A second one is sent when the response is slow: now and then one
-/// takes many times as long as the others, which nobody should have to wait for. Both can be applied only once,
-/// by the conditions they carry.
+/// Tracks the copies in flight of one write. A second copy is sent after [`KV_HEDGE_AFTER_MS`], to cut the tail latency
+/// of the key-value store. The conditions of the write ensure that it is applied at most once.
 #[derive(Debug, Default)]
 pub(super) struct HedgedRequest {
-    number: u64,
+    write_number: u64,
     sent_at: Time,
-    /// Copies that are not answered.
-    unanswered: u32,
-    hedged: bool,
+    /// Number of copies without a response. 0 once the outcome of the write is known.
+    copies_in_flight: u32,
+    /// Whether the second copy has been sent.
+    is_hedged: bool,
 }
 
 impl HedgedRequest {
-    /// A write is sent; returns its number.
-    pub fn first_sent(&mut self, now: Time) -> u64 {
+    /// Starts tracking the next write and returns its number.
+    pub fn start_write(&mut self, now: Time) -> u64 {
         *self = HedgedRequest {
-            number: self.number + 1,
+            write_number: self.write_number + 1,
             sent_at: now,
-            unanswered: 1,
-            hedged: false,
+            copies_in_flight: 1,
+            is_hedged: false,
         };
-        self.number
+        self.write_number
     }
 
-    /// The number of the write of which a second copy is to be sent now, if any.
-    pub fn hedge_due(&mut self, now: Time) -> Option<u64> {
-        if self.unanswered != 1 || self.hedged || now.since(self.sent_at) < KV_HEDGE_AFTER_MS {
+    /// Returns the number of the write if its second copy is due, and counts that copy as sent.
+    pub fn take_due_hedge(&mut self, now: Time) -> Option<u64> {
+        if self.copies_in_flight != 1
+            || self.is_hedged
+            || now.since(self.sent_at) < KV_HEDGE_AFTER_MS
+        {
             return None;
         }
-        self.hedged = true;
-        self.unanswered += 1;
-        Some(self.number)
+        self.is_hedged = true;
+        self.copies_in_flight += 1;
+        Some(self.write_number)
     }
 
-    /// A copy was answered. Returns whether that settles the write of that number: a response that leaves the
-    /// outcome open does only if no other is to come, and what comes after a clear one is of no interest.
-    pub fn answered(&mut self, number: u64, is_clear: bool) -> bool {
-        if number != self.number || self.unanswered == 0 {
+    /// Records the response to a copy of the write. Returns whether the write is finished: after a conclusive response,
+    /// which makes later ones irrelevant, or after an inconclusive one if no other copy is in flight.
+    pub fn record_response(&mut self, write_number: u64, is_conclusive: bool) -> bool {
+        if write_number != self.write_number || self.copies_in_flight == 0 {
             return false;
         }
-        self.unanswered -= 1;
-        if is_clear {
-            self.unanswered = 0;
+        self.copies_in_flight -= 1;
+        if is_conclusive {
+            self.copies_in_flight = 0;
         }
-        self.unanswered == 0
+        self.copies_in_flight == 0
     }
 }
 
-/// The second copy of a write; its deadline is that of the first.
-pub(super) fn second_copy(purpose: KvPurpose, write: &CompareAndSwap) -> Action {
+/// The action that sends the second copy of a write. Its deadline ends together with that of the first copy.
+pub(super) fn hedge_action(purpose: KvPurpose, write: &CompareAndSwap) -> Action {
     let deadline_ms = KV_DEADLINE_MS - KV_HEDGE_AFTER_MS;
     let request = KvRequest::CompareAndSwap(write.clone());
     Action::CallKeyValueStore {
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the open jobs into the job cache: the first listing, and the watch that follows the changes.
+//! Reads of the open jobs into the job cache: the initial listing, then watches of their changes.
 
 use worksshunt_wire::key_value::WatchResponse;
 use worksshunt_wire::settings::Workers;
@@ -13,17 +13,17 @@
 use super::key_value_responses::RequestTimes;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
-/// When the next reads of the open jobs are due.
+/// Timers of the reads of the open jobs.
 #[derive(Debug)]
 pub(super) struct JobCacheReads {
     list_timer: Periodic,
     watch_timer: Periodic,
-    /// How long a watch waits for the first change.
+    /// Maximum wait of a watch for the first change, in milliseconds.
     watch_wait_ms: u64,
 }
 
 impl JobCacheReads {
-    /// Reads that keep cancellations within the staleness allowed.
+    /// Creates timers that are due, with a watch wait that keeps the cache within `cancellation_staleness_ms`.
     pub fn new(cancellation_staleness_ms: u64) -> JobCacheReads {
         JobCacheReads {
             list_timer: Periodic::default(),
@@ -34,7 +34,7 @@
 }
 
 impl Controller {
-    /// Lists the open jobs if the cache is empty or outdated, and otherwise watches their changes.
+    /// Lists the open jobs if the cache is not loaded or outdated, and otherwise watches their changes.
     pub(super) fn advance_job_cache(&mut self, now: Time, actions: &mut Vec<Action>) {
         let reads = &mut self.job_cache_reads;
         match self.job_cache.revision() {
@@ -45,10 +45,10 @@
             }
             Some(since) if reads.watch_timer.is_due(now) => {
                 reads.watch_timer.mark_sent(now, 0);
-                // After an outage, for instance, what is known is old: a watch would show only after its wait
-                // that nothing has changed.
-                let longest_wait_ms = reads.watch_wait_ms + KV_DEADLINE_MS;
-                let wait_ms = if self.membership.cancellations_fresh_for_ms(now) > longest_wait_ms {
+                // A watch confirms that nothing has changed only at the end of its wait. If the cache could become too
+                // old to act on until then, for example after an outage, the watch does not wait.
+                let max_response_ms = reads.watch_wait_ms + KV_DEADLINE_MS;
+                let wait_ms = if self.membership.cancellations_fresh_for_ms(now) > max_response_ms {
                     reads.watch_wait_ms
                 } else {
                     0
@@ -67,8 +67,8 @@
         }
     }
 
-    /// The listing of the open jobs was answered, or not.
-    pub(super) fn open_jobs_answered(&mut self, times: RequestTimes, response: KvResponse) {
+    /// Processes the response to the listing of the open jobs.
+    pub(super) fn process_open_jobs_listing(&mut self, times: RequestTimes, response: KvResponse) {
         self.job_cache_reads
             .list_timer
             .schedule_retry(times.answered_at, KV_RETRY_MS);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The watch of the open jobs was answered, or not.
-    pub(super) fn watch_answered(
+    /// Processes the response to the watch of the open jobs.
+    pub(super) fn process_watch_response(
         &mut self,
         times: RequestTimes,
         response: KvResponse,
@@ -92,7 +92,7 @@
         match response {
             KvResponse::WatchResponse(changes) => {
                 timer.schedule_retry(times.answered_at, WATCH_PAUSE_MS);
-                self.open_jobs_changed(times, &changes);
+                self.apply_watch_response(times, &changes);
             }
             KvResponse::RevisionCompacted => {
                 timer.schedule_retry(times.answered_at, 0);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Applies changes of the open jobs.
-    pub(super) fn open_jobs_changed(&mut self, times: RequestTimes, changes: &WatchResponse) {
+    /// Applies changes of the open jobs to the job cache, the partition and the scheduler.
+    pub(super) fn apply_watch_response(&mut self, times: RequestTimes, changes: &WatchResponse) {
         if self.job_cache.is_loaded() {
             self.membership.open_jobs_read(times.sent_at);
         }
@@ -111,7 +111,7 @@
         self.apply_job_changes(times.answered_at, changes);
     }
 
-    /// Has partition and scheduler follow what has changed in the job cache.
+    /// Applies changes of the job cache to the partition and the scheduler.
     pub(super) fn apply_job_changes(&mut self, now: Time, changes: Vec<JobCacheChange>) {
         for change in changes {
             match change {
@@ -130,7 +130,8 @@
         }
     }
 
-    /// The changes since the cached revision are no longer kept: all open jobs are listed again.
+    /// Marks the job cache as outdated, so that all open jobs are listed again. Called when the store has compacted the
+    /// changes after the cached revision.
     pub(super) fn reload_job_cache(&mut self, actions: &mut Vec<Action>) {
         self.job_cache.mark_outdated();
         for job_request in self.job_api.requests.read_answered() {
@@ -140,29 +141,32 @@
     }
 }
 
-/// What is left of the time a cancellation may take after the worker lease that was renewed last, ms; none if the
-/// lease takes more than all of it.
+/// Time between the expiry of a worker lease and the limit of a cancellation's duration (`cancel_s`), in milliseconds;
+/// `None` if the lease is longer than the limit.
 fn cancellation_slack_ms(workers: &Workers) -> Option<u64> {
     let cancel_ms = (workers.cancel_s * 1_000.0) as u64;
     cancel_ms.checked_sub(lease_bound_ms(workers) + WORKER_LEASE_MARGIN_MS)
 }
 
-/// How long a controller may act on what it last read of the open jobs, ms. A task of a job whose cancellation
-/// was confirmed elsewhere since may run as long, and then as long as the lease that was renewed last; both
-/// together have to fit into the time a cancellation may take. Where the worker lease leaves less than an epoch
-/// lease, an epoch lease is taken, and a warning is logged ([`warn_of_short_cancellation_time`]).
+/// Maximum age of the last read of the open jobs at which a controller may still act, in milliseconds.
+///
+/// A task of a cancelled job may run until the controller of its machine learns of the cancellation, and then until the
+/// worker lease expires. Both together must not exceed `cancel_s`. If `cancel_s` leaves less than an epoch lease, the
+/// result is an epoch lease, and [`warn_of_short_cancellation_time`] logs a warning.
 pub(super) fn cancellation_staleness_ms(workers: &Workers) -> u64 {
     cancellation_slack_ms(workers).map_or(EPOCH_LEASE_MS, |slack| slack.max(EPOCH_LEASE_MS))
 }
 
-/// Warns if the worker lease does not leave the time in which every controller that acts has read a cancellation.
+/// Warns if `cancel_s` is too short for every acting controller to read a cancellation and for worker leases to expire.
 pub(super) fn warn_of_short_cancellation_time(workers: &Workers) {
     if cancellation_slack_ms(workers).is_none_or(|slack| slack < EPOCH_LEASE_MS) {
-        tracing::warn!("cancel_s too short for lease_s: cancelled tasks may run longer");
+        tracing::warn!(
+            "cancel_s is too short for lease_s; cancelled tasks may run longer than cancel_s"
+        );
     }
 }
 
-/// How long a watch of the open jobs waits for a change, ms.
+/// Maximum wait of a watch of the open jobs, in milliseconds: two watches and two deadlines fit into the staleness.
 fn watch_wait_ms(cancellation_staleness_ms: u64) -> u64 {
     (cancellation_staleness_ms.saturating_sub(2 * KV_DEADLINE_MS) / 2)
         .clamp(KV_RETRY_MS, WATCH_MAX_WAIT_MS)
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -1,7 +1,8 @@
-//! Users' requests about jobs: their way from the request to its response.
+//! User requests about jobs, from the request to the response.
 //!
-//! A request waits for a read of the open jobs that was sent after it came in ([`crate::job_api`]); one read
-//! serves all that wait. Accepting submissions is in `submissions` and `accept_write`.
+//! A request waits for a read of the open jobs that is sent after its arrival ([`crate::job_api`]), so the response
+//! reflects all earlier writes; one read serves all waiting requests. Submissions are accepted in `submissions` and
+//! `accept_write`.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 use worksshunt_wire::settings::KeyValueLimits;
@@ -19,17 +20,17 @@
 use super::accept_write::AcceptWrite;
 use super::final_state_lookups::FinalStateLookups;
 use super::key_value_responses::RequestTimes;
-use super::store_outage::STORE_SILENT;
+use super::store_outage::STORE_UNRESPONSIVE;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
-/// Users' requests, and the requests to the key-value store that serve them.
+/// Pending user requests, and the state of the requests to the key-value store that serve them.
 #[derive(Debug)]
 pub(super) struct JobApiState {
-    /// Requests that wait.
+    /// Requests that wait for the key-value store.
     pub requests: JobApi,
-    /// The last request found too many others waiting.
+    /// Whether the limit of pending requests was reached at the last check.
     was_full: bool,
-    /// Reads for users that the key-value store's limit allows.
+    /// Rate limit of reads for users, [`USER_READ_SHARE`] of the key-value store's request limit.
     pub read_tokens: TokenBucket,
     catch_up_timer: Periodic,
     pub final_state_lookups: FinalStateLookups,
@@ -37,7 +38,7 @@
 }
 
 impl JobApiState {
-    /// No request waits; at most so many may.
+    /// Creates an empty state for at most `max_requests` pending requests.
     pub fn new(max_requests: usize, limits: &KeyValueLimits) -> JobApiState {
         let read_rate = limits.rps * USER_READ_SHARE;
         JobApiState {
@@ -52,7 +53,7 @@
 }
 
 impl Controller {
-    /// Sends what users' requests wait for, as soon as the limits allow.
+    /// Sends the reads and writes that user requests wait for, as far as the rate limits allow.
     pub(super) fn advance_job_api(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.advance_catch_up_read(now, actions);
         self.advance_final_state_lookups(now, actions);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// A user asks about a job or cancels it; `id` as the user wrote it.
-    pub(super) fn job_request(
+    /// Processes a status request or a cancellation. `id` is the text from the request path.
+    pub(super) fn process_job_request(
         &mut self,
         now: Time,
         request_id: RequestId,
@@ -107,11 +108,11 @@
         }
     }
 
-    /// Has a request wait for the next read of the open jobs.
+    /// Queues a request for the next read of the open jobs.
     ///
     /// # Errors
     ///
-    /// The response, if it cannot wait.
+    /// The response to send at once, if the request cannot be queued.
     pub(super) fn queue_job_request(
         &mut self,
         now: Time,
@@ -120,8 +121,8 @@
         if !self.job_cache.is_loaded() {
             return Err(HttpResponse::retry_later("starting"));
         }
-        if self.store_health.is_silent(now) {
-            return Err(HttpResponse::retry_later(STORE_SILENT));
+        if self.store_health.is_unresponsive(now) {
+            return Err(HttpResponse::retry_later(STORE_UNRESPONSIVE));
         }
         if self.is_job_api_full() {
             return Err(HttpResponse::retry_later("too many requests wait"));
@@ -130,19 +131,23 @@
         Ok(())
     }
 
-    /// Whether another request would be one too many; logged when that begins.
+    /// Whether the limit of pending requests is reached. Logs when it becomes so.
     pub(super) fn is_job_api_full(&mut self) -> bool {
         let is_full = self.job_api.requests.is_full();
         let was_full = std::mem::replace(&mut self.job_api.was_full, is_full);
         if is_full && !was_full {
             let limit = self.capacity.user_requests;
-            tracing::warn!(limit, "pending user requests at limit, refusing new ones");
+            tracing::warn!(
+                limit,
+                "limit of pending user requests reached; rejecting new ones"
+            );
         }
         is_full
     }
 
-    /// The read of the open jobs that requests wait for was answered, or not.
-    pub(super) fn catch_up_answered(
+    /// Processes the response of the catch-up read: resolves the requests that waited for it, or rejects them after a
+    /// failure.
+    pub(super) fn process_catch_up_response(
         &mut self,
         times: RequestTimes,
         response: KvResponse,
@@ -152,7 +157,7 @@
         self.job_api.catch_up_timer.schedule_retry(now, 0);
         match response {
             KvResponse::WatchResponse(changes) if self.job_cache.is_loaded() => {
-                self.open_jobs_changed(times, &changes);
+                self.apply_watch_response(times, &changes);
                 for job_request in self.job_api.requests.read_answered() {
                     let step = resolve(job_request, &self.job_cache, &self.progress);
                     self.apply_job_request_step(now, step, actions);
@@ -161,14 +166,14 @@
             KvResponse::RevisionCompacted => self.reload_job_cache(actions),
             _ => {
                 for job_request in self.job_api.requests.read_answered() {
-                    let response = HttpResponse::retry_later(STORE_SILENT);
+                    let response = HttpResponse::retry_later(STORE_UNRESPONSIVE);
                     actions.push(Action::Respond(job_request.request_id, response));
                 }
             }
         }
     }
 
-    /// Takes the next step of a request.
+    /// Executes the next step of a request.
     pub(super) fn apply_job_request_step(
         &mut self,
         now: Time,
@@ -206,8 +211,8 @@
         call_store(actions, KvPurpose::CancelJob(job_request), request);
     }
 
-    /// The write of a cancellation was answered, or not.
-    pub(super) fn cancellation_answered(
+    /// Processes the response to the write of a cancellation. After a conflict the request is resolved again.
+    pub(super) fn process_cancellation_response(
         &mut self,
         now: Time,
         job_request: JobRequest,
@@ -218,7 +223,7 @@
             KvResponse::Committed(revision) => {
                 let id = job_request.id;
                 let evidence = FinalStateEvidence::Committed(revision);
-                self.metrics.final_state_learnt(evidence);
+                self.metrics.count_final_state(evidence);
                 self.job_cache
                     .remember_final(id, JobState::Cancelled, evidence);
                 self.apply_job_changes(now, vec![JobCacheChange::Closed(id)]);
@@ -233,10 +238,10 @@
         }
     }
 
-    /// Answers every request that waits, because the key-value store does not answer.
-    pub(super) fn give_up_job_requests(&mut self, actions: &mut Vec<Action>) {
+    /// Rejects all pending requests because the key-value store does not respond.
+    pub(super) fn fail_job_requests(&mut self, actions: &mut Vec<Action>) {
         for request in self.job_api.requests.take_all() {
-            let response = HttpResponse::retry_later(STORE_SILENT);
+            let response = HttpResponse::retry_later(STORE_UNRESPONSIVE);
             actions.push(Action::Respond(request, response));
         }
     }
--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -1,10 +1,10 @@
-//! The key-value store's responses, each dispatched to the module whose request it answers.
+//! Dispatch of the key-value store's responses by purpose.
 
 use crate::time::{Now, Time};
 
 use super::{Action, Controller, KvPurpose, KvResponse};
 
-/// When a request was sent and when it was answered.
+/// Times of a request and of its response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestTimes {
     pub sent_at: Time,
@@ -27,41 +27,47 @@
             answered_at,
         };
         if response.is_definite() {
-            self.store_health.request_answered(answered_at);
+            self.store_health.record_response(answered_at);
         }
         match purpose {
-            KvPurpose::GrantLease => self.lease_grant_answered(answered_at, response),
-            KvPurpose::WriteMemberKey => self.member_key_write_answered(answered_at, response),
+            KvPurpose::GrantLease => self.process_lease_grant_response(answered_at, response),
+            KvPurpose::WriteMemberKey => {
+                self.process_member_key_write_response(answered_at, response)
+            }
             KvPurpose::RenewLease(lease) => {
-                self.lease_renewal_answered(answered_at, lease, response)
+                self.process_lease_renewal_response(answered_at, lease, response)
+            }
+            KvPurpose::ReadControlKeys => {
+                self.process_control_keys_response(times, response, actions)
             }
-            KvPurpose::ReadControlKeys => self.control_keys_answered(times, response, actions),
-            KvPurpose::ProposeEpoch => self.proposal_answered(answered_at),
-            KvPurpose::ListOpenJobs => self.open_jobs_answered(times, response),
-            KvPurpose::WatchOpenJobs => self.watch_answered(times, response, actions),
-            KvPurpose::CatchUpOpenJobs => self.catch_up_answered(times, response, actions),
+            KvPurpose::ProposeEpoch => self.process_proposal_response(answered_at),
+            KvPurpose::ListOpenJobs => self.process_open_jobs_listing(times, response),
+            KvPurpose::WatchOpenJobs => self.process_watch_response(times, response, actions),
+            KvPurpose::CatchUpOpenJobs => self.process_catch_up_response(times, response, actions),
             KvPurpose::LoadEpoch { .. }
             | KvPurpose::LoadFinalState { .. }
             | KvPurpose::QueuedWrite { .. }
             | KvPurpose::ReadPageVersion { .. } => {
                 self.process_epoch_response(times, purpose, response, actions);
             }
-            KvPurpose::LookUpFinalState(id) => self.final_state_lookup_answered(id, response),
+            KvPurpose::LookUpFinalState(id) => self.process_deferred_lookup_response(id, response),
             KvPurpose::AcceptSubmissions(number) => {
-                self.submissions_answered(number, answered_at, response, actions);
+                self.process_accept_write_response(number, answered_at, response, actions);
             }
             KvPurpose::CancelJob(job_request) => {
-                self.cancellation_answered(answered_at, job_request, response, actions);
+                self.process_cancellation_response(answered_at, job_request, response, actions);
             }
             KvPurpose::ReadFinalState(job_request) => {
-                self.final_state_answered(answered_at, job_request, response, actions);
+                self.process_final_state_response(answered_at, job_request, response, actions);
+            }
+            KvPurpose::ReadCatalog => self.process_stored_catalog(response),
+            KvPurpose::StoreCatalog(catalog) => {
+                self.process_catalog_write_response(catalog, &response)
             }
-            KvPurpose::ReadCatalog => self.stored_catalog_answered(response),
-            KvPurpose::StoreCatalog(catalog) => self.catalog_write_answered(catalog, &response),
         }
     }
 
-    /// Processes the response to a request made for an epoch, unless that epoch is over.
+    /// Processes the response to a request of an epoch. Responses for an earlier epoch are ignored.
     fn process_epoch_response(
         &mut self,
         times: RequestTimes,
@@ -72,20 +78,20 @@
         let current = self.membership.fencing_token();
         match purpose {
             KvPurpose::LoadEpoch { epoch, step } if self.is_loading_epoch(epoch) => {
-                self.load_step_answered(times, step, response, actions);
+                self.process_load_step_response(times, step, response, actions);
             }
             KvPurpose::LoadFinalState { epoch, job } if self.is_loading_epoch(epoch) => {
-                self.final_state_loaded(times.answered_at, job, response, actions);
+                self.process_loaded_final_state(times.answered_at, job, response, actions);
             }
             KvPurpose::QueuedWrite {
                 queue,
                 epoch,
                 number,
             } if epoch == current => {
-                self.queued_write_answered(queue, number, times, response);
+                self.process_queued_write_response(queue, number, times, response);
             }
             KvPurpose::ReadPageVersion { epoch, key } if epoch == current => {
-                self.page_version_answered(times.answered_at, &key, response);
+                self.process_page_version_response(times.answered_at, &key, response);
             }
             _ => {}
         }
--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leader_duties.rs
@@ -1,4 +1,4 @@
-//! The leader's duties: decision rounds, the machine list, and scaling the fleet.
+//! Periodic duties of the leader: scheduling rounds, reading the machine list, and scaling the fleet.
 
 use worksshunt_wire::settings::CloudLimits;
 
@@ -11,20 +11,20 @@
 
 use super::{Action, Controller, Leader};
 
-/// When the leader's duties are due, and how many requests to the cloud it may make.
+/// Timers of the leader's duties, and the rate limit of its requests to the cloud.
 #[derive(Debug)]
 pub(super) struct LeaderDuties {
-    /// Listing the machines in the cloud.
+    /// Triggers reads of the cloud's machine list.
     pub machine_list_timer: Periodic,
-    /// Scaling the fleet.
+    /// Triggers scaling of the fleet.
     pub fleet_timer: Periodic,
-    /// Reviewing the tasks that wait for machines.
+    /// Triggers claims and preemptions for waiting tasks.
     waiting_tasks_timer: Periodic,
     cloud_request_tokens: TokenBucket,
 }
 
 impl LeaderDuties {
-    /// Everything is due; requests to the cloud keep to their share of its limit.
+    /// Creates timers that are all due. Requests to the cloud are limited to [`CLOUD_REQUEST_SHARE`] of its rate limit.
     pub fn new(cloud: &CloudLimits) -> LeaderDuties {
         let rate = cloud.rps * CLOUD_REQUEST_SHARE;
         LeaderDuties {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Everything is due anew in an epoch. The cloud's rate limit applies across epochs.
+    /// Makes all timers due at the start of an epoch. The rate limit carries over, since the cloud counts across
+    /// epochs.
     pub fn begin_epoch(&mut self) {
         self.machine_list_timer = Periodic::default();
         self.fleet_timer = Periodic::default();
@@ -57,17 +58,17 @@
             return;
         }
         self.review_waiting_tasks(now, budget);
-        self.run_decision_round(now, budget);
+        self.run_scheduling_round(now, budget);
         self.request_machine_list(now.steady, actions);
         self.scale_fleet(now, actions);
     }
 
-    /// Claims and frees machines for tasks that wait, once all partitions have reported.
+    /// Claims machines for waiting tasks and preempts others, once all partitions have reported.
     fn review_waiting_tasks(&mut self, now: Now, budget: &Budget) {
         if self.leader_duties.waiting_tasks_timer.is_due(now.steady) {
             self.reconcile_open_jobs();
         }
-        let store_silent = self.store_health.is_silent(now.steady);
+        let is_store_unresponsive = self.store_health.is_unresponsive(now.steady);
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -81,8 +82,8 @@
         scheduler.note_spot_machines(now.steady);
         scheduler.reassign_unsent(now.steady);
         scheduler.claim_machines(now.steady);
-        // Nothing can be launched in the place of what is stopped before it can be recorded.
-        if !store_silent {
+        // While no attempt records can be written, nothing can be launched on the machines that preemption frees.
+        if !is_store_unresponsive {
             scheduler.preempt(now, budget);
         }
         if tracing::enabled!(tracing::Level::DEBUG) {
@@ -90,11 +91,11 @@
         }
         self.write_queues
             .warn_of_final_write_backlog(scheduler.pending_writes().count());
-        // What time alone brings about: jobs that may be tried again, or have waited too long.
+        // Some decisions depend on time alone: jobs whose retry delay has passed, or that have waited too long.
         scheduler.request_round();
     }
 
-    fn run_decision_round(&mut self, now: Now, budget: &Budget) {
+    fn run_scheduling_round(&mut self, now: Now, budget: &Budget) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Scales the fleet out and in, as the demand and its forecast ask for.
+    /// Scales the fleet out and in according to the demand and its forecast.
     fn scale_fleet(&mut self, now: Now, actions: &mut Vec<Action>) {
         let steady = now.steady;
         let duties = &mut self.leader_duties;
         let may_call_cloud = duties.cloud_request_tokens.available(steady) > 0;
         let is_due = duties.fleet_timer.is_due(steady) && may_call_cloud;
-        let reported = |leader: &Leader| leader.scheduler.all_partitions_reported();
-        if !is_due || !self.leader.as_ref().is_some_and(reported) {
+        let has_all_reports = |leader: &Leader| leader.scheduler.all_partitions_reported();
+        if !is_due || !self.leader.as_ref().is_some_and(has_all_reports) {
             return;
         }
         duties.fleet_timer.next = steady + FLEET_INTERVAL_MS;
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -1,4 +1,4 @@
-//! What a new epoch reads before its members act: records, completions, claims, open jobs and final states.
+//! Loading of a new epoch: its members read records, completions, claims, open jobs and final states before they act.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -22,44 +22,48 @@
 use super::key_value_responses::RequestTimes;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse, LoadStep};
 
-/// What was read so far, and what is in flight.
+/// Progress of loading an epoch, and the data read so far.
 #[derive(Debug, Default)]
 pub(super) struct EpochLoad {
     retry_timer: Periodic,
+    /// Current step; `None` before the first.
     step: Option<LoadStep>,
     /// Pages of attempt records.
     pub record_pages: Vec<RecordPage>,
+    /// Pages of completed tasks; only read by the leader.
     pub completion_pages: Vec<KeyValue>,
+    /// Claims; only read by the leader.
     pub claims: Vec<KeyValue>,
-    /// Jobs on record and not open, whose final states are still to be requested.
+    /// Jobs that have records and are not open, whose final states are still to be requested.
     final_states_to_request: VecDeque<JobId>,
-    /// Those whose final states are requested and not answered.
+    /// Jobs whose final states are requested and not yet read.
     final_states_in_flight: BTreeSet<JobId>,
-    /// Those whose final states are read.
+    /// Jobs whose final states have been read or found missing.
     final_states_read: BTreeSet<JobId>,
-    /// The cancelled ones among them: their tasks may be on machines and use what they use.
+    /// Jobs that were cancelled or have no readable final state: their tasks may still use resources on machines.
     pub cancelled_jobs: BTreeMap<JobId, Rc<Job>>,
-    /// The fleet as this controller knew it when it led the last epoch it led.
+    /// Fleet of the last epoch that this controller led; `None` if it has led none.
     pub previous_fleet: Option<Fleet>,
 }
 
 impl EpochLoad {
-    /// Begins anew, with the fleet as this controller knows it if it led until now.
-    pub fn restarted(&mut self, fleet_until_now: Option<Fleet>) -> EpochLoad {
+    /// Returns the initial state of another load. Keeps `current_fleet`, which is `None` unless this controller led
+    /// until now, or else the previous fleet.
+    pub fn restart(&mut self, current_fleet: Option<Fleet>) -> EpochLoad {
         EpochLoad {
-            previous_fleet: fleet_until_now.or(self.previous_fleet.take()),
+            previous_fleet: current_fleet.or(self.previous_fleet.take()),
             ..EpochLoad::default()
         }
     }
 
-    /// Whether the step is to be requested again.
+    /// Whether the current step is to be requested again.
     pub fn is_retry_due(&self, now: Time) -> bool {
         self.retry_timer.is_due(now)
     }
 }
 
 impl Controller {
-    /// Sends the request of the step that is next.
+    /// Sends the request of the current step, or of the first one if loading has not begun.
     pub(super) fn request_load_step(&mut self, now: Time, actions: &mut Vec<Action>) {
         let step = *self.epoch_load.step.get_or_insert(LoadStep::AttemptRecords);
         let request = match (step, self.job_cache.revision()) {
@@ -72,7 +76,7 @@
                 wait_ms: 0,
             },
             (LoadStep::OpenJobs, None) => {
-                // The first listing is in flight.
+                // The job cache is not loaded yet; its listing is in flight.
                 return self.retry_load_step(now, KV_RETRY_MS);
             }
             (LoadStep::FinalStates, _) => {
@@ -90,13 +94,13 @@
         self.epoch_load.retry_timer.schedule_retry(now, wait_ms);
     }
 
-    /// Whether it is that epoch's records that are being read.
+    /// Whether this controller is loading `epoch`.
     pub(super) fn is_loading_epoch(&self, epoch: Epoch) -> bool {
         self.membership.state() == MemberState::Loading && epoch == self.membership.fencing_token()
     }
 
-    /// A step was answered, or not.
-    pub(super) fn load_step_answered(
+    /// Processes the response of a load step: continues with the next step, or retries after a failure.
+    pub(super) fn process_load_step_response(
         &mut self,
         times: RequestTimes,
         step: LoadStep,
@@ -109,7 +113,7 @@
         let now = times.answered_at;
         let next = match (step, response) {
             (LoadStep::AttemptRecords, KvResponse::Listing(listing)) => {
-                self.attempt_records_loaded(now, listing.pairs)
+                self.process_attempt_records(now, listing.pairs)
             }
             (LoadStep::Completions, KvResponse::Listing(listing)) => {
                 self.epoch_load.completion_pages = listing.pairs;
@@ -120,7 +124,7 @@
                 Some(LoadStep::OpenJobs)
             }
             (LoadStep::OpenJobs, KvResponse::WatchResponse(changes)) => {
-                self.open_jobs_loaded(times, &changes)
+                self.process_loaded_open_jobs(times, &changes)
             }
             (LoadStep::OpenJobs, KvResponse::RevisionCompacted) => {
                 self.job_cache.mark_outdated();
@@ -137,15 +141,15 @@
         }
     }
 
-    /// Keeps the attempt records that were read. The next step; none if a record cannot be read.
-    fn attempt_records_loaded(&mut self, now: Time, pairs: Vec<KeyValue>) -> Option<LoadStep> {
+    /// Decodes and stores the attempt records. Returns the next step; `None` if a record has an unknown format.
+    fn process_attempt_records(&mut self, now: Time, pairs: Vec<KeyValue>) -> Option<LoadStep> {
         let pages: Result<Vec<_>, UnknownRecordFormat> =
             pairs.into_iter().map(RecordPage::read).collect();
         match pages {
             Ok(pages) => self.epoch_load.record_pages = pages,
             Err(error) => {
-                // Acting without knowing what may run would run tasks twice.
-                tracing::error!(%error, "unreadable attempt record, not serving");
+                // Serving without knowing all attempts that may be running could run tasks twice.
+                tracing::error!(%error, "cannot read an attempt record; not serving, reading the records again later");
                 self.retry_load_step(now, UNREADABLE_RECORDS_RETRY_MS);
                 return None;
             }
@@ -157,13 +161,13 @@
         }
     }
 
-    /// Applies the changes of the open jobs. The next step; none if this was the last.
-    fn open_jobs_loaded(
+    /// Applies the changes of the open jobs. Returns the next step; `None` if this was the last.
+    fn process_loaded_open_jobs(
         &mut self,
         times: RequestTimes,
         changes: &WatchResponse,
     ) -> Option<LoadStep> {
-        self.open_jobs_changed(times, changes);
+        self.apply_watch_response(times, changes);
         if self.membership.is_leader() {
             self.epoch_load.final_states_to_request = self.final_states_to_load();
         }
@@ -174,8 +178,8 @@
         Some(LoadStep::FinalStates)
     }
 
-    /// Jobs on record that are not open, and not known to be done. One that is done uses nothing any more:
-    /// no other attempt is made at a task that has completed.
+    /// Jobs that have records and are neither open nor known to be done. A job that is done uses no resources: all its
+    /// tasks have completed, and a completed task gets no further attempt.
     fn final_states_to_load(&self) -> VecDeque<JobId> {
         let pages = self.epoch_load.record_pages.iter();
         let records = pages.flat_map(|page| &page.records);
@@ -189,7 +193,7 @@
             .collect()
     }
 
-    /// Requests final states of jobs on record that are not open, some at a time.
+    /// Requests the queued final states, at most [`FINAL_STATE_LOADS_IN_FLIGHT`] at a time.
     fn request_final_states(&mut self, actions: &mut Vec<Action>) {
         let epoch = self.membership.fencing_token();
         let load = &mut self.epoch_load;
@@ -207,8 +211,8 @@
         }
     }
 
-    /// The final state of a job on record was read, or not.
-    pub(super) fn final_state_loaded(
+    /// Processes the response of a read of a final state. Starts serving after the last one.
+    pub(super) fn process_loaded_final_state(
         &mut self,
         now: Time,
         id: JobId,
@@ -219,7 +223,7 @@
             return;
         }
         match response {
-            KvResponse::Found(pair) => self.keep_final_state(id, &pair),
+            KvResponse::Found(pair) => self.record_loaded_final_state(id, &pair),
             KvResponse::Missing => {}
             _ => {
                 self.epoch_load.final_states_to_request.push_back(id);
@@ -232,7 +236,7 @@
         let load = &mut self.epoch_load;
         load.final_states_read.insert(id);
         if load.final_states_in_flight.is_empty() && load.final_states_to_request.is_empty() {
-            // Other jobs may have ended meanwhile.
+            // Other jobs may have been closed in the meantime.
             self.epoch_load.final_states_to_request = self.final_states_to_load();
         }
         self.request_final_states(actions);
@@ -241,16 +245,16 @@
         }
     }
 
-    /// Remembers a final state, and the job itself if it was cancelled.
-    fn keep_final_state(&mut self, id: JobId, pair: &KeyValue) {
+    /// Adds a final state to the job cache, and the job to the cancelled ones unless it is done.
+    fn record_loaded_final_state(&mut self, id: JobId, pair: &KeyValue) {
         let state = read_final_state(&pair.value);
         if let Some(state) = state {
             let evidence = FinalStateEvidence::Read(pair.version);
-            self.metrics.final_state_learnt(evidence);
+            self.metrics.count_final_state(evidence);
             self.job_cache.remember_final(id, state, evidence);
         }
         if state != Some(JobState::Done) {
-            // Final states of the release in production do not contain the job.
+            // Final states written by an older release do not contain the job.
             let stored = read_cancelled(&pair.value).map(Rc::new);
             let job = stored.or_else(|| self.job_cache.recently_closed(id).cloned());
             let cancelled = &mut self.epoch_load.cancelled_jobs;
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -1,5 +1,5 @@
-//! The controller's lease of the key-value store and its member key: requests when they are due, and what follows
-//! from their responses. The rules of membership are in [`crate::membership`].
+//! Requests for the membership lease, the member key and the control keys, and the processing of their responses. The
+//! membership state machine is in [`crate::membership`].
 
 use crate::constants::key_value::KV_RETRY_MS;
 use crate::constants::leases::{CONTROL_KEYS_INTERVAL_MS, MEMBER_LEASE_RENEWAL_INTERVAL_MS};
@@ -9,18 +9,19 @@
 use super::key_value_responses::RequestTimes;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse};
 
-/// When the next requests about the membership are due.
+/// Timers of the membership requests.
 #[derive(Debug, Default)]
 pub(super) struct MembershipTimers {
-    /// Granting and renewing the lease, and writing the member key.
+    /// Triggers the grant and renewals of the lease, and writes of the member key.
     pub lease: Periodic,
+    /// Triggers reads of the control keys.
     pub control_keys: Periodic,
-    /// Proposing an epoch.
+    /// Limits proposals of an epoch to one in flight.
     pub proposal: Periodic,
 }
 
 impl Controller {
-    /// Sends the requests about the membership that are due.
+    /// Sends the membership requests that are due.
     pub(super) fn advance_membership(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.membership_timers.lease.is_due(now) {
             self.advance_lease(now, actions);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Grants the lease, writes the member key or renews the lease, whichever is next.
+    /// Sends the next request for the lease: grant it, write the member key, or renew it.
     fn advance_lease(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timer = &mut self.membership_timers.lease;
         let lease = match (self.membership.state(), self.membership.lease()) {
@@ -48,7 +49,7 @@
             let request = KvRequest::RenewLease(lease);
             return call_store(actions, KvPurpose::RenewLease(lease), request);
         }
-        // Nothing to send before the key's version has been read.
+        // The write is conditional on the key's version, so it waits until that has been read.
         if let Some(write) = self.membership.member_key_write() {
             timer.mark_sent(now, KV_RETRY_MS);
             let request = KvRequest::CompareAndSwap(write);
@@ -56,7 +57,7 @@
         }
     }
 
-    pub(super) fn lease_grant_answered(&mut self, now: Time, response: KvResponse) {
+    pub(super) fn process_lease_grant_response(&mut self, now: Time, response: KvResponse) {
         let wait_ms = if response.is_definite() {
             0
         } else {
@@ -69,7 +70,7 @@
         }
     }
 
-    pub(super) fn member_key_write_answered(&mut self, now: Time, response: KvResponse) {
+    pub(super) fn process_member_key_write_response(&mut self, now: Time, response: KvResponse) {
         let lease_timer = &mut self.membership_timers.lease;
         match response {
             KvResponse::Committed(version) => {
@@ -90,12 +91,20 @@
         }
     }
 
-    pub(super) fn lease_renewal_answered(&mut self, now: Time, lease: u64, response: KvResponse) {
+    pub(super) fn process_lease_renewal_response(
+        &mut self,
+        now: Time,
+        lease: u64,
+        response: KvResponse,
+    ) {
         let lease_timer = &mut self.membership_timers.lease;
         lease_timer.in_flight = false;
         match response {
             KvResponse::NoSuchLease if self.membership.lease() == Some(lease) => {
-                tracing::info!(lease, "lease expired");
+                tracing::info!(
+                    lease,
+                    "membership lease expired; joining again with a new lease"
+                );
                 lease_timer.next = now;
                 self.leave_epoch(now);
             }
@@ -104,7 +113,7 @@
         }
     }
 
-    pub(super) fn control_keys_answered(
+    pub(super) fn process_control_keys_response(
         &mut self,
         times: RequestTimes,
         response: KvResponse,
@@ -117,13 +126,14 @@
         }
     }
 
-    /// The write of the next epoch was answered. A read of the control keys shows whether it was applied.
-    pub(super) fn proposal_answered(&mut self, now: Time) {
+    /// Processes the response to the write of the next epoch: reads the control keys, which show whether it was
+    /// applied.
+    pub(super) fn process_proposal_response(&mut self, now: Time) {
         self.membership_timers.proposal.schedule_retry(now, 0);
         self.read_control_keys_at(now);
     }
 
-    /// Has the control keys read at that time, once no read of them is in flight.
+    /// Schedules the next read of the control keys, which is sent when no other is in flight.
     pub(super) fn read_control_keys_at(&mut self, at: Time) {
         self.membership_timers.control_keys.next = at;
     }
--- a/crates/worksshunt-core/src/controller/metrics.rs
+++ b/crates/worksshunt-core/src/controller/metrics.rs
@@ -1,4 +1,4 @@
-//! What the controller counts, and its response to a request for the metrics.
+//! Updates of the metrics, and the response to a metrics request.
 
 use crate::job_api::HttpResponse;
 use crate::jobs::FinalStateEvidence;
@@ -19,8 +19,8 @@
 }
 
 impl Metrics {
-    /// Counts a final state learnt.
-    pub(super) fn final_state_learnt(&self, evidence: FinalStateEvidence) {
+    /// Counts an observed final state by its evidence.
+    pub(super) fn count_final_state(&self, evidence: FinalStateEvidence) {
         let evidence = match evidence {
             FinalStateEvidence::Committed(_) => EvidenceLabel::Committed,
             FinalStateEvidence::Read(_) => EvidenceLabel::Read,
@@ -29,8 +29,8 @@
         self.final_states.get_or_create(&labels).inc();
     }
 
-    /// Counts a claim record learnt.
-    pub(super) fn claim_recorded(&self, record: ClaimRecord) {
+    /// Counts an observed change of a claim record by its evidence.
+    pub(super) fn count_claim_record(&self, record: ClaimRecord) {
         let evidence = match record {
             ClaimRecord::Committed(_) => EvidenceLabel::Committed,
             ClaimRecord::Exists => EvidenceLabel::Exists,
@@ -42,7 +42,7 @@
 }
 
 impl Controller {
-    /// The metrics as text.
+    /// The response to a metrics request; updates the gauges first.
     pub(super) fn metrics_response(&self) -> HttpResponse {
         let token = i64::try_from(self.membership.fencing_token().0).unwrap_or(i64::MAX);
         self.metrics.fencing_token.set(token);
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -1,9 +1,9 @@
-//! One controller: processes events, keeps the state, returns the actions to carry out.
+//! State machine of one controller: processes events and returns the actions to execute.
 //!
-//! [`Controller`] owns everything that one controller process knows. The service of the binary and the simulation
-//! call [`Controller::handle`] with each event and carry out the actions it returns. What belongs together has a
-//! module of its own, with its state and its methods: membership, reads of the open jobs, users' requests, the
-//! partition's exchange with the leader, the leader's duties, conditional writes, outages of the key-value store.
+//! [`Controller`] owns the complete state of a controller process. The service of the binary and the simulation call
+//! [`Controller::handle`] with each event and execute the returned actions. Each submodule implements one concern, with
+//! its state and its methods of [`Controller`]: membership, the job cache, user requests, partition sync with the
+//! leader, leader duties, conditional writes, outages of the key-value store.
 
 mod accept_write;
 mod catalog;
@@ -17,12 +17,12 @@
 mod job_cache_reads;
 mod job_requests;
 mod key_value_responses;
-mod leading;
+mod leader_duties;
 mod loading;
 mod member_lease;
 mod metrics;
 mod partition_sync;
-mod peers;
+mod peer_requests;
 mod readiness;
 mod reconciliation;
 mod store_outage;
@@ -58,7 +58,7 @@
 use catalog::CatalogState;
 use job_cache_reads::JobCacheReads;
 use job_requests::JobApiState;
-use leading::LeaderDuties;
+use leader_duties::LeaderDuties;
 use loading::EpochLoad;
 use member_lease::MembershipTimers;
 use partition_sync::PartitionSync;
@@ -67,25 +67,25 @@
 use tick::OverCapacitySummary;
 use write_queues::WriteQueues;
 
-/// What only the leader of an epoch has.
+/// State that only the leader of an epoch has.
 struct Leader {
     scheduler: Scheduler,
     fleet: Fleet,
 }
 
-/// The epoch that the partition was loaded for.
+/// Epoch for which the partition was loaded.
 struct PartitionEpoch {
     number: Epoch,
-    /// Members of that epoch that own machines.
+    /// Members of the epoch that own machines.
     owners: Vec<ControllerName>,
 }
 
-/// One controller.
+/// State of one controller.
 pub struct Controller {
     settings: Settings,
     quota: Quota,
     capacity: Capacity,
-    /// Attempts per epoch, if fewer than there are numbers.
+    /// Maximum number of attempts in an epoch; `None` for the whole range of attempt numbers.
     attempt_limit: Option<u64>,
     membership: Membership,
     membership_timers: MembershipTimers,
@@ -98,14 +98,14 @@
     catalog: CatalogState,
     epoch_load: EpochLoad,
     partition: Partition,
-    /// None before the first partition is loaded, and after an epoch was left.
+    /// `None` until a partition is loaded, and after the controller has left its epoch.
     partition_epoch: Option<PartitionEpoch>,
     partition_sync: PartitionSync,
-    /// Direct commands in flight, those of former epochs among them.
+    /// Number of batches of direct commands in flight, including those of earlier epochs.
     direct_commands_in_flight: usize,
     over_capacity_summary: OverCapacitySummary,
-    /// A heartbeat that could not be read was logged.
-    malformed_heartbeat_logged: bool,
+    /// Whether a malformed heartbeat has been logged; only the first one is.
+    has_logged_malformed_heartbeat: bool,
     write_queues: WriteQueues,
     leader: Option<Leader>,
     leader_duties: LeaderDuties,
@@ -113,9 +113,9 @@
 }
 
 impl Controller {
-    /// A controller that has just started.
+    /// Creates a controller that has no lease and has not read anything yet.
     pub fn new(mut settings: Settings, parameters: Parameters) -> Controller {
-        // Announced limits come without notice, so they are kept from the start.
+        // An announced change of limits can take effect at any time, so the lower values apply from the start.
         settings.facts.state = settings.facts.state.lowest();
         let capacity = Capacity::new(&settings);
         let facts = &settings.facts;
@@ -144,7 +144,7 @@
             partition_epoch: None,
             partition_sync: PartitionSync::default(),
             direct_commands_in_flight: 0,
-            malformed_heartbeat_logged: false,
+            has_logged_malformed_heartbeat: false,
             write_queues: WriteQueues::new(&facts.state),
             leader: None,
             metrics: Metrics::new(),
@@ -154,14 +154,14 @@
         }
     }
 
-    /// Has the leader begin a new epoch after so many attempts, sooner than their numbers are used up: for tests
-    /// of what follows. Counts from the next epoch on.
+    /// Makes the leader begin a new epoch after `max_attempts` attempts, before the attempt numbers are exhausted. For
+    /// tests. Applies from the next epoch that this controller leads.
     pub fn limit_attempts(&mut self, max_attempts: u64) {
         self.attempt_limit = Some(max_attempts);
     }
 
-    /// Processes an event and returns what is to be done. `clock` reads the steady clock, for the budgets of
-    /// decision rounds.
+    /// Processes an event and returns the actions to execute. `clock` reads the steady clock; scheduling rounds use
+    /// it to keep to their time budget.
     pub fn handle(&mut self, now: Now, event: Event, clock: &dyn Fn() -> Time) -> Vec<Action> {
         let mut actions = Vec::new();
         let budget = Budget {
@@ -178,12 +178,26 @@
         let steady = now.steady;
         match event {
             Event::Tick => self.tick(now, budget, actions),
-            Event::Submit { request_id, body } => self.submit(now, request_id, &body, actions),
+            Event::Submit { request_id, body } => {
+                self.process_submission(now, request_id, &body, actions)
+            }
             Event::Status { request_id, job_id } => {
-                self.job_request(steady, request_id, &job_id, JobOperation::Status, actions);
+                self.process_job_request(
+                    steady,
+                    request_id,
+                    &job_id,
+                    JobOperation::Status,
+                    actions,
+                );
             }
             Event::Cancel { request_id, job_id } => {
-                self.job_request(steady, request_id, &job_id, JobOperation::Cancel, actions);
+                self.process_job_request(
+                    steady,
+                    request_id,
+                    &job_id,
+                    JobOperation::Cancel,
+                    actions,
+                );
             }
             Event::Metrics(request_id) => {
                 actions.push(Action::Respond(request_id, self.metrics_response()));
@@ -192,7 +206,10 @@
                 actions.push(Action::Respond(request_id, self.health_response(steady)));
             }
             Event::Heartbeat { request_id, body } => {
-                actions.push(Action::Respond(request_id, self.heartbeat(steady, &body)));
+                actions.push(Action::Respond(
+                    request_id,
+                    self.process_heartbeat(steady, &body),
+                ));
             }
             Event::KeyValueResponse {
                 purpose,
@@ -204,21 +221,21 @@
             Event::CloudResponse(request, response) => {
                 self.process_cloud_response(steady, &request, response);
             }
-            Event::CommandsAnswered(commands, outcome) => {
-                self.direct_commands_answered(steady, &commands, &outcome);
+            Event::DirectCommandsOutcome(commands, outcome) => {
+                self.process_direct_commands_outcome(steady, &commands, &outcome);
             }
             Event::PeerRequest(request, peer_request) => {
-                self.answer_peer(now, request, peer_request, budget, actions);
+                self.process_peer_request(now, request, peer_request, budget, actions);
             }
-            Event::PeerResponse(response) => self.sync_answered(steady, response),
-            Event::PeerKeyValueHealth(reachable) => {
-                self.store_health.peer_reported(steady, reachable);
+            Event::PeerResponse(response) => self.process_sync_response(steady, response),
+            Event::PeerKeyValueHealth(is_reachable) => {
+                self.store_health.record_peer_report(steady, is_reachable);
             }
-            Event::PeerKnownEpoch(from, known) => self.peer_epoch_answered(&from, &known),
+            Event::PeerKnownEpoch(from, known) => self.process_known_epoch(&from, &known),
         }
     }
 
-    /// Moves tasks on as far as they go now: placed, recorded, launched, reported to the leader.
+    /// Reports to the leader, places queued tasks, writes their records and launches them, as far as possible now.
     fn advance_partition(&mut self, now: Now, budget: &Budget, actions: &mut Vec<Action>) {
         if self.membership.state() != MemberState::Serving {
             return;
@@ -243,8 +260,8 @@
         actions.extend(batches.into_iter().map(Action::SendCommands));
     }
 
-    /// Direct commands were answered, or not. Those of a former epoch only make way for others.
-    fn direct_commands_answered(
+    /// Processes the outcome of direct commands. The outcome of commands of an earlier epoch only frees their slot.
+    fn process_direct_commands_outcome(
         &mut self,
         now: Time,
         commands: &DirectCommands,
@@ -262,7 +279,7 @@
     }
 }
 
-/// Sends a request to the key-value store, with the usual deadline.
+/// Adds a request to the key-value store with the default deadline [`KV_DEADLINE_MS`].
 fn call_store(actions: &mut Vec<Action>, purpose: KvPurpose, request: KvRequest) {
     actions.push(Action::CallKeyValueStore {
         purpose,
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -1,4 +1,5 @@
-//! The exchange between a partition's owner and the leader: status up, directives down.
+//! Sync between partition owners and the leader: owners send their partition's status, and the leader responds with
+//! directives.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +11,23 @@
 
 use super::{Action, Controller};
 
-/// The exchange of this controller's partition with the leader.
+/// State of this controller's sync with the leader.
 #[derive(Debug, Default)]
 pub(super) struct PartitionSync {
-    in_flight: bool,
-    /// When the status was last sent, also in a former epoch.
+    is_in_flight: bool,
+    /// When the status was last sent, possibly in an earlier epoch.
     last_sent_at: Time,
 }
 
 impl PartitionSync {
-    /// In a new epoch the status may be sent at once, whether or not the former leader has answered.
+    /// Allows a sync in a new epoch without waiting for the response of the previous leader.
     pub fn begin_epoch(&mut self) {
-        self.in_flight = false;
+        self.is_in_flight = false;
     }
 }
 
 impl Controller {
-    /// Sends the partition's status to the leader when it is due, sooner if something has changed.
+    /// Sends the partition's status to the leader when due, which is sooner if updates are pending.
     pub(super) fn sync_with_leader(
         &mut self,
         now: Now,
@@ -39,7 +40,7 @@
             SYNC_IDLE_INTERVAL_MS
         };
         let sync = &mut self.partition_sync;
-        if sync.in_flight || now.steady.since(sync.last_sent_at) < interval_ms {
+        if sync.is_in_flight || now.steady.since(sync.last_sent_at) < interval_ms {
             return;
         }
         let Some(leader) = self.membership.epoch().map(|e| e.leader.name.clone()) else {
@@ -56,12 +57,13 @@
                 None => self.partition.status_unanswered(),
             }
         } else {
-            self.partition_sync.in_flight = true;
+            self.partition_sync.is_in_flight = true;
             actions.push(Action::SendToPeer(leader, PeerRequest::Sync(status)));
         }
     }
 
-    /// Processes a partition's status as the leader; none if it does not lead the partition's epoch.
+    /// Processes a partition's status and returns the leader's directives; `None` if this controller is not the
+    /// leader of the status's epoch, or may not act.
     pub(super) fn apply_partition_status(
         &mut self,
         now: Now,
@@ -82,11 +84,11 @@
         Some(directives)
     }
 
-    /// The leader has answered the status; none: it has not.
-    pub(super) fn sync_answered(&mut self, now: Time, response: Option<PeerResponse>) {
-        self.partition_sync.in_flight = false;
+    /// Processes the leader's response to the status; `None` after a failure.
+    pub(super) fn process_sync_response(&mut self, now: Time, response: Option<PeerResponse>) {
+        self.partition_sync.is_in_flight = false;
         if response.is_some() {
-            self.readiness.leader_answered(now);
+            self.readiness.record_leader_response(now);
         }
         match response {
             Some(PeerResponse::Sync(directives))
@@ -98,6 +100,7 @@
         }
     }
 
+    /// Applies the leader's directives to the partition, and updates the progress of jobs if they contain it.
     fn apply_leader_directives(&mut self, now: Time, directives: LeaderDirectives) {
         self.partition.apply_directives(&directives, now);
         if let Some(progress) = directives.progress {
--- a/crates/worksshunt-core/src/controller/peers.rs
+++ b/crates/worksshunt-core/src/controller/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the other controllers.
+//! Processing of requests from the other controllers.
 
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 
@@ -8,7 +8,7 @@
 use super::{Action, Controller};
 
 impl Controller {
-    pub(super) fn answer_peer(
+    pub(super) fn process_peer_request(
         &mut self,
         now: Now,
         request: RequestId,
@@ -22,7 +22,7 @@
                 None => PeerResponse::NotLeader,
             },
             PeerRequest::KeyValueHealth => {
-                PeerResponse::KeyValueHealth(self.store_health.is_answering(now.steady))
+                PeerResponse::KeyValueHealth(self.store_health.is_reachable(now.steady))
             }
             PeerRequest::KnownEpoch { poll } => {
                 PeerResponse::KnownEpoch(self.known_epoch(now.steady, poll))
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -1,5 +1,5 @@
-//! Whether this controller is ready to own machines. It publishes that in its member key, and only members
-//! that are ready own machines in the next epoch.
+//! Readiness of this controller to own machines. It is published in the member key, and only ready members own machines
+//! in the next epoch.
 
 use crate::constants::partition_sync::PARTITION_SILENT_MS;
 use crate::constants::readiness::{
@@ -9,58 +9,62 @@
 
 use super::Controller;
 
-/// Whether this controller is ready to own machines.
+/// Readiness of this controller to own machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Readiness {
-    /// By its own judgement.
+    /// No problem detected.
     Ready,
-    /// Workers do not reach it.
+    /// No heartbeats arrive: workers cannot reach this controller.
     NoHeartbeats,
-    /// The leader does not answer it, so what it owns would be assigned nothing.
+    /// The leader does not respond, so the machines of this controller would be assigned no tasks.
     NoLeaderResponse,
 }
 
-/// The readiness, and what its next change depends on.
+/// Current readiness, and the inputs of its next transition.
 #[derive(Debug)]
 pub(super) struct ReadinessState {
     current: Readiness,
-    /// Not ready again before.
+    /// Earliest return to [`Readiness::Ready`].
     ready_not_before: Time,
-    /// How long the next loss of heartbeats lasts at least; doubled each time, up to a limit.
-    retry_ms: u64,
-    /// When the leader last answered, or another one began to lead.
-    leader_answered_at: Time,
+    /// Delay before the controller becomes ready again after the next loss of heartbeats, in milliseconds. Doubles with
+    /// each loss, up to [`READINESS_RETRY_MAX_MS`].
+    heartbeat_loss_delay_ms: u64,
+    /// Time of the leader's last response, or of the start of the epoch if that is later.
+    last_leader_response_at: Time,
 }
 
 impl ReadinessState {
-    /// Ready until something shows the opposite.
+    /// Creates the initial state: ready.
     pub fn new() -> ReadinessState {
         ReadinessState {
             current: Readiness::Ready,
             ready_not_before: Time::default(),
-            retry_ms: READINESS_RETRY_MS,
-            leader_answered_at: Time::default(),
+            heartbeat_loss_delay_ms: READINESS_RETRY_MS,
+            last_leader_response_at: Time::default(),
         }
     }
 
-    /// The leader has answered, or another one has begun to lead.
-    pub fn leader_answered(&mut self, now: Time) {
-        self.leader_answered_at = now;
+    /// Records a response of the leader, or the start of an epoch.
+    pub fn record_leader_response(&mut self, now: Time) {
+        self.last_leader_response_at = now;
     }
 
-    /// What the readiness should be now.
+    /// Computes the readiness at `now`.
     fn next(&self, now: Time, is_leader: bool, is_unreachable: bool) -> Readiness {
-        let leader_silent_ms = if is_leader {
+        let since_leader_response_ms = if is_leader {
             0
         } else {
-            now.since(self.leader_answered_at)
+            now.since(self.last_leader_response_at)
         };
         match self.current {
             Readiness::Ready if is_unreachable => Readiness::NoHeartbeats,
-            Readiness::Ready if leader_silent_ms >= LEADER_SILENT_MS => Readiness::NoLeaderResponse,
+            Readiness::Ready if since_leader_response_ms >= LEADER_SILENT_MS => {
+                Readiness::NoLeaderResponse
+            }
             Readiness::NoHeartbeats if now >= self.ready_not_before => Readiness::Ready,
             Readiness::NoLeaderResponse
-                if now >= self.ready_not_before && leader_silent_ms < PARTITION_SILENT_MS =>
+                if now >= self.ready_not_before
+                    && since_leader_response_ms < PARTITION_SILENT_MS =>
             {
                 Readiness::Ready
             }
@@ -68,14 +72,15 @@
         }
     }
 
-    /// The one place where the readiness changes.
+    /// Changes the readiness. The only method that does.
     fn set(&mut self, next: Readiness, now: Time) {
         tracing::info!(from = ?self.current, to = ?next, "readiness changed");
         match next {
             Readiness::Ready => {}
             Readiness::NoHeartbeats => {
-                self.ready_not_before = now + self.retry_ms;
-                self.retry_ms = (self.retry_ms * 2).min(READINESS_RETRY_MAX_MS);
+                self.ready_not_before = now + self.heartbeat_loss_delay_ms;
+                self.heartbeat_loss_delay_ms =
+                    (self.heartbeat_loss_delay_ms * 2).min(READINESS_RETRY_MAX_MS);
             }
             Readiness::NoLeaderResponse => self.ready_not_before = now + LEADER_RETRY_MS,
         }
@@ -84,9 +89,9 @@
 }
 
 impl Controller {
-    /// Stops offering to own machines while workers do not reach this controller or the leader does not answer
-    /// it. While workers do not reach it, it offers itself again from time to time: nothing else could show
-    /// that they would.
+    /// Updates the readiness from the heartbeats and the leader's responses. After a loss of heartbeats the controller
+    /// becomes ready again after a delay: a controller that owns no machines has no other way to detect that workers
+    /// reach it.
     pub(super) fn update_readiness(&mut self, now: Time) {
         let is_leader = self.membership.is_leader();
         let is_unreachable = self.partition.is_unreachable(now);
--- a/crates/worksshunt-core/src/controller/reconciliation.rs
+++ b/crates/worksshunt-core/src/controller/reconciliation.rs
@@ -1,27 +1,27 @@
 //! Reconciliation of the leader's scheduler with the open jobs in the store.
 //!
-//! The scheduler closes a job when its end is known to be in the store. If the store has the job open all the same, nobody
-//! would work on it before the next epoch, so the job is opened again.
+//! The scheduler closes a job once its final state is known to be stored. If the job is nevertheless open in the
+//! store, no tasks of it would run until the next epoch, so it is opened again in the scheduler.
 
 use worksshunt_wire::JobId;
 
 use super::Controller;
 
 impl Controller {
-    /// Opens the jobs again that the scheduler has closed and the store has not.
+    /// Opens jobs again in the scheduler that are open in the store and missing from the scheduler.
     pub(super) fn reconcile_open_jobs(&mut self) {
-        let Some(cached_at) = self.job_cache.revision() else {
+        let Some(cache_revision) = self.job_cache.revision() else {
             return;
         };
-        for id in self.open_jobs_not_scheduled() {
+        for id in self.unscheduled_open_jobs() {
             self.metrics.reconciled_jobs.inc();
-            let known = self.job_cache.forget_final(id);
+            let removed_final_state = self.job_cache.forget_final(id);
             tracing::error!(
                 job = %id,
                 epoch = %self.membership.fencing_token(),
-                %cached_at,
-                ?known,
-                "job closed by the scheduler is open in the store, scheduled again"
+                %cache_revision,
+                ?removed_final_state,
+                "job closed by the scheduler is still open in the store; scheduling it again"
             );
             if let (Some(leader), Some(open)) = (&mut self.leader, self.job_cache.get(id)) {
                 leader.scheduler.open_job(id, &open.job);
@@ -29,9 +29,10 @@
         }
     }
 
-    /// Open jobs that the scheduler does not have, apart from those whose end the job cache has yet to see and those
-    /// with attempts that may be on machines: of their tasks, others could run beside.
-    fn open_jobs_not_scheduled(&self) -> Vec<JobId> {
+    /// Open jobs in the job cache that are missing from the scheduler. Excludes jobs that were closed after the last
+    /// read of the cache, and jobs with attempts that may be on machines, since a second attempt could run beside
+    /// them.
+    fn unscheduled_open_jobs(&self) -> Vec<JobId> {
         let Some(leader) = &self.leader else {
             return Vec::new();
         };
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -1,5 +1,5 @@
-//! Outages of the key-value store: whether it answers this controller and its peers, and the polls by which the
-//! peers confirm the epoch meanwhile.
+//! Outages of the key-value store: tracks whether it responds to this controller and to its peers, and polls the peers
+//! to confirm the epoch while it does not.
 
 use std::collections::BTreeSet;
 
@@ -17,65 +17,67 @@
 
 use super::{Action, Controller};
 
-/// Error text of the responses during an outage of the key-value store, which users know as the state service.
-pub(super) const STORE_SILENT: &str = "the state service does not answer";
+/// Error text of HTTP responses during an outage of the key-value store, which the protocol calls the state service.
+pub(super) const STORE_UNRESPONSIVE: &str = "the state service does not answer";
 
-/// What this controller knows of the key-value store's health.
+/// Health of the key-value store, as observed by this controller and reported by its peers.
 #[derive(Debug, Default)]
 pub(super) struct StoreHealth {
-    answered_at: Time,
+    last_response_at: Time,
     peer_query_timer: Periodic,
     epoch_confirmation: EpochConfirmation,
-    /// When a peer last said that the key-value store answers it.
-    peer_healthy_at: Option<Time>,
-    /// When a peer last said that the key-value store does not answer it.
-    peer_unhealthy_at: Option<Time>,
+    /// When a peer last reported that it reaches the key-value store; `None` if none has.
+    peer_reachable_at: Option<Time>,
+    /// When a peer last reported that it does not reach the key-value store; `None` if none has.
+    peer_unreachable_at: Option<Time>,
 }
 
 impl StoreHealth {
-    /// The key-value store has answered a request of this controller.
-    pub fn request_answered(&mut self, now: Time) {
-        self.answered_at = now;
+    /// Records a response of the key-value store to this controller.
+    pub fn record_response(&mut self, now: Time) {
+        self.last_response_at = now;
         self.epoch_confirmation.key_value_store_answered();
     }
 
-    /// A peer has answered whether it reaches the key-value store.
-    pub fn peer_reported(&mut self, now: Time, is_reachable: bool) {
+    /// Records whether a peer reaches the key-value store.
+    pub fn record_peer_report(&mut self, now: Time, is_reachable: bool) {
         if is_reachable {
-            self.peer_healthy_at = Some(now);
+            self.peer_reachable_at = Some(now);
         } else {
-            self.peer_unhealthy_at = Some(now);
+            self.peer_unreachable_at = Some(now);
         }
     }
 
-    /// Whether the key-value store answered this controller lately.
-    pub fn is_answering(&self, now: Time) -> bool {
-        now.since(self.answered_at) < KV_SUSPECT_AFTER_MS
+    /// Whether the key-value store responded to this controller within [`KV_SUSPECT_AFTER_MS`].
+    pub fn is_reachable(&self, now: Time) -> bool {
+        now.since(self.last_response_at) < KV_SUSPECT_AFTER_MS
     }
 
-    /// Whether it has not answered for so long that waiting for a response is futile.
-    pub fn is_silent(&self, now: Time) -> bool {
-        now.since(self.answered_at) > KV_SILENT_AFTER_MS
+    /// Whether the key-value store has not responded for [`KV_SILENT_AFTER_MS`], so that user requests are rejected at
+    /// once.
+    pub fn is_unresponsive(&self, now: Time) -> bool {
+        now.since(self.last_response_at) > KV_SILENT_AFTER_MS
     }
 
-    /// Whether users should be routed to this controller, as far as the key-value store is concerned.
+    /// Whether the state of the key-value store allows user traffic to be routed to this controller.
     ///
-    /// A controller that alone cannot reach the key-value store is unhealthy; when none reaches it, taking
-    /// them all out of service has no benefit, since returning to service is slow. One that cannot reach its
-    /// peers either cannot tell the two cases apart, and is unhealthy.
+    /// A controller is unhealthy if it cannot reach the key-value store while a peer can. If no controller reaches
+    /// the store, all stay healthy: removing them from the load balancer has no benefit, and returning is slow. A
+    /// controller that cannot reach its peers either cannot distinguish the two cases, and becomes unhealthy.
     fn may_serve_users(&self, now: Time) -> bool {
-        let silent_ms = now.since(self.answered_at);
+        let since_response_ms = now.since(self.last_response_at);
         let is_recent = |reported_at: Option<Time>| {
             reported_at.is_some_and(|at| now.since(at) < PEER_HEALTH_VALID_MS)
         };
-        self.is_answering(now)
-            || (!is_recent(self.peer_healthy_at)
-                && (silent_ms < KV_UNHEALTHY_AFTER_MS || is_recent(self.peer_unhealthy_at)))
+        self.is_reachable(now)
+            || (!is_recent(self.peer_reachable_at)
+                && (since_response_ms < KV_UNHEALTHY_AFTER_MS
+                    || is_recent(self.peer_unreachable_at)))
     }
 }
 
 impl Controller {
-    /// The response to a health check.
+    /// The response to a health check: 200 if users should be routed to this controller.
     pub(super) fn health_response(&self, now: Time) -> HttpResponse {
         let is_healthy = self.job_cache.is_loaded()
             && self.catalog.current.is_some()
@@ -87,10 +89,10 @@
         }
     }
 
-    /// Asks the peers for their health and epoch while the key-value store does not answer this controller.
+    /// Queries the peers for their access to the key-value store and their epoch while this controller cannot reach it.
     pub(super) fn query_peer_health(&mut self, now: Time, actions: &mut Vec<Action>) {
         let health = &mut self.store_health;
-        if health.is_answering(now) || !health.peer_query_timer.is_due(now) {
+        if health.is_reachable(now) || !health.peer_query_timer.is_due(now) {
             return;
         }
         health.peer_query_timer.next = now + PEER_HEALTH_INTERVAL_MS;
@@ -101,8 +103,8 @@
         self.poll_peer_epochs(now, actions);
     }
 
-    /// Asks all other controllers whether the epoch is still the newest that they know of. While the key-value
-    /// store answers nobody this confirms it as well as a read would.
+    /// Polls all other controllers for the newest epoch that they know. While no controller reaches the key-value
+    /// store, agreement of all of them confirms the epoch as safely as a read of the store.
     fn poll_peer_epochs(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.membership.state() != MemberState::Serving {
             return;
@@ -119,17 +121,18 @@
         }
     }
 
-    /// What this controller knows of the epoch, for a peer that asks.
+    /// The response to a peer's poll of the epoch.
     pub(super) fn known_epoch(&self, now: Time, poll: u64) -> KnownEpoch {
         KnownEpoch {
             poll,
             epoch: self.membership.fencing_token(),
-            key_value_store_reachable: self.store_health.is_answering(now),
+            key_value_store_reachable: self.store_health.is_reachable(now),
         }
     }
 
-    /// Processes what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
-    pub(super) fn peer_epoch_answered(&mut self, from: &ControllerName, known: &KnownEpoch) {
+    /// Processes a peer's response to a poll. Extends the epoch lease once all other controllers have confirmed the
+    /// epoch.
+    pub(super) fn process_known_epoch(&mut self, from: &ControllerName, known: &KnownEpoch) {
         let confirmation = &mut self.store_health.epoch_confirmation;
         confirmation.record_response(from, known);
         let epoch = self.membership.fencing_token();
@@ -137,7 +140,7 @@
             return;
         };
         if confirmation.mark_confirmed() {
-            tracing::info!(%epoch, "key-value store outage: epoch confirmed by all controllers");
+            tracing::info!(%epoch, "key-value store unavailable; epoch confirmed by all other controllers");
         }
         self.membership.epoch_confirmed(sent_at);
     }
--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -1,4 +1,5 @@
-//! Users' submissions: checked, and queued for the write that accepts them or for a read if the job may be known.
+//! Submissions of jobs: validates them, and queues new jobs for the write that accepts them. A submission whose job
+//! ID may already exist waits for a read of the open jobs instead.
 
 use worksshunt_wire::user::JobSpec;
 
@@ -8,12 +9,12 @@
 use crate::submissions::{check_possible, parse, Malformed, RefusedSubmission};
 use crate::time::{Now, Time};
 
-use super::store_outage::STORE_SILENT;
+use super::store_outage::STORE_UNRESPONSIVE;
 use super::{Action, Controller};
 
 impl Controller {
-    /// A user submits a job.
-    pub(super) fn submit(
+    /// Processes a submission.
+    pub(super) fn process_submission(
         &mut self,
         now: Now,
         request_id: RequestId,
@@ -42,12 +43,12 @@
         }
     }
 
-    /// The job that a submission describes; none while there is no catalogue to check it by.
+    /// Parses and validates a submission. Returns `None` while there is no catalog to validate it against.
     ///
     /// # Errors
     ///
-    /// Why it is refused, with the job's id if that can be read: under a known id it is answered with the job's
-    /// state.
+    /// The reason for the refusal, and the job's ID if it is readable: if a job with that ID exists, the response is
+    /// its state.
     fn check_submission(&self, body: &[u8]) -> Result<Option<JobSpec>, RefusedSubmission> {
         let spec = parse(body)?;
         let id = Some(spec.id);
@@ -65,7 +66,7 @@
         Ok(Some(spec))
     }
 
-    /// Queues an acceptable job. The response, if it can be given at once.
+    /// Queues a valid job. Returns the response if it does not have to wait for the key-value store.
     fn submit_job(
         &mut self,
         now: Now,
@@ -99,13 +100,13 @@
         }
     }
 
-    /// Why a job that is not known cannot be queued now, if it cannot.
+    /// The response that rejects a new job, if it cannot be queued now.
     fn refuse_new_job(&mut self, now: Time, is_service: bool) -> Option<HttpResponse> {
         let reason = if is_service && !self.membership.accepts_services() {
-            // A controller that does not understand it would call it unknown.
+            // A controller of a release without services would report the job as unknown.
             "controllers that do not know services may be left"
-        } else if !self.job_cache.is_loaded() || self.store_health.is_silent(now) {
-            STORE_SILENT
+        } else if !self.job_cache.is_loaded() || self.store_health.is_unresponsive(now) {
+            STORE_UNRESPONSIVE
         } else if self.is_job_api_full() {
             "too many requests wait"
         } else {
--- a/crates/worksshunt-core/src/controller/tick.rs
+++ b/crates/worksshunt-core/src/controller/tick.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about; called at every tick.
+//! The periodic tick: runs every timer that is due.
 
 use crate::job_api::HttpResponse;
 use crate::membership::MemberState;
@@ -6,26 +6,26 @@
 
 use super::{Action, Controller};
 
-/// When the over-capacity placements are summed up in the log.
+/// Timer of the log summary of over-capacity placements.
 pub(super) struct OverCapacitySummary {
-    logged_at: Time,
+    last_logged_at: Time,
     interval_ms: u64,
 }
 
 impl OverCapacitySummary {
-    /// One summary per interval.
+    /// Creates a timer for one summary per `interval_ms`.
     pub fn new(interval_ms: u64) -> OverCapacitySummary {
         OverCapacitySummary {
-            logged_at: Time::default(),
+            last_logged_at: Time::default(),
             interval_ms,
         }
     }
 
-    /// Whether one is due; if so, the next interval begins.
-    fn begin_if_due(&mut self, now: Time) -> bool {
-        let is_due = now.since(self.logged_at) >= self.interval_ms;
+    /// Returns whether a summary is due, and if so starts the next interval.
+    fn start_interval_if_due(&mut self, now: Time) -> bool {
+        let is_due = now.since(self.last_logged_at) >= self.interval_ms;
         if is_due {
-            self.logged_at = now;
+            self.last_logged_at = now;
         }
         is_due
     }
@@ -55,22 +55,23 @@
         self.log_over_capacity_summary(steady);
     }
 
-    /// Answers submissions that have waited too long, and all requests while the key-value store is silent.
+    /// Rejects submissions that have waited too long, and all pending requests while the key-value store is
+    /// unresponsive.
     fn expire_job_requests(&mut self, now: Time, actions: &mut Vec<Action>) {
         for request in self.job_api.requests.take_overdue(now) {
             let response = HttpResponse::retry_later("not accepted yet");
             actions.push(Action::Respond(request, response));
         }
-        if self.store_health.is_silent(now) {
-            self.give_up_job_requests(actions);
+        if self.store_health.is_unresponsive(now) {
+            self.fail_job_requests(actions);
         }
     }
 
     fn log_over_capacity_summary(&mut self, now: Time) {
-        if self.over_capacity_summary.begin_if_due(now) {
+        if self.over_capacity_summary.start_interval_if_due(now) {
             let summary = self.partition.over_capacity_summary();
             if summary != "none" {
-                tracing::info!(summary, "over-capacity placements");
+                tracing::info!(summary, "over-capacity placements since the last summary");
             }
         }
     }
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -1,9 +1,9 @@
-//! What follows from the conflict of a queued write.
+//! Processing of conflicts of queued writes.
 //!
-//! A conflict shows that the copy answered was not applied. Whether an earlier copy was has to follow from the keys, and
-//! only for what those keys belong to: a job's end and a claim share a write by chance, and the key of one says
-//! nothing about the other. A write counts as applied earlier only where no key of it returns to a former state, so that
-//! nothing else can have changed them.
+//! A conflict shows that one copy of the write was not applied. Whether another copy was applied is derived from the
+//! changed keys, and only for the entity that each key belongs to: job completions and claims may share a write, and
+//! the key of one proves nothing about the other. A changed key proves an earlier application only if nothing else
+//! can have changed it, which holds for keys that never return to an earlier state.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
@@ -16,39 +16,41 @@
 use super::write_queues::{ClaimChange, FinalWrite};
 use super::{Controller, WriteQueueId};
 
-/// The keys that a write expects in a certain state, apart from the epoch's: those that differed and those that did not.
+/// Keys of a write's conditions, except the epoch key.
 #[derive(Debug)]
 struct ConflictKeys<'a> {
-    failed: Vec<&'a str>,
+    /// Keys whose condition failed.
+    changed: Vec<&'a str>,
+    /// Keys whose condition held.
     unchanged: Vec<&'a str>,
 }
 
 impl<'a> ConflictKeys<'a> {
-    fn of(write: &'a CompareAndSwap, failed_keys: &[String]) -> ConflictKeys<'a> {
+    fn new(write: &'a CompareAndSwap, failed_keys: &[String]) -> ConflictKeys<'a> {
         let expected = write.expected.iter().map(|expected| expected.key.as_str());
-        let (failed, unchanged) = expected
+        let (changed, unchanged) = expected
             .filter(|key| *key != EPOCH_KEY)
             .partition(|key| failed_keys.iter().any(|failed| failed == key));
-        ConflictKeys { failed, unchanged }
+        ConflictKeys { changed, unchanged }
     }
 }
 
 impl Controller {
-    /// A copy of a write was refused, because these keys have changed.
-    pub(super) fn write_conflicted(
+    /// Processes the conflict of a copy of a write. `failed_keys` are the keys whose condition failed.
+    pub(super) fn process_write_conflict(
         &mut self,
         queue_id: WriteQueueId,
         write: &CompareAndSwap,
         failed_keys: &[String],
         now: Time,
     ) {
-        let keys = ConflictKeys::of(write, failed_keys);
+        let keys = ConflictKeys::new(write, failed_keys);
         tracing::info!(
             queue = ?queue_id,
             epoch = %self.membership.fencing_token(),
-            failed = ?keys.failed,
-            unchanged = ?keys.unchanged,
-            "write conflict"
+            changed_keys = ?keys.changed,
+            unchanged_keys = ?keys.unchanged,
+            "queued write conflicted"
         );
         let labels = ConflictLabels {
             queue: queue_id.into(),
@@ -57,20 +59,24 @@
         self.metrics.write_conflicts.get_or_create(&labels).inc();
         match queue_id {
             WriteQueueId::AttemptRecords | WriteQueueId::LeaderPages => {
-                self.pages_conflicted(queue_id, &keys, now);
+                self.process_page_conflict(queue_id, &keys, now);
             }
-            WriteQueueId::FinalWrites => self.final_writes_conflicted(failed_keys),
-            WriteQueueId::SubmissionBatches => self.submission_batch_conflicted(failed_keys),
+            WriteQueueId::FinalWrites => self.process_final_write_conflict(failed_keys),
+            WriteQueueId::SubmissionBatches => self.process_submission_batch_conflict(failed_keys),
         }
     }
 
-    /// Nobody else writes a page, and a page never returns to an earlier state that a write expects: if all pages of
-    /// the write differ, an earlier copy was applied. If only some do, what is in the store is not what this
-    /// controller wrote, so it becomes a new member and begins with what it reads.
-    fn pages_conflicted(&mut self, queue_id: WriteQueueId, keys: &ConflictKeys, now: Time) {
+    /// Only this controller writes its pages, and a page never returns to an earlier version. If all pages of the
+    /// write have changed, another copy was applied. If only some have, the store does not contain what this
+    /// controller wrote, so it leaves the epoch and joins again to reload all records.
+    fn process_page_conflict(&mut self, queue_id: WriteQueueId, keys: &ConflictKeys, now: Time) {
         if !keys.unchanged.is_empty() {
-            let (failed, unchanged) = (&keys.failed, &keys.unchanged);
-            tracing::error!(queue = ?queue_id, ?failed, ?unchanged, "page write conflict");
+            tracing::error!(
+                queue = ?queue_id,
+                changed_keys = ?keys.changed,
+                unchanged_keys = ?keys.unchanged,
+                "only some pages of a write conflicted; leaving the epoch and joining again"
+            );
             return self.leave_epoch(now);
         }
         match queue_id {
@@ -83,26 +89,27 @@
         }
     }
 
-    /// Each final write is judged by its own key. What is not decided by it stays pending and is written again.
-    fn final_writes_conflicted(&mut self, failed_keys: &[String]) {
+    /// Processes each final write by its own key. Final writes whose key has not changed stay pending and are sent
+    /// again.
+    fn process_final_write_conflict(&mut self, failed_keys: &[String]) {
         let has_failed = |key: &String| failed_keys.contains(key);
         for final_write in std::mem::take(&mut self.write_queues.final_writes_in_flight) {
             let Some(leader) = &mut self.leader else {
                 return;
             };
             match final_write {
-                // Its user cancelled it, or an earlier copy was applied: which of them, the final state shows when
-                // the job cache has it closed.
+                // The user cancelled the job, or another copy was applied. The final state shows which, once the job
+                // cache has the job as closed.
                 FinalWrite::FinishJob(id) if has_failed(&open_job_key(id)) => {
                     leader.scheduler.finish_refused(id);
                 }
-                // The key is this claim's alone, so it was put by an earlier copy.
+                // The key is unique to this claim, so another copy created it.
                 FinalWrite::UpdateClaim {
                     machine,
                     change: ClaimChange::Put { key },
                 } if has_failed(&key) => {
                     let record = ClaimRecord::Exists;
-                    self.metrics.claim_recorded(record);
+                    self.metrics.count_claim_record(record);
                     leader.scheduler.claim_recorded(&machine, record);
                 }
                 FinalWrite::FinishJob(_)
@@ -112,13 +119,16 @@
         }
     }
 
-    /// The jobs whose keys differ have a key of their own by now, or are over. The batch is handled again unless its own
-    /// key has changed, which happens only when it is deleted with its last job.
-    fn submission_batch_conflicted(&mut self, failed_keys: &[String]) {
+    /// Marks the jobs whose keys have changed as processed: they have a separate key or are closed. The batch is
+    /// processed again unless its own key has changed, which only happens when it is deleted together with its last
+    /// job.
+    fn process_submission_batch_conflict(&mut self, failed_keys: &[String]) {
         if !failed_keys.iter().any(|key| is_submission_batch(key)) {
-            self.write_queues.handled_batch = None;
+            self.write_queues.processed_batch = None;
         }
-        let settled = failed_keys.iter().filter_map(|key| job_of_key(key));
-        self.write_queues.settled_jobs.extend(settled);
+        let processed_jobs = failed_keys.iter().filter_map(|key| job_of_key(key));
+        self.write_queues
+            .processed_batch_jobs
+            .extend(processed_jobs);
     }
 }
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -1,4 +1,4 @@
-//! What the write queues write: conditions and changes of each kind.
+//! Conditions and changes of the writes of each queue.
 
 use worksshunt_wire::key_value::{Change, CompareAndSwap, ExpectedRevision};
 use worksshunt_wire::user::JobState;
@@ -9,7 +9,7 @@
 use crate::scheduler::{ClaimWrite, PendingWrite};
 use crate::time::Time;
 
-use super::write_queues::{ClaimChange, FinalWrite, HandledBatch, CHANGES_PER_JOB_END};
+use super::write_queues::{ClaimChange, FinalWrite, ProcessedBatch, CHANGES_PER_JOB_COMPLETION};
 use super::{Controller, WriteQueueId};
 
 /// The version of a key that does not exist.
@@ -32,10 +32,12 @@
         }
     }
 
-    /// Adds ends of jobs, claims and keys to be removed, as many as the share allows.
+    /// Adds job completions, claim updates and key deletions, as many as the rate limit allows.
     pub(super) fn add_final_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
-        let batches_wait = self.job_cache.submission_batches().next().is_some();
-        let max_changes = self.write_queues.final_write_allowance(now, batches_wait);
+        let has_waiting_batches = self.job_cache.submission_batches().next().is_some();
+        let max_changes = self
+            .write_queues
+            .final_write_allowance(now, has_waiting_batches);
         let Some(leader) = &self.leader else {
             return;
         };
@@ -46,11 +48,11 @@
             .cloned()
             .collect();
         for pending_write in pending_writes {
-            if write.changes.len() + CHANGES_PER_JOB_END > max_changes {
+            if write.changes.len() + CHANGES_PER_JOB_COMPLETION > max_changes {
                 break;
             }
             let final_write = match pending_write {
-                PendingWrite::FinishJob(id) => self.add_job_end(id, write),
+                PendingWrite::FinishJob(id) => self.add_job_completion(id, write),
                 PendingWrite::UpdateClaim(machine) => self.add_claim_update(machine, write),
                 PendingWrite::RemoveKey(key) => {
                     write.changes.push(Change::Delete { key: key.clone() });
@@ -62,9 +64,9 @@
         }
     }
 
-    fn add_job_end(&mut self, id: JobId, write: &mut CompareAndSwap) -> Option<FinalWrite> {
+    fn add_job_completion(&mut self, id: JobId, write: &mut CompareAndSwap) -> Option<FinalWrite> {
         let Some(open) = self.job_cache.get(id) else {
-            // The job cache no longer has it: it is over already.
+            // The job is no longer open, so there is nothing to complete.
             if let Some(leader) = &mut self.leader {
                 leader.scheduler.finish_refused(id);
             }
@@ -99,7 +101,7 @@
                 });
                 ClaimChange::Put { key }
             }
-            // Without a condition: the key is never put again, so a late copy deletes nothing else.
+            // Needs no condition: the key is never created again, so a delayed copy cannot delete another claim.
             ClaimWrite::Delete { key } => {
                 write.changes.push(Change::Delete { key });
                 ClaimChange::Delete
@@ -108,29 +110,29 @@
         Some(FinalWrite::UpdateClaim { machine, change })
     }
 
-    /// Adds writes that store jobs of one submission batch under their own keys, as many as the share allows.
-    /// The batch's key is deleted with the last of them: rewritten without the others its value might be larger
-    /// than the key-value store's limit by then, which was larger when it was written.
+    /// Adds writes that store the jobs of one submission batch under separate keys, as many as the rate limit allows.
+    /// The key of the batch is deleted together with the last of them. It is not rewritten in between, because its
+    /// value could exceed a value limit that was lowered after it was written.
     pub(super) fn add_submission_batch_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
         let max_changes = self.write_queues.submission_batch_allowance(now);
         let queues = &mut self.write_queues;
-        let is_handled = |key: &String, version| {
-            let handled = queues.handled_batch.as_ref();
-            handled.is_some_and(|batch| batch.key == *key && batch.version == version)
+        let is_processed = |key: &String, version| {
+            let processed = queues.processed_batch.as_ref();
+            processed.is_some_and(|batch| batch.key == *key && batch.version == version)
         };
         let mut batches = self.job_cache.submission_batches();
-        let Some((key, batch)) = batches.find(|(key, batch)| !is_handled(key, batch.version))
+        let Some((key, batch)) = batches.find(|(key, batch)| !is_processed(key, batch.version))
         else {
             return;
         };
-        let mut jobs_left = batch.jobs.iter().filter(|job| {
+        let mut unprocessed_jobs = batch.jobs.iter().filter(|job| {
             let id = job.spec.id;
-            !queues.settled_jobs.contains(&id) && self.job_cache.get(id).is_none()
+            !queues.processed_batch_jobs.contains(&id) && self.job_cache.get(id).is_none()
         });
         while write.changes.len() < max_changes {
-            let Some(job) = jobs_left.next() else {
+            let Some(job) = unprocessed_jobs.next() else {
                 write.changes.push(Change::Delete { key: key.clone() });
-                queues.handled_batch = Some(HandledBatch {
+                queues.processed_batch = Some(ProcessedBatch {
                     key: key.clone(),
                     version: batch.version,
                 });
@@ -147,7 +149,7 @@
     }
 }
 
-/// Adds the write of a job's own key, unless it has one or is over.
+/// Adds the creation of a job's own key, conditional on the job being neither open nor closed.
 fn add_open_job(job: &Job, write: &mut CompareAndSwap) {
     let id = job.spec.id;
     write.expected.push(expect_missing(open_job_key(id)));
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -1,4 +1,4 @@
-//! Responses to an epoch's conditional writes, and what follows from their outcomes.
+//! Processing of the responses to an epoch's conditional writes.
 
 use worksshunt_wire::key_value::{Change, CompareAndSwap};
 use worksshunt_wire::user::JobState;
@@ -14,20 +14,20 @@
 use super::write_queues::{ClaimChange, FinalWrite, WriteQueues};
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, KvResponse, WriteQueueId};
 
-/// What a response tells about the copy of a write that it answers.
+/// Outcome of one copy of a write.
 #[derive(Debug)]
 enum WriteOutcome {
-    /// It was committed at that revision.
+    /// Committed at this revision.
     Committed(Revision),
-    /// It was not applied and never can be: these keys have changed. Earlier copies may have been.
+    /// Not applied, because the conditions on these keys failed; this copy never will be. Another copy may have been.
     Conflict(Vec<String>),
-    /// Not known, or not applied yet.
-    Unclear,
+    /// Possibly applied, or not applied but still applicable later.
+    Unknown,
 }
 
 impl Controller {
-    /// A copy of a queue's write was answered, or not.
-    pub(super) fn queued_write_answered(
+    /// Processes the response to a copy of a queue's write.
+    pub(super) fn process_queued_write_response(
         &mut self,
         queue_id: WriteQueueId,
         number: u64,
@@ -36,37 +36,38 @@
     ) {
         let now = times.answered_at;
         match response {
-            KvResponse::Refused => self.write_queues.write_refused(now),
-            KvResponse::TooLarge => return self.write_too_large(queue_id, now),
+            KvResponse::Refused => self.write_queues.record_refusal(now),
+            KvResponse::TooLarge => return self.process_oversized_write(queue_id, now),
             _ => {}
         }
         let outcome = self.write_outcome(times, response);
-        let is_clear = !matches!(outcome, WriteOutcome::Unclear);
-        let interval_ms = if is_clear {
+        let is_conclusive = !matches!(outcome, WriteOutcome::Unknown);
+        let interval_ms = if is_conclusive {
             self.write_queues.write_interval_ms(queue_id, now)
         } else {
             KV_RETRY_MS
         };
         let queue = self.write_queues.queue(queue_id);
-        if !queue.hedge.answered(number, is_clear) {
+        if !queue.hedge.record_response(number, is_conclusive) {
             return;
         }
         queue.timer.schedule_retry(now, interval_ms);
         match outcome {
-            WriteOutcome::Unclear => {}
+            WriteOutcome::Unknown => {}
             WriteOutcome::Committed(revision) => {
                 let write = queue.in_flight.take();
-                self.write_committed(queue_id, revision, write, now);
+                self.process_committed_write(queue_id, revision, write, now);
             }
             WriteOutcome::Conflict(failed_keys) => {
                 if let Some(write) = queue.in_flight.take() {
-                    self.write_conflicted(queue_id, &write, &failed_keys, now);
+                    self.process_write_conflict(queue_id, &write, &failed_keys, now);
                 }
             }
         }
     }
 
-    /// The outcome that a response shows. Whether the epoch is still the one known is noted as well.
+    /// Derives the outcome from a response. A commit also confirms the epoch; a conflict on the epoch key schedules a
+    /// read of the control keys.
     fn write_outcome(&mut self, times: RequestTimes, response: KvResponse) -> WriteOutcome {
         match response {
             KvResponse::Committed(revision) => {
@@ -75,15 +76,15 @@
             }
             KvResponse::Conflict(failed) if failed.iter().any(|key| key == EPOCH_KEY) => {
                 self.read_control_keys_at(times.answered_at);
-                WriteOutcome::Unclear
+                WriteOutcome::Unknown
             }
             KvResponse::Conflict(failed) => WriteOutcome::Conflict(failed),
-            _ => WriteOutcome::Unclear,
+            _ => WriteOutcome::Unknown,
         }
     }
 
-    /// A copy of a write was committed.
-    fn write_committed(
+    /// Processes the commit of a copy of a write.
+    fn process_committed_write(
         &mut self,
         queue_id: WriteQueueId,
         revision: Revision,
@@ -97,16 +98,17 @@
                     leader.scheduler.page_writes_applied(Some(revision));
                 }
             }
-            WriteQueueId::FinalWrites => self.final_writes_committed(revision, now),
-            // The job cache shows it later.
+            WriteQueueId::FinalWrites => self.process_committed_final_writes(revision, now),
+            // The job cache shows these jobs only after its next read.
             WriteQueueId::SubmissionBatches => {
                 let opened = write.iter().flat_map(opened_jobs);
-                self.write_queues.settled_jobs.extend(opened);
+                self.write_queues.processed_batch_jobs.extend(opened);
             }
         }
     }
 
-    pub(super) fn final_writes_committed(&mut self, revision: Revision, now: Time) {
+    /// Processes the commit of the final writes in flight.
+    pub(super) fn process_committed_final_writes(&mut self, revision: Revision, now: Time) {
         for final_write in std::mem::take(&mut self.write_queues.final_writes_in_flight) {
             let Some(leader) = &mut self.leader else {
                 return;
@@ -114,7 +116,7 @@
             match final_write {
                 FinalWrite::FinishJob(id) => {
                     let evidence = FinalStateEvidence::Committed(revision);
-                    self.metrics.final_state_learnt(evidence);
+                    self.metrics.count_final_state(evidence);
                     self.job_cache.remember_final(id, JobState::Done, evidence);
                     leader.scheduler.close_job(id, now);
                 }
@@ -123,7 +125,7 @@
                         ClaimChange::Put { .. } => ClaimRecord::Committed(revision),
                         ClaimChange::Delete => ClaimRecord::Deleted(revision),
                     };
-                    self.metrics.claim_recorded(record);
+                    self.metrics.count_claim_record(record);
                     leader.scheduler.claim_recorded(&machine, record);
                 }
                 FinalWrite::RemoveKey(key) => leader.scheduler.key_removed(&key),
@@ -131,23 +133,23 @@
         }
     }
 
-    /// A write was larger than the key-value store takes, which it was not announced to be: its limits have
-    /// fallen. What copies of the write have done is not known, so this controller becomes a new member, for
-    /// whom they are void, and begins with what it reads.
-    fn write_too_large(&mut self, queue_id: WriteQueueId, now: Time) {
+    /// Processes a rejection as too large, which shows that the key-value store has lowered its limits unannounced.
+    /// Other copies of the write may have been applied, so this controller leaves the epoch and joins again: the next
+    /// epoch invalidates the copies, and all records are reloaded.
+    fn process_oversized_write(&mut self, queue_id: WriteQueueId, now: Time) {
         if self.lower_limits() {
             let limits = &self.settings.facts.state;
             self.write_queues = WriteQueues::new(limits);
             self.partition.set_key_value_limits(limits);
             self.leave_epoch(now);
         } else {
-            tracing::error!(queue = ?queue_id, "write of minimum size refused as too large");
+            tracing::error!(queue = ?queue_id, "write rejected as too large at the minimum key-value limits; retrying");
             let queue = self.write_queues.queue(queue_id);
             queue.timer.schedule_retry(now, KV_RETRY_MS);
         }
     }
 
-    /// Assumes half of the key-value store's limits from now on; false if they are at the minimum already.
+    /// Halves the assumed limits of the key-value store. Returns false if they already are at the minimum.
     pub(super) fn lower_limits(&mut self) -> bool {
         let limits = &mut self.settings.facts.state;
         if limits.value_kb <= MIN_VALUE_KIB && limits.txn_ops <= MIN_TRANSACTION_CHANGES {
@@ -158,13 +160,13 @@
         tracing::warn!(
             value_kb = limits.value_kb,
             txn_ops = limits.txn_ops,
-            "write refused as too large, key-value limits halved"
+            "write rejected as too large; assumed key-value limits halved"
         );
         true
     }
 
-    /// Reads the version of a page that was written at an unknown one.
-    pub(super) fn read_uncertain_page(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Reads the version of a page whose last write has an unknown revision, if there is one.
+    pub(super) fn read_unknown_page_version(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.write_queues.page_version_timer.is_due(now) {
             return;
         }
@@ -181,8 +183,13 @@
         }
     }
 
-    /// A page's version was read, or not.
-    pub(super) fn page_version_answered(&mut self, now: Time, key: &str, response: KvResponse) {
+    /// Processes the response to the read of a page's version.
+    pub(super) fn process_page_version_response(
+        &mut self,
+        now: Time,
+        key: &str,
+        response: KvResponse,
+    ) {
         let timer = &mut self.write_queues.page_version_timer;
         let version = match response {
             KvResponse::Found(pair) => pair.version,
@@ -197,7 +204,7 @@
     }
 }
 
-/// The jobs whose own keys a write creates.
+/// The jobs whose separate keys a write creates.
 fn opened_jobs(write: &CompareAndSwap) -> impl Iterator<Item = JobId> + '_ {
     let is_put = |change: &&Change| matches!(change, Change::Put { .. });
     let puts = write.changes.iter().filter(is_put);
--- a/crates/worksshunt-core/src/controller/write_queues.rs
+++ b/crates/worksshunt-core/src/controller/write_queues.rs
@@ -1,7 +1,7 @@
-//! The queues of an epoch's conditional writes, each within a share of the key-value store's write limit.
+//! Queues of an epoch's conditional writes, each limited to a share of the key-value store's write limit.
 //!
-//! [`WriteQueues`] owns the writes in flight and the tokens of the shares; `writes` fills the queues and
-//! `write_outcomes` empties them.
+//! [`WriteQueues`] owns the writes in flight and the token buckets. `writes` sends the writes, and `write_outcomes`
+//! processes their responses.
 
 use std::collections::BTreeSet;
 
@@ -20,49 +20,49 @@
 use super::hedged_request::HedgedRequest;
 use super::WriteQueueId;
 
-/// Changes that the end of a job takes, which are the most that one final write takes.
-pub(super) const CHANGES_PER_JOB_END: usize = 2;
+/// Number of changes that complete a job, the maximum of all kinds of final writes.
+pub(super) const CHANGES_PER_JOB_COMPLETION: usize = 2;
 
-/// A change of a claim's record.
+/// A change of a claim record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ClaimChange {
-    /// It is put under this key.
+    /// Creates the record under this key.
     Put { key: String },
-    /// It is deleted.
+    /// Deletes the record.
     Delete,
 }
 
-/// One of the final writes.
+/// A write of [`WriteQueueId::FinalWrites`].
 #[derive(Debug, Clone)]
 pub(super) enum FinalWrite {
-    /// A job is done.
+    /// Completes a job: deletes its open key and writes its final state.
     FinishJob(JobId),
-    /// The record of a claim on a machine changes.
+    /// Changes the claim record of a machine.
     UpdateClaim {
         machine: MachineId,
         change: ClaimChange,
     },
-    /// A key of a former epoch is removed.
+    /// Deletes an obsolete key of an earlier epoch.
     RemoveKey(String),
 }
 
-/// The submission batch that was last handled, at the version that was read.
+/// The submission batch whose deletion was last written, at the version that was read.
 #[derive(Debug)]
-pub(super) struct HandledBatch {
+pub(super) struct ProcessedBatch {
     pub key: String,
     pub version: Revision,
 }
 
-/// One write at a time, within a share of the key-value store's write limit.
+/// A queue with at most one write in flight, limited to a share of the key-value store's write limit.
 #[derive(Debug)]
 pub(super) struct WriteQueue {
-    /// When the next write may be sent.
+    /// Triggers the next write, or a retry.
     pub timer: Periodic,
-    /// Copies of the write in flight.
+    /// Tracks the copies of the write in flight.
     pub hedge: HedgedRequest,
-    /// The write in flight, repeated unchanged until its outcome is clear.
+    /// The write in flight, repeated unchanged until its outcome is known; `None` if there is none.
     pub in_flight: Option<CompareAndSwap>,
-    /// Changes that the share allows.
+    /// Rate limit, in changes.
     pub change_tokens: TokenBucket,
 }
 
@@ -76,42 +76,42 @@
         }
     }
 
-    /// Starts anew in an epoch.
+    /// Drops the write in flight at the start of an epoch.
     fn begin_epoch(&mut self) {
         self.timer = Periodic::default();
         self.in_flight = None;
     }
 }
 
-/// The queues, and the shares of the key-value store's write limit that they keep to.
+/// All write queues of this controller, and the state that their writes share.
 pub(super) struct WriteQueues {
     attempt_records: WriteQueue,
     leader_pages: WriteQueue,
     final_writes: WriteQueue,
-    /// Keys of their own for jobs of submission batches.
+    /// Writes separate keys for the jobs of submission batches.
     submission_batches: WriteQueue,
-    /// The submission batch that was last handled; the job cache may still show it.
-    pub handled_batch: Option<HandledBatch>,
-    /// Jobs of submission batches that have a key of their own by now, or are over.
-    pub settled_jobs: BTreeSet<JobId>,
-    /// Reading the version of an uncertain page.
+    /// The last submission batch that was processed, to be skipped while the job cache still contains it.
+    pub processed_batch: Option<ProcessedBatch>,
+    /// Jobs of submission batches that have a separate key or are closed.
+    pub processed_batch_jobs: BTreeSet<JobId>,
+    /// Triggers reads of the version of a page whose last write has an unknown revision.
     pub page_version_timer: Periodic,
-    /// What the final write in flight consists of.
+    /// Contents of the write in flight of [`WriteQueueId::FinalWrites`].
     pub final_writes_in_flight: Vec<FinalWrite>,
-    /// More final writes wait than are written in [`FINAL_WRITE_BACKLOG_S`].
-    final_writes_behind: bool,
-    /// When the key-value store last refused a write, most likely because of its limit.
-    refused_at: Option<Time>,
-    /// Changes a second that the key-value store takes.
+    /// Whether more final writes are pending than are written in [`FINAL_WRITE_BACKLOG_S`].
+    has_final_write_backlog: bool,
+    /// When the key-value store last refused a write, most likely because of its rate limit; `None` if it has not.
+    last_refusal_at: Option<Time>,
+    /// Write limit of the key-value store, in changes per second.
     write_rps: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     txn_ops: usize,
-    /// For submissions and cancellations.
+    /// Rate limit of submissions and cancellations, in changes.
     pub user_write_tokens: TokenBucket,
 }
 
 impl WriteQueues {
-    /// Nothing is in flight.
+    /// Creates queues without writes in flight.
     pub fn new(limits: &KeyValueLimits) -> WriteQueues {
         let share =
             |share: f64, burst: usize| TokenBucket::new(limits.write_rps * share, burst as f64);
@@ -123,56 +123,57 @@
                 SUBMISSION_BATCH_WRITE_SHARE,
                 limits.txn_ops,
             )),
-            handled_batch: None,
-            settled_jobs: BTreeSet::new(),
+            processed_batch: None,
+            processed_batch_jobs: BTreeSet::new(),
             page_version_timer: Periodic::default(),
             final_writes_in_flight: Vec::new(),
-            final_writes_behind: false,
-            refused_at: None,
+            has_final_write_backlog: false,
+            last_refusal_at: None,
             write_rps: limits.write_rps,
             txn_ops: limits.txn_ops,
             user_write_tokens: share(USER_WRITE_SHARE, limits.txn_ops),
         }
     }
 
-    /// Starts anew in an epoch with so many owners.
-    pub fn begin_epoch(&mut self, owners: usize) {
-        let rate = self.write_rps * RECORD_WRITE_SHARE / owners.max(1) as f64;
+    /// Drops all writes in flight at the start of an epoch. The share of attempt records is divided by `owner_count`,
+    /// the number of partition owners.
+    pub fn begin_epoch(&mut self, owner_count: usize) {
+        let rate = self.write_rps * RECORD_WRITE_SHARE / owner_count.max(1) as f64;
         self.attempt_records = WriteQueue::new(TokenBucket::new(rate, PAGES_PER_WRITE as f64));
         self.leader_pages.begin_epoch();
         self.final_writes.begin_epoch();
         self.submission_batches.begin_epoch();
-        self.handled_batch = None;
-        self.settled_jobs.clear();
+        self.processed_batch = None;
+        self.processed_batch_jobs.clear();
         self.page_version_timer = Periodic::default();
         self.final_writes_in_flight.clear();
     }
 
-    /// Pages that a write of the queue may have now.
+    /// Maximum number of pages in a write of the queue now.
     pub fn page_allowance(&mut self, queue_id: WriteQueueId, now: Time) -> usize {
         let max_pages = PAGES_PER_WRITE.min(self.txn_ops);
         let tokens = &mut self.queue(queue_id).change_tokens;
         tokens.available(now).min(max_pages)
     }
 
-    /// Changes that a write of submission batches may have now.
+    /// Maximum number of changes in a write of submission batches now.
     pub fn submission_batch_allowance(&mut self, now: Time) -> usize {
         let tokens = &mut self.submission_batches.change_tokens;
         tokens.available(now).min(self.txn_ops)
     }
 
-    /// The key-value store has refused a write.
-    pub fn write_refused(&mut self, now: Time) {
-        self.refused_at = Some(now);
+    /// Records that the key-value store refused a write.
+    pub fn record_refusal(&mut self, now: Time) {
+        self.last_refusal_at = Some(now);
     }
 
-    /// How long a queue waits between two writes. Pages take any number of entries, so where the limit of changes is
-    /// used up they are written less often and fuller: what that saves is for the ends of jobs.
+    /// Minimum interval between two writes of a queue, in milliseconds. After a recent refusal pages are written less
+    /// often and with more entries each, which leaves more of the write limit to job completions.
     pub fn write_interval_ms(&self, queue_id: WriteQueueId, now: Time) -> u64 {
         let is_recent = |at: Time| now.since(at) < WRITE_REFUSAL_MEMORY_MS;
         match queue_id {
             WriteQueueId::AttemptRecords | WriteQueueId::LeaderPages
-                if self.refused_at.is_some_and(is_recent) =>
+                if self.last_refusal_at.is_some_and(is_recent) =>
             {
                 THROTTLED_PAGE_WRITE_INTERVAL_MS
             }
@@ -180,46 +181,52 @@
         }
     }
 
-    /// Logs when more final writes wait than their share writes in a while, and when that is over.
+    /// Logs when the backlog of final writes exceeds [`FINAL_WRITE_BACKLOG_S`], and when it no longer does.
     pub fn warn_of_final_write_backlog(&mut self, pending: usize) {
-        let writes_per_s = self.write_rps * FINAL_WRITE_SHARE / CHANGES_PER_JOB_END as f64;
-        let is_behind = pending as f64 > writes_per_s * FINAL_WRITE_BACKLOG_S;
-        let was_behind = std::mem::replace(&mut self.final_writes_behind, is_behind);
+        let writes_per_s = self.write_rps * FINAL_WRITE_SHARE / CHANGES_PER_JOB_COMPLETION as f64;
+        let has_backlog = pending as f64 > writes_per_s * FINAL_WRITE_BACKLOG_S;
+        let had_backlog = std::mem::replace(&mut self.has_final_write_backlog, has_backlog);
         let write_rps = self.write_rps;
-        match (was_behind, is_behind) {
+        match (had_backlog, has_backlog) {
             (false, true) => {
-                tracing::warn!(pending, write_rps, "job completions delayed by write limit");
+                tracing::warn!(
+                    pending,
+                    write_rps,
+                    "final writes delayed by the key-value store's write limit"
+                );
             }
-            (true, false) => tracing::info!(pending, "job completions no longer delayed"),
+            (true, false) => tracing::info!(pending, "final writes no longer delayed"),
             _ => {}
         }
     }
 
-    /// Changes that a final write may have now. Where no submission batches wait, final writes use their share as
-    /// well: with 4,000 machines more than their own is needed.
-    pub fn final_write_allowance(&mut self, now: Time, batches_wait: bool) -> usize {
-        let lent = if batches_wait {
+    /// Maximum number of changes in a final write now. Final writes also use the share of submission batches while none
+    /// are waiting, because large fleets need more than their own share.
+    pub fn final_write_allowance(&mut self, now: Time, has_waiting_batches: bool) -> usize {
+        let borrowed = if has_waiting_batches {
             0
         } else {
             self.submission_batches.change_tokens.available(now)
         };
-        (self.final_writes.change_tokens.available(now) + lent).min(self.txn_ops)
+        (self.final_writes.change_tokens.available(now) + borrowed).min(self.txn_ops)
     }
 
-    /// Counts so many changes of a queue as sent. What exceeds the share of final writes is counted as lent to them
-    /// by that of submission batches.
-    pub fn charge(&mut self, queue_id: WriteQueueId, changes: usize, now: Time) {
-        let own = match queue_id {
+    /// Takes tokens for the changes of a write. The changes of a final write that exceed its own share are taken from
+    /// the share of submission batches.
+    pub fn take_tokens(&mut self, queue_id: WriteQueueId, changes: usize, now: Time) {
+        let own_changes = match queue_id {
             WriteQueueId::FinalWrites => {
                 self.final_writes.change_tokens.available(now).min(changes)
             }
             _ => changes,
         };
-        self.queue(queue_id).change_tokens.take(own);
-        self.submission_batches.change_tokens.take(changes - own);
+        self.queue(queue_id).change_tokens.take(own_changes);
+        self.submission_batches
+            .change_tokens
+            .take(changes - own_changes);
     }
 
-    /// The queue of that name.
+    /// The queue with this ID.
     pub fn queue(&mut self, queue_id: WriteQueueId) -> &mut WriteQueue {
         match queue_id {
             WriteQueueId::AttemptRecords => &mut self.attempt_records,
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -1,20 +1,20 @@
-//! Sending an epoch's conditional writes.
+//! Sends the conditional writes of an epoch.
 //!
-//! Each write queue has one write in flight, conditional on the epoch and on the version of every key it changes
-//! where a late copy could do harm. A write without a clear outcome is repeated unchanged: whatever happens to its
-//! copies, it is applied once or never.
+//! Each write queue has at most one write in flight. It is conditional on the epoch, and on the version of every key
+//! that a delayed copy of the write could damage. A write with an unknown outcome is repeated unchanged; the
+//! conditions ensure that it is applied at most once.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
 use crate::time::Time;
 
-use super::hedged_request::second_copy;
+use super::hedged_request::hedge_action;
 use super::{call_store, Action, Controller, KvPurpose, KvRequest, WriteQueueId};
 
 impl Controller {
-    /// Sends what has to be written now.
+    /// Sends the writes that are due, and the read of a page's version if one is unknown.
     pub(super) fn advance_write_queues(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.read_uncertain_page(now, actions);
+        self.read_unknown_page_version(now, actions);
         self.advance_write_queue(WriteQueueId::AttemptRecords, now, actions);
         if self.leader.is_some() {
             self.advance_write_queue(WriteQueueId::FinalWrites, now, actions);
@@ -23,13 +23,14 @@
         }
     }
 
+    /// Sends the next write of a queue, or repeats the one whose outcome is unknown.
     fn advance_write_queue(
         &mut self,
         queue_id: WriteQueueId,
         now: Time,
         actions: &mut Vec<Action>,
     ) {
-        // Launches wait for records. The other queues can wait.
+        // Only attempt records are hedged, because launches wait for them.
         if queue_id == WriteQueueId::AttemptRecords {
             self.hedge_queued_write(queue_id, now, actions);
         }
@@ -37,15 +38,16 @@
         if !queue.timer.is_due(now) {
             return;
         }
-        let unanswered = queue.in_flight.clone();
-        let Some(write) = unanswered.or_else(|| self.next_write(queue_id, now)) else {
+        let unfinished = queue.in_flight.clone();
+        let Some(write) = unfinished.or_else(|| self.next_write(queue_id, now)) else {
             return;
         };
-        self.write_queues.charge(queue_id, write.changes.len(), now);
+        self.write_queues
+            .take_tokens(queue_id, write.changes.len(), now);
         let queue = self.write_queues.queue(queue_id);
         queue.in_flight = Some(write.clone());
         queue.timer.mark_sent(now, 0);
-        let number = queue.hedge.first_sent(now);
+        let number = queue.hedge.start_write(now);
         let purpose = KvPurpose::QueuedWrite {
             queue: queue_id,
             epoch: self.membership.fencing_token(),
@@ -54,24 +56,24 @@
         call_store(actions, purpose, KvRequest::CompareAndSwap(write));
     }
 
-    /// Sends a second copy of the queue's write, if its response is slow.
+    /// Sends the second copy of the queue's write if its response is slow.
     fn hedge_queued_write(&mut self, queue_id: WriteQueueId, now: Time, actions: &mut Vec<Action>) {
         let queue = self.write_queues.queue(queue_id);
         if !queue.timer.in_flight {
             return;
         }
-        if let (Some(number), Some(write)) = (queue.hedge.hedge_due(now), &queue.in_flight) {
+        if let (Some(number), Some(write)) = (queue.hedge.take_due_hedge(now), &queue.in_flight) {
             queue.change_tokens.take(write.changes.len());
             let purpose = KvPurpose::QueuedWrite {
                 queue: queue_id,
                 epoch: self.membership.fencing_token(),
                 number,
             };
-            actions.push(second_copy(purpose, write));
+            actions.push(hedge_action(purpose, write));
         }
     }
 
-    /// What the queue has to write, if anything.
+    /// Builds the next write of the queue; `None` if there is nothing to write.
     fn next_write(&mut self, queue_id: WriteQueueId, now: Time) -> Option<CompareAndSwap> {
         let epoch = self.membership.epoch_unchanged()?;
         let mut write = CompareAndSwap {
--- a/crates/worksshunt-core/src/lib.rs
+++ b/crates/worksshunt-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of worksshunt.
+//! Scheduling logic of worksshunt.
 //!
-//! Events and the time go in, actions come out. Nothing in here does I/O, reads a clock of its own
-//! or draws random numbers.
+//! A deterministic state machine: callers pass events and the current time, and execute the returned actions. This
+//! crate performs no I/O, reads no system clock and uses no random numbers.
 
 pub mod capacity;
 pub mod constants;
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -33,7 +33,7 @@
     };
     result.unwrap_or_else(|error| {
         error.log(SERVICE);
-        CloudResponse::NoAnswer
+        CloudResponse::Failed
     })
 }
 
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -30,8 +30,8 @@
         read(200, r#"{"Modelos":[]}"#),
         CloudResponse::Catalog(Catalog::default())
     );
-    assert_eq!(read(200, "{}"), CloudResponse::NoAnswer);
-    assert_eq!(read(503, "{}"), CloudResponse::NoAnswer);
+    assert_eq!(read(200, "{}"), CloudResponse::Failed);
+    assert_eq!(read(503, "{}"), CloudResponse::Failed);
 }
 
 #[test]
@@ -59,8 +59,8 @@
         provision(503, r#"{"error":"no capacity"}"#),
         CloudResponse::NoCapacity
     );
-    assert_eq!(provision(503, "{}"), CloudResponse::NoAnswer);
-    assert_eq!(provision(400, "no capacity"), CloudResponse::NoAnswer);
+    assert_eq!(provision(503, "{}"), CloudResponse::Failed);
+    assert_eq!(provision(400, "no capacity"), CloudResponse::Failed);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     assert_eq!(release(200, ""), released);
     assert_eq!(release(200, r#"{"Estibas":["i-1"]}"#), released);
     assert_eq!(release(503, "no capacity"), CloudResponse::NoCapacity);
-    assert_eq!(release(500, "{}"), CloudResponse::NoAnswer);
+    assert_eq!(release(500, "{}"), CloudResponse::Failed);
 }
 
 #[test]
@@ -98,8 +98,8 @@
     };
     let lengths: Vec<usize> = pages.iter().map(|page| page.machines.len()).collect();
     assert_eq!(lengths, [1, 0]);
-    assert_eq!(list((500, "{}")), CloudResponse::NoAnswer);
-    assert_eq!(list((200, "[]")), CloudResponse::NoAnswer);
+    assert_eq!(list((500, "{}")), CloudResponse::Failed);
+    assert_eq!(list((200, "[]")), CloudResponse::Failed);
 }
 
 fn page(machines: usize) -> MachineList {
@@ -131,5 +131,5 @@
         panic!("the longest page was refused");
     };
     assert_eq!(pages[0].machines.len(), MACHINE_LIST_PAGE);
-    assert_eq!(listed(MACHINE_LIST_PAGE + 1), CloudResponse::NoAnswer);
+    assert_eq!(listed(MACHINE_LIST_PAGE + 1), CloudResponse::Failed);
 }
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -46,7 +46,7 @@
             match error {
                 // Never sent, so never executed.
                 RequestError::Call(CallError::Connect(_)) => KvResponse::Refused,
-                _ => KvResponse::NoAnswer,
+                _ => KvResponse::OutcomeUnknown,
             }
         }
     })
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -25,15 +25,15 @@
         grant(200, r#"{"Permiso":19}"#),
         KvResponse::LeaseGranted(19)
     );
-    assert_eq!(grant(200, "{}"), KvResponse::NoAnswer);
-    assert_eq!(grant(404, "{}"), KvResponse::NoAnswer);
+    assert_eq!(grant(200, "{}"), KvResponse::OutcomeUnknown);
+    assert_eq!(grant(404, "{}"), KvResponse::OutcomeUnknown);
     let renew = |status| {
         let exchange = Exchange::new("POST /holds/19/renew HTTP/1.1", "", status, "{}");
         outcome(KvRequest::RenewLease(19), &[exchange])
     };
     assert_eq!(renew(200), KvResponse::LeaseRenewed);
     assert_eq!(renew(404), KvResponse::NoSuchLease);
-    assert_eq!(renew(400), KvResponse::NoAnswer);
+    assert_eq!(renew(400), KvResponse::OutcomeUnknown);
 }
 
 #[test]
@@ -52,8 +52,8 @@
         KvResponse::Found(pair)
     );
     assert_eq!(get(404, r#"{"Corte":77}"#), KvResponse::Missing);
-    assert_eq!(get(404, "no such path"), KvResponse::NoAnswer);
-    assert_eq!(get(410, r#"{"Corte":77}"#), KvResponse::NoAnswer);
+    assert_eq!(get(404, "no such path"), KvResponse::OutcomeUnknown);
+    assert_eq!(get(410, r#"{"Corte":77}"#), KvResponse::OutcomeUnknown);
 }
 
 #[test]
@@ -104,7 +104,7 @@
         list(200, r#"{"Pairs":[],"More":true,"Corte":7}"#),
         KvResponse::Listing(empty)
     );
-    assert_eq!(list(200, "[]"), KvResponse::NoAnswer);
+    assert_eq!(list(200, "[]"), KvResponse::OutcomeUnknown);
     assert_eq!(list(503, "{}"), KvResponse::Refused);
 }
 
@@ -156,9 +156,9 @@
     );
     assert_eq!(commit(429, "{}"), KvResponse::Refused);
     assert_eq!(commit(503, "{}"), KvResponse::Refused);
-    assert_eq!(commit(500, "{}"), KvResponse::NoAnswer);
-    assert_eq!(commit(200, "{}"), KvResponse::NoAnswer);
-    assert_eq!(commit(409, "{}"), KvResponse::NoAnswer);
+    assert_eq!(commit(500, "{}"), KvResponse::OutcomeUnknown);
+    assert_eq!(commit(200, "{}"), KvResponse::OutcomeUnknown);
+    assert_eq!(commit(409, "{}"), KvResponse::OutcomeUnknown);
 }
 
 #[test]
@@ -188,7 +188,7 @@
     );
     assert_eq!(watch(410, "{}"), KvResponse::RevisionCompacted);
     assert_eq!(watch(429, "{}"), KvResponse::Refused);
-    assert_eq!(watch(404, "{}"), KvResponse::NoAnswer);
+    assert_eq!(watch(404, "{}"), KvResponse::OutcomeUnknown);
 }
 
 #[test]
@@ -201,7 +201,7 @@
     assert_eq!(async_io::block_on(call), KvResponse::Refused);
     assert_eq!(
         outcome(KvRequest::RenewLease(1), &[]),
-        KvResponse::NoAnswer,
+        KvResponse::OutcomeUnknown,
         "the connection was closed unanswered"
     );
 }
@@ -232,5 +232,5 @@
         (listing.pairs.len(), listing.revision),
         (KV_LIST_PAGE_KEYS, Revision(7))
     );
-    assert_eq!(listed(KV_LIST_PAGE_KEYS + 1), KvResponse::NoAnswer);
+    assert_eq!(listed(KV_LIST_PAGE_KEYS + 1), KvResponse::OutcomeUnknown);
 }
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -34,7 +34,7 @@
 
     fn cloud_response(&mut self, request: &CloudRequest) -> CloudResponse {
         if self.faults.cloud.down || !self.cloud_rate_allows(request) {
-            return CloudResponse::NoAnswer;
+            return CloudResponse::Failed;
         }
         match request {
             CloudRequest::ReadCatalog => CloudResponse::Catalog(catalog(self.nominal_boot_s)),
--- a/crates/worksshunt-simulation/src/commands.rs
+++ b/crates/worksshunt-simulation/src/commands.rs
@@ -20,7 +20,11 @@
         if arrives_at > deadline_at {
             self.commands_timed_out(from, commands, deadline_at);
         } else {
-            self.deliver_at(arrives_at, from, Event::CommandsAnswered(commands, outcome));
+            self.deliver_at(
+                arrives_at,
+                from,
+                Event::DirectCommandsOutcome(commands, outcome),
+            );
         }
     }
 
@@ -63,7 +67,7 @@
         self.deliver_at(
             deadline_at,
             from,
-            Event::CommandsAnswered(commands, outcome),
+            Event::DirectCommandsOutcome(commands, outcome),
         );
     }
 
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -136,7 +136,7 @@
         Event::Heartbeat { body, .. } => Message::bytes("heartbeat", body.as_slice()),
         Event::KeyValueResponse { response, .. } => key_value_response(response),
         Event::CloudResponse(_, reply) => cloud_response(reply),
-        Event::CommandsAnswered(orders, reply) => match reply {
+        Event::DirectCommandsOutcome(orders, reply) => match reply {
             DirectCommandsOutcome::Answered(heartbeat) => {
                 Message::json("command response", heartbeat)
             }
@@ -192,7 +192,7 @@
         KvResponse::RevisionCompacted => Message::empty("revision compacted"),
         KvResponse::TooLarge => Message::empty("too large"),
         KvResponse::Refused => Message::empty("refused"),
-        KvResponse::NoAnswer => Message::empty("no answer"),
+        KvResponse::OutcomeUnknown => Message::empty("no answer"),
     }
 }
 
@@ -211,6 +211,6 @@
         CloudResponse::NoCapacity => Message::empty("no capacity"),
         CloudResponse::List(pages) => Message::json("machine list received", pages),
         CloudResponse::Catalog(catalog) => Message::json("catalogue received", catalog),
-        CloudResponse::NoAnswer => Message::empty("cloud call failed"),
+        CloudResponse::Failed => Message::empty("cloud call failed"),
     }
 }
--- a/crates/worksshunt-simulation/src/key_value_service.rs
+++ b/crates/worksshunt-simulation/src/key_value_service.rs
@@ -66,7 +66,7 @@
         if is_write && self.faults.key_value.hold_writes.contains(&controller) {
             self.key_value.held_writes.push(request);
             let gives_up_at = self.now + KV_DEADLINE_MS;
-            self.answer_key_value(gives_up_at, caller, KvResponse::NoAnswer);
+            self.answer_key_value(gives_up_at, caller, KvResponse::OutcomeUnknown);
             return;
         }
         let is_cut = self.faults.key_value.unreachable_from.contains(&controller);
@@ -173,7 +173,7 @@
     /// The caller gives up on its request at its deadline.
     fn leave_unanswered(&mut self, caller: KeyValueCaller) {
         let deadline_at = caller.deadline_at;
-        self.answer_key_value(deadline_at, caller, KvResponse::NoAnswer);
+        self.answer_key_value(deadline_at, caller, KvResponse::OutcomeUnknown);
     }
 
     fn answer_key_value(&mut self, at: u64, caller: KeyValueCaller, response: KvResponse) {
@@ -215,7 +215,7 @@
                 KvResponse::WatchResponse(changes)
             } else if self.now >= watch.caller.deadline_at {
                 self.record_effect("unanswered watch");
-                KvResponse::NoAnswer
+                KvResponse::OutcomeUnknown
             } else {
                 self.key_value.watches.push(watch);
                 continue;
--- a/crates/worksshunt-simulation/src/resource_usage.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -60,7 +60,7 @@
             Event::PeerRequest(_, PeerRequest::Sync(_)) | Event::PeerResponse(_) => "sync",
             Event::KeyValueResponse { .. } => "state service",
             Event::CloudResponse(..) => "cloud",
-            Event::CommandsAnswered(..) => "orders",
+            Event::DirectCommandsOutcome(..) => "orders",
             Event::Submit { .. } | Event::Status { .. } | Event::Cancel { .. } => "user",
             _ => "other",
         }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -219,7 +219,7 @@
         self.spawn(async move {
             let deadline = Duration::from_millis(DIRECT_COMMAND_DEADLINE_MS);
             let outcome = this.workers.call(&commands, deadline).await;
-            this.dispatch(Event::CommandsAnswered(commands, outcome));
+            this.dispatch(Event::DirectCommandsOutcome(commands, outcome));
         });
     }
 
