--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -96,15 +96,15 @@
         }
     }
 
-    /// Queues the submissions of a write that was not executed again, for a write after [`KV_RETRY_MS`].
+    /// Requeues the submissions of a write that was not executed. The next write follows after [`KV_RETRY_MS`].
     fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
         accept.timer.schedule_retry(now, KV_RETRY_MS);
         self.job_api.requests.requeue_submissions(jobs);
     }
 
-    /// Queues the submissions of a conflicting write again: jobs whose ID already exists for a read, which returns
-    /// their state, and the others for the next write.
+    /// Requeues the submissions of a conflicting write. Jobs whose ID already exists wait for a read of their state,
+    /// the others for the next write.
     fn requeue_conflicting(
         &mut self,
         now: Time,
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -78,7 +78,7 @@
         call_store(actions, KvPurpose::ReadFinalState(job_request), request);
     }
 
-    /// Processes the response of a deferred lookup: caches the final state, or queues the lookup again after a failure.
+    /// Processes the response to a deferred lookup: caches the final state, or queues the lookup again after a failure.
     pub(super) fn process_deferred_lookup_response(&mut self, id: JobId, response: KvResponse) {
         let lookups = &mut self.job_api.final_state_lookups;
         match response {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Processes the response of the lookup that a request waits for.
+    /// Processes the response to the lookup that a request waits for.
     pub(super) fn process_final_state_response(
         &mut self,
         now: Time,
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -141,8 +141,8 @@
     }
 }
 
-/// Time between the expiry of a worker lease and the limit of a cancellation's duration (`cancel_s`), in milliseconds;
-/// `None` if the lease is longer than the limit.
+/// Part of `cancel_s`, the maximum duration of a cancellation, that remains after a full worker lease and its margin,
+/// in milliseconds; `None` if the lease and its margin are longer.
 fn cancellation_slack_ms(workers: &Workers) -> Option<u64> {
     let cancel_ms = (workers.cancel_s * 1_000.0) as u64;
     cancel_ms.checked_sub(lease_bound_ms(workers) + WORKER_LEASE_MARGIN_MS)
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -145,7 +145,7 @@
         is_full
     }
 
-    /// Processes the response of the catch-up read: resolves the requests that waited for it, or rejects them after a
+    /// Processes the response to the catch-up read: resolves the requests that waited for it, or rejects them after a
     /// failure.
     pub(super) fn process_catch_up_response(
         &mut self,
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -99,7 +99,7 @@
         self.membership.state() == MemberState::Loading && epoch == self.membership.fencing_token()
     }
 
-    /// Processes the response of a load step: continues with the next step, or retries after a failure.
+    /// Processes the response to a load step: continues with the next step, or retries after a failure.
     pub(super) fn process_load_step_response(
         &mut self,
         times: RequestTimes,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Processes the response of a read of a final state. Starts serving after the last one.
+    /// Processes the response to a read of a final state. Starts serving after the last one.
     pub(super) fn process_loaded_final_state(
         &mut self,
         now: Time,
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -62,8 +62,9 @@
     /// Whether the state of the key-value store allows user traffic to be routed to this controller.
     ///
     /// A controller is unhealthy if it cannot reach the key-value store while a peer can. If no controller reaches
-    /// the store, all stay healthy: removing them from the load balancer has no benefit, and returning is slow. A
-    /// controller that cannot reach its peers either cannot distinguish the two cases, and becomes unhealthy.
+    /// the store, all stay healthy: taking them out of routing has no benefit, and returning is slow. A controller that
+    /// cannot reach its peers either cannot distinguish the two cases, and is unhealthy after
+    /// [`KV_UNHEALTHY_AFTER_MS`].
     fn may_serve_users(&self, now: Time) -> bool {
         let since_response_ms = now.since(self.last_response_at);
         let is_recent = |reported_at: Option<Time>| {
