--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -14,7 +14,7 @@
 
 impl Controller {
     /// Processes a heartbeat if this controller owns the machine and may act. Returns the response.
-    pub(super) fn process_heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
+    pub(super) fn handle_heartbeat(&mut self, now: Time, body: &[u8]) -> HttpResponse {
         let heartbeat = match parse_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => return self.reject_heartbeat(&error),
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -80,7 +80,7 @@
     }
 
     /// Processes a status request or a cancellation. `id` is the text from the request path.
-    pub(super) fn process_job_request(
+    pub(super) fn handle_job_request(
         &mut self,
         now: Time,
         request_id: RequestId,
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -179,25 +179,13 @@
         match event {
             Event::Tick => self.tick(now, budget, actions),
             Event::Submit { request_id, body } => {
-                self.process_submission(now, request_id, &body, actions)
+                self.handle_submission(now, request_id, &body, actions)
             }
             Event::Status { request_id, job_id } => {
-                self.process_job_request(
-                    steady,
-                    request_id,
-                    &job_id,
-                    JobOperation::Status,
-                    actions,
-                );
+                self.handle_job_request(steady, request_id, &job_id, JobOperation::Status, actions);
             }
             Event::Cancel { request_id, job_id } => {
-                self.process_job_request(
-                    steady,
-                    request_id,
-                    &job_id,
-                    JobOperation::Cancel,
-                    actions,
-                );
+                self.handle_job_request(steady, request_id, &job_id, JobOperation::Cancel, actions);
             }
             Event::Metrics(request_id) => {
                 actions.push(Action::Respond(request_id, self.metrics_response()));
@@ -208,7 +196,7 @@
             Event::Heartbeat { request_id, body } => {
                 actions.push(Action::Respond(
                     request_id,
-                    self.process_heartbeat(steady, &body),
+                    self.handle_heartbeat(steady, &body),
                 ));
             }
             Event::KeyValueResponse {
@@ -225,7 +213,7 @@
                 self.process_direct_commands_outcome(steady, &commands, &outcome);
             }
             Event::PeerRequest(request, peer_request) => {
-                self.process_peer_request(now, request, peer_request, budget, actions);
+                self.handle_peer_request(now, request, peer_request, budget, actions);
             }
             Event::PeerResponse(response) => self.process_sync_response(steady, response),
             Event::PeerKeyValueHealth(is_reachable) => {
--- a/crates/worksshunt-core/src/controller/peer_requests.rs
+++ b/crates/worksshunt-core/src/controller/peer_requests.rs
@@ -8,7 +8,7 @@
 use super::{Action, Controller};
 
 impl Controller {
-    pub(super) fn process_peer_request(
+    pub(super) fn handle_peer_request(
         &mut self,
         now: Now,
         request: RequestId,
--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -14,7 +14,7 @@
 
 impl Controller {
     /// Processes a submission.
-    pub(super) fn process_submission(
+    pub(super) fn handle_submission(
         &mut self,
         now: Now,
         request_id: RequestId,
