--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -57,7 +57,7 @@
             now,
             &EpochStart {
                 epoch: epoch.number,
-                controller: own_name,
+                owner: own_name,
                 records: &records,
                 job_cache: &self.job_cache,
             },
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -9,7 +9,7 @@
 use crate::constants::leases::{EPOCH_LEASE_MS, WORKER_LEASE_MARGIN_MS};
 use crate::job_api::HttpResponse;
 use crate::jobs::{JobCacheChange, OPEN_JOBS_PREFIX};
-use crate::machines::lease_bound_ms;
+use crate::machines::max_worker_lease_ms;
 use crate::time::{PeriodicTimer, Time};
 
 use super::key_value_responses::RequestTimes;
@@ -147,7 +147,7 @@
 /// in milliseconds; `None` if the lease and its margin are longer.
 fn cancellation_slack_ms(workers: &Workers) -> Option<u64> {
     let cancel_ms = (workers.cancel_s * 1_000.0) as u64;
-    cancel_ms.checked_sub(lease_bound_ms(workers) + WORKER_LEASE_MARGIN_MS)
+    cancel_ms.checked_sub(max_worker_lease_ms(workers) + WORKER_LEASE_MARGIN_MS)
 }
 
 /// Maximum age of the last read of the open jobs at which a controller may still act, in milliseconds.
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -262,7 +262,7 @@
         };
         if commands.batch.fencing_token == token {
             self.partition
-                .direct_commands_answered(now, commands, outcome, token, catalog);
+                .apply_direct_commands_outcome(now, commands, outcome, token, catalog);
         }
     }
 }
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -54,7 +54,7 @@
         if self.membership.is_leader() {
             match self.apply_partition_status(now, status, budget) {
                 Some(directives) => self.apply_leader_directives(now.steady, directives),
-                None => self.partition.status_unanswered(),
+                None => self.partition.requeue_unacknowledged_updates(),
             }
         } else {
             self.partition_sync.is_in_flight = true;
@@ -96,7 +96,7 @@
             {
                 self.apply_leader_directives(now, directives);
             }
-            _ => self.partition.status_unanswered(),
+            _ => self.partition.requeue_unacknowledged_updates(),
         }
     }
 
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -97,7 +97,7 @@
     /// reach it.
     pub(super) fn update_readiness(&mut self, now: Time) {
         let is_leader = self.membership.is_leader();
-        let is_unreachable = self.partition.is_unreachable(now);
+        let is_unreachable = self.partition.is_unreachable_by_workers(now);
         let next = self.readiness.next(now, is_leader, is_unreachable);
         if next != self.readiness.current {
             self.readiness.set(next, now);
--- a/crates/worksshunt-core/src/controller/tick.rs
+++ b/crates/worksshunt-core/src/controller/tick.rs
@@ -69,7 +69,7 @@
 
     fn log_over_capacity_summary(&mut self, now: Time) {
         if self.over_capacity_summary.start_interval_if_due(now) {
-            let summary = self.partition.over_capacity_summary();
+            let summary = self.partition.take_over_capacity_summary();
             if summary != "none" {
                 tracing::info!(summary, "over-capacity placements since the last summary");
             }
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -80,7 +80,7 @@
             return self.leave_epoch(now);
         }
         match queue_id {
-            WriteQueueId::AttemptRecords => self.partition.records_written(None),
+            WriteQueueId::AttemptRecords => self.partition.mark_records_durable(None),
             _ => {
                 if let Some(leader) = &mut self.leader {
                     leader.scheduler.page_writes_applied(None);
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -92,7 +92,7 @@
         now: Time,
     ) {
         match queue_id {
-            WriteQueueId::AttemptRecords => self.partition.records_written(Some(revision)),
+            WriteQueueId::AttemptRecords => self.partition.mark_records_durable(Some(revision)),
             WriteQueueId::LeaderPages => {
                 if let Some(leader) = &mut self.leader {
                     leader.scheduler.page_writes_applied(Some(revision));
@@ -200,7 +200,7 @@
             _ => return timer.schedule_retry(now, KV_RETRY_DELAY_MS),
         };
         timer.schedule_retry(now, 0);
-        self.partition.record_page_version_read(key, version);
+        self.partition.set_record_page_version(key, version);
         if let Some(leader) = &mut self.leader {
             leader.scheduler.page_version_read(key, version);
         }
--- a/crates/worksshunt-core/src/machines/assignment_queue.rs
+++ b/crates/worksshunt-core/src/machines/assignment_queue.rs
@@ -1,6 +1,7 @@
-//! The assignments of the leader that wait for a machine.
+//! Queue of the leader's assignments that have not been placed on a machine.
 //!
-//! The leader's directives put assignments into the queue; `queued_placement` takes them out.
+//! Assignments are added by [`partition_sync`](super::partition_sync) and placed by
+//! [`queued_placement`](super::queued_placement).
 
 use std::collections::VecDeque;
 
@@ -9,52 +10,52 @@
 
 use crate::time::Time;
 
-/// An assignment that waits for a machine.
+/// An assignment and the time since which it has been queued.
 #[derive(Debug, Clone)]
 pub(super) struct QueuedAssignment {
     pub assignment: Assignment,
     pub queued_at: Time,
 }
 
-/// The assignments of a partition that are on no machine yet.
+/// Assignments to be placed, and whether placement has to be tried again.
 #[derive(Debug, Default)]
 pub(super) struct AssignmentQueue {
-    pub queued: VecDeque<QueuedAssignment>,
-    /// Something changed since placement was last tried for the whole queue.
+    pub assignments: VecDeque<QueuedAssignment>,
+    /// Whether assignments, machines or the time have changed since placement was last tried for the whole queue.
     pub is_placement_needed: bool,
 }
 
 impl AssignmentQueue {
-    /// Adds an assignment of the leader.
+    /// Appends an assignment.
     pub fn push(&mut self, assignment: Assignment, now: Time) {
-        self.queued.push_back(QueuedAssignment {
+        self.assignments.push_back(QueuedAssignment {
             assignment,
             queued_at: now,
         });
         self.is_placement_needed = true;
     }
 
-    /// Something changed by which a queued assignment may find a machine.
+    /// Has placement tried again, after a change by which a queued assignment may fit a machine.
     pub fn request_placement(&mut self) {
         self.is_placement_needed = true;
     }
 
-    /// Takes out one attempt's assignment.
+    /// Removes and returns the assignment of an attempt, if it is queued.
     pub fn remove(&mut self, attempt: Attempt) -> Option<Assignment> {
         let index = self
-            .queued
+            .assignments
             .iter()
             .position(|queued| queued.assignment.attempt == attempt)?;
-        Some(self.queued.remove(index)?.assignment)
+        Some(self.assignments.remove(index)?.assignment)
     }
 
-    /// Takes out the assignments that fulfil a condition, in their order.
+    /// Removes and returns the assignments that satisfy a condition, in queue order.
     pub fn remove_where(
         &mut self,
         condition: impl Fn(&QueuedAssignment) -> bool,
     ) -> Vec<Assignment> {
         let mut removed = Vec::new();
-        self.queued.retain(|queued| {
+        self.assignments.retain(|queued| {
             let remove = condition(queued);
             if remove {
                 removed.push(queued.assignment.clone());
@@ -64,8 +65,7 @@
         removed
     }
 
-    /// Drops all assignments.
     pub fn clear(&mut self) {
-        self.queued.clear();
+        self.assignments.clear();
     }
 }
--- a/crates/worksshunt-core/src/machines/attempt.rs
+++ b/crates/worksshunt-core/src/machines/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt on a machine and the state it is in.
+//! An attempt on a machine, and its state machine.
 //!
-//! A [`TrackedAttempt`] belongs to its [`Machine`](super::machine::Machine). It is created when an assignment is placed
-//! or when a former owner's record is loaded; heartbeats, commands and durable writes advance it.
+//! A [`TrackedAttempt`] belongs to a [`Machine`](super::machine::Machine). It is created when an assignment is placed
+//! or when a previous owner's record is loaded. Heartbeats, commands and durable writes change its state.
 
 use std::rc::Rc;
 
@@ -15,63 +15,60 @@
 /// State of an attempt on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Placed on the machine; the record is being written.
+    /// Placed on the machine; its record is not durable yet.
     Recording,
-    /// On the durable record; the launch can be sent.
+    /// The record is durable; the launch can be sent.
     Recorded,
-    /// The launch was sent with the response to a heartbeat. The worker's next heartbeat shows the outcome.
+    /// The launch was sent in the response to a heartbeat, or directly and the worker has answered. The worker's next
+    /// heartbeat shows whether it has arrived.
     Launched,
-    /// The launch was sent directly to the worker and was not answered, or never will be: it can take
-    /// effect until the worker's incarnation or the fencing token changes.
+    /// The launch was sent directly to the worker and has not been answered. It can take effect until the worker's
+    /// incarnation or the fencing token changes.
     DirectlyLaunched,
-    /// On the record of a former owner; no message about it yet.
+    /// Loaded from a previous owner's record; no message has listed it yet.
     Inherited,
-    /// Waits for its image.
+    /// Waiting for its image.
     Fetching,
-    /// Running, as far as known since that time.
+    /// Running, first reported so at the given time.
     Running(Time),
     /// Saving its checkpoint.
     Saving,
-    /// Reported as completed.
+    /// Reported as completed, not necessarily durable yet.
     Completed,
 }
 
-/// A requested stop of an attempt.
+/// A request to stop an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct StopRequest {
-    /// Time that the task gets to save its checkpoint, seconds.
+    /// Time allowed for a checkpoint, seconds.
     pub grace_s: f64,
-    /// The stop was sent directly to the worker.
+    /// Whether the stop was sent directly to the worker, which is done only once.
     pub is_sent: bool,
 }
 
-/// An attempt on a machine.
+/// An attempt that is, or may be, on a machine.
 #[derive(Debug, Clone)]
 pub(super) struct TrackedAttempt {
-    /// The task.
     pub task: TaskId,
-    /// Unknown for an attempt whose job was over before this epoch began.
+    /// `None` for an inherited attempt whose job was not open, or not readable, when the epoch began.
     pub job: Option<Rc<Job>>,
-    /// Its state.
     pub state: AttemptState,
-    /// The worker's incarnation that it was placed on.
+    /// The worker's incarnation for which the attempt was placed.
     pub incarnation: Incarnation,
-    /// When it was placed, or when its launch was last sent.
+    /// Time of the placement, or of the last launch sent.
     pub placed_at: Time,
-    /// Size band, if the placement was over the machine's capacity.
+    /// Size band of an over-capacity placement; `None` for other placements and once the completion is counted.
     pub over_capacity_band: Option<usize>,
-    /// It was placed by a former owner.
+    /// Whether it was placed by a previous owner.
     pub is_inherited: bool,
-    /// Set once the attempt is to be stopped.
-    pub stop: Option<StopRequest>,
-    /// The completion is in the key-value store.
+    pub stop_request: Option<StopRequest>,
+    /// Whether the completion is durable in the key-value store, or need not be because the job has ended.
     pub is_completion_durable: bool,
-    /// A direct launch of it was not answered and may still arrive.
+    /// Whether a direct launch was sent, has not been answered and may still arrive.
     pub has_unanswered_launch: bool,
 }
 
 impl TrackedAttempt {
-    /// An attempt in its first state.
     pub fn new(
         task: TaskId,
         job: Option<Rc<Job>>,
@@ -87,16 +84,16 @@
             placed_at: now,
             over_capacity_band: None,
             is_inherited: state == AttemptState::Inherited,
-            stop: None,
+            stop_request: None,
             is_completion_durable: false,
             has_unanswered_launch: false,
         }
     }
 
-    /// The one place where an attempt's state changes.
-    pub fn advance(&mut self, next: AttemptState) {
+    /// Changes the state; the only method that does.
+    pub fn transition_to(&mut self, next: AttemptState) {
         self.state = match (self.state, next) {
-            // A completed task stays so, and a running one keeps the time it was first seen running.
+            // Completed is final, and a running attempt keeps the time at which it was first reported running.
             (AttemptState::Completed, _) => AttemptState::Completed,
             (AttemptState::Running(since), AttemptState::Running(_)) => {
                 AttemptState::Running(since)
@@ -105,52 +102,52 @@
         };
     }
 
-    /// Requests a stop. Of several requests the shortest grace counts; a stop already sent is not sent again.
+    /// Requests a stop. The shortest grace of several requests applies; a stop already sent directly is not sent again.
     pub fn request_stop(&mut self, grace_s: f64) {
-        let stop = self.stop.get_or_insert(StopRequest {
+        let stop = self.stop_request.get_or_insert(StopRequest {
             grace_s,
             is_sent: false,
         });
         stop.grace_s = stop.grace_s.min(grace_s);
     }
 
-    /// Grace of the requested stop, seconds; none while no stop is requested.
+    /// Grace of the requested stop, seconds; `None` if no stop is requested.
     pub fn stop_grace_s(&self) -> Option<f64> {
-        self.stop.map(|stop| stop.grace_s)
+        self.stop_request.map(|stop| stop.grace_s)
     }
 
-    /// Whether a stop is requested that was not yet sent directly to the worker.
+    /// Whether a stop is requested that has not been sent directly to the worker.
     pub fn has_unsent_stop(&self) -> bool {
-        self.stop.is_some_and(|stop| !stop.is_sent)
+        self.stop_request.is_some_and(|stop| !stop.is_sent)
     }
 
-    /// Whether its launch cannot have been sent, by this process or a former owner.
+    /// Whether no launch can have been sent, by this controller or a previous owner.
     pub fn is_unlaunched(&self) -> bool {
         matches!(self.state, AttemptState::Recording | AttemptState::Recorded)
     }
 
-    /// Whether its launch may be sent, given whether the machine has a reclaim notice.
+    /// Whether the launch may be sent, given whether the machine has a reclaim notice.
     pub fn is_launchable(&self, has_reclaim_notice: bool) -> bool {
-        self.state == AttemptState::Recorded && self.stop.is_none() && !has_reclaim_notice
+        self.state == AttemptState::Recorded && self.stop_request.is_none() && !has_reclaim_notice
     }
 
-    /// Whether it has completed and that is in the key-value store.
-    pub fn is_settled(&self) -> bool {
+    /// Whether it has completed and the completion is durable.
+    pub fn is_durably_completed(&self) -> bool {
         self.state == AttemptState::Completed && self.is_completion_durable
     }
 
-    /// Whether it is a replica of a service.
+    /// Whether it is a replica of a service; false if the job is unknown.
     pub fn is_replica(&self) -> bool {
         self.job.as_ref().is_some_and(|job| job.is_service())
     }
 
-    /// Whether it is a replica that has been running for long enough to count as stable.
+    /// Whether it is a replica that has been running for at least `STABLE_REPLICA_MS`.
     pub fn is_stable_replica(&self, now: Time) -> bool {
         self.is_replica()
             && matches!(self.state, AttemptState::Running(since) if now.since(since) >= REPLICA_STABLE_AFTER_MS)
     }
 
-    /// Grace in seconds that the task needs to save its checkpoint; 0 if it saves none.
+    /// Time that the task needs for a checkpoint, seconds; 0 if it makes none.
     pub fn checkpoint_grace_s(&self) -> f64 {
         self.job.as_ref().map_or(0.0, |job| {
             if job.spec.checkpoint_interval_s > 0.0 {
@@ -161,7 +158,7 @@
         })
     }
 
-    /// Whether the task is running and can save its checkpoint until a deadline.
+    /// Whether the task is running and can finish a checkpoint before a deadline.
     pub fn can_checkpoint_before(&self, deadline: Time, now: Time) -> bool {
         matches!(self.state, AttemptState::Running(_))
             && self.job.as_ref().is_some_and(|job| {
@@ -170,7 +167,7 @@
             })
     }
 
-    /// The phase that the leader gets for it.
+    /// The phase that is reported to the leader.
     pub fn reported_phase(&self) -> AttemptPhase {
         match self.state {
             AttemptState::Running(_) => AttemptPhase::Running,
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -1,7 +1,7 @@
-//! How attempts come onto machines, are stopped and end.
+//! Adding, stopping and ending attempts.
 //!
-//! The events of the partition (placement, heartbeats, commands, expiry, directives) call these methods, so that the
-//! indexes, the record pages and the updates for the leader always change together with an attempt.
+//! All events of the partition (placement, heartbeats, commands, expiry, directives) use these methods, which keep the
+//! indexes, the record pages and the pending updates for the leader consistent with the attempts.
 
 use worksshunt_wire::peer::{Assignment, AttemptOutcome, EndedAttempt};
 use worksshunt_wire::{Attempt, JobId, MachineId};
@@ -13,7 +13,7 @@
 use super::partition::Partition;
 
 impl Partition {
-    /// Puts an attempt on a machine.
+    /// Adds an attempt to a machine.
     pub(super) fn track(&mut self, id: &MachineId, attempt: Attempt, tracked: TrackedAttempt) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -23,14 +23,14 @@
         self.index_attempt(id, attempt, job);
     }
 
-    /// Enters an attempt of a machine in the indexes; the leader will get its status.
+    /// Adds an attempt to the indexes and queues its status for the leader.
     pub(super) fn index_attempt(&mut self, id: &MachineId, attempt: Attempt, job: JobId) {
         self.machine_by_attempt.insert(attempt, id.clone());
         self.attempts_by_job.entry(job).or_default().insert(attempt);
         self.pending_updates.attempts.insert(attempt);
     }
 
-    /// Removes an attempt from its machine; the leader will get its outcome.
+    /// Removes an attempt from its machine and queues its outcome for the leader.
     pub(super) fn untrack(
         &mut self,
         id: &MachineId,
@@ -58,7 +58,7 @@
         Some(tracked)
     }
 
-    /// Ends an attempt on a machine without completion.
+    /// Ends an attempt that has not completed.
     pub(super) fn end_attempt(
         &mut self,
         id: &MachineId,
@@ -72,7 +72,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        // A replica that fails after running well is no evidence against its machine.
+        // The failure of a stable replica is no evidence that the machine is faulty.
         if outcome == AttemptOutcome::Failed
             && !tracked.is_stable_replica(now)
             && machine.failing_jobs.insert(tracked.task.job)
@@ -81,19 +81,21 @@
             tracing::info!(task = %tracked.task, machine = %id, failing_jobs, "attempt failed");
         }
         if tracked.has_unanswered_launch {
-            machine.unreaped.insert(attempt, tracked.incarnation);
+            machine
+                .unreapable_attempts
+                .insert(attempt, tracked.incarnation);
         }
         if let Some(band) = tracked.over_capacity_band {
             let outcome = match outcome {
                 AttemptOutcome::Failed => OverCapacityOutcome::Faulted,
                 _ => OverCapacityOutcome::Aborted,
             };
-            self.over_capacity.ended(band, outcome);
+            self.over_capacity_counts.ended(band, outcome);
         }
     }
 
-    /// Ends the attempts on a machine that were never launched: it may not be reached, or will be reclaimed.
-    pub(super) fn end_unlaunched(&mut self, id: &MachineId, now: Time) {
+    /// Ends the attempts that have not been launched, on a machine that may be unreachable or will be reclaimed.
+    pub(super) fn end_unlaunched_attempts(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -102,36 +104,36 @@
         }
     }
 
-    /// Stops every attempt of a job that is over.
+    /// Stops all attempts of a job that has ended, and returns its queued assignments to the leader.
     pub fn stop_job(&mut self, job: JobId, now: Time) {
-        self.return_queued_where(|queued| queued.assignment.task.job == job);
+        self.return_queued_assignments_where(|queued| queued.assignment.task.job == job);
         let attempts = self.attempts_by_job.get(&job).cloned().unwrap_or_default();
         for attempt in attempts {
             self.request_stop(attempt, 0.0, now);
         }
     }
 
-    /// Stops an attempt, which gets `grace_s` seconds to save its checkpoint.
+    /// Stops an attempt, with `grace_s` seconds for a checkpoint. One that has not been launched ends immediately.
     pub(super) fn request_stop(&mut self, attempt: Attempt, grace_s: f64, now: Time) {
-        let Some((id, tracked)) = self.tracked_mut(attempt) else {
+        let Some((id, tracked)) = self.tracked_attempt_mut(attempt) else {
             return;
         };
         let id = id.clone();
         if tracked.is_unlaunched() {
             self.end_attempt(&id, attempt, AttemptOutcome::Stopped, now);
         } else if tracked.state == AttemptState::Completed {
-            // The job is over: there is nothing left to be made durable.
+            // Zero grace is treated as the end of the job, after which the completion need not become durable.
             tracked.is_completion_durable |= grace_s == 0.0;
         } else {
             tracing::debug!(task = %tracked.task, %attempt, machine = %id, grace_s, "attempt stop requested");
             tracked.request_stop(grace_s);
-            self.pending_commands.insert(id.clone());
+            self.machines_with_pending_commands.insert(id.clone());
         }
         self.refresh_summary(&id, now);
     }
 
-    /// Returns an assignment to the leader that no machine took.
-    pub(super) fn return_unplaced(&mut self, assignment: &Assignment) {
+    /// Returns an assignment that was not placed to the leader.
+    pub(super) fn return_to_leader(&mut self, assignment: &Assignment) {
         self.pending_updates.ended_attempts.push(EndedAttempt {
             task: assignment.task,
             attempt: assignment.attempt,
--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -1,8 +1,7 @@
-//! Direct commands to workers and their outcomes.
+//! Direct commands to workers, and their outcomes.
 //!
-//! The controller takes the next commands from [`Partition::next_direct_commands`], sends them to the workers and
-//! passes the outcome of each batch to [`Partition::direct_commands_answered`]. At most one batch to a worker is in
-//! flight.
+//! The controller gets the commands from [`Partition::next_direct_commands`], sends them to the workers and passes the
+//! outcome of each batch to [`Partition::apply_direct_commands_outcome`]. Each worker has at most one batch in flight.
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::worker::{Command, CommandBatch, Heartbeat};
@@ -16,31 +15,32 @@
 use super::machine::Machine;
 use super::partition::Partition;
 
-/// Outcome of direct commands.
+/// Outcome of a batch of direct commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectCommandsOutcome {
-    /// The worker answered, with its status after them.
+    /// The worker responded with its status after executing them.
     Answered(Heartbeat),
-    /// They were never sent.
+    /// The batch was not sent, so it cannot take effect.
     NotSent,
-    /// No answer: they may take effect at any time.
+    /// No response arrived; the commands may have taken effect or still take effect later.
     NoAnswer,
 }
 
-/// Direct commands to a worker, to be sent by the service.
+/// A batch of direct commands and its destination.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectCommands {
-    /// The machine.
+    /// Machine of the worker.
     pub machine: MachineId,
-    /// Its worker's address.
+    /// Address and port of the worker.
     pub address: String,
-    /// The commands.
+    /// Body of the request.
     pub batch: CommandBatch,
 }
 
 impl Partition {
-    /// Launches, stops and probes that can be sent directly to workers now, for at most `max_machines` machines. Only
-    /// while this controller may act. What is not sent this way goes with the response to the machine's next heartbeat.
+    /// Returns the launches, stops and probes that can be sent directly to workers now, for at most `max_machines`
+    /// machines, and marks them as sent. To be called only while `Membership::may_act` holds. The responses to
+    /// heartbeats deliver launches and stops that are not sent directly.
     pub fn next_direct_commands(
         &mut self,
         now: Time,
@@ -48,13 +48,20 @@
         max_machines: usize,
     ) -> Vec<DirectCommands> {
         let is_due = |(due_at, _): &(Time, MachineId)| *due_at <= now;
-        while self.deferred_commands.first().is_some_and(is_due) {
-            self.pending_commands
-                .extend(self.deferred_commands.pop_first().map(|(_, id)| id));
+        while self
+            .machines_with_deferred_commands
+            .first()
+            .is_some_and(is_due)
+        {
+            self.machines_with_pending_commands.extend(
+                self.machines_with_deferred_commands
+                    .pop_first()
+                    .map(|(_, id)| id),
+            );
         }
         let mut batches = Vec::new();
         while batches.len() < max_machines {
-            let Some(id) = self.pending_commands.pop_first() else {
+            let Some(id) = self.machines_with_pending_commands.pop_first() else {
                 break;
             };
             batches.extend(self.direct_commands_for(id, token, now));
@@ -62,7 +69,7 @@
         batches
     }
 
-    /// The direct commands that can be sent to a machine now, if any.
+    /// The direct commands that can be sent to one machine now, if any.
     fn direct_commands_for(
         &mut self,
         id: MachineId,
@@ -71,14 +78,15 @@
     ) -> Option<DirectCommands> {
         let machine = self.machines.get_mut(&id)?;
         let address = machine.info.as_ref()?.command_address.clone();
-        let is_gone = machine.is_lost || machine.misses_heartbeats(now, self.timeouts);
-        if is_gone || machine.commands.is_in_flight {
-            // Its next heartbeat, or the outcome of the commands in flight, makes it pending again.
+        let is_unavailable = machine.is_lost || machine.has_missed_heartbeats(now, self.timeouts);
+        if is_unavailable || machine.command_channel.has_batch_in_flight {
+            // The next heartbeat, or the outcome of the batch in flight, makes the machine pending again.
             return None;
         }
-        let not_before = machine.commands.not_before;
+        let not_before = machine.command_channel.not_before;
         if now < not_before {
-            self.deferred_commands.insert((not_before, id));
+            self.machines_with_deferred_commands
+                .insert((not_before, id));
             return None;
         }
         let batch = machine.take_command_batch(token, now)?;
@@ -93,8 +101,8 @@
         })
     }
 
-    /// Direct commands were answered, or not.
-    pub fn direct_commands_answered(
+    /// Applies the outcome of a batch of direct commands.
+    pub fn apply_direct_commands_outcome(
         &mut self,
         now: Time,
         sent: &DirectCommands,
@@ -106,32 +114,33 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.commands.is_in_flight = false;
-        self.pending_commands.insert(id.clone());
+        machine.command_channel.has_batch_in_flight = false;
+        self.machines_with_pending_commands.insert(id.clone());
         match outcome {
             DirectCommandsOutcome::Answered(heartbeat) => {
                 if heartbeat.incarnation >= machine.lease.newest_message.incarnation {
                     machine.reachability.confirm();
                 }
-                machine.commands.not_before = now;
+                machine.command_channel.not_before = now;
                 self.apply_message(heartbeat, MessageKind::CommandResponse, epoch, catalog, now);
-                self.settle_launches(sent, AttemptState::Launched);
+                self.resolve_direct_launches(sent, AttemptState::Launched);
             }
             DirectCommandsOutcome::NotSent => {
-                machine.commands.not_before = now + DIRECT_COMMAND_BACKOFF_MS;
-                self.settle_launches(sent, AttemptState::Recorded);
+                machine.command_channel.not_before = now + DIRECT_COMMAND_BACKOFF_MS;
+                self.resolve_direct_launches(sent, AttemptState::Recorded);
             }
             DirectCommandsOutcome::NoAnswer => {
-                machine.reachability.suspect(now);
-                machine.commands.not_before = now + PROBE_INTERVAL_MS;
-                self.end_unlaunched(id, now);
+                machine.reachability.mark_suspect(now);
+                machine.command_channel.not_before = now + PROBE_INTERVAL_MS;
+                self.end_unlaunched_attempts(id, now);
                 self.refresh_summary(id, now);
             }
         }
     }
 
-    /// Commands that were answered or never sent cannot take effect later: their launches are in the state `next`.
-    fn settle_launches(&mut self, sent: &DirectCommands, next: AttemptState) {
+    /// Sets the attempts that a batch launched to the state `next`, after the batch was answered or not sent: its
+    /// launches cannot take effect later.
+    fn resolve_direct_launches(&mut self, sent: &DirectCommands, next: AttemptState) {
         let Some(machine) = self.machines.get_mut(&sent.machine) else {
             return;
         };
@@ -139,11 +148,11 @@
             let Command::Launch { attempt, .. } = command else {
                 continue;
             };
-            machine.unreaped.remove(attempt);
+            machine.unreapable_attempts.remove(attempt);
             if let Some(tracked) = machine.attempts.get_mut(attempt) {
                 tracked.has_unanswered_launch = false;
                 if tracked.state == AttemptState::DirectlyLaunched {
-                    tracked.advance(next);
+                    tracked.transition_to(next);
                 }
             }
         }
@@ -151,8 +160,8 @@
 }
 
 impl Machine {
-    /// The next batch of direct commands, which is in flight from now on; none if there is nothing to send. A worker
-    /// that may not be reached gets an empty one as a probe.
+    /// Returns the next batch of direct commands and marks it as in flight; `None` if there is nothing to send. A
+    /// suspect worker gets a batch even if it is empty, as a probe.
     fn take_command_batch(&mut self, token: Epoch, now: Time) -> Option<CommandBatch> {
         let incarnation = self.lease.newest_message.incarnation;
         let commands = self.take_direct_commands(incarnation, now);
@@ -160,9 +169,9 @@
         if commands.is_empty() && !is_probe {
             return None;
         }
-        self.commands.is_in_flight = true;
+        self.command_channel.has_batch_in_flight = true;
         if is_probe {
-            self.commands.not_before = now + PROBE_INTERVAL_MS;
+            self.command_channel.not_before = now + PROBE_INTERVAL_MS;
         }
         Some(CommandBatch {
             fencing_token: token,
@@ -171,7 +180,7 @@
         })
     }
 
-    /// The direct commands that the attempts call for; they count as sent from now on.
+    /// Returns the launches and stops to be sent directly, and marks them as sent.
     fn take_direct_commands(&mut self, incarnation: Incarnation, now: Time) -> Vec<Command> {
         let has_reclaim_notice = self.has_reclaim_notice();
         self.attempts
@@ -189,7 +198,7 @@
 
 impl TrackedAttempt {
     fn launch_directly(&mut self, attempt: Attempt, now: Time) -> Command {
-        self.advance(AttemptState::DirectlyLaunched);
+        self.transition_to(AttemptState::DirectlyLaunched);
         self.has_unanswered_launch = true;
         self.placed_at = now;
         Command::Launch {
@@ -198,7 +207,7 @@
         }
     }
 
-    /// The stop to be sent, if one is requested, was not sent yet and the task has been seen on the machine.
+    /// The stop command, if a stop is requested and unsent, and the worker has listed the task as fetching or running.
     fn stop_directly(&mut self, attempt: Attempt) -> Option<Command> {
         if !matches!(
             self.state,
@@ -206,7 +215,7 @@
         ) {
             return None;
         }
-        let stop = self.stop.as_mut().filter(|stop| !stop.is_sent)?;
+        let stop = self.stop_request.as_mut().filter(|stop| !stop.is_sent)?;
         stop.is_sent = true;
         Some(Command::Halt {
             task: self.task,
--- a/crates/worksshunt-core/src/machines/loading.rs
+++ b/crates/worksshunt-core/src/machines/epoch_transition.rs
@@ -1,7 +1,7 @@
-//! How a partition starts and leaves an epoch.
+//! Beginning and leaving an epoch.
 //!
-//! The controller calls [`Partition::begin_epoch`] with what it has read from the key-value store, and
-//! [`Partition::clear`] when it is no longer in the epoch.
+//! The controller calls [`Partition::begin_epoch`] with the records read from the key-value store, and
+//! [`Partition::clear`] when it leaves the epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -20,23 +20,21 @@
 use super::partition::Partition;
 use super::pending_updates::PendingUpdates;
 
-/// What a partition starts an epoch with.
+/// Inputs for the beginning of an epoch.
 #[derive(Debug, Clone, Copy)]
 pub struct EpochStart<'a> {
-    /// The epoch.
     pub epoch: Epoch,
-    /// This controller, the owner of the partition.
-    pub controller: &'a ControllerName,
-    /// The records found in the key-value store.
+    /// Owner of the partition in this epoch.
+    pub owner: &'a ControllerName,
+    /// Records of all partitions, read from the key-value store.
     pub records: &'a [AttemptRecord],
-    /// The open jobs.
     pub job_cache: &'a JobCache,
 }
 
 impl Partition {
-    /// Starts an epoch with the records found at its start. Machines that were this controller's in
-    /// the epoch just before as well (`was_owned`) are kept as they are, with what is known of their
-    /// workers and leases: no other controller acted on them. Measured speeds are kept in any case.
+    /// Begins an epoch. Machines that this controller owned in the preceding epoch too (`was_owned`) keep their state,
+    /// because no other controller has acted on them. For the others, inherits the attempts in the records. Measured
+    /// speeds are kept for all machines.
     pub fn begin_epoch(
         &mut self,
         now: Time,
@@ -44,59 +42,62 @@
         is_owned: impl Fn(&MachineId) -> bool,
         was_owned: impl Fn(&MachineId) -> bool,
     ) {
-        let mut carried_over = std::mem::take(&mut self.machines);
-        for (id, machine) in &carried_over {
+        let mut retained_machines = std::mem::take(&mut self.machines);
+        for (id, machine) in &retained_machines {
             self.heartbeat_history
                 .record(id, machine.lease.newest_message, now);
         }
-        carried_over.retain(|id, _| is_owned(id) && was_owned(id));
+        retained_machines.retain(|id, _| is_owned(id) && was_owned(id));
         self.clear(now);
-        self.record_pages = Pages::new(page_prefix(start.epoch, start.controller), self.page_bytes);
+        self.record_pages = Pages::new(page_prefix(start.epoch, start.owner), self.page_bytes);
         let mut records_by_machine: BTreeMap<&MachineId, Vec<&AttemptRecord>> = BTreeMap::new();
-        let owned = start.records.iter().filter(|r| is_owned(&r.machine));
-        for record in owned {
+        let owned_records = start
+            .records
+            .iter()
+            .filter(|record| is_owned(&record.machine));
+        for record in owned_records {
             let records = records_by_machine.entry(&record.machine).or_default();
             records.push(record);
         }
         for (id, records) in records_by_machine {
-            let machine = match carried_over.remove(id) {
-                Some(machine) => self.carry_machine_over(id, machine, &records, now),
-                // A former owner may have renewed the lease until its epoch lease expired, which was
-                // at most this long after it last saw its epoch confirmed, and so before now plus
-                // this.
+            let machine = match retained_machines.remove(id) {
+                Some(machine) => self.retain_machine(id, machine, &records, now),
+                // The previous owner may have renewed the lease until its epoch lease expired, at most
+                // EPOCH_LEASE_MS after its epoch was last confirmed, which was before now.
                 None => {
                     self.inherit_machine(id, &records, start.job_cache, now + EPOCH_LEASE_MS, now)
                 }
             };
             self.machines.insert(id.clone(), machine);
         }
-        for (id, machine) in carried_over {
-            let machine = self.carry_machine_over(&id, machine, &[], now);
+        for (id, machine) in retained_machines {
+            let machine = self.retain_machine(&id, machine, &[], now);
             self.machines.insert(id, machine);
         }
         self.index_machines(now);
     }
 
-    /// Builds the indexes of all machines; the leader will get all of it.
+    /// Builds the indexes of all machines and queues the status of machines and attempts for the leader.
     fn index_machines(&mut self, now: Time) {
-        let mut tracked = Vec::new();
+        let mut attempts = Vec::new();
         for (id, machine) in &self.machines {
-            for (attempt, on_machine) in &machine.attempts {
-                tracked.push((id.clone(), *attempt, on_machine.task.job));
+            for (attempt, tracked) in &machine.attempts {
+                attempts.push((id.clone(), *attempt, tracked.task.job));
             }
         }
-        for (id, attempt, job) in tracked {
+        for (id, attempt, job) in attempts {
             self.index_attempt(&id, attempt, job);
         }
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
-            self.pending_commands.insert(id.clone());
+            self.machines_with_pending_commands.insert(id.clone());
             self.pending_updates.machines.insert(id.clone());
             self.refresh_summary(&id, now);
         }
     }
 
-    /// A machine of a former owner, which may have renewed its worker's lease until `renewed_at`.
+    /// Creates a machine from the records of a previous owner, which may have renewed the worker's lease until
+    /// `renewed_at`.
     fn inherit_machine(
         &self,
         id: &MachineId,
@@ -110,10 +111,9 @@
         for record in records {
             let job = job_cache
                 .get(record.task.job)
-                .map(|open| Rc::clone(&open.job));
-            // A job that a later version wrote cannot be read; whether it is over is not known, so its
-            // attempts are left running.
-            let is_over = job.is_none() && !job_cache.is_unreadable(record.task.job);
+                .map(|open_job| Rc::clone(&open_job.job));
+            // A job in a newer format cannot be read. It may still be open, so its attempts continue.
+            let has_ended = job.is_none() && !job_cache.is_unreadable(record.task.job);
             let mut tracked = TrackedAttempt::new(
                 record.task,
                 job,
@@ -121,7 +121,7 @@
                 record.incarnation,
                 now,
             );
-            if is_over {
+            if has_ended {
                 tracked.request_stop(0.0);
             }
             machine.attempts.insert(record.attempt, tracked);
@@ -129,10 +129,10 @@
         machine
     }
 
-    /// A machine that is carried over into the next epoch under the same owner. What is not on the record
-    /// was never launched, and the new leader does not know of it: it is dropped. What is on the
-    /// record and not tracked is gone.
-    fn carry_machine_over(
+    /// Retains a machine that has the same owner as in the preceding epoch. Attempts without a record are dropped: they
+    /// were never launched, and the new leader does not know of them. Recorded attempts that are not tracked are
+    /// reported as lost.
+    fn retain_machine(
         &mut self,
         id: &MachineId,
         mut machine: Machine,
@@ -145,27 +145,29 @@
             .retain(|attempt, _| recorded.contains(attempt));
         for tracked in machine.attempts.values_mut() {
             if tracked.state == AttemptState::Recording {
-                tracked.advance(AttemptState::Recorded);
+                tracked.transition_to(AttemptState::Recorded);
             }
         }
-        let is_gone = |record: &&&AttemptRecord| !machine.attempts.contains_key(&record.attempt);
-        for gone in records.iter().filter(is_gone) {
+        let is_untracked =
+            |record: &&&AttemptRecord| !machine.attempts.contains_key(&record.attempt);
+        for record in records.iter().filter(is_untracked) {
             self.pending_updates.ended_attempts.push(EndedAttempt {
-                task: gone.task,
-                attempt: gone.attempt,
+                task: record.task,
+                attempt: record.attempt,
                 machine: Some(id.clone()),
                 outcome: AttemptOutcome::Lost,
             });
         }
-        // Commands in flight were sent under the old token; whether they arrive remains open.
-        machine.commands.is_in_flight = false;
+        // A batch in flight carries the previous token: its outcome will not be applied, but it may still take effect.
+        machine.command_channel.has_batch_in_flight = false;
         machine.directive = LeaderDirective::default();
         machine.summary = MachineSummary::default();
         machine.reachability.begin_epoch(now);
         machine
     }
 
-    /// Drops everything: this controller is no longer in the epoch.
+    /// Removes all machines, attempts and pending changes when this controller leaves the epoch. Keeps the heartbeat
+    /// history and measured speeds.
     pub fn clear(&mut self, now: Time) {
         for (id, machine) in std::mem::take(&mut self.machines) {
             self.heartbeat_history
@@ -175,8 +177,8 @@
         self.attempts_by_job.clear();
         self.machines_with_free_capacity.clear();
         self.assignment_queue.clear();
-        self.pending_commands.clear();
-        self.deferred_commands.clear();
+        self.machines_with_pending_commands.clear();
+        self.machines_with_deferred_commands.clear();
         self.record_pages = Pages::new(String::new(), self.page_bytes);
         self.pending_updates = PendingUpdates::default();
     }
--- a/crates/worksshunt-core/src/machines/expiry.rs
+++ b/crates/worksshunt-core/src/machines/expiry.rs
@@ -1,7 +1,7 @@
-//! What the passing of time changes: expired leases, missing heartbeats, timed-out assignments, reclaim notices.
+//! Periodic checks: expired leases, missed heartbeats, assignment timeouts and reclaim deadlines.
 //!
-//! The controller calls [`Partition::tick`] at intervals. A tick examines a bounded number of machines; the cursor in
-//! the partition is where the next one continues.
+//! The controller calls [`Partition::tick`] periodically. A tick checks a bounded number of machines, and the next one
+//! continues from `Partition::sweep_cursor`.
 
 use std::ops::Bound::{Excluded, Included, Unbounded};
 
@@ -18,34 +18,34 @@
 use super::partition::Partition;
 use super::sequence_number::SequenceNumber;
 
-/// Machines that a sweep found something to do for.
+/// Machines that need an update after a sweep.
 #[derive(Debug, Default)]
 struct SweepFindings {
-    lease_expired: Vec<MachineId>,
-    summary_changed: Vec<MachineId>,
-    /// Lost, and none of their attempts matters any more.
-    forgettable: Vec<MachineId>,
-    reclaim_noticed: Vec<MachineId>,
+    with_expired_lease: Vec<MachineId>,
+    with_changed_summary: Vec<MachineId>,
+    /// Lost, and all of their attempts are durably completed.
+    removable: Vec<MachineId>,
+    with_reclaim_notice: Vec<MachineId>,
 }
 
 impl Partition {
-    /// Applies what time alone changes: leases that have expired, machines whose heartbeats are missing,
-    /// queued assignments returned, checkpoints saved before their machine is reclaimed.
+    /// Marks machines with expired leases as lost, removes lost ones, refreshes summaries, prepares machines for
+    /// reclaim and returns queued assignments that have timed out.
     pub fn tick(&mut self, now: Time) {
         let findings = self.sweep_findings(now);
-        for id in findings.lease_expired {
+        for id in findings.with_expired_lease {
             self.mark_lost(&id, now);
         }
-        for id in findings.summary_changed {
+        for id in findings.with_changed_summary {
             self.refresh_summary(&id, now);
         }
-        for id in findings.forgettable {
-            self.forget_machine(&id, now);
+        for id in findings.removable {
+            self.remove_machine(&id, now);
         }
-        for id in findings.reclaim_noticed {
+        for id in findings.with_reclaim_notice {
             self.prepare_for_reclaim(&id, now);
         }
-        self.return_queued_where(|queued| {
+        self.return_queued_assignments_where(|queued| {
             now.since(queued.queued_at) >= ASSIGNMENT_QUEUE_TIMEOUT_MS
         });
         self.assignment_queue.request_placement();
@@ -56,28 +56,32 @@
         let mut findings = SweepFindings::default();
         for (id, machine) in self.sweep() {
             if !machine.is_lost && machine.lease.has_expired(timeouts.lease_ms, now) {
-                findings.lease_expired.push(id.clone());
+                findings.with_expired_lease.push(id.clone());
             } else if machine.is_lost {
-                if machine.attempts.values().all(TrackedAttempt::is_settled) {
-                    findings.forgettable.push(id.clone());
+                if machine
+                    .attempts
+                    .values()
+                    .all(TrackedAttempt::is_durably_completed)
+                {
+                    findings.removable.push(id.clone());
                 }
             } else if machine.summarize(now, timeouts) != machine.summary {
-                findings.summary_changed.push(id.clone());
+                findings.with_changed_summary.push(id.clone());
             }
             if machine.has_reclaim_notice() && !machine.attempts.is_empty() {
-                findings.reclaim_noticed.push(id.clone());
+                findings.with_reclaim_notice.push(id.clone());
             }
         }
         findings
     }
 
-    /// The machines that this tick examines: all of a small partition, some of a large one.
+    /// Returns the next machines to check, at most `SWEEP_MACHINES_PER_TICK`, and advances the cursor.
     fn sweep(&mut self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let start = self.sweep_cursor.take().map_or(Unbounded, Excluded);
         let ids = self
             .machines
             .range::<MachineId, _>((start.clone(), Unbounded));
-        // The last one of this tick, if others are left after it.
+        // The last machine of this tick, if there are more after it.
         let mut ids = ids.map(|(id, _)| id).skip(MACHINES_CHECKED_PER_TICK - 1);
         let last = ids.next().filter(|_| ids.next().is_some()).cloned();
         self.sweep_cursor.clone_from(&last);
@@ -85,28 +89,29 @@
         self.machines.range((start, end))
     }
 
-    /// The cloud has confirmed that a machine and everything on it are gone. Its name is never used
-    /// again, so any further message of it is a late copy.
-    pub(super) fn machine_terminated(&mut self, id: &MachineId, now: Time) {
+    /// Marks a machine as lost whose termination the cloud has confirmed. Its name is never reused, so all further
+    /// messages from it are stale.
+    pub(super) fn mark_terminated(&mut self, id: &MachineId, now: Time) {
         self.mark_lost(id, now);
-        self.speeds.remove(id);
+        self.speed_by_machine.remove(id);
         match self.machines.get_mut(id) {
-            Some(machine) => machine.lease.close_up_to(SequenceNumber::MAX),
+            Some(machine) => machine.lease.mark_stale_up_to(SequenceNumber::MAX),
             None => self.heartbeat_history.record(id, SequenceNumber::MAX, now),
         }
     }
 
-    /// Everything on a machine is certainly gone.
+    /// Marks a machine as lost: no task runs on it any more. Ends its attempts that have not completed.
     pub(super) fn mark_lost(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         machine.is_lost = true;
-        // Its worker's incarnation is over, and with it what it waits for; only something newer shows otherwise.
-        machine.lease.close_up_to(machine.lease.newest_message);
+        // The worker's incarnation has ended, so it waits for no response; only a newer message makes the machine
+        // available again.
+        machine.lease.mark_stale_up_to(machine.lease.newest_message);
         let attempts = machine.attempts_where(|tracked| tracked.state != AttemptState::Completed);
         if !attempts.is_empty() {
-            log_lost(id, machine, attempts.len(), now);
+            log_machine_lost(id, machine, attempts.len(), now);
         }
         for attempt in attempts {
             self.end_attempt(id, attempt, AttemptOutcome::Lost, now);
@@ -114,14 +119,15 @@
         self.refresh_summary(id, now);
     }
 
-    /// Whether several machines sent heartbeats to this controller and all of them have stopped.
-    pub fn is_unreachable(&self, now: Time) -> bool {
+    /// Whether workers seem unable to reach this controller: there are at least `UNREACHABLE_MIN_MACHINES` machines
+    /// that have sent a message and are not lost, and none of them has sent one within `controller_unreachable_ms`.
+    pub fn is_unreachable_by_workers(&self, now: Time) -> bool {
         let mut without_heartbeats = 0;
         for machine in self.machines.values() {
             if machine.info.is_none() || machine.is_lost {
                 continue;
             }
-            if now.since(machine.lease.last_message_at) <= self.timeouts.no_heartbeats_ms {
+            if now.since(machine.lease.last_message_at) <= self.timeouts.controller_unreachable_ms {
                 return false;
             }
             without_heartbeats += 1;
@@ -129,8 +135,8 @@
         without_heartbeats >= MIN_UNREACHABLE_MACHINES
     }
 
-    /// Removes a lost machine on which nothing matters any more.
-    fn forget_machine(&mut self, id: &MachineId, now: Time) {
+    /// Removes a lost machine, all of whose attempts are durably completed.
+    fn remove_machine(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
@@ -141,13 +147,13 @@
             self.heartbeat_history
                 .record(id, machine.lease.newest_message, now);
         }
-        self.pending_commands.remove(id);
+        self.machines_with_pending_commands.remove(id);
         self.pending_updates.machines.remove(id);
         self.pending_updates.removed_machines.insert(id.clone());
     }
 
-    /// On a machine that will be reclaimed, attempts that have not been launched end at once, and tasks that
-    /// can save their checkpoint in time are stopped to do so.
+    /// Prepares a machine with a reclaim notice: ends attempts that have not been launched, and stops tasks that can
+    /// finish a checkpoint before the machine is reclaimed.
     fn prepare_for_reclaim(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -156,24 +162,24 @@
             return;
         };
         for tracked in machine.attempts.values_mut() {
-            if tracked.stop.is_none() && tracked.can_checkpoint_before(reclaim_at, now) {
+            if tracked.stop_request.is_none() && tracked.can_checkpoint_before(reclaim_at, now) {
                 tracked.request_stop(tracked.checkpoint_grace_s());
-                self.pending_commands.insert(id.clone());
+                self.machines_with_pending_commands.insert(id.clone());
             }
         }
-        self.end_unlaunched(id, now);
+        self.end_unlaunched_attempts(id, now);
         self.refresh_summary(id, now);
     }
 }
 
-fn log_lost(id: &MachineId, machine: &Machine, attempts: usize, now: Time) {
+fn log_machine_lost(id: &MachineId, machine: &Machine, attempts: usize, now: Time) {
     let lease = &machine.lease;
     let renewed_ago_ms = now.since(lease.renewed_at);
     let last_message_ago_ms = now.since(lease.last_message_at);
-    let renewed_by = lease.renewed_by.map(tracing::field::display);
+    let renewing_heartbeat = lease.renewing_heartbeat.map(tracing::field::display);
     tracing::info!(
-        machine = %id, tasks = attempts, renewed_ago_ms, renewed_by, last_message_ago_ms,
-        newest = %lease.newest_message, "machine lost, tasks rescheduled"
+        machine = %id, tasks = attempts, renewed_ago_ms, renewing_heartbeat, last_message_ago_ms,
+        newest_message = %lease.newest_message, "machine lost; its tasks will be rescheduled"
     );
 }
 
--- a/crates/worksshunt-core/src/machines/expiry/tests.rs
+++ b/crates/worksshunt-core/src/machines/expiry/tests.rs
@@ -1,30 +1,30 @@
-//! Tests of `expiry`: which machines a tick examines.
+//! Tests of `expiry`: which machines a tick checks.
 
 use crate::machines::fixtures::{partition, workers};
-use crate::machines::lease_bound_ms;
+use crate::machines::max_worker_lease_ms;
 
 use super::*;
 
-/// How many machines each of four ticks examines.
-fn swept(machines: usize) -> [usize; 4] {
+/// Number of machines that each of four ticks checks.
+fn swept_per_tick(machines: usize) -> [usize; 4] {
     let mut partition = partition(machines);
     [(); 4].map(|()| partition.sweep().count())
 }
 
 #[test]
-fn a_tick_examines_all_of_a_small_partition_and_a_large_one_in_turns() {
-    assert_eq!(swept(0), [0; 4]);
+fn ticks_sweep_a_large_partition_in_batches() {
+    assert_eq!(swept_per_tick(0), [0; 4]);
     assert_eq!(
-        swept(MACHINES_CHECKED_PER_TICK),
+        swept_per_tick(MACHINES_CHECKED_PER_TICK),
         [MACHINES_CHECKED_PER_TICK; 4]
     );
     assert_eq!(
-        swept(MACHINES_CHECKED_PER_TICK + 1),
+        swept_per_tick(MACHINES_CHECKED_PER_TICK + 1),
         [MACHINES_CHECKED_PER_TICK, 1, MACHINES_CHECKED_PER_TICK, 1]
     );
-    let three = MACHINES_CHECKED_PER_TICK * 2 + 5;
+    let three_batches = MACHINES_CHECKED_PER_TICK * 2 + 5;
     assert_eq!(
-        swept(three),
+        swept_per_tick(three_batches),
         [
             MACHINES_CHECKED_PER_TICK,
             MACHINES_CHECKED_PER_TICK,
@@ -34,17 +34,21 @@
     );
 }
 
-// Guards against machines past the first thousand that are held for ever.
+// Guards against a sweep that never reaches the machines after the first batch.
 #[test]
-fn an_expired_lease_is_noticed_on_every_machine_of_a_large_partition() {
+fn expired_leases_are_detected_on_all_machines_of_a_large_partition() {
     let mut partition = partition(MACHINES_CHECKED_PER_TICK * 2 + 5);
-    let late = Time(lease_bound_ms(&workers()) + 1);
-    partition.tick(late);
+    let after_expiry = Time(max_worker_lease_ms(&workers()) + 1);
+    partition.tick(after_expiry);
     assert_eq!(
-        partition.machines.values().filter(|m| m.is_lost).count(),
+        partition
+            .machines
+            .values()
+            .filter(|machine| machine.is_lost)
+            .count(),
         MACHINES_CHECKED_PER_TICK
     );
-    partition.tick(late);
-    partition.tick(late);
+    partition.tick(after_expiry);
+    partition.tick(after_expiry);
     assert!(partition.machines.values().all(|machine| machine.is_lost));
 }
--- a/crates/worksshunt-core/src/machines/fixtures.rs
+++ b/crates/worksshunt-core/src/machines/fixtures.rs
@@ -1,4 +1,4 @@
-//! Partitions for the tests of this module.
+//! Fixtures for the tests of this module.
 
 use serde_json::json;
 use worksshunt_wire::settings::Workers;
@@ -11,7 +11,6 @@
 use super::partition::Partition;
 use super::sequence_number::SequenceNumber;
 
-/// The settings of the workers in these tests.
 pub(super) fn workers() -> Workers {
     Workers {
         heartbeat_interval_s: 5.0,
@@ -20,7 +19,7 @@
     }
 }
 
-/// A partition with so many machines that never sent a heartbeat.
+/// A partition with this number of machines, none of which has sent a heartbeat.
 pub(super) fn partition(machines: usize) -> Partition {
     let limits = json!({"rps": 500.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 20});
     let limits = serde_json::from_value(limits).expect("limits");
@@ -32,7 +31,7 @@
     partition
 }
 
-/// The name of the n-th machine.
+/// Name of machine `n`.
 pub(super) fn machine_id(n: usize) -> MachineId {
     MachineId(format!("i-{n:06}"))
 }
--- a/crates/worksshunt-core/src/machines/heartbeat_history.rs
+++ b/crates/worksshunt-core/src/machines/heartbeat_history.rs
@@ -1,7 +1,7 @@
-//! The newest messages of machines that are not in the partition.
+//! Newest sequence numbers of machines that are not in the partition.
 //!
-//! The partition enters machines that leave it and looks up machines that send a heartbeat without being in it, so
-//! that a late copy is recognized whenever it comes.
+//! The partition records machines that leave it, and looks up machines that send a heartbeat without being in it, so
+//! that a delayed heartbeat does not add a removed machine again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,43 +12,44 @@
 
 use super::sequence_number::SequenceNumber;
 
-/// A machine and when it was first recorded.
+/// A machine and the time at which it was first recorded.
 #[derive(Debug)]
 struct HistoryEntry {
     recorded_at: Time,
     machine: MachineId,
 }
 
-/// The newest message seen of machines that are not in the partition (any more).
+/// Newest message received from each machine that has left the partition.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatHistory {
     newest_by_machine: BTreeMap<MachineId, SequenceNumber>,
-    /// The machines as they were first recorded, the earliest first.
+    /// The machines of `newest_by_machine`, the earliest recorded first.
     entries: VecDeque<HistoryEntry>,
 }
 
 impl HeartbeatHistory {
-    /// Records the newest message of a machine; an older one than known changes nothing.
+    /// Records the newest message of a machine. Has no effect if a newer one is recorded.
     pub fn record(&mut self, id: &MachineId, newest: SequenceNumber, now: Time) {
         match self.newest_by_machine.get_mut(id) {
-            Some(known) => *known = newest.max(*known),
+            Some(recorded) => *recorded = newest.max(*recorded),
             None => {
                 self.newest_by_machine.insert(id.clone(), newest);
                 self.entries.push_back(HistoryEntry {
                     recorded_at: now,
                     machine: id.clone(),
                 });
-                self.forget_oldest(now);
+                self.evict_oldest(now);
             }
         }
     }
 
-    /// Forgets what was recorded first, if there are many entries and no copy of its heartbeats can come any more.
-    fn forget_oldest(&mut self, now: Time) {
-        let is_outdated =
+    /// Evicts the earliest entries while there are more than `HEARTBEAT_HISTORY_ENTRIES` and no heartbeat of their
+    /// machines can still arrive.
+    fn evict_oldest(&mut self, now: Time) {
+        let is_evictable =
             |entry: &HistoryEntry| now.since(entry.recorded_at) >= HEARTBEAT_HISTORY_MS;
         while self.entries.len() > HEARTBEAT_HISTORY_ENTRIES
-            && self.entries.front().is_some_and(is_outdated)
+            && self.entries.front().is_some_and(is_evictable)
         {
             if let Some(oldest) = self.entries.pop_front() {
                 self.newest_by_machine.remove(&oldest.machine);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The newest message known of a machine; [`SequenceNumber::NONE`] if there is none.
+    /// The newest message recorded for a machine, or [`SequenceNumber::NONE`].
     pub fn newest_message(&self, id: &MachineId) -> SequenceNumber {
         self.newest_by_machine
             .get(id)
--- a/crates/worksshunt-core/src/machines/heartbeat_history/tests.rs
+++ b/crates/worksshunt-core/src/machines/heartbeat_history/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `heartbeat_history`: how many machines that left are remembered.
+//! Tests of `heartbeat_history`: eviction of entries.
 
 use worksshunt_wire::Incarnation;
 
@@ -6,34 +6,38 @@
 
 use super::*;
 
-const NUMBER: SequenceNumber = SequenceNumber::new(Incarnation(1), 7);
+const SEQUENCE_NUMBER: SequenceNumber = SequenceNumber::new(Incarnation(1), 7);
 
-fn recorded(machines: usize, now: Time) -> HeartbeatHistory {
+fn history_of(machines: usize, now: Time) -> HeartbeatHistory {
     let mut history = HeartbeatHistory::default();
     for n in 0..machines {
-        history.record(&machine_id(n), NUMBER, now);
+        history.record(&machine_id(n), SEQUENCE_NUMBER, now);
     }
     history
 }
 
 #[test]
-fn machines_that_left_recently_are_remembered_however_many_they_are() {
-    let mut history = recorded(HEARTBEAT_HISTORY_ENTRIES * 2, Time(0));
-    history.record(&machine_id(999_999), NUMBER, Time(HEARTBEAT_HISTORY_MS - 1));
-    assert_eq!(history.newest_message(&machine_id(0)), NUMBER);
+fn recent_entries_are_never_evicted() {
+    let mut history = history_of(HEARTBEAT_HISTORY_ENTRIES * 2, Time(0));
+    history.record(
+        &machine_id(999_999),
+        SEQUENCE_NUMBER,
+        Time(HEARTBEAT_HISTORY_MS - 1),
+    );
+    assert_eq!(history.newest_message(&machine_id(0)), SEQUENCE_NUMBER);
 }
 
 #[test]
-fn of_those_that_left_long_ago_as_many_are_remembered_as_are_kept_in_any_case() {
-    let mut history = recorded(HEARTBEAT_HISTORY_ENTRIES, Time(0));
-    let late = Time(HEARTBEAT_HISTORY_MS);
-    history.record(&machine_id(999_998), NUMBER, late);
+fn oldest_entries_beyond_the_capacity_are_evicted() {
+    let mut history = history_of(HEARTBEAT_HISTORY_ENTRIES, Time(0));
+    let after_retention = Time(HEARTBEAT_HISTORY_MS);
+    history.record(&machine_id(999_998), SEQUENCE_NUMBER, after_retention);
     assert_eq!(
         history.newest_message(&machine_id(0)),
         SequenceNumber::NONE,
-        "the first is forgotten"
+        "the oldest entry is evicted"
     );
-    assert_eq!(history.newest_message(&machine_id(1)), NUMBER);
+    assert_eq!(history.newest_message(&machine_id(1)), SEQUENCE_NUMBER);
     assert_eq!(history.entries.len(), HEARTBEAT_HISTORY_ENTRIES);
     assert_eq!(history.newest_by_machine.len(), HEARTBEAT_HISTORY_ENTRIES);
 }
--- a/crates/worksshunt-core/src/machines/heartbeat_response.rs
+++ b/crates/worksshunt-core/src/machines/heartbeat_response.rs
@@ -1,7 +1,7 @@
-//! The commands that a heartbeat is answered with.
+//! Commands in the response to a heartbeat.
 //!
-//! [`heartbeats`](super::heartbeats) asks for them once a heartbeat is applied. They launch what is recorded, stop what
-//! is to be stopped or is unknown, and let the worker forget what is durable.
+//! They launch recorded attempts, stop attempts that are untracked or have a stop request, and reap ended ones once the
+//! worker no longer has to list them. [`heartbeats`](super::heartbeats) requests them after applying a heartbeat.
 
 use worksshunt_wire::worker::{Command, Heartbeat, TaskState, TaskStatus};
 
@@ -13,7 +13,7 @@
 use super::task_status::listed_attempts;
 
 impl Partition {
-    /// The commands for the worker that sent the heartbeat.
+    /// Returns the commands for the worker that sent the heartbeat, and marks their launches as sent.
     pub(super) fn response_commands(&mut self, heartbeat: &Heartbeat, now: Time) -> Vec<Command> {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return Vec::new();
@@ -21,7 +21,7 @@
         let mut commands: Vec<Command> = heartbeat
             .tasks
             .iter()
-            .filter_map(|status| machine.command_for_listed(status))
+            .filter_map(|status| machine.command_for_listed_task(status))
             .collect();
         machine.push_launches(heartbeat, now, &mut commands);
         commands
@@ -29,20 +29,20 @@
 }
 
 impl Machine {
-    /// The command that a listed task calls for, if any.
-    fn command_for_listed(&self, status: &TaskStatus) -> Option<Command> {
+    /// The stop or reap command for a listed task, if it needs one.
+    fn command_for_listed_task(&self, status: &TaskStatus) -> Option<Command> {
         let (task, attempt) = (status.task, status.attempt);
         let tracked = self.attempts.get(&attempt);
         if status.state == TaskState::Ended {
-            // A completion is durable before the worker forgets it, and no launch of a forgotten
-            // attempt may still be on its way.
+            // The worker must list a completed attempt until the completion is durable, and remember any ended attempt
+            // of which a launch may still arrive: it would start it again.
             let is_reapable = match tracked {
                 Some(tracked) => tracked.is_completion_durable && !tracked.has_unanswered_launch,
-                None => !self.unreaped.contains_key(&attempt),
+                None => !self.unreapable_attempts.contains_key(&attempt),
             };
             return is_reapable.then_some(Command::Reap { task, attempt });
         }
-        // A task that is on no record is stopped at once.
+        // An untracked task is stopped without grace.
         let grace_s = tracked.map_or(Some(0.0), |tracked| tracked.stop_grace_s())?;
         if status.state == TaskState::Saving && grace_s > 0.0 {
             return None;
@@ -54,11 +54,11 @@
         })
     }
 
-    /// Adds the launches for the incarnation that sent the heartbeat.
+    /// Adds the launches of attempts that are meant for the worker's current incarnation.
     fn push_launches(&mut self, heartbeat: &Heartbeat, now: Time, commands: &mut Vec<Command>) {
         let listed = listed_attempts(heartbeat);
         let has_reclaim_notice = self.has_reclaim_notice();
-        let is_in_flight = self.commands.is_in_flight;
+        let has_batch_in_flight = self.command_channel.has_batch_in_flight;
         for (attempt, tracked) in &mut self.attempts {
             if tracked.incarnation != heartbeat.incarnation {
                 continue;
@@ -66,18 +66,18 @@
             let (task, attempt) = (tracked.task, *attempt);
             let launch = Command::Launch { task, attempt };
             if tracked.is_launchable(has_reclaim_notice) {
-                tracked.advance(AttemptState::Launched);
+                tracked.transition_to(AttemptState::Launched);
                 tracked.placed_at = now;
                 commands.push(launch);
             } else if tracked.state == AttemptState::DirectlyLaunched
-                && !is_in_flight
+                && !has_batch_in_flight
                 && !listed.contains(&attempt)
             {
-                // The direct launch was not answered: launched this way as well, which has no
-                // effect if it did arrive. One that is no longer wanted is stopped at once; the
-                // worker then knows it as ended, and the late copy has no effect either.
+                // The direct launch was not answered, so the launch is repeated here; that has no effect if the first
+                // one has arrived. An attempt with a stop request is stopped right after the launch: the worker then
+                // lists it as ended, and the first launch has no effect if it arrives later.
                 commands.push(launch);
-                if tracked.stop.is_some() {
+                if tracked.stop_request.is_some() {
                     let grace_s = 0.0;
                     commands.push(Command::Halt {
                         task,
--- a/crates/worksshunt-core/src/machines/heartbeats.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Messages of workers and what they change.
+//! Processing of workers' messages.
 //!
 //! The controller calls [`Partition::process_heartbeat`] for every heartbeat of a machine of the partition, and
 //! [`commands`](super::commands) calls [`Partition::apply_message`] for responses to direct commands. Both update the
-//! machine; its attempts follow in [`task_status`](super::task_status), and what a heartbeat is answered with is in
-//! [`heartbeat_response`](super::heartbeat_response).
+//! machine here and its attempts in [`task_status`](super::task_status). The commands in the response to a heartbeat
+//! come from [`heartbeat_response`](super::heartbeat_response).
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::peer::AttemptOutcome;
@@ -16,29 +16,29 @@
 use super::machine::{Machine, MachineInfo, MachineTimeouts};
 use super::partition::Partition;
 use super::sequence_number::SequenceNumber;
-use super::worker_lease::Arrival;
+use super::worker_lease::ArrivalOrder;
 
-/// What is done with a heartbeat.
+/// Result of processing a heartbeat; determines the response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// The lease counts as renewed, so the heartbeat may be answered, with these commands.
+    /// The lease renewal is recorded; the response renews the lease and carries these commands.
     Accepted(Vec<Command>),
-    /// It was not counted, so an answer must not renew the lease.
+    /// No renewal is recorded; the response must not renew the lease.
     Rejected,
 }
 
-/// How a worker's message came.
+/// Kind of a worker's message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// A heartbeat, whose response renews the worker's lease.
+    /// A heartbeat. Its response renews the worker's lease.
     Heartbeat,
-    /// The response to direct commands: it renews no lease, but proves that the worker is reached.
+    /// The response to direct commands. It renews no lease, but proves that the worker is reachable.
     CommandResponse,
 }
 
 impl Partition {
-    /// Applies a worker's heartbeat. What an overtaken one contains is older than what is known and changes nothing but
-    /// the lease; a copy of one answered before changes nothing at all.
+    /// Processes a heartbeat. One that arrives out of order renews the lease, but its content is outdated and ignored;
+    /// a stale one (such as a duplicate) changes nothing.
     pub fn process_heartbeat(
         &mut self,
         now: Time,
@@ -47,53 +47,52 @@
         catalog: &Catalog,
     ) -> HeartbeatOutcome {
         let id = &heartbeat.machine;
-        let number = SequenceNumber::of(heartbeat);
+        let sequence_number = SequenceNumber::of(heartbeat);
         let arrival = match self.machines.get(id) {
-            Some(machine) => machine.lease.classify(number, now),
-            None if number > self.heartbeat_history.newest_message(id) => {
+            Some(machine) => machine.lease.classify(sequence_number, now),
+            None if sequence_number > self.heartbeat_history.newest_message(id) => {
                 self.register(id, now);
-                Arrival::Newest
+                ArrivalOrder::Newest
             }
-            None => Arrival::Stale,
+            None => ArrivalOrder::Stale,
         };
         let Some(machine) = self.machines.get_mut(id) else {
             return HeartbeatOutcome::Rejected;
         };
-        let newest = machine.lease.newest_message;
+        let newest_message = machine.lease.newest_message;
         match arrival {
-            Arrival::Stale => {
-                tracing::debug!(machine = %id, %number, %newest, "stale heartbeat rejected");
+            ArrivalOrder::Stale => {
+                tracing::debug!(machine = %id, %sequence_number, %newest_message, "stale heartbeat rejected");
                 return HeartbeatOutcome::Rejected;
             }
-            Arrival::Overtaken => {
-                tracing::info!(machine = %id, %number, %newest, "overtaken heartbeat accepted, lease renewed");
-                machine.lease.record_renewal(number, now);
+            ArrivalOrder::OutOfOrder => {
+                tracing::info!(machine = %id, %sequence_number, %newest_message, "out-of-order heartbeat accepted, lease renewed");
+                machine.lease.record_renewal(sequence_number, now);
                 return HeartbeatOutcome::Accepted(Vec::new());
             }
-            Arrival::Newest => machine.lease.record_renewal(number, now),
+            ArrivalOrder::Newest => machine.lease.record_renewal(sequence_number, now),
         }
         self.apply_message(heartbeat, MessageKind::Heartbeat, epoch, catalog, now);
         let commands = self.response_commands(heartbeat, now);
         for command in &commands {
-            tracing::debug!(machine = %heartbeat.machine, token = %epoch, %number, %command, "command sent with heartbeat response");
+            tracing::debug!(machine = %heartbeat.machine, token = %epoch, %sequence_number, %command, "command sent with heartbeat response");
         }
         HeartbeatOutcome::Accepted(commands)
     }
 
-    /// Adds a machine that is not in the partition and sent it a heartbeat.
+    /// Adds a machine to the partition that has sent a heartbeat and is not in it.
     fn register(&mut self, id: &MachineId, now: Time) {
         let newest = self.heartbeat_history.newest_message(id);
         let mut machine = Machine::new(newest, now, now);
         if newest != SequenceNumber::NONE {
-            // It was here before and was given up: this may be a last late message.
-            machine.reachability.suspect(now);
+            // The machine was removed earlier, so this may be a delayed message of a worker that is no longer there.
+            machine.reachability.mark_suspect(now);
         }
         self.machines.insert(id.clone(), machine);
         self.pending_updates.removed_machines.remove(id);
     }
 
-    /// Applies what a worker reports, with a heartbeat or in response to direct commands. What is older than what is
-    /// known changes nothing.
+    /// Applies the status in a heartbeat or in a response to direct commands, unless a newer one has been applied.
     pub(super) fn apply_message(
         &mut self,
         heartbeat: &Heartbeat,
@@ -110,25 +109,25 @@
         if SequenceNumber::of(heartbeat) <= machine.lease.newest_message {
             return;
         }
-        let is_current = heartbeat.fencing_token >= epoch;
+        let has_current_token = heartbeat.fencing_token >= epoch;
         if kind == MessageKind::Heartbeat {
-            machine.assess_reachability(heartbeat, is_current, timeouts, now);
+            machine.assess_reachability(heartbeat, has_current_token, timeouts, now);
         }
         machine.apply_report(heartbeat, catalog, now);
         self.end_attempts_of_older_incarnations(id, heartbeat.incarnation, now);
         self.apply_listed_tasks(heartbeat, now);
-        // The worker refuses all commands of a former owner once it has seen this epoch's token, so
-        // from then on a task that is not listed is not there.
-        self.apply_unlisted_attempts(heartbeat, is_current, kind, now);
+        // A worker that has received this epoch's token refuses all commands of previous owners, so a task that it does
+        // not list is not on the machine.
+        self.apply_unlisted_attempts(heartbeat, has_current_token, kind, now);
         let is_suspect = |machine: &Machine| machine.reachability.is_suspect();
         if self.machines.get(id).is_some_and(is_suspect) {
-            self.end_unlaunched(id, now);
-            self.pending_commands.insert(id.clone());
+            self.end_unlaunched_attempts(id, now);
+            self.machines_with_pending_commands.insert(id.clone());
         }
         self.refresh_summary(id, now);
     }
 
-    /// A worker kills and forgets everything when its incarnation ends.
+    /// Ends the attempts of older incarnations as lost: a worker kills all its tasks when its incarnation ends.
     fn end_attempts_of_older_incarnations(
         &mut self,
         id: &MachineId,
@@ -138,42 +137,43 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let gone = machine.attempts_where(|tracked| {
+        let lost_attempts = machine.attempts_where(|tracked| {
             tracked.incarnation < incarnation && tracked.state != AttemptState::Completed
         });
-        if !gone.is_empty() {
-            tracing::debug!(machine = %id, ?incarnation, ?gone, "attempts lost with their incarnation");
+        if !lost_attempts.is_empty() {
+            tracing::debug!(machine = %id, ?incarnation, ?lost_attempts, "attempts of an older incarnation lost");
         }
-        for attempt in gone {
+        for attempt in lost_attempts {
             self.end_attempt(id, attempt, AttemptOutcome::Lost, now);
         }
     }
 }
 
 impl Machine {
-    /// Evaluates what a heartbeat shows about whether the worker is reached; `is_current` if it shows this epoch's
-    /// fencing token.
+    /// Updates the worker's reachability for a heartbeat. `has_current_token`: it carries this epoch's fencing token.
     fn assess_reachability(
         &mut self,
         heartbeat: &Heartbeat,
-        is_current: bool,
+        has_current_token: bool,
         timeouts: MachineTimeouts,
         now: Time,
     ) {
-        // A worker whose incarnation ended did not get the responses; the heartbeat of one that was given up
-        // or missed heartbeats may be no more than a late copy.
-        let known = self.lease.newest_message.incarnation;
-        let has_restarted = known > Incarnation(0) && heartbeat.incarnation > known;
-        let missed_heartbeats = self.info.is_some() && self.misses_heartbeats(now, timeouts);
-        if has_restarted || missed_heartbeats || self.is_lost {
-            self.reachability.suspect(now);
+        // A worker whose incarnation has ended did not receive the responses. After a loss or missed heartbeats, this
+        // heartbeat may be a delayed one.
+        let last_incarnation = self.lease.newest_message.incarnation;
+        let has_restarted =
+            last_incarnation > Incarnation(0) && heartbeat.incarnation > last_incarnation;
+        let has_missed_heartbeats =
+            self.info.is_some() && self.has_missed_heartbeats(now, timeouts);
+        if has_restarted || has_missed_heartbeats || self.is_lost {
+            self.reachability.mark_suspect(now);
         }
-        self.reachability.record_heartbeat(is_current, now);
+        self.reachability.record_heartbeat(has_current_token, now);
     }
 
-    /// Applies what a message reports of the machine itself.
+    /// Applies the part of a message that is about the machine itself.
     fn apply_report(&mut self, heartbeat: &Heartbeat, catalog: &Catalog, now: Time) {
-        self.unreaped
+        self.unreapable_attempts
             .retain(|_, incarnation| *incarnation >= heartbeat.incarnation);
         self.lease
             .record_message(SequenceNumber::of(heartbeat), now);
--- a/crates/worksshunt-core/src/machines/heartbeats/tests.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `heartbeats`: which heartbeats are answered.
+//! Tests of `heartbeats`: which heartbeats are accepted.
 
 use crate::machines::fixtures::{self, machine_id};
 
@@ -13,7 +13,7 @@
     serde_json::from_value(heartbeat).expect("a heartbeat")
 }
 
-/// A partition that got heartbeat 5 of machine 0 and then a response to commands with number 7.
+/// A partition that has received heartbeat 5 of machine 0 and then a response to commands with number 7.
 fn partition() -> Partition {
     let mut partition = fixtures::partition(0);
     let catalog = Catalog::default();
@@ -28,46 +28,46 @@
     partition
 }
 
-fn reply(partition: &mut Partition, number: u64, now: Time) -> HeartbeatOutcome {
+fn process(partition: &mut Partition, number: u64, now: Time) -> HeartbeatOutcome {
     partition.process_heartbeat(now, &heartbeat(number), Epoch(1), &Catalog::default())
 }
 
 #[test]
-fn an_overtaken_heartbeat_is_answered_without_commands_and_a_copy_of_it_is_not() {
+fn out_of_order_heartbeat_is_accepted_once_without_commands() {
     let mut partition = partition();
     assert_eq!(
-        reply(&mut partition, 6, Time(3_000)),
+        process(&mut partition, 6, Time(3_000)),
         HeartbeatOutcome::Accepted(Vec::new())
     );
     assert_eq!(
-        reply(&mut partition, 6, Time(3_100)),
+        process(&mut partition, 6, Time(3_100)),
         HeartbeatOutcome::Rejected
     );
 }
 
-// Its worker has killed everything by then, and no response must renew its lease.
+// The worker has killed its tasks by then, so a response must not renew the lease.
 #[test]
-fn an_overtaken_heartbeat_of_a_lost_machine_is_not_answered() {
+fn out_of_order_heartbeat_of_a_lost_machine_is_rejected() {
     let mut partition = partition();
     partition.mark_lost(&machine_id(0), Time(3_000));
     assert_eq!(
-        reply(&mut partition, 6, Time(3_100)),
+        process(&mut partition, 6, Time(3_100)),
         HeartbeatOutcome::Rejected
     );
 }
 
 #[test]
-fn no_heartbeat_of_a_terminated_machine_is_answered() {
+fn heartbeats_of_a_terminated_machine_are_rejected() {
     let mut partition = partition();
-    partition.machine_terminated(&machine_id(0), Time(3_000));
+    partition.mark_terminated(&machine_id(0), Time(3_000));
     for number in [6, 7, 8] {
         assert_eq!(
-            reply(&mut partition, number, Time(3_100)),
+            process(&mut partition, number, Time(3_100)),
             HeartbeatOutcome::Rejected
         );
     }
     assert_eq!(
-        reply(&mut self::partition(), 8, Time(3_100)),
+        process(&mut self::partition(), 8, Time(3_100)),
         HeartbeatOutcome::Accepted(Vec::new())
     );
 }
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -1,7 +1,7 @@
-//! One machine and the attempts on it, as its owner knows them.
+//! One machine of a partition.
 //!
-//! A [`Machine`] is owned by the [`Partition`](super::partition::Partition) and holds what the worker reported, the
-//! worker's lease and reachability, the leader's directives and the tracked attempts.
+//! A [`Machine`] holds the properties reported by its worker, the worker's lease and reachability, the leader's
+//! directive and the tracked attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,56 +20,55 @@
 use super::attempt::{AttemptState, TrackedAttempt};
 use super::reachability::WorkerReachability;
 use super::sequence_number::SequenceNumber;
-use super::worker_lease::{lease_bound_ms, WorkerLease};
+use super::worker_lease::{max_worker_lease_ms, WorkerLease};
 
-/// What a worker reported of its machine, which never changes.
+/// Immutable properties of a machine, reported by its worker.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct MachineInfo {
     pub machine_type: String,
     pub zone: String,
-    pub spot: bool,
+    pub is_spot: bool,
     pub capacity: Resources,
-    /// Address that takes direct commands.
+    /// Address and port on which the worker accepts direct commands.
     pub command_address: String,
 }
 
 impl MachineInfo {
-    /// The machine that sent a heartbeat; none if its type is not in the catalog.
+    /// Properties of the machine that sent a heartbeat; `None` if its type is not in the catalog.
     pub fn of(heartbeat: &Heartbeat, catalog: &Catalog) -> Option<MachineInfo> {
         catalog
             .machine_type(&heartbeat.machine_type)
             .map(|machine_type| MachineInfo {
                 machine_type: heartbeat.machine_type.clone(),
                 zone: heartbeat.zone.clone(),
-                spot: heartbeat.is_spot,
+                is_spot: heartbeat.is_spot,
                 capacity: Resources::of_machine_type(machine_type),
                 command_address: heartbeat.addr.clone(),
             })
     }
 }
 
-/// Timeouts of machines and their workers, derived from the settings, milliseconds.
+/// Timeouts derived from the worker settings, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct MachineTimeouts {
-    /// How long a worker's lease lasts by any clock.
+    /// Upper bound of a worker lease's duration, see [`max_worker_lease_ms`].
     pub lease_ms: u64,
-    /// Without a heartbeat until a machine gets no tasks.
+    /// Time since the last message after which a machine gets no tasks.
     pub missed_heartbeats_ms: u64,
-    /// Without proof that its worker is reached until a machine is released.
-    pub unreachable_ms: u64,
-    /// Without a heartbeat of any of several machines until workers count as unable to reach this controller.
-    pub no_heartbeats_ms: u64,
+    /// Time without confirmation that the worker is reachable, after which the leader releases the machine.
+    pub unreachable_release_ms: u64,
+    /// Time since the last message of any machine after which this controller is considered unreachable by workers.
+    pub controller_unreachable_ms: u64,
 }
 
 impl MachineTimeouts {
-    /// The timeouts that follow from the settings of the workers.
     pub fn new(workers: &Workers) -> MachineTimeouts {
         let heartbeat_ms = workers.heartbeat_interval_s * 1_000.0;
         MachineTimeouts {
-            lease_ms: lease_bound_ms(workers),
+            lease_ms: max_worker_lease_ms(workers),
             missed_heartbeats_ms: (heartbeat_ms * MISSED_HEARTBEAT_INTERVALS) as u64,
-            unreachable_ms: (workers.lease_s * 1_000.0 * UNREACHABLE_RELEASE_LEASES) as u64,
-            no_heartbeats_ms: (heartbeat_ms * UNREACHABLE_HEARTBEAT_INTERVALS) as u64,
+            unreachable_release_ms: (workers.lease_s * 1_000.0 * UNREACHABLE_RELEASE_LEASES) as u64,
+            controller_unreachable_ms: (heartbeat_ms * UNREACHABLE_HEARTBEAT_INTERVALS) as u64,
         }
     }
 }
@@ -77,81 +76,85 @@
 /// Conditions under which the leader releases or replaces a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct MachineCondition {
-    /// The cloud has announced that it takes the machine.
-    pub reclaim_notice: bool,
-    /// There has been no proof for long that the worker is reached.
-    pub unreachable: bool,
-    /// Everything on it is certainly gone.
-    pub lost: bool,
+    /// The cloud has announced that it will reclaim the machine.
+    pub has_reclaim_notice: bool,
+    /// The worker has not been confirmed reachable for `MachineTimeouts::unreachable_release_ms`.
+    pub is_unreachable: bool,
+    /// See [`Machine::is_lost`].
+    pub is_lost: bool,
 }
 
-/// What the leader gets to know of a machine, apart from what never changes.
+/// Variable part of the status of a machine that is sent to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct MachineSummary {
-    /// The machine is known to be there; the leader gets nothing before.
-    pub is_known: bool,
+    /// Whether the machine is reported to the leader: its type is known, and its worker is confirmed, suspect, or has
+    /// been unconfirmed for `MachineTimeouts::unreachable_release_ms`.
+    pub is_reported: bool,
+    /// See [`Machine::is_schedulable`].
     pub is_schedulable: bool,
+    /// Whether all of its attempts, if any, are durably completed.
     pub is_empty: bool,
     pub condition: MachineCondition,
     pub free: Resources,
 }
 
-/// The connection for direct commands to one worker: at most one batch is in flight.
+/// State of the direct commands to one worker. At most one batch is in flight.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct CommandChannel {
-    /// Direct commands were sent and neither answered nor given up.
-    pub is_in_flight: bool,
-    /// No direct commands before: the last ones were not answered.
+    /// A batch was sent, and its outcome is not known yet.
+    pub has_batch_in_flight: bool,
+    /// Earliest time for the next batch (backoff or probe interval).
     pub not_before: Time,
 }
 
-/// What the leader has directed for a machine.
+/// The leader's latest directive for a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) struct LeaderDirective {
-    /// It gets no more tasks, because it will be released.
-    pub draining: bool,
-    /// Only assignments that name it may use it.
-    pub claimed: bool,
+    /// It gets no new tasks, because it is to be released.
+    pub is_draining: bool,
+    /// It is reserved for assignments that name it.
+    pub is_claimed: bool,
 }
 
 /// A machine and the attempts on it.
 #[derive(Debug, Clone)]
 pub(super) struct Machine {
-    /// Unknown until a heartbeat names a machine type of the catalog.
+    /// `None` until a message names a machine type of the catalog.
     pub info: Option<MachineInfo>,
     pub lease: WorkerLease,
-    /// Everything on it is certainly gone.
+    /// The worker's lease has certainly expired or the cloud has terminated the machine, and no later message has
+    /// arrived: no task runs on it.
     pub is_lost: bool,
     pub reachability: WorkerReachability,
-    pub commands: CommandChannel,
-    /// Ended attempts the worker must remember, because an unanswered direct launch of them would
-    /// start them a second time; with the incarnation in which that can happen.
-    pub unreaped: BTreeMap<Attempt, Incarnation>,
-    /// When the cloud takes it, once it gave notice.
+    pub command_channel: CommandChannel,
+    /// Ended attempts that must not be reaped: an unanswered direct launch could still arrive and start them again. The
+    /// value is the incarnation to which the launch was sent.
+    pub unreapable_attempts: BTreeMap<Attempt, Incarnation>,
+    /// When the cloud reclaims the machine; `None` without a reclaim notice.
     pub reclaim_at: Option<Time>,
     pub directive: LeaderDirective,
-    /// The worker lists tasks that are on no record.
+    /// The worker's latest message lists a task that has not ended and is not tracked here.
     pub has_unknown_tasks: bool,
-    /// Jobs whose tasks failed on it since a task last completed there.
+    /// Jobs of which tasks have failed on it since the last completion of any task on it.
     pub failing_jobs: BTreeSet<JobId>,
     pub attempts: BTreeMap<Attempt, TrackedAttempt>,
-    /// Since when no attempt is on it.
+    /// Since when `summary.is_empty` holds; `None` while it does not.
     pub empty_since: Option<Time>,
-    /// The summary as last computed.
+    /// As computed by the last `Partition::refresh_summary`.
     pub summary: MachineSummary,
 }
 
 impl Machine {
-    /// A machine whose worker's lease can have been renewed until `renewed_at`, and of whose messages none
-    /// newer than `newest` was seen.
+    /// A machine whose worker's lease was renewed at `renewed_at` at the latest. `newest` is the newest message
+    /// received from it, or [`SequenceNumber::NONE`].
     pub fn new(newest: SequenceNumber, renewed_at: Time, now: Time) -> Machine {
         Machine {
             info: None,
             lease: WorkerLease::new(newest, renewed_at),
             is_lost: false,
             reachability: WorkerReachability::unconfirmed(now),
-            commands: CommandChannel::default(),
-            unreaped: BTreeMap::new(),
+            command_channel: CommandChannel::default(),
+            unreapable_attempts: BTreeMap::new(),
             reclaim_at: None,
             directive: LeaderDirective::default(),
             has_unknown_tasks: false,
@@ -162,17 +165,17 @@
         }
     }
 
-    /// Whether the cloud has announced that it takes the machine.
     pub fn has_reclaim_notice(&self) -> bool {
         self.reclaim_at.is_some()
     }
 
-    /// Whether heartbeats have been missing for so long that the machine gets neither tasks nor direct commands.
-    pub fn misses_heartbeats(&self, now: Time, timeouts: MachineTimeouts) -> bool {
+    /// Whether no message has arrived for `missed_heartbeats_ms`. The machine then gets neither tasks nor direct
+    /// commands.
+    pub fn has_missed_heartbeats(&self, now: Time, timeouts: MachineTimeouts) -> bool {
         now.since(self.lease.last_message_at) > timeouts.missed_heartbeats_ms
     }
 
-    /// The attempts that fulfil a condition, in their order.
+    /// The attempts that satisfy a condition, in ascending order.
     pub fn attempts_where(&self, condition: impl Fn(&TrackedAttempt) -> bool) -> Vec<Attempt> {
         self.attempts
             .iter()
@@ -181,7 +184,8 @@
             .collect()
     }
 
-    /// The resources that are free now.
+    /// Capacity minus the resources of all attempts that have not completed; none while the capacity or the job of such
+    /// an attempt is unknown.
     pub fn free(&self) -> Resources {
         let Some(info) = &self.info else {
             return Resources::default();
@@ -191,59 +195,60 @@
             match (&tracked.job, tracked.state) {
                 (_, AttemptState::Completed) => {}
                 (Some(job), _) => free.allocate(&job.resources()),
-                // Its size is unknown: no other task may be placed beside it.
+                // The resources of its job are unknown.
                 (None, _) => return Resources::default(),
             }
         }
         free
     }
 
-    /// Share of its resources that is taken, given what is free: that of the scarcest resource.
+    /// The largest used share of any resource, 0 to 1, given the free resources; 1 while the capacity is unknown.
     pub fn utilization(&self, free: &Resources) -> f64 {
         let Some(info) = &self.info else {
             return 1.0;
         };
-        let taken_share = |free: f64, capacity: f64| {
+        let used_share = |free: f64, capacity: f64| {
             if capacity > 0.0 {
                 1.0 - free / capacity
             } else {
                 0.0
             }
         };
-        taken_share(free.cpus, info.capacity.cpus)
-            .max(taken_share(free.gpus, info.capacity.gpus))
-            .max(taken_share(free.memory_gb, info.capacity.memory_gb))
+        used_share(free.cpus, info.capacity.cpus)
+            .max(used_share(free.gpus, info.capacity.gpus))
+            .max(used_share(free.memory_gb, info.capacity.memory_gb))
     }
 
-    /// Whether tasks may be placed on it.
+    /// Whether tasks may be placed on the machine.
     pub fn is_schedulable(&self, now: Time, timeouts: MachineTimeouts) -> bool {
         self.info.is_some()
             && !self.is_lost
-            && !self.directive.draining
+            && !self.directive.is_draining
             && !self.has_unknown_tasks
             && self.reachability.is_confirmed()
             && self.failing_jobs.len() < FAILED_JOBS_BEFORE_FAULTY
             && !self.has_reclaim_notice()
-            && !self.misses_heartbeats(now, timeouts)
+            && !self.has_missed_heartbeats(now, timeouts)
     }
 
-    /// What the leader should know of it now.
     pub fn summarize(&self, now: Time, timeouts: MachineTimeouts) -> MachineSummary {
-        let unreachable = self
+        let is_unreachable = self
             .reachability
-            .unproven_since()
-            .is_some_and(|since| now.since(since) >= timeouts.unreachable_ms);
-        let proven_once = self.reachability.is_confirmed() || self.reachability.is_suspect();
+            .unconfirmed_since()
+            .is_some_and(|since| now.since(since) >= timeouts.unreachable_release_ms);
+        let is_assessed = self.reachability.is_confirmed() || self.reachability.is_suspect();
         MachineSummary {
-            // The leader gets nothing of a machine before it is known to be there now.
-            is_known: self.info.is_some() && (proven_once || unreachable),
+            is_reported: self.info.is_some() && (is_assessed || is_unreachable),
             is_schedulable: self.is_schedulable(now, timeouts),
-            // The worker may have to remember a settled attempt for long, but it keeps no machine.
-            is_empty: self.attempts.values().all(TrackedAttempt::is_settled),
+            // A worker may list a durably completed attempt for long; that does not prevent the machine's release.
+            is_empty: self
+                .attempts
+                .values()
+                .all(TrackedAttempt::is_durably_completed),
             condition: MachineCondition {
-                reclaim_notice: self.has_reclaim_notice(),
-                unreachable,
-                lost: self.is_lost,
+                has_reclaim_notice: self.has_reclaim_notice(),
+                is_unreachable,
+                is_lost: self.is_lost,
             },
             free: self.free(),
         }
--- a/crates/worksshunt-core/src/machines/mod.rs
+++ b/crates/worksshunt-core/src/machines/mod.rs
@@ -1,23 +1,25 @@
 //! The machines of this controller's partition and the attempts on them.
 //!
-//! Two rules keep a task from running twice. An attempt is on a durable record in the key-value store before its
-//! launch is sent. And it counts as gone only when a heartbeat that cannot predate the launch shows so, when the
-//! worker's incarnation is a later one, when the last possible lease has expired, or when the cloud has confirmed the
-//! machine's termination.
+//! Two rules prevent a task from running twice:
 //!
-//! The state is the [`Partition`], owned by the controller, which passes it every heartbeat, every outcome of direct
-//! commands, the leader's directives and the time. Only what changed is processed: sets name the machines and attempts
-//! that have to be recorded, sent commands or reported to the leader.
+//! - The launch of an attempt is sent only after its record is durable in the key-value store.
+//! - An attempt is considered ended only if a heartbeat that cannot predate the launch does not list it, the worker has
+//!   a later incarnation, the worker's lease has expired by its latest possible renewal, or the cloud has confirmed the
+//!   machine's termination.
+//!
+//! The controller owns the `Partition` and passes it heartbeats, outcomes of direct commands, the leader's directives
+//! and the current time. Processing is incremental: sets hold the machines and attempts for which a record, a command
+//! or a status update is pending.
 
 mod assignment_queue;
 mod attempt;
 mod attempts;
 mod commands;
+mod epoch_transition;
 mod expiry;
 mod heartbeat_history;
 mod heartbeat_response;
 mod heartbeats;
-mod loading;
 mod machine;
 mod partition;
 mod partition_sync;
@@ -29,10 +31,10 @@
 mod worker_lease;
 
 pub use commands::{DirectCommands, DirectCommandsOutcome};
-pub use heartbeats::HeartbeatOutcome;
-pub use loading::EpochStart;
-pub use partition::Partition;
-pub use worker_lease::lease_bound_ms;
+pub(crate) use epoch_transition::EpochStart;
+pub(crate) use heartbeats::HeartbeatOutcome;
+pub(crate) use partition::Partition;
+pub(crate) use worker_lease::max_worker_lease_ms;
 
 #[cfg(test)]
 mod fixtures;
--- a/crates/worksshunt-core/src/machines/partition.rs
+++ b/crates/worksshunt-core/src/machines/partition.rs
@@ -1,8 +1,8 @@
-//! The state of a partition, shared by the modules that change it.
+//! State of a partition, shared by the modules that change it.
 //!
-//! The [`Partition`] is owned by the controller. This module has the state itself, the summaries of its machines and
-//! the record pages; [`attempts`](super::attempts), [`heartbeats`](super::heartbeats), [`commands`](super::commands),
-//! [`expiry`](super::expiry) and their siblings have the events that change it.
+//! This module defines the [`Partition`], refreshes the summaries of its machines and writes the record pages. The
+//! events are handled in [`attempts`](super::attempts), [`heartbeats`](super::heartbeats),
+//! [`commands`](super::commands), [`expiry`](super::expiry) and the other modules beside it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,44 +22,40 @@
 use super::machine::{Machine, MachineSummary, MachineTimeouts};
 use super::pending_updates::PendingUpdates;
 
-/// Order in which machines are tried for a task: the most utilized first, equals by name.
+/// Order in which placement tries machines: by descending utilization, then by name.
 type UtilizationRank = (Reverse<u64>, MachineId);
 
-/// The machines of one partition, as their owner knows them.
+/// The machines of one partition and the attempts on them, as their owner knows them.
 #[derive(Debug)]
 pub struct Partition {
-    pub(super) parameters: Parameters,
+    pub(super) placement_parameters: Parameters,
     pub(super) timeouts: MachineTimeouts,
-    /// Bytes that a page of records may take, from the next epoch on.
+    /// Maximum bytes of a page of records; a change applies from the next epoch on.
     pub(super) page_bytes: usize,
     pub(super) machines: BTreeMap<MachineId, Machine>,
-    /// The last machine that the last tick examined, if it did not reach the end of them.
+    /// The last machine that the previous tick examined; `None` if the next tick starts from the first machine.
     pub(super) sweep_cursor: Option<MachineId>,
-    /// The machine that each attempt is on.
     pub(super) machine_by_attempt: BTreeMap<Attempt, MachineId>,
-    /// The attempts of each job.
     pub(super) attempts_by_job: BTreeMap<JobId, BTreeSet<Attempt>>,
-    /// Machines that had free capacity when last summarized.
+    /// Schedulable machines whose latest summary has free processors.
     pub(super) machines_with_free_capacity: BTreeSet<UtilizationRank>,
-    /// The newest message of machines that are not in the partition.
     pub(super) heartbeat_history: HeartbeatHistory,
-    pub(super) speeds: BTreeMap<MachineId, Speed>,
+    pub(super) speed_by_machine: BTreeMap<MachineId, Speed>,
     pub(super) assignment_queue: AssignmentQueue,
     pub(super) record_pages: Pages<AttemptRecord>,
-    /// Machines that direct commands are waiting for.
-    pub(super) pending_commands: BTreeSet<MachineId>,
-    /// Machines that direct commands will be waiting for, from that time on.
-    pub(super) deferred_commands: BTreeSet<(Time, MachineId)>,
+    /// Machines to be checked for direct commands to send.
+    pub(super) machines_with_pending_commands: BTreeSet<MachineId>,
+    /// Machines that return to `machines_with_pending_commands` at the given time.
+    pub(super) machines_with_deferred_commands: BTreeSet<(Time, MachineId)>,
     pub(super) pending_updates: PendingUpdates,
-    pub(super) over_capacity: OverCapacity,
+    pub(super) over_capacity_counts: OverCapacity,
 }
 
 impl Partition {
-    /// An empty partition.
     pub fn new(parameters: Parameters, workers: &Workers, limits: &KeyValueLimits) -> Partition {
         let page_bytes = max_page_bytes(limits);
         Partition {
-            parameters,
+            placement_parameters: parameters,
             timeouts: MachineTimeouts::new(workers),
             page_bytes,
             machines: BTreeMap::new(),
@@ -68,30 +64,32 @@
             attempts_by_job: BTreeMap::new(),
             machines_with_free_capacity: BTreeSet::new(),
             heartbeat_history: HeartbeatHistory::default(),
-            speeds: BTreeMap::new(),
+            speed_by_machine: BTreeMap::new(),
             assignment_queue: AssignmentQueue::default(),
             record_pages: Pages::new(String::new(), page_bytes),
-            pending_commands: BTreeSet::new(),
-            deferred_commands: BTreeSet::new(),
+            machines_with_pending_commands: BTreeSet::new(),
+            machines_with_deferred_commands: BTreeSet::new(),
             pending_updates: PendingUpdates::default(),
-            over_capacity: OverCapacity::default(),
+            over_capacity_counts: OverCapacity::default(),
         }
     }
 
-    /// The limits of the key-value store have changed; they apply from the next epoch on.
+    /// Sets the limits of the key-value store, which apply from the next epoch on.
     pub fn set_key_value_limits(&mut self, limits: &KeyValueLimits) {
         self.page_bytes = max_page_bytes(limits);
     }
 
-    /// A tracked attempt and the machine it is on.
-    pub(super) fn tracked(&self, attempt: Attempt) -> Option<(&MachineId, &TrackedAttempt)> {
+    /// Returns an attempt and the machine it is on.
+    pub(super) fn tracked_attempt(
+        &self,
+        attempt: Attempt,
+    ) -> Option<(&MachineId, &TrackedAttempt)> {
         let id = self.machine_by_attempt.get(&attempt)?;
         let tracked = self.machines.get(id)?.attempts.get(&attempt)?;
         Some((id, tracked))
     }
 
-    /// A tracked attempt, to be changed, and the machine it is on.
-    pub(super) fn tracked_mut(
+    pub(super) fn tracked_attempt_mut(
         &mut self,
         attempt: Attempt,
     ) -> Option<(&MachineId, &mut TrackedAttempt)> {
@@ -100,7 +98,8 @@
         Some((id, tracked))
     }
 
-    /// Computes a machine's summary anew. If it changed, its rank for placement follows and the leader will get it.
+    /// Recomputes a machine's summary. If it has changed, updates the machine's rank for placement and queues its
+    /// status for the leader.
     pub(super) fn refresh_summary(&mut self, id: &MachineId, now: Time) {
         let timeouts = self.timeouts;
         let Some(machine) = self.machines.get_mut(id) else {
@@ -123,44 +122,46 @@
         if after.is_schedulable && after.free.cpus > 0.0 {
             self.machines_with_free_capacity.insert(rank_after);
         }
-        if after.is_known || before.is_known {
+        if after.is_reported || before.is_reported {
             self.pending_updates.machines.insert(id.clone());
         }
         self.assignment_queue.request_placement();
     }
 
-    /// The next write of records, of at most `max_pages` pages.
+    /// Returns the next write of record pages, at most `max_pages`; empty while one is in flight.
     pub fn next_record_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.record_pages.begin_writes(now, max_pages)
     }
 
-    /// The records being written are durable, at that revision if it is known: their attempts may be launched.
-    pub fn records_written(&mut self, revision: Option<Revision>) {
+    /// Marks the records of the write in flight as durable, so that their attempts may be launched. `revision` is that
+    /// of the write, if known.
+    pub fn mark_records_durable(&mut self, revision: Option<Revision>) {
         for attempt in self.record_pages.mark_write_applied(revision) {
-            let Some((id, tracked)) = self.tracked_mut(attempt) else {
+            let Some((id, tracked)) = self.tracked_attempt_mut(attempt) else {
                 continue;
             };
             if tracked.state == AttemptState::Recording {
-                tracked.advance(AttemptState::Recorded);
+                tracked.transition_to(AttemptState::Recorded);
                 let id = id.clone();
-                self.pending_commands.insert(id);
+                self.machines_with_pending_commands.insert(id);
             }
         }
     }
 
-    /// Keys of the pages of records whose versions have to be read.
+    /// Keys of the record pages whose version is uncertain and has to be read.
     pub fn uncertain_record_pages(&self) -> Vec<String> {
         self.record_pages.uncertain_keys().cloned().collect()
     }
 
-    /// A page's version was read.
-    pub fn record_page_version_read(&mut self, key: &str, version: Revision) {
+    /// Sets the version of a record page as read from the key-value store.
+    pub fn set_record_page_version(&mut self, key: &str, version: Revision) {
         self.record_pages.set_page_version(key, version);
     }
 
-    /// One line about the placements over capacity since the last summary.
-    pub fn over_capacity_summary(&mut self) -> String {
-        self.over_capacity.summary(&self.parameters)
+    /// Returns one line of counts of over-capacity placements and resets the counts.
+    pub fn take_over_capacity_summary(&mut self) -> String {
+        self.over_capacity_counts
+            .summary(&self.placement_parameters)
     }
 }
 
@@ -169,7 +170,7 @@
     machine: &Machine,
     summary: &MachineSummary,
 ) -> UtilizationRank {
-    /// Utilization is a share; ranks are integers, to be totally ordered.
+    // Ranks are integers because floating-point shares are not totally ordered.
     const RANKS_PER_UNIT: f64 = 1e9;
     let free: &Resources = &summary.free;
     let rank = (machine.utilization(free) * RANKS_PER_UNIT) as u64;
--- a/crates/worksshunt-core/src/machines/partition_sync.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync.rs
@@ -1,7 +1,7 @@
-//! The exchange between a partition's owner and the leader.
+//! Synchronization of a partition's owner with the leader.
 //!
-//! The owner sends a [`PartitionStatus`] with what changed since the leader last confirmed, and the leader answers with
-//! [`LeaderDirectives`]. What the leader does not know yet is in `pending_updates`.
+//! The owner sends a [`PartitionStatus`] with the changes that the leader has not acknowledged, and the leader responds
+//! with [`LeaderDirectives`]. `pending_updates` holds the changes to be sent.
 
 use std::collections::BTreeSet;
 
@@ -17,12 +17,13 @@
 use super::partition::Partition;
 
 impl Partition {
-    /// Whether something changed that the leader should get soon.
+    /// Whether there are changes to be sent to the leader. Those of the status in flight don't count.
     pub fn has_pending_updates(&self) -> bool {
         !self.pending_updates.is_empty()
     }
 
-    /// What has changed since the leader last confirmed, as much of it as one status takes.
+    /// Returns the next status for the leader: the changes that it has not acknowledged, up to the size limit of a
+    /// status.
     pub fn next_status(
         &mut self,
         now: Time,
@@ -37,8 +38,8 @@
         let status = PartitionStatus {
             epoch,
             owner: from.clone(),
-            sequence: self.pending_updates.sequence + 1,
-            acknowledged_sequence: self.pending_updates.acknowledged,
+            sequence: self.pending_updates.last_status_sequence + 1,
+            acknowledged_sequence: self.pending_updates.last_directives_sequence,
             machines: machines
                 .filter_map(|id| machine_status(id, self.machines.get(id)?, now))
                 .collect(),
@@ -51,13 +52,13 @@
                 .collect(),
             ended_attempts: batch.ended_attempts.clone(),
         };
-        self.pending_updates.sequence += 1;
+        self.pending_updates.last_status_sequence += 1;
         self.pending_updates.in_flight = Some(batch);
         status
     }
 
     fn attempt_status(&self, attempt: Attempt, now: Time) -> Option<AttemptStatus> {
-        let (id, tracked) = self.tracked(attempt)?;
+        let (id, tracked) = self.tracked_attempt(attempt)?;
         Some(AttemptStatus {
             task: tracked.task,
             attempt,
@@ -70,19 +71,19 @@
         })
     }
 
-    /// The leader did not answer the status in flight.
-    pub fn status_unanswered(&mut self) {
+    /// Requeues the changes of the status in flight, which the leader did not answer.
+    pub fn requeue_unacknowledged_updates(&mut self) {
         self.pending_updates.requeue_unacknowledged();
     }
 
-    /// Applies the leader's directives. Those that answer another status than the last are ignored.
+    /// Applies the leader's directives. Ignores them unless they answer the status in flight.
     pub fn apply_directives(&mut self, directives: &LeaderDirectives, now: Time) {
-        if directives.request_sequence != self.pending_updates.sequence
+        if directives.request_sequence != self.pending_updates.last_status_sequence
             || self.pending_updates.in_flight.take().is_none()
         {
             return;
         }
-        self.pending_updates.acknowledged = directives.sequence;
+        self.pending_updates.last_directives_sequence = directives.sequence;
         for assignment in &directives.assignments {
             self.assignment_queue.push(assignment.clone(), now);
         }
@@ -90,7 +91,7 @@
             self.stop_as_directed(*attempt, now);
         }
         for attempt in &directives.durable_attempts {
-            if let Some((_, tracked)) = self.tracked_mut(*attempt) {
+            if let Some((_, tracked)) = self.tracked_attempt_mut(*attempt) {
                 tracked.is_completion_durable = true;
             }
         }
@@ -99,12 +100,12 @@
         }
     }
 
-    /// Returns the attempt to the leader if it is on no machine yet, else stops it with the grace its task needs.
+    /// Returns an attempt that is on no machine yet to the leader, or stops it with the grace needed for a checkpoint.
     fn stop_as_directed(&mut self, attempt: Attempt, now: Time) {
         if let Some(assignment) = self.assignment_queue.remove(attempt) {
-            self.return_unplaced(&assignment);
+            self.return_to_leader(&assignment);
         }
-        if let Some((_, tracked)) = self.tracked(attempt) {
+        if let Some((_, tracked)) = self.tracked_attempt(attempt) {
             let grace_s = tracked.checkpoint_grace_s();
             self.request_stop(attempt, grace_s, now);
         }
@@ -116,8 +117,8 @@
         let mut changed = Vec::new();
         for (id, machine) in &mut self.machines {
             let directive = LeaderDirective {
-                draining: draining.contains(id),
-                claimed: claimed.contains(id),
+                is_draining: draining.contains(id),
+                is_claimed: claimed.contains(id),
             };
             if machine.directive != directive {
                 machine.directive = directive;
@@ -129,27 +130,27 @@
             self.assignment_queue.request_placement();
         }
         for id in &directives.terminated {
-            self.machine_terminated(id, now);
+            self.mark_terminated(id, now);
         }
     }
 }
 
-/// The status of a machine for the leader; none before the machine is known to be there.
+/// The machine's status for the leader; `None` if its summary is not to be reported yet.
 fn machine_status(id: &MachineId, machine: &Machine, now: Time) -> Option<MachineStatus> {
     let info = machine.info.as_ref()?;
     let summary = machine.summary;
-    summary.is_known.then(|| MachineStatus {
+    summary.is_reported.then(|| MachineStatus {
         id: id.clone(),
         machine_type: info.machine_type.clone(),
         zone: info.zone.clone(),
-        is_spot: info.spot,
+        is_spot: info.is_spot,
         is_schedulable: summary.is_schedulable,
         idle_ms: machine.empty_since.map(|since| now.since(since)),
         free_cpus: summary.free.cpus,
         free_gpus: summary.free.gpus,
         free_memory_gb: summary.free.memory_gb,
-        has_reclaim_notice: summary.condition.reclaim_notice,
-        is_unreachable: summary.condition.unreachable,
-        is_lost: summary.condition.lost,
+        has_reclaim_notice: summary.condition.has_reclaim_notice,
+        is_unreachable: summary.condition.is_unreachable,
+        is_lost: summary.condition.is_lost,
     })
 }
--- a/crates/worksshunt-core/src/machines/pending_updates.rs
+++ b/crates/worksshunt-core/src/machines/pending_updates.rs
@@ -1,5 +1,6 @@
-//! What the owner of a partition has to tell the leader. The partition owns it, and all its modules add to it;
-//! `partition_sync` sends it.
+//! Changes in a partition that are to be sent to the leader.
+//!
+//! The modules of the partition add them, and [`partition_sync`](super::partition_sync) sends them.
 
 use std::collections::BTreeSet;
 
@@ -8,22 +9,22 @@
 
 use crate::constants::partition_sync::{MAX_CHANGES_PER_SYNC, MAX_MACHINES_PER_SYNC};
 
-/// What the leader does not know yet, and what is in flight to it.
+/// Changes that the leader has not acknowledged, and the state of the exchange with it.
 #[derive(Debug, Default)]
 pub(super) struct PendingUpdates {
     pub machines: BTreeSet<MachineId>,
     pub removed_machines: BTreeSet<MachineId>,
     pub attempts: BTreeSet<Attempt>,
     pub ended_attempts: Vec<EndedAttempt>,
-    /// Number of the last status sent.
-    pub sequence: u64,
-    /// Number of the last directives applied.
-    pub acknowledged: u64,
-    /// The updates in the status that is in flight.
+    /// Sequence number of the last status sent.
+    pub last_status_sequence: u64,
+    /// Sequence number of the last directives applied.
+    pub last_directives_sequence: u64,
+    /// Changes in the status in flight; `None` if no status is unanswered.
     pub in_flight: Option<UpdateBatch>,
 }
 
-/// The updates that go into one status.
+/// The changes in one status.
 #[derive(Debug, Default)]
 pub(super) struct UpdateBatch {
     pub machines: BTreeSet<MachineId>,
@@ -32,7 +33,7 @@
     pub ended_attempts: Vec<EndedAttempt>,
 }
 
-/// Takes the first entries out of a set, at most `limit`.
+/// Removes and returns the first entries of a set, at most `limit`.
 fn take_first<T: Ord>(set: &mut BTreeSet<T>, limit: usize) -> BTreeSet<T> {
     if set.len() <= limit {
         return std::mem::take(set);
@@ -53,26 +54,25 @@
             && self.ended_attempts.is_empty()
     }
 
-    /// Takes out the updates of the next status. What is too much for one status is left for the next.
+    /// Removes and returns the changes for the next status, up to its size limits.
     pub fn take_batch(&mut self) -> UpdateBatch {
-        let ended = self.ended_attempts.len().min(MAX_CHANGES_PER_SYNC);
+        let ended_count = self.ended_attempts.len().min(MAX_CHANGES_PER_SYNC);
         UpdateBatch {
             machines: take_first(&mut self.machines, MAX_MACHINES_PER_SYNC),
             removed_machines: take_first(&mut self.removed_machines, MAX_MACHINES_PER_SYNC),
             attempts: take_first(&mut self.attempts, MAX_CHANGES_PER_SYNC),
-            ended_attempts: self.ended_attempts.drain(..ended).collect(),
+            ended_attempts: self.ended_attempts.drain(..ended_count).collect(),
         }
     }
 
-    /// The status in flight was not answered: all its updates have to be sent again.
+    /// Requeues all changes of the status in flight, if any, ahead of later ones.
     pub fn requeue_unacknowledged(&mut self) {
         if let Some(batch) = self.in_flight.take() {
             self.machines.extend(batch.machines);
             self.removed_machines.extend(batch.removed_machines);
             self.attempts.extend(batch.attempts);
-            // What was sent first is sent first again.
-            let later = std::mem::replace(&mut self.ended_attempts, batch.ended_attempts);
-            self.ended_attempts.extend(later);
+            let later_entries = std::mem::replace(&mut self.ended_attempts, batch.ended_attempts);
+            self.ended_attempts.extend(later_entries);
         }
     }
 }
--- a/crates/worksshunt-core/src/machines/queued_placement.rs
+++ b/crates/worksshunt-core/src/machines/queued_placement.rs
@@ -1,7 +1,7 @@
-//! Placement of the assignments that wait for a machine.
+//! Placement of queued assignments on machines.
 //!
-//! The controller calls [`Partition::place_queued`] after each batch of events. An assignment that fits no machine is
-//! returned to the leader after a while (see [`expiry`](super::expiry)).
+//! The controller calls [`Partition::place_queued`] after each batch of events. An assignment that stays in the queue
+//! until its timeout is returned to the leader (see [`expiry`](super::expiry)).
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -19,25 +19,26 @@
 use super::machine::Machine;
 use super::partition::Partition;
 
-/// What one placement round uses for every assignment.
+/// Parameters common to all assignments of one placement round.
 struct PlacementRound<'a> {
     now: Time,
     job_cache: &'a JobCache,
-    /// On-demand machines are kept for services: batch jobs that may use spot machines leave them free.
-    is_on_demand_kept: bool,
+    /// On-demand machines are reserved for services and for jobs that may not use spot machines.
+    is_on_demand_reserved: bool,
 }
 
-/// What a placement needs; equal assignments find no machine either after one of them found none.
+/// Constraints of an assignment's placement. Once one assignment was not placed in a round, others with equal
+/// constraints are not tried.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct PlacementNeed {
+struct PlacementConstraints {
     job: JobId,
     zone: Option<String>,
     claimed: Option<MachineId>,
 }
 
-impl PlacementNeed {
-    fn of(assignment: &Assignment) -> PlacementNeed {
-        PlacementNeed {
+impl PlacementConstraints {
+    fn of(assignment: &Assignment) -> PlacementConstraints {
+        PlacementConstraints {
             job: assignment.task.job,
             zone: assignment.zone.clone(),
             claimed: assignment.claimed_machine.clone(),
@@ -45,24 +46,26 @@
     }
 }
 
-/// Which machines a task is tried on, by its job's history there.
+/// Selects candidate machines by whether the job is among their `failing_jobs`.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum JobHistory {
-    /// Machines on which the job has not failed.
-    NoFailure,
-    /// Machines on which it has.
-    Failed,
+enum FailureFilter {
+    WithoutFailures,
+    WithFailures,
 }
 
 impl Partition {
-    /// Returns the queued assignments that fulfil a condition to the leader.
-    pub(super) fn return_queued_where(&mut self, condition: impl Fn(&QueuedAssignment) -> bool) {
+    /// Returns the queued assignments that satisfy a condition to the leader.
+    pub(super) fn return_queued_assignments_where(
+        &mut self,
+        condition: impl Fn(&QueuedAssignment) -> bool,
+    ) {
         for assignment in self.assignment_queue.remove_where(condition) {
-            self.return_unplaced(&assignment);
+            self.return_to_leader(&assignment);
         }
     }
 
-    /// Puts queued assignments on machines by the design's rules, as far as the budget goes.
+    /// Places queued assignments on machines until the time budget is exhausted. Does nothing if nothing has changed
+    /// since the last complete round.
     pub fn place_queued(&mut self, now: Time, job_cache: &JobCache, budget: &Budget) {
         if !self.assignment_queue.is_placement_needed {
             return;
@@ -70,42 +73,44 @@
         let round = PlacementRound {
             now,
             job_cache,
-            is_on_demand_kept: self.is_on_demand_kept(job_cache),
+            is_on_demand_reserved: self.is_on_demand_reserved(job_cache),
         };
-        let mut unplaceable = BTreeSet::new();
-        for _ in 0..self.assignment_queue.queued.len() {
+        let mut unplaceable_constraints = BTreeSet::new();
+        for _ in 0..self.assignment_queue.assignments.len() {
             if budget.is_exhausted() {
                 return;
             }
-            let Some(queued) = self.assignment_queue.queued.pop_front() else {
+            let Some(queued) = self.assignment_queue.assignments.pop_front() else {
                 break;
             };
-            let need = PlacementNeed::of(&queued.assignment);
-            if unplaceable.contains(&need) || !self.place_assignment(&round, &queued.assignment) {
-                unplaceable.insert(need);
-                self.assignment_queue.queued.push_back(queued);
+            let constraints = PlacementConstraints::of(&queued.assignment);
+            if unplaceable_constraints.contains(&constraints)
+                || !self.place_assignment(&round, &queued.assignment)
+            {
+                unplaceable_constraints.insert(constraints);
+                self.assignment_queue.assignments.push_back(queued);
             }
         }
         self.assignment_queue.is_placement_needed = false;
     }
 
-    /// Whether on-demand machines are kept for services. The leader, which knows all partitions, assigns nothing
-    /// to on-demand machines that are kept.
-    fn is_on_demand_kept(&self, job_cache: &JobCache) -> bool {
+    /// Whether on-demand machines are reserved: a service is open and this partition has schedulable spot machines. The
+    /// leader applies the same reservation if another partition has some.
+    fn is_on_demand_reserved(&self, job_cache: &JobCache) -> bool {
         let is_schedulable_spot = |machine: &Machine| {
-            machine.summary.is_schedulable && machine.info.as_ref().is_some_and(|info| info.spot)
+            machine.summary.is_schedulable && machine.info.as_ref().is_some_and(|info| info.is_spot)
         };
-        !self.assignment_queue.queued.is_empty()
+        !self.assignment_queue.assignments.is_empty()
             && job_cache.any_service()
             && self.machines.values().any(is_schedulable_spot)
     }
 
-    /// Whether a machine took the assignment.
+    /// Places an assignment on a machine and queues its record. Returns false if none fits or the job is not open.
     fn place_assignment(&mut self, round: &PlacementRound, assignment: &Assignment) -> bool {
-        let Some(open) = round.job_cache.get(assignment.task.job) else {
+        let Some(open_job) = round.job_cache.get(assignment.task.job) else {
             return false;
         };
-        let job = Rc::clone(&open.job);
+        let job = Rc::clone(&open_job.job);
         let Some(choice) = self.choose_machine(round, assignment, &job) else {
             return false;
         };
@@ -123,8 +128,10 @@
             round.now,
         );
         if choice.over_capacity {
-            let band = self.parameters.size_band(job.spec.estimated_runtime_s);
-            self.over_capacity.placed(band);
+            let band = self
+                .placement_parameters
+                .size_band(job.spec.estimated_runtime_s);
+            self.over_capacity_counts.placed(band);
             tracing::debug!(task = %assignment.task, machine = %choice.machine, "attempt placed over capacity");
             tracked.over_capacity_band = Some(band);
         }
@@ -140,31 +147,32 @@
         true
     }
 
-    /// The machine for a task. One on which the job has failed gets it only if no other fits.
+    /// Chooses the machine for a task. Machines on which the job has failed are used only if no other fits.
     fn choose_machine(
         &self,
         round: &PlacementRound,
         assignment: &Assignment,
         job: &Job,
     ) -> Option<Choice> {
-        let choose_by = |history| {
+        let choose_with = |filter| {
             choose(
                 job.spec.estimated_runtime_s,
-                self.candidates(round, assignment, job, history),
+                self.candidates(round, assignment, job, filter),
             )
         };
-        choose_by(JobHistory::NoFailure).or_else(|| choose_by(JobHistory::Failed))
+        choose_with(FailureFilter::WithoutFailures)
+            .or_else(|| choose_with(FailureFilter::WithFailures))
     }
 
-    /// Machines that fit the task, the most utilized first.
+    /// Machines that fit the task, in the order of `UtilizationRank`.
     fn candidates<'a>(
         &'a self,
         round: &'a PlacementRound,
         assignment: &'a Assignment,
         job: &'a Job,
-        history: JobHistory,
+        filter: FailureFilter,
     ) -> impl Iterator<Item = Candidate<'a>> + 'a {
-        let required = job.resources();
+        let required_resources = job.resources();
         self.machines_with_free_capacity
             .iter()
             .filter_map(move |(_, id)| {
@@ -172,25 +180,29 @@
                 let info = machine.info.as_ref()?;
                 let is_permitted = match &assignment.claimed_machine {
                     Some(claimed) => claimed == id,
-                    None => !machine.directive.claimed,
+                    None => !machine.directive.is_claimed,
                 };
                 let has_failed = machine.failing_jobs.contains(&job.spec.id);
                 let fits = is_permitted
-                    && machine.summary.free.fits(&required)
+                    && machine.summary.free.fits(&required_resources)
                     && machine.is_schedulable(round.now, self.timeouts)
-                    && has_failed == (history == JobHistory::Failed)
-                    && job.allows_machine(&info.machine_type, &info.zone, info.spot)
-                    && !job.leaves_machine_to_others(info.spot, round.is_on_demand_kept)
+                    && has_failed == (filter == FailureFilter::WithFailures)
+                    && job.allows_machine(&info.machine_type, &info.zone, info.is_spot)
+                    && !job.leaves_machine_to_others(info.is_spot, round.is_on_demand_reserved)
                     && assignment
                         .zone
                         .as_ref()
                         .is_none_or(|zone| *zone == info.zone);
-                let speed = self.speeds.get(id).copied().unwrap_or(Speed::UNMEASURED);
+                let speed = self
+                    .speed_by_machine
+                    .get(id)
+                    .copied()
+                    .unwrap_or(Speed::UNMEASURED);
                 fits.then(|| Candidate {
                     id,
                     capacity: self
-                        .parameters
-                        .capacity(speed.value(self.parameters.start_speed)),
+                        .placement_parameters
+                        .capacity(speed.value(self.placement_parameters.start_speed)),
                 })
             })
     }
--- a/crates/worksshunt-core/src/machines/reachability.rs
+++ b/crates/worksshunt-core/src/machines/reachability.rs
@@ -1,32 +1,33 @@
-//! Whether the responses and commands of this controller reach a worker.
+//! Whether this controller's responses and commands reach a worker.
 //!
-//! Each [`Machine`](super::machine::Machine) owns a [`WorkerReachability`]. Receiving heartbeats proves nothing:
-//! they may arrive while every response is lost, and a heartbeat may be a late copy of one sent long ago.
+//! Each [`Machine`](super::machine::Machine) has a [`WorkerReachability`]. Receiving heartbeats is not sufficient
+//! evidence: they may arrive while all responses are lost, and a heartbeat may be a delayed duplicate.
 
 use crate::constants::workers::UNCONFIRMED_RESPONSES_BEFORE_SUSPECT;
 use crate::time::Time;
 
-/// What is known about whether a worker is reached.
+/// Reachability states of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reachability {
-    /// Its heartbeats do not show this epoch's fencing token yet, so none of them need be of this epoch.
+    /// No heartbeat with this epoch's fencing token has arrived, so all received ones may be from before the epoch.
     Unconfirmed { since: Time },
-    /// It has acted on a message of this owner.
+    /// The worker has processed a response or command of this owner.
     Confirmed,
-    /// There is evidence against it; commands that change nothing (probes) are sent until one is answered.
+    /// Responses or commands may not have reached the worker. Probes (empty command batches) are sent until one is
+    /// answered.
     Suspect { since: Time },
 }
 
-/// Reachability of one worker and the evidence for it.
+/// Reachability of one worker.
 #[derive(Debug, Clone)]
 pub(super) struct WorkerReachability {
     state: Reachability,
-    /// Responses sent since the worker's heartbeats last showed this epoch's fencing token.
+    /// Responses sent since the last heartbeat that carried this epoch's fencing token.
     unconfirmed_responses: u32,
 }
 
 impl WorkerReachability {
-    /// Nothing is known yet.
+    /// Initial state of a newly registered worker.
     pub fn unconfirmed(now: Time) -> WorkerReachability {
         WorkerReachability {
             state: Reachability::Unconfirmed { since: now },
@@ -34,7 +35,7 @@
         }
     }
 
-    /// A new epoch begins under the same owner.
+    /// Begins a new epoch with the same owner: restarts the time of an unconfirmed worker.
     pub fn begin_epoch(&mut self, now: Time) {
         self.unconfirmed_responses = 0;
         if let Reachability::Unconfirmed { since } = &mut self.state {
@@ -42,22 +43,22 @@
         }
     }
 
-    /// The worker has acted on a message of this owner.
+    /// Records that the worker has processed a message of this owner.
     pub fn confirm(&mut self) {
         self.state = Reachability::Confirmed;
         self.unconfirmed_responses = 0;
     }
 
-    /// There is evidence that the worker is not reached. The time without confirmation continues from when it began.
-    pub fn suspect(&mut self, now: Time) {
-        let since = self.unproven_since().unwrap_or(now);
+    /// Records evidence that the worker may not be reachable. If it was not confirmed before, `since` stays as it was.
+    pub fn mark_suspect(&mut self, now: Time) {
+        let since = self.unconfirmed_since().unwrap_or(now);
         self.state = Reachability::Suspect { since };
     }
 
-    /// Evaluates the fencing token that a heartbeat shows (`is_current` if it is this epoch's) and counts the
-    /// response that is sent to it.
-    pub fn record_heartbeat(&mut self, is_current: bool, now: Time) {
-        if is_current {
+    /// Updates the state for a heartbeat and counts its response. `has_current_token`: the heartbeat carries this
+    /// epoch's fencing token.
+    pub fn record_heartbeat(&mut self, has_current_token: bool, now: Time) {
+        if has_current_token {
             self.unconfirmed_responses = 0;
             if matches!(self.state, Reachability::Unconfirmed { .. }) {
                 self.confirm();
@@ -65,23 +66,23 @@
         } else if self.unconfirmed_responses >= UNCONFIRMED_RESPONSES_BEFORE_SUSPECT
             && self.state == Reachability::Confirmed
         {
-            self.suspect(now);
+            self.mark_suspect(now);
         }
         self.unconfirmed_responses += 1;
     }
 
-    /// Whether the worker has acted on a message of this owner and there is no evidence against it since.
+    /// Whether the worker has processed a message of this owner, without evidence to the contrary since.
     pub fn is_confirmed(&self) -> bool {
         self.state == Reachability::Confirmed
     }
 
-    /// Whether there is evidence that the worker is not reached.
+    /// Whether the worker may be unreachable and is to be probed.
     pub fn is_suspect(&self) -> bool {
         matches!(self.state, Reachability::Suspect { .. })
     }
 
-    /// Since when there is no proof that the worker is reached; none while it is confirmed.
-    pub fn unproven_since(&self) -> Option<Time> {
+    /// Since when the worker has been unconfirmed or suspect; `None` while it is confirmed.
+    pub fn unconfirmed_since(&self) -> Option<Time> {
         match self.state {
             Reachability::Confirmed => None,
             Reachability::Unconfirmed { since } | Reachability::Suspect { since } => Some(since),
--- a/crates/worksshunt-core/src/machines/sequence_number.rs
+++ b/crates/worksshunt-core/src/machines/sequence_number.rs
@@ -1,30 +1,28 @@
-//! The order of the messages of one worker.
+//! Sequence numbers of a worker's messages.
 //!
-//! Heartbeats and responses to direct commands carry the worker's incarnation and a number that grows within it. The
-//! lease and the heartbeat handling of this module distinguish new messages from late copies by it.
+//! Heartbeats and responses to direct commands carry the worker's incarnation and a number that increases within it.
+//! Comparing them distinguishes new messages from delayed and duplicate ones.
 
 use std::fmt;
 
 use worksshunt_wire::worker::Heartbeat;
 use worksshunt_wire::Incarnation;
 
-/// Position of a message among all messages of its worker. The newer of two is the larger: the incarnation counts
-/// before the number.
+/// Sequence number of a worker's message, ordered by incarnation first. A later message has a larger one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SequenceNumber {
-    /// Incarnation of the worker that sent the message.
+    /// Incarnation of the worker when it sent the message.
     pub incarnation: Incarnation,
-    /// Number of the message within the incarnation.
+    /// Number within the incarnation.
     pub number: u64,
 }
 
 impl SequenceNumber {
-    /// Before every message: no message is known.
+    /// Lower than that of any message: none has been received.
     pub const NONE: SequenceNumber = SequenceNumber::new(Incarnation(0), 0);
-    /// After every message: all that can come is stale.
+    /// Not lower than that of any message: every further message is stale.
     pub const MAX: SequenceNumber = SequenceNumber::new(Incarnation(u64::MAX), u64::MAX);
 
-    /// The message of that number in an incarnation.
     pub const fn new(incarnation: Incarnation, number: u64) -> SequenceNumber {
         SequenceNumber {
             incarnation,
@@ -32,7 +30,7 @@
         }
     }
 
-    /// The sequence number that a message shows.
+    /// The sequence number in a heartbeat or a response to direct commands.
     pub fn of(heartbeat: &Heartbeat) -> SequenceNumber {
         SequenceNumber::new(heartbeat.incarnation, heartbeat.sequence)
     }
--- a/crates/worksshunt-core/src/machines/sequence_number/tests.rs
+++ b/crates/worksshunt-core/src/machines/sequence_number/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `sequence_number`: the order of messages and their text in logs.
+//! Tests of `sequence_number`: order and display.
 
 use super::*;
 
 #[test]
-fn the_incarnation_counts_before_the_number() {
+fn incarnation_takes_precedence_over_number() {
     let old = SequenceNumber::new(Incarnation(1), 900);
     let new = SequenceNumber::new(Incarnation(2), 1);
     assert!(old < new);
@@ -12,6 +12,6 @@
 }
 
 #[test]
-fn logs_show_incarnation_and_number() {
+fn display_shows_incarnation_and_number() {
     assert_eq!(SequenceNumber::new(Incarnation(3), 17).to_string(), "3/17");
 }
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -1,7 +1,7 @@
-//! What the tasks in a worker's message mean for the attempts on its machine.
+//! Updates attempts from the tasks that a worker's message lists, and from those that it does not list.
 //!
 //! [`heartbeats`](super::heartbeats) calls [`Partition::apply_listed_tasks`] and
-//! [`Partition::apply_unlisted_attempts`] for every message that is newer than what is known.
+//! [`Partition::apply_unlisted_attempts`] for every message newer than the last one applied.
 
 use std::collections::BTreeSet;
 
@@ -17,61 +17,62 @@
 use super::partition::Partition;
 use super::sequence_number::SequenceNumber;
 
-/// What the status of a listed task means for its attempt.
+/// Effect of a listed task's status on its attempt.
 enum StatusEffect {
-    /// Its state may have advanced.
-    Advanced,
-    /// It has completed; known for the first time.
+    /// Nothing to do beyond the update of the state.
+    StateUpdated,
+    /// Completion reported for the first time.
     Completed,
-    /// It has ended without completion.
+    /// Ended without completion.
     Ended(AttemptOutcome),
 }
 
-/// What it means for an attempt that a message does not list it.
+/// Effect on an attempt of a message that does not list it.
 enum UnlistedEffect {
     Unchanged,
-    /// Its launch did not arrive and is sent again.
+    /// The launch did not arrive and is to be sent again.
     Relaunch,
-    Gone(AttemptOutcome),
+    /// The attempt is no longer on the machine.
+    Ended(AttemptOutcome),
 }
 
 impl Partition {
     /// Applies the status of the tasks that a message lists.
     pub(super) fn apply_listed_tasks(&mut self, heartbeat: &Heartbeat, now: Time) {
         let id = &heartbeat.machine;
-        let mut completed = Vec::new();
-        let mut ended = Vec::new();
+        let mut completed_attempts = Vec::new();
+        let mut ended_attempts = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         machine.has_unknown_tasks = false;
-        for listed in &heartbeat.tasks {
-            let Some(tracked) = machine.attempts.get_mut(&listed.attempt) else {
-                machine.has_unknown_tasks |= listed.state != TaskState::Ended;
+        for status in &heartbeat.tasks {
+            let Some(tracked) = machine.attempts.get_mut(&status.attempt) else {
+                machine.has_unknown_tasks |= status.state != TaskState::Ended;
                 continue;
             };
             let phase_before = tracked.reported_phase();
-            match tracked.apply_status(listed, now) {
-                StatusEffect::Advanced => {}
-                StatusEffect::Completed => completed.push(listed.attempt),
-                StatusEffect::Ended(outcome) => ended.push((listed.attempt, outcome)),
+            match tracked.apply_status(status, now) {
+                StatusEffect::StateUpdated => {}
+                StatusEffect::Completed => completed_attempts.push(status.attempt),
+                StatusEffect::Ended(outcome) => ended_attempts.push((status.attempt, outcome)),
             }
             if tracked.reported_phase() != phase_before {
-                self.pending_updates.attempts.insert(listed.attempt);
+                self.pending_updates.attempts.insert(status.attempt);
             }
             if tracked.has_unsent_stop() {
-                self.pending_commands.insert(id.clone());
+                self.machines_with_pending_commands.insert(id.clone());
             }
         }
-        for attempt in completed {
+        for attempt in completed_attempts {
             self.record_completion(id, attempt, now);
         }
-        for (attempt, outcome) in ended {
+        for (attempt, outcome) in ended_attempts {
             self.end_attempt(id, attempt, outcome, now);
         }
     }
 
-    /// A task has completed on a machine: that clears the machine of failures and measures its speed.
+    /// Records a completion on a machine: resets the machine's failing jobs and updates its measured speed.
     fn record_completion(&mut self, id: &MachineId, attempt: Attempt, now: Time) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -81,25 +82,25 @@
             return;
         };
         if let (Some(job), false) = (&tracked.job, tracked.is_inherited) {
-            let held_s = now.since(tracked.placed_at) as f64 / 1_000.0;
+            let elapsed_s = now.since(tracked.placed_at) as f64 / 1_000.0;
             let estimate_s = job.spec.estimated_runtime_s;
-            tracing::debug!(task = %tracked.task, machine = %id, held_s, estimate_s, "attempt completed");
-            self.speeds
+            tracing::debug!(task = %tracked.task, machine = %id, elapsed_s, estimate_s, "attempt completed");
+            self.speed_by_machine
                 .entry(id.clone())
                 .or_insert(Speed::UNMEASURED)
-                .record_measurement(estimate_s, held_s, self.parameters.start_speed);
+                .record_measurement(estimate_s, elapsed_s, self.placement_parameters.start_speed);
         }
         if let Some(band) = tracked.over_capacity_band.take() {
-            self.over_capacity
+            self.over_capacity_counts
                 .ended(band, OverCapacityOutcome::Completed);
         }
     }
 
-    /// Applies that attempts are not listed; `is_current` if the message shows this epoch's fencing token.
+    /// Updates the attempts that a message does not list. `has_current_token`: it carries this epoch's fencing token.
     pub(super) fn apply_unlisted_attempts(
         &mut self,
         heartbeat: &Heartbeat,
-        is_current: bool,
+        has_current_token: bool,
         kind: MessageKind,
         now: Time,
     ) {
@@ -108,26 +109,27 @@
             return;
         };
         let listed = listed_attempts(heartbeat);
-        let mut gone = Vec::new();
+        let mut ended_attempts = Vec::new();
         for (attempt, tracked) in &mut machine.attempts {
             if listed.contains(attempt) {
                 continue;
             }
-            match tracked.unlisted_effect(is_current, kind) {
+            match tracked.unlisted_effect(has_current_token, kind) {
                 UnlistedEffect::Unchanged => {}
                 UnlistedEffect::Relaunch => {
-                    tracked.advance(AttemptState::Recorded);
-                    self.pending_commands.insert(id.clone());
+                    tracked.transition_to(AttemptState::Recorded);
+                    self.machines_with_pending_commands.insert(id.clone());
                 }
-                UnlistedEffect::Gone(outcome) => gone.push((*attempt, outcome)),
+                UnlistedEffect::Ended(outcome) => ended_attempts.push((*attempt, outcome)),
             }
         }
-        for (attempt, outcome) in gone {
+        for (attempt, outcome) in ended_attempts {
             if outcome == AttemptOutcome::Acknowledged {
                 self.untrack(id, attempt, outcome, now);
             } else {
-                let (number, token) = (SequenceNumber::of(heartbeat), heartbeat.fencing_token);
-                tracing::debug!(machine = %id, %attempt, %number, %token, ?kind, "attempt lost: not listed by its worker");
+                let (sequence_number, token) =
+                    (SequenceNumber::of(heartbeat), heartbeat.fencing_token);
+                tracing::debug!(machine = %id, %attempt, %sequence_number, %token, ?kind, "attempt lost: its worker does not list it");
                 self.end_attempt(id, attempt, outcome, now);
             }
         }
@@ -135,19 +137,18 @@
 }
 
 impl TrackedAttempt {
-    /// Applies the status that the worker reports.
     fn apply_status(&mut self, status: &TaskStatus, now: Time) -> StatusEffect {
         match (status.state, status.exit_reason) {
-            (TaskState::Fetching, _) => self.advance(AttemptState::Fetching),
-            (TaskState::Running, _) => self.advance(AttemptState::Running(now)),
-            (TaskState::Saving, _) => self.advance(AttemptState::Saving),
-            // A replica never completes: one that ends has failed, whatever reason it reports.
+            (TaskState::Fetching, _) => self.transition_to(AttemptState::Fetching),
+            (TaskState::Running, _) => self.transition_to(AttemptState::Running(now)),
+            (TaskState::Saving, _) => self.transition_to(AttemptState::Saving),
+            // A replica never completes, so one that exits as done has failed.
             (TaskState::Ended, Some(ExitReason::Done)) if self.is_replica() => {
                 return StatusEffect::Ended(AttemptOutcome::Failed);
             }
             (TaskState::Ended, Some(ExitReason::Done)) => {
                 if self.state != AttemptState::Completed {
-                    self.advance(AttemptState::Completed);
+                    self.transition_to(AttemptState::Completed);
                     return StatusEffect::Completed;
                 }
             }
@@ -156,32 +157,33 @@
             }
             (TaskState::Ended, _) => return StatusEffect::Ended(AttemptOutcome::Stopped),
         }
-        StatusEffect::Advanced
+        StatusEffect::StateUpdated
     }
 
-    /// What it means that a message does not list the attempt; `is_current` if it shows this epoch's fencing token.
-    fn unlisted_effect(&self, is_current: bool, kind: MessageKind) -> UnlistedEffect {
+    /// Effect of a message of this kind that does not list the attempt. `has_current_token`: it carries this epoch's
+    /// fencing token.
+    fn unlisted_effect(&self, has_current_token: bool, kind: MessageKind) -> UnlistedEffect {
         match self.state {
             AttemptState::Recording | AttemptState::Recorded => UnlistedEffect::Unchanged,
-            // The heartbeat response that carries the launch may still be on its way.
+            // The heartbeat response with the launch may still be in flight.
             AttemptState::Launched if kind == MessageKind::CommandResponse => {
                 UnlistedEffect::Unchanged
             }
-            // That response was dropped, or this heartbeat would list the attempt.
-            AttemptState::Launched if self.stop.is_none() => UnlistedEffect::Relaunch,
-            // It can still arrive, so its absence means nothing.
+            // The response was lost; otherwise this heartbeat would list the attempt.
+            AttemptState::Launched if self.stop_request.is_none() => UnlistedEffect::Relaunch,
+            // The launch may still arrive.
             AttemptState::DirectlyLaunched => UnlistedEffect::Unchanged,
             AttemptState::Completed if self.is_completion_durable => {
-                UnlistedEffect::Gone(AttemptOutcome::Acknowledged)
+                UnlistedEffect::Ended(AttemptOutcome::Acknowledged)
             }
             AttemptState::Completed => UnlistedEffect::Unchanged,
-            _ if is_current => UnlistedEffect::Gone(AttemptOutcome::Lost),
+            _ if has_current_token => UnlistedEffect::Ended(AttemptOutcome::Lost),
             _ => UnlistedEffect::Unchanged,
         }
     }
 }
 
-/// The attempts that a message lists.
+/// The attempts of the tasks that a message lists.
 pub(super) fn listed_attempts(heartbeat: &Heartbeat) -> BTreeSet<Attempt> {
     heartbeat
         .tasks
--- a/crates/worksshunt-core/src/machines/worker_lease.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease.rs
@@ -1,11 +1,11 @@
-//! The owner's account of a worker's lease.
+//! A worker's lease, as tracked by the owner of its machine.
 //!
-//! Each [`Machine`](super::machine::Machine) owns a [`WorkerLease`]; heartbeats, responses to commands and losses update
-//! it, and [`expiry`](super::expiry) asks whether it has expired.
+//! Each [`Machine`](super::machine::Machine) has a [`WorkerLease`]. Heartbeats, responses to commands and losses update
+//! it, and [`expiry`](super::expiry) checks whether it has expired.
 //!
-//! A worker that gets 200 for a heartbeat counts its lease from the moment it sent that heartbeat. So a heartbeat may be
-//! answered with 200 only after its renewal was recorded here: the worker relies on it from then on. Then the account
-//! is never behind the worker, and a lease that has expired by it has expired.
+//! A worker whose heartbeat is answered with status 200 starts its lease at the time it sent the heartbeat. The owner
+//! therefore must record the renewal here before it sends that response. The expiry computed here is then never earlier
+//! than the worker's own.
 
 use worksshunt_wire::settings::Workers;
 
@@ -15,89 +15,90 @@
 
 use super::sequence_number::SequenceNumber;
 
-/// How long a worker's lease lasts by any clock, ms.
-pub fn lease_bound_ms(workers: &Workers) -> u64 {
+/// Upper bound of a worker lease's duration, measured by this controller's clock, milliseconds: the configured duration
+/// plus clock drift and a margin for late timers.
+pub fn max_worker_lease_ms(workers: &Workers) -> u64 {
     (workers.lease_s * 1_000.0 * (1.0 + CLOCK_DRIFT_SHARE)) as u64 + WORKER_LEASE_MARGIN_MS
 }
 
-/// How a heartbeat relates to the messages of its worker that arrived before it.
+/// Order of a heartbeat relative to the messages received earlier from its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Arrival {
-    /// It is the newest message.
+pub(super) enum ArrivalOrder {
+    /// Newer than all of them.
     Newest,
-    /// A response to direct commands that the worker sent after it has arrived first, and the worker may still wait for
-    /// its answer. Its content is outdated, but an answer renews the lease.
-    Overtaken,
-    /// It was counted before, or the worker has given up on it: a copy, or delayed for long.
+    /// Sent before a response to direct commands that has arrived first. The content is outdated, but the worker may
+    /// still be waiting for the response, which renews the lease.
+    OutOfOrder,
+    /// A duplicate, or delayed so long that the worker no longer waits for the response.
     Stale,
 }
 
-/// When a worker's lease can have been renewed last, and by what.
+/// Latest possible renewal of a worker's lease, and the newest messages received.
 #[derive(Debug, Clone)]
 pub(super) struct WorkerLease {
-    /// Newest message seen.
+    /// Newest heartbeat or response to direct commands received.
     pub newest_message: SequenceNumber,
-    /// When it arrived.
+    /// Arrival of `newest_message`.
     pub last_message_at: Time,
-    /// Newest heartbeat counted. A worker has one heartbeat in flight at a time, so it waits for no earlier one.
+    /// Newest heartbeat received. A worker has one heartbeat in flight at a time, so it waits for no earlier one.
     newest_heartbeat: SequenceNumber,
-    /// Latest moment at which the lease can have been renewed.
+    /// Latest time at which the lease can have been renewed.
     pub renewed_at: Time,
-    /// The heartbeat that renewed it; none if that time is an upper bound without one.
-    pub renewed_by: Option<SequenceNumber>,
+    /// The last heartbeat that renewed the lease; `None` if `renewed_at` is only an upper bound.
+    pub renewing_heartbeat: Option<SequenceNumber>,
 }
 
 impl WorkerLease {
-    /// The lease of a worker, renewed at `renewed_at` at the latest, of which `newest` was the last message known
-    /// before. Heartbeats up to that one are copies.
+    /// A lease renewed at `renewed_at` at the latest. `newest` is the newest message received before; heartbeats up to
+    /// it are stale.
     pub fn new(newest: SequenceNumber, renewed_at: Time) -> WorkerLease {
         WorkerLease {
             newest_message: newest,
             last_message_at: Time::default(),
             newest_heartbeat: newest,
             renewed_at,
-            renewed_by: None,
+            renewing_heartbeat: None,
         }
     }
 
     /// Classifies a heartbeat that arrives now.
-    pub fn classify(&self, heartbeat: SequenceNumber, now: Time) -> Arrival {
+    pub fn classify(&self, heartbeat: SequenceNumber, now: Time) -> ArrivalOrder {
         if heartbeat > self.newest_message {
-            Arrival::Newest
+            ArrivalOrder::Newest
         } else if heartbeat > self.newest_heartbeat
             && now.since(self.last_message_at) < HEARTBEAT_TIMEOUT_MS
         {
-            // It was sent before the newest message, and so has been in flight for longer than that one is known.
-            Arrival::Overtaken
+            // It was sent before the newest message, so it has been in flight for longer than since that arrived.
+            ArrivalOrder::OutOfOrder
         } else {
-            Arrival::Stale
+            ArrivalOrder::Stale
         }
     }
 
-    /// Counts a heartbeat that is going to be answered.
+    /// Records the lease renewal by a heartbeat, before that is answered.
     pub fn record_renewal(&mut self, heartbeat: SequenceNumber, now: Time) {
         self.newest_heartbeat = self.newest_heartbeat.max(heartbeat);
         self.renewed_at = self.renewed_at.max(now);
-        self.renewed_by = Some(heartbeat);
+        self.renewing_heartbeat = Some(heartbeat);
     }
 
-    /// Records a message newer than all before it.
+    /// Records a message that is newer than all received before.
     pub fn record_message(&mut self, message: SequenceNumber, now: Time) {
         if message.incarnation > self.newest_message.incarnation {
-            // An incarnation has its lease from its beginning on, whichever message showed it first.
+            // An incarnation begins with a lease, even if its first message is not a heartbeat.
             self.renewed_at = self.renewed_at.max(now);
         }
         self.newest_message = message;
         self.last_message_at = now;
     }
 
-    /// No message up to `last` waits for an answer any more.
-    pub fn close_up_to(&mut self, last: SequenceNumber) {
+    /// Makes all messages up to `last` stale: the worker waits for the response to none of them.
+    pub fn mark_stale_up_to(&mut self, last: SequenceNumber) {
         self.newest_message = last;
         self.newest_heartbeat = last;
     }
 
-    /// Whether the lease, which lasts `lease_ms`, has certainly expired.
+    /// Whether the lease has certainly expired, given the upper bound of its duration.
     pub fn has_expired(&self, lease_ms: u64, now: Time) -> bool {
         now > self.renewed_at + lease_ms
     }
--- a/crates/worksshunt-core/src/machines/worker_lease/tests.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease/tests.rs
@@ -1,82 +1,100 @@
-//! Tests of `worker_lease`: which heartbeats renew a lease.
+//! Tests of `worker_lease`: which messages renew a lease.
 
 use worksshunt_wire::Incarnation;
 
 use super::*;
 
 /// First message of the worker's second incarnation.
-const SECOND: SequenceNumber = SequenceNumber::new(Incarnation(2), 1);
+const SECOND_INCARNATION: SequenceNumber = SequenceNumber::new(Incarnation(2), 1);
 const LEASE_MS: u64 = 16_000;
 
 /// A message of the worker's first incarnation.
-fn first(number: u64) -> SequenceNumber {
+fn message(number: u64) -> SequenceNumber {
     SequenceNumber::new(Incarnation(1), number)
 }
 
 /// A lease after heartbeat 5 at 1 s and a response to commands with number 7 at 2 s.
 fn lease() -> WorkerLease {
     let mut lease = WorkerLease::new(SequenceNumber::NONE, Time(0));
-    lease.record_renewal(first(5), Time(1_000));
-    lease.record_message(first(5), Time(1_000));
-    lease.record_message(first(7), Time(2_000));
+    lease.record_renewal(message(5), Time(1_000));
+    lease.record_message(message(5), Time(1_000));
+    lease.record_message(message(7), Time(2_000));
     lease
 }
 
 #[test]
-fn a_response_to_commands_renews_nothing() {
+fn command_response_does_not_renew_the_lease() {
     let lease = lease();
     assert_eq!(lease.renewed_at, Time(1_000));
     assert!(lease.has_expired(LEASE_MS, Time(17_001)));
 }
 
-// The heartbeat in flight: its worker gets an answer, and counts its lease from when it sent it.
+// The worker still waits for the response, and its lease then starts when it sent the heartbeat.
 #[test]
-fn a_heartbeat_that_a_response_to_commands_overtook_is_counted() {
+fn out_of_order_heartbeat_renews_the_lease() {
     let mut lease = lease();
-    assert_eq!(lease.classify(first(6), Time(3_000)), Arrival::Overtaken);
-    lease.record_renewal(first(6), Time(3_000));
+    assert_eq!(
+        lease.classify(message(6), Time(3_000)),
+        ArrivalOrder::OutOfOrder
+    );
+    lease.record_renewal(message(6), Time(3_000));
     assert!(!lease.has_expired(LEASE_MS, Time(19_000)));
-    assert_eq!(lease.renewed_by, Some(first(6)));
-    assert_eq!(lease.newest_message, first(7), "its content is outdated");
+    assert_eq!(lease.renewing_heartbeat, Some(message(6)));
+    assert_eq!(lease.newest_message, message(7), "its content is outdated");
 }
 
-// Otherwise a copy that arrives again and again would keep a dead machine's tasks for ever.
+// Guards against duplicates that renew the lease of a dead machine indefinitely.
 #[test]
-fn a_copy_of_a_counted_heartbeat_is_stale_at_any_time() {
+fn duplicate_heartbeat_is_always_stale() {
     let mut lease = lease();
-    lease.record_renewal(first(6), Time(3_000));
+    lease.record_renewal(message(6), Time(3_000));
     for at in [3_001, 5_000, 60_000] {
-        for copy in [5, 6] {
-            assert_eq!(lease.classify(first(copy), Time(at)), Arrival::Stale);
+        for number in [5, 6] {
+            assert_eq!(
+                lease.classify(message(number), Time(at)),
+                ArrivalOrder::Stale
+            );
         }
     }
 }
 
 #[test]
-fn a_heartbeat_that_its_worker_has_given_up_is_stale_although_never_seen() {
-    let last = Time(2_000 + HEARTBEAT_TIMEOUT_MS - 1);
-    assert_eq!(lease().classify(first(6), last), Arrival::Overtaken);
-    let given_up = Time(2_000 + HEARTBEAT_TIMEOUT_MS);
-    assert_eq!(lease().classify(first(6), given_up), Arrival::Stale);
+fn out_of_order_heartbeat_is_stale_after_its_deadline() {
+    let before_deadline = Time(2_000 + HEARTBEAT_TIMEOUT_MS - 1);
+    assert_eq!(
+        lease().classify(message(6), before_deadline),
+        ArrivalOrder::OutOfOrder
+    );
+    let at_deadline = Time(2_000 + HEARTBEAT_TIMEOUT_MS);
+    assert_eq!(
+        lease().classify(message(6), at_deadline),
+        ArrivalOrder::Stale
+    );
 }
 
 #[test]
-fn a_heartbeat_newer_than_all_is_the_newest_however_late() {
-    let late = Time(900_000);
-    assert_eq!(lease().classify(first(8), late), Arrival::Newest);
-    assert_eq!(lease().classify(SECOND, late), Arrival::Newest);
+fn newer_heartbeat_is_the_newest_at_any_time() {
+    let much_later = Time(900_000);
+    assert_eq!(
+        lease().classify(message(8), much_later),
+        ArrivalOrder::Newest
+    );
+    assert_eq!(
+        lease().classify(SECOND_INCARNATION, much_later),
+        ArrivalOrder::Newest
+    );
 }
 
 #[test]
-fn an_incarnation_first_seen_in_a_response_to_commands_has_its_lease() {
+fn new_incarnation_in_a_command_response_begins_a_lease() {
     let mut lease = lease();
-    lease.record_message(SECOND, Time(20_000));
+    lease.record_message(SECOND_INCARNATION, Time(20_000));
     assert!(!lease.has_expired(LEASE_MS, Time(36_000)));
 }
 
 #[test]
-fn nothing_renews_the_lease_of_a_machine_that_is_gone() {
+fn heartbeats_of_a_terminated_machine_are_stale() {
     let mut lease = lease();
-    lease.close_up_to(SequenceNumber::MAX);
-    assert_eq!(lease.classify(first(8), Time(2_100)), Arrival::Stale);
+    lease.mark_stale_up_to(SequenceNumber::MAX);
+    assert_eq!(lease.classify(message(8), Time(2_100)), ArrivalOrder::Stale);
 }
