--- a/crates/worksshunt-core/src/controller/leading.rs
+++ b/crates/worksshunt-core/src/controller/leading.rs
@@ -73,13 +73,13 @@
         };
         let scheduler = &mut leader.scheduler;
         let timer = &mut self.leader_duties.waiting_tasks_timer;
-        let is_due = timer.is_due(now.steady) || scheduler.replica_stuck();
-        if !is_due || !scheduler.all_partitions_reported() {
+        let is_due = timer.is_due(now.steady) || scheduler.has_unschedulable_replica();
+        if !is_due || !scheduler.have_all_partitions_reported() {
             return;
         }
         timer.next = now.steady + WAITING_TASKS_INTERVAL_MS;
-        scheduler.note_spot_machines(now.steady);
-        scheduler.reassign_unsent(now.steady);
+        scheduler.record_spot_machines(now.steady);
+        scheduler.reassign_unsent_attempts(now.steady);
         scheduler.claim_machines(now.steady);
         // Nothing can be launched in the place of what is stopped before it can be recorded.
         if !store_silent {
@@ -99,7 +99,7 @@
             return;
         };
         leader.scheduler.run_round(now, budget);
-        if leader.scheduler.attempts_exhausted() {
+        if leader.scheduler.are_attempt_numbers_exhausted() {
             self.membership.mark_attempts_exhausted();
         }
     }
@@ -125,7 +125,7 @@
         let duties = &mut self.leader_duties;
         let may_call_cloud = duties.cloud_request_tokens.available(steady) > 0;
         let is_due = duties.fleet_timer.is_due(steady) && may_call_cloud;
-        let reported = |leader: &Leader| leader.scheduler.all_partitions_reported();
+        let reported = |leader: &Leader| leader.scheduler.have_all_partitions_reported();
         if !is_due || !self.leader.as_ref().is_some_and(reported) {
             return;
         }
--- a/crates/worksshunt-core/src/controller/metrics.rs
+++ b/crates/worksshunt-core/src/controller/metrics.rs
@@ -3,7 +3,7 @@
 use crate::job_api::HttpResponse;
 use crate::jobs::FinalStateEvidence;
 use crate::metrics::{EvidenceLabel, EvidenceLabels, Metrics, QueueLabel, METRICS_CONTENT_TYPE};
-use crate::scheduler::ClaimRecord;
+use crate::scheduler::ClaimWriteOutcome;
 
 use super::{Controller, WriteQueueId};
 
@@ -30,11 +30,11 @@
     }
 
     /// Counts a claim record learnt.
-    pub(super) fn claim_recorded(&self, record: ClaimRecord) {
+    pub(super) fn claim_recorded(&self, record: ClaimWriteOutcome) {
         let evidence = match record {
-            ClaimRecord::Committed(_) => EvidenceLabel::Committed,
-            ClaimRecord::Exists => EvidenceLabel::Exists,
-            ClaimRecord::Deleted(_) => EvidenceLabel::Deleted,
+            ClaimWriteOutcome::Committed(_) => EvidenceLabel::Committed,
+            ClaimWriteOutcome::Exists => EvidenceLabel::Exists,
+            ClaimWriteOutcome::Deleted(_) => EvidenceLabel::Deleted,
         };
         let labels = EvidenceLabels { evidence };
         self.claim_records.get_or_create(&labels).inc();
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -10,7 +10,7 @@
 use crate::jobs::{is_submission_batch, job_of_key, open_job_key};
 use crate::membership::EPOCH_KEY;
 use crate::metrics::ConflictLabels;
-use crate::scheduler::ClaimRecord;
+use crate::scheduler::ClaimWriteOutcome;
 use crate::time::Time;
 
 use super::write_queues::{ClaimChange, FinalWrite};
@@ -94,16 +94,16 @@
                 // Its user cancelled it, or an earlier copy was applied: which of them, the final state shows when
                 // the job cache has it closed.
                 FinalWrite::FinishJob(id) if has_failed(&open_job_key(id)) => {
-                    leader.scheduler.finish_refused(id);
+                    leader.scheduler.finish_job_refused(id);
                 }
                 // The key is this claim's alone, so it was put by an earlier copy.
                 FinalWrite::UpdateClaim {
                     machine,
                     change: ClaimChange::Put { key },
                 } if has_failed(&key) => {
-                    let record = ClaimRecord::Exists;
+                    let record = ClaimWriteOutcome::Exists;
                     self.metrics.claim_recorded(record);
-                    leader.scheduler.claim_recorded(&machine, record);
+                    leader.scheduler.apply_claim_write_outcome(&machine, record);
                 }
                 FinalWrite::FinishJob(_)
                 | FinalWrite::UpdateClaim { .. }
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -66,7 +66,7 @@
         let Some(open) = self.job_cache.get(id) else {
             // The job cache no longer has it: it is over already.
             if let Some(leader) = &mut self.leader {
-                leader.scheduler.finish_refused(id);
+                leader.scheduler.finish_job_refused(id);
             }
             return None;
         };
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -7,7 +7,7 @@
 use crate::constants::key_value::{KV_RETRY_MS, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB};
 use crate::jobs::{job_of_key, FinalStateEvidence};
 use crate::membership::EPOCH_KEY;
-use crate::scheduler::ClaimRecord;
+use crate::scheduler::ClaimWriteOutcome;
 use crate::time::Time;
 
 use super::key_value_responses::RequestTimes;
@@ -120,11 +120,11 @@
                 }
                 FinalWrite::UpdateClaim { machine, change } => {
                     let record = match change {
-                        ClaimChange::Put { .. } => ClaimRecord::Committed(revision),
-                        ClaimChange::Delete => ClaimRecord::Deleted(revision),
+                        ClaimChange::Put { .. } => ClaimWriteOutcome::Committed(revision),
+                        ClaimChange::Delete => ClaimWriteOutcome::Deleted(revision),
                     };
                     self.metrics.claim_recorded(record);
-                    leader.scheduler.claim_recorded(&machine, record);
+                    leader.scheduler.apply_claim_write_outcome(&machine, record);
                 }
                 FinalWrite::RemoveKey(key) => leader.scheduler.key_removed(&key),
             }
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -85,7 +85,7 @@
 /// Capacity for replicas that are likely to be submitted before a machine provisioned for them would be
 /// up, and for the largest job at any time.
 fn reserved_capacity(expected: &ExpectedDemand, catalog: &Catalog) -> Vec<Demand> {
-    let job = &expected.job;
+    let job = &expected.sample_job;
     let offers = catalog.types.iter().flat_map(|machine_type| {
         let zones = machine_type.zones.iter();
         zones
--- a/crates/worksshunt-core/src/scheduler/active_attempt.rs
+++ b/crates/worksshunt-core/src/scheduler/active_attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt as the leader counts it: from its dispatch until it is certainly gone.
+//! One attempt in the leader's accounting, from its dispatch until it is confirmed to have ended.
 //!
-//! [`Scheduler`](super::Scheduler) owns one [`ActiveAttempt`] per attempt; `attempts` changes them.
+//! [`Scheduler`](super::Scheduler) owns one [`ActiveAttempt`] per attempt; the `attempts` module updates them.
 
 use std::rc::Rc;
 
@@ -14,27 +14,27 @@
 #[derive(Debug)]
 pub(super) struct ActiveAttempt {
     pub task: TaskId,
-    /// None for an attempt of a job that was done before this epoch, and so uses nothing.
+    /// `None` if the job was closed before this epoch. Such an attempt is charged to no quota.
     pub job: Option<Rc<Job>>,
-    /// The controller that owns the partition it was dispatched to.
+    /// The owner of the partition that the attempt was dispatched to.
     pub owner: ControllerName,
     pub phase: Phase,
-    /// Since when it runs, once it was reported as running.
+    /// When it began to run; `None` unless it is running.
     pub running_since: Option<Time>,
-    /// The machine its owner has placed it on.
+    /// The machine it was placed on; `None` until its partition's owner reports the placement.
     pub machine: Option<MachineId>,
-    /// The zone of that machine; before that the zone it is bound to.
+    /// The zone of `machine`. Before the placement: the zone that the task has to run in, if its job constrains that.
     pub zone: Option<String>,
-    /// The machine its resources are reserved on until its owner has placed it.
+    /// The machine on which its resources are reserved until it is placed.
     pub reserved_on: Option<MachineId>,
-    /// The claimed machine it has to use.
+    /// The claimed machine on which it has to be placed. `None` once it is placed, or if no machine is claimed for it.
     pub claimed_machine: Option<MachineId>,
-    /// It is being stopped to free resources for another task.
+    /// Whether it is being stopped to free resources for another task.
     pub is_preempted: bool,
 }
 
 impl ActiveAttempt {
-    /// An attempt that was dispatched to the partition of `owner` and not placed yet.
+    /// An attempt that was dispatched to the partition of `owner` and is not placed yet.
     pub fn new(task: TaskId, owner: ControllerName) -> ActiveAttempt {
         ActiveAttempt {
             task,
@@ -50,17 +50,16 @@
         }
     }
 
-    /// Whether its task completed.
     pub fn is_completed(&self) -> bool {
         self.phase == Phase::Completed
     }
 
-    /// Milliseconds it has been running for; 0 before it runs.
+    /// Milliseconds for which it has been running; 0 unless it is running.
     pub fn running_ms(&self, now: Time) -> u64 {
         self.running_since.map_or(0, |since| now.since(since))
     }
 
-    /// The message that assigns it to its owner; none once it is placed.
+    /// The assignment for its partition's owner; `None` once it is placed.
     pub fn assignment(&self, attempt: Attempt) -> Option<Assignment> {
         self.machine.is_none().then(|| Assignment {
             task: self.task,
--- a/crates/worksshunt-core/src/scheduler/attempt_numbers.rs
+++ b/crates/worksshunt-core/src/scheduler/attempt_numbers.rs
@@ -1,41 +1,41 @@
-//! The numbers of the attempts of one epoch. They rise from epoch to epoch, so that a later attempt
-//! always has the greater number.
+//! Allocation of attempt numbers. The numbers of an epoch are greater than those of all epochs before, so a later
+//! attempt always has the greater number.
 
 use worksshunt_wire::{Attempt, Epoch};
 
 use crate::constants::leases::ATTEMPTS_PER_EPOCH;
 
-/// The attempt numbers of an epoch, and how many of them are used.
+/// The attempt numbers of one epoch.
 #[derive(Debug)]
 pub(super) struct AttemptNumbers {
     epoch: Epoch,
-    used: u64,
+    allocated: u64,
     limit: u64,
 }
 
 impl AttemptNumbers {
-    /// All numbers of the epoch, none used yet.
+    /// All numbers of the epoch, none of them allocated.
     pub fn new(epoch: Epoch) -> AttemptNumbers {
         AttemptNumbers {
             epoch,
-            used: 0,
+            allocated: 0,
             limit: ATTEMPTS_PER_EPOCH - 1,
         }
     }
 
-    /// Lowers the limit to at most `limit` numbers.
+    /// Limits the epoch to `limit` numbers, or to `ATTEMPTS_PER_EPOCH - 1` if that is less.
     pub fn set_limit(&mut self, limit: u64) {
         self.limit = limit.min(ATTEMPTS_PER_EPOCH - 1);
     }
 
-    /// Whether all numbers are used. Those of the next epoch must not be used in this one.
+    /// Whether no number is left. The numbers that follow belong to the next epoch.
     pub fn is_exhausted(&self) -> bool {
-        self.used >= self.limit
+        self.allocated >= self.limit
     }
 
-    /// The next number; the caller has checked that there is one.
+    /// Allocates the next number. The caller has checked [`is_exhausted`](Self::is_exhausted).
     pub fn allocate(&mut self) -> Attempt {
-        self.used += 1;
-        Attempt(self.epoch.0 * ATTEMPTS_PER_EPOCH + self.used)
+        self.allocated += 1;
+        Attempt(self.epoch.0 * ATTEMPTS_PER_EPOCH + self.allocated)
     }
 }
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -1,5 +1,5 @@
-//! The life cycle of an attempt: counted from its dispatch, through its phases, until it is certainly gone;
-//! and what its end means for its task and job.
+//! The life cycle of attempts, from dispatch to their end, and the effects of completions and failures on tasks and
+//! jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -19,18 +19,18 @@
 use super::partition_view::Directive;
 use super::{PendingWrite, Scheduler};
 
-/// Doublings of the wait between retries are counted up to this; the wait is at its maximum long before.
+/// Bounds the exponent of the backoff, which reaches [`FAILURE_BACKOFF_MAX_MS`] long before.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Scheduler {
-    /// Counts an attempt and charges what it uses to its team.
+    /// Adds an active attempt and charges its resources to its team's quota, unless the attempt is active already.
     pub(super) fn insert_attempt(&mut self, attempt: Attempt, mut active: ActiveAttempt) {
         if self.active_attempts.contains_key(&attempt) {
             return;
         }
-        if let Some(job_tasks) = self.jobs.get_mut(&active.task.job) {
+        if let Some(job_tasks) = self.open_jobs.get_mut(&active.task.job) {
             active.job = Some(Rc::clone(&job_tasks.job));
-            job_tasks.activate(active.task.index, attempt);
+            job_tasks.add_attempt(active.task.index, attempt);
         }
         if let (Some(job), false) = (&active.job, active.is_completed()) {
             self.quota.charge(job);
@@ -38,7 +38,7 @@
         self.active_attempts.insert(attempt, active);
     }
 
-    /// An attempt is certainly gone, or never reached its owner.
+    /// Removes an attempt that is confirmed to have ended, or whose assignment was never sent.
     pub(super) fn remove_attempt(
         &mut self,
         attempt: Attempt,
@@ -48,7 +48,7 @@
         self.set_phase(attempt, Phase::Queued, 0, now);
         let removed = self.active_attempts.remove(&attempt)?;
         if let Some(job) = &removed.job {
-            // What a completed attempt used was refunded when it completed.
+            // The resources of a completed attempt were refunded at its completion.
             if !removed.is_completed() {
                 self.quota.refund(job);
             }
@@ -56,16 +56,18 @@
                 partition.release_reservation(removed.reserved_on.as_ref(), job);
             }
         }
-        if let Some(job_tasks) = self.jobs.get_mut(&removed.task.job) {
-            job_tasks.deactivate(removed.task.index, attempt);
+        if let Some(job_tasks) = self.open_jobs.get_mut(&removed.task.job) {
+            job_tasks.remove_attempt(removed.task.index, attempt);
         }
-        let misleads = outcome == AttemptOutcome::Lost;
-        self.pages.former_records.remove(&attempt, now, misleads);
+        let is_urgent = outcome == AttemptOutcome::Lost;
+        self.pages
+            .previous_epoch_records
+            .remove(&attempt, now, is_urgent);
         self.round.request();
         Some(removed)
     }
 
-    /// The one place where an attempt's phase changes. A completed attempt stays so.
+    /// Changes the phase of an attempt; all changes go through here. A completed attempt stays completed.
     pub(super) fn set_phase(&mut self, attempt: Attempt, phase: Phase, ran_ms: u64, now: Time) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
@@ -73,10 +75,12 @@
         if active.is_completed() || active.phase == phase {
             return;
         }
-        if let Some(job_tasks) = self.jobs.get_mut(&active.task.job) {
+        if let Some(job_tasks) = self.open_jobs.get_mut(&active.task.job) {
             match (active.phase, phase) {
-                (Phase::Running, _) => job_tasks.running = job_tasks.running.saturating_sub(1),
-                (_, Phase::Running) => job_tasks.running += 1,
+                (Phase::Running, _) => {
+                    job_tasks.running_attempts = job_tasks.running_attempts.saturating_sub(1);
+                }
+                (_, Phase::Running) => job_tasks.running_attempts += 1,
                 _ => {}
             }
         }
@@ -84,40 +88,41 @@
         active.running_since = (phase == Phase::Running).then(|| now - ran_ms);
     }
 
-    /// Whether an attempt at the task is still needed, as far as this version of the program knows.
-    pub(super) fn is_needed(&self, task: TaskId) -> bool {
-        let job_tasks = self.jobs.get(&task.job);
-        job_tasks.is_some_and(|tasks| !tasks.done.contains(task.index))
+    /// Whether the task still has to run. True for the tasks of jobs that this version cannot read.
+    pub(super) fn needs_attempt(&self, task: TaskId) -> bool {
+        let job_tasks = self.open_jobs.get(&task.job);
+        job_tasks.is_some_and(|tasks| !tasks.completed_tasks.contains(task.index))
             || self.unreadable_jobs.contains(&task.job)
     }
 
-    /// Whether the completion of the task is in the store, or its job is over.
-    pub(super) fn is_durable(&self, task: TaskId) -> bool {
-        self.jobs.get(&task.job).is_none_or(|tasks| {
-            tasks.done.contains(task.index) && !tasks.not_durable.contains(&task.index)
+    /// Whether the completion of the task is stored, or its job is closed.
+    pub(super) fn is_completion_durable(&self, task: TaskId) -> bool {
+        self.open_jobs.get(&task.job).is_none_or(|tasks| {
+            tasks.completed_tasks.contains(task.index)
+                && !tasks.completions_not_durable.contains(&task.index)
         })
     }
 
-    /// An attempt completed its task, in that zone if it is known.
+    /// Records that an attempt completed its task, in `zone` if that is known.
     pub(super) fn task_completed(&mut self, attempt: Attempt, task: TaskId, zone: Option<&str>) {
-        let Some(job_tasks) = self.jobs.get_mut(&task.job) else {
+        let Some(job_tasks) = self.open_jobs.get_mut(&task.job) else {
             return;
         };
-        if !job_tasks.mark_done(task.index) {
+        if !job_tasks.mark_completed(task.index) {
             return;
         }
-        job_tasks.not_durable.insert(task.index);
-        job_tasks.errors = 0;
+        job_tasks.completions_not_durable.insert(task.index);
+        job_tasks.consecutive_failures = 0;
         let mut completions = Completions {
             tasks: BTreeSet::from([task.index]),
             zones: BTreeMap::new(),
         };
         if let (true, Some(zone)) = (job_tasks.job.has_zone_constraint(), zone) {
-            job_tasks.done.count_zone(zone, 1);
+            job_tasks.completed_tasks.count_zone(zone, 1);
             completions.zones.insert(zone.to_owned(), 1);
         }
-        let attempts = job_tasks.active.get(&task.index).cloned();
-        if job_tasks.is_complete() {
+        let attempts = job_tasks.attempts_by_task.get(&task.index).cloned();
+        if job_tasks.all_tasks_completed() {
             self.pending_writes
                 .insert(PendingWrite::FinishJob(task.job));
         } else {
@@ -131,20 +136,23 @@
         }
     }
 
-    /// An attempt failed after running for `ran_ms`.
-    pub(super) fn task_failed(&mut self, now: Time, ended: &AttemptEnded, ran_ms: u64) {
-        let Some(job_tasks) = self.jobs.get_mut(&ended.task.job) else {
+    /// Records that an attempt failed after running for `ran_ms` milliseconds, and delays retries of a failing job.
+    pub(super) fn task_failed(&mut self, now: Time, ended_attempt: &AttemptEnded, ran_ms: u64) {
+        let Some(job_tasks) = self.open_jobs.get_mut(&ended_attempt.task.job) else {
             return;
         };
         let is_service = job_tasks.job.is_service();
-        // A replica that ran well is no sign that the next will not.
+        // A replica that ran for this long ends the series of failures.
         if is_service && ran_ms >= STABLE_REPLICA_MS {
-            job_tasks.errors = 0;
+            job_tasks.consecutive_failures = 0;
         }
-        job_tasks.errors += 1;
-        tracing::info!(task = %ended.task, machine = ?ended.machine, errors = job_tasks.errors, "task failed");
-        // A job that fails everywhere must not keep machines busy with it.
-        if let Some(doublings) = job_tasks.errors.checked_sub(FAILURES_BEFORE_BACKOFF) {
+        job_tasks.consecutive_failures += 1;
+        tracing::info!(task = %ended_attempt.task, machine = ?ended_attempt.machine, consecutive_failures = job_tasks.consecutive_failures, "task failed");
+        // The backoff keeps a job that fails everywhere from occupying machines.
+        if let Some(doublings) = job_tasks
+            .consecutive_failures
+            .checked_sub(FAILURES_BEFORE_BACKOFF)
+        {
             let max_wait_ms = match is_service {
                 true => REPLICA_BACKOFF_MAX_MS,
                 false => FAILURE_BACKOFF_MAX_MS,
@@ -152,13 +160,13 @@
             let wait_ms = FAILURE_BACKOFF_MS
                 .saturating_mul(1 << doublings.min(MAX_BACKOFF_DOUBLINGS))
                 .min(max_wait_ms);
-            job_tasks.not_before = now + wait_ms;
+            job_tasks.backoff_until = now + wait_ms;
         }
     }
 
-    /// Stops what is left of a job that is over, and lets machines forget what completed.
-    pub(super) fn release_attempts_of_closed_job(&mut self, closed: JobTasks) {
-        for attempt in closed.active.into_values().flatten() {
+    /// Stops the remaining attempts of a closed job, and marks the completed ones durable so that workers drop them.
+    pub(super) fn release_attempts_of_closed_job(&mut self, closed_job: JobTasks) {
+        for attempt in closed_job.attempts_by_task.into_values().flatten() {
             let active = self.active_attempts.get(&attempt);
             let is_completed = active.is_some_and(|active| active.is_completed());
             self.send_directive(match is_completed {
@@ -168,7 +176,7 @@
         }
     }
 
-    /// Removes all completions of a job from the pages.
+    /// Removes all completions of a job with `tasks` tasks from the pages.
     pub(super) fn remove_completions(&mut self, id: JobId, tasks: u32, now: Time) {
         let last_task = TaskId {
             job: id,
--- a/crates/worksshunt-core/src/scheduler/claim_records.rs
+++ b/crates/worksshunt-core/src/scheduler/claim_records.rs
@@ -1,7 +1,7 @@
-//! The records of claims: their keys, what is written of them, and what follows once it is durable.
+//! Claim records: their keys, the pending write of each claim, and the effects of its outcome.
 //!
-//! Each claim has a key of its own, which is put once and deleted once. If the keys were the machines' alone, a late
-//! copy of a claim's write could restore a key that the next claim on the machine expects to be missing.
+//! Each claim has its own key, which is put once and deleted once. With one key per machine, a late copy of a claim's
+//! write could restore a key that the next claim on the machine expects to be missing.
 
 use serde_json::Value;
 use worksshunt_wire::{Epoch, MachineId, Revision};
@@ -9,44 +9,44 @@
 use super::claims::ClaimState;
 use super::{PendingWrite, Scheduler};
 
-/// Prefix of the leader's claims on machines.
+/// Prefix of the keys of claim records.
 pub const CLAIMS_PREFIX: &str = "k/";
 
-/// Key of a claim. Within an epoch no `number` is used twice, so no key is either.
+/// Key of a claim record. It is unique because `number` is unique within the epoch.
 pub fn claim_key(machine: &MachineId, epoch: Epoch, number: u64) -> String {
     format!("{CLAIMS_PREFIX}{machine}.{epoch}.{number}")
 }
 
-/// What a leader has learnt about a claim's record.
+/// Outcome of a write of a claim record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClaimRecord {
-    /// Its write was committed at that revision.
+pub enum ClaimWriteOutcome {
+    /// The record was put at this revision.
     Committed(Revision),
-    /// A write of it found its key there, so an earlier copy was committed.
+    /// The put found the key already present, so an earlier copy of the put was committed.
     Exists,
-    /// Its deletion was committed at that revision.
+    /// The record was deleted at this revision.
     Deleted(Revision),
 }
 
-/// What is to be written of a claim.
+/// A pending write of a claim record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimWrite {
-    /// Its record.
+    /// Puts the record.
     Put {
-        /// Its key.
+        /// Key of the claim.
         key: String,
-        /// The record.
+        /// The claiming job and the epoch.
         value: Value,
     },
-    /// The deletion of its record.
+    /// Deletes the record.
     Delete {
-        /// Its key.
+        /// Key of the claim.
         key: String,
     },
 }
 
 impl Scheduler {
-    /// What is to be written of the claim on a machine; none if there is no claim.
+    /// The next write of the record of the claim on a machine; `None` if the machine is not claimed.
     pub fn claim_write(&self, machine: &MachineId) -> Option<ClaimWrite> {
         let claim = self.claims.get(machine)?;
         let key = claim_key(machine, self.epoch, claim.number);
@@ -59,27 +59,27 @@
         })
     }
 
-    /// Something was learnt about the record of the claim on a machine.
-    pub fn claim_recorded(&mut self, machine: &MachineId, record: ClaimRecord) {
+    /// Applies the outcome of a write of the record of the claim on a machine.
+    pub fn apply_claim_write_outcome(&mut self, machine: &MachineId, outcome: ClaimWriteOutcome) {
         let Some(claim) = self.claims.get_mut(machine) else {
             return;
         };
-        tracing::debug!(%machine, job = %claim.job, number = claim.number, ?record, "claim record learnt");
-        match (record, claim.state) {
-            (ClaimRecord::Deleted(_), _) => {
+        tracing::debug!(%machine, job = %claim.job, number = claim.number, ?outcome, "claim record written or deleted");
+        match (outcome, claim.state) {
+            (ClaimWriteOutcome::Deleted(_), _) => {
                 self.claims.remove(machine);
-                self.claim_settled(machine);
+                self.remove_pending_claim_write(machine);
             }
             (_, ClaimState::BeingWritten) => {
                 claim.state = ClaimState::Held;
-                self.claim_settled(machine);
+                self.remove_pending_claim_write(machine);
             }
-            // Released while it was being written: its deletion is still due.
+            // Released while its put was in flight: the deletion is still pending.
             (_, ClaimState::Held | ClaimState::Releasing) => {}
         }
     }
 
-    fn claim_settled(&mut self, machine: &MachineId) {
+    fn remove_pending_claim_write(&mut self, machine: &MachineId) {
         self.pending_writes
             .remove(&PendingWrite::UpdateClaim(machine.clone()));
     }
--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: machines that the leader takes out of their partitions, by a conditional write, for tasks that
-//! find free resources in no partition.
+//! Claims: machines that the leader reserves, by a conditional write, for jobs whose tasks fit the free resources of
+//! no partition.
 //!
-//! The leading controller calls [`Scheduler::claim_machines`] on a timer; `claim_records` has what is written of a claim
-//! and what follows once it is durable; `placement_targets` sends the claiming job's tasks to the claimed machines.
+//! The leading controller calls [`Scheduler::claim_machines`] on a timer. `claim_records` determines the writes of the
+//! claims' records; `placement_targets` directs tasks of the claiming job to the claimed machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,11 +18,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimState {
-    /// The conditional write is under way.
+    /// The put of its record is pending.
     BeingWritten,
-    /// The machine is kept free for the job.
+    /// Its record is stored: the machine takes tasks of the claiming job only.
     Held,
-    /// A task was dispatched to it, or the job no longer needs it.
+    /// The deletion of its record is pending.
     Releasing,
 }
 
@@ -30,68 +30,72 @@
 pub(super) struct Claim {
     pub(super) job: JobId,
     pub(super) state: ClaimState,
-    /// Its number within the epoch.
+    /// Unique within the epoch.
     pub(super) number: u64,
 }
 
 /// A machine that may be claimed.
-struct Candidate<'a> {
+struct ClaimCandidate<'a> {
     machine: &'a MachineStatus,
-    /// Processors free on it, or freed when the smallest of its tasks ends, whichever is more.
+    /// Processors that a task can get there without a claim: those that are free, or those of the smallest task there
+    /// if it has more.
     cpus_without_claim: f64,
 }
 
 impl Scheduler {
-    /// Claims machines for jobs whose next task has found free resources in no partition for a while: the
-    /// leader takes them out of their partitions until the task fits.
+    /// Claims machines for jobs whose next task has been unschedulable for a while: a claimed machine takes no other
+    /// tasks until that one fits. Before that, releases the claims that are no longer needed.
     pub fn claim_machines(&mut self, now: Time) {
         self.release_idle_claims();
         let max_claims = MIN_CLAIMS.max(self.machines().count() / CLAIM_MACHINE_DIVISOR);
-        let free_claims = max_claims.saturating_sub(self.claims.len());
-        let stuck = self.jobs_to_claim_for(now);
-        if free_claims == 0 || stuck.is_empty() {
+        let remaining_claims = max_claims.saturating_sub(self.claims.len());
+        let unschedulable_jobs = self.jobs_needing_claims(now);
+        if remaining_claims == 0 || unschedulable_jobs.is_empty() {
             return;
         }
-        for (machine, job) in self.choose_claims(&stuck, free_claims) {
+        for (machine, job) in self.choose_claims(&unschedulable_jobs, remaining_claims) {
             tracing::debug!(%job, %machine, "machine claim requested");
             let claim = Claim {
                 job,
                 state: ClaimState::BeingWritten,
-                number: self.next_claim,
+                number: self.next_claim_number,
             };
-            self.next_claim += 1;
+            self.next_claim_number += 1;
             self.claims.insert(machine.clone(), claim);
             self.pending_writes
                 .insert(PendingWrite::UpdateClaim(machine));
         }
     }
 
-    fn jobs_to_claim_for(&self, now: Time) -> Vec<Rc<Job>> {
+    fn jobs_needing_claims(&self, now: Time) -> Vec<Rc<Job>> {
         let is_due = |since| now.since(since) >= CLAIM_AFTER_MS;
-        self.jobs
+        self.open_jobs
             .values()
-            .filter(|tasks| tasks.stuck_since.is_some_and(is_due))
+            .filter(|tasks| tasks.unschedulable_since.is_some_and(is_due))
             .map(|tasks| Rc::clone(&tasks.job))
             .collect()
     }
 
-    /// Machines to claim for these jobs, at most `free_claims`.
+    /// Chooses machines to claim for the jobs, at most `remaining_claims`.
     fn choose_claims(
         &self,
-        stuck: &[Rc<Job>],
-        mut free_claims: usize,
+        unschedulable_jobs: &[Rc<Job>],
+        mut remaining_claims: usize,
     ) -> BTreeMap<MachineId, JobId> {
-        let max_task_cpus = stuck.iter().map(|job| job.spec.cpus).fold(0.0, f64::max);
-        let candidates = self.claimable_machines(max_task_cpus);
+        let max_task_cpus = unschedulable_jobs
+            .iter()
+            .map(|job| job.spec.cpus)
+            .fold(0.0, f64::max);
+        let candidates = self.claim_candidates(max_task_cpus);
         let mut chosen: BTreeMap<MachineId, JobId> = BTreeMap::new();
-        for job in stuck {
-            if free_claims == 0 {
+        for job in unschedulable_jobs {
+            if remaining_claims == 0 {
                 break;
             }
             let id = job.spec.id;
-            let needed = self.claims_needed(job).min(free_claims);
+            let max_machines = self.additional_claims(job).min(remaining_claims);
             let zones = self.allowed_zones(job);
-            let is_useful = |candidate: &&Candidate| {
+            let is_useful = |candidate: &&ClaimCandidate| {
                 let machine = candidate.machine;
                 candidate.cpus_without_claim < job.spec.cpus
                     && !chosen.contains_key(&machine.id)
@@ -100,35 +104,38 @@
                         .as_ref()
                         .is_none_or(|zones| zones.contains(&machine.zone))
             };
-            let useful = candidates.iter().filter(is_useful).take(needed);
+            let useful = candidates.iter().filter(is_useful).take(max_machines);
             let machines: Vec<MachineId> = useful.map(|c| c.machine.id.clone()).collect();
-            free_claims = free_claims.saturating_sub(machines.len());
+            remaining_claims = remaining_claims.saturating_sub(machines.len());
             chosen.extend(machines.into_iter().map(|machine| (machine, id)));
         }
         chosen
     }
 
-    /// How many more machines the job could use at once, beside those claimed for it already.
-    fn claims_needed(&self, job: &Job) -> usize {
+    /// How many more machines the job could use at once, besides those already claimed for it.
+    fn additional_claims(&self, job: &Job) -> usize {
         let id = job.spec.id;
-        let waiting = self.jobs.get(&id).map_or(0, |tasks| tasks.waiting());
-        let admitted = self.quota.tasks_within_limit_ignoring_reservations(job);
-        let claimed = self.claims.values().filter(|claim| claim.job == id).count();
-        (waiting.min(admitted) as usize).saturating_sub(claimed)
+        let waiting_tasks = self
+            .open_jobs
+            .get(&id)
+            .map_or(0, |tasks| tasks.waiting_tasks());
+        let admitted_tasks = self.quota.tasks_within_limit_ignoring_reservations(job);
+        let claimed_machines = self.claims.values().filter(|claim| claim.job == id).count();
+        (waiting_tasks.min(admitted_tasks) as usize).saturating_sub(claimed_machines)
     }
 
-    /// Machines that may be claimed for a task of at most `max_task_cpus` processors, those with most free first. Only a
-    /// task that needs more than the next task to end will free requires a claim; others find resources without
-    /// one. Even where some are free beside that, smaller tasks would take them first.
-    fn claimable_machines(&self, max_task_cpus: f64) -> Vec<Candidate<'_>> {
+    /// Machines that may be claimed for a task of at most `max_task_cpus` processors, those with most free processors
+    /// first. Excludes machines where the task fits already, or will when the smallest task there ends: it needs no
+    /// claim there. The two are not added up, because smaller tasks would take the free processors first.
+    fn claim_candidates(&self, max_task_cpus: f64) -> Vec<ClaimCandidate<'_>> {
         let smallest_task_cpus = self.smallest_task_cpus();
-        let mut candidates: Vec<Candidate> = self
+        let mut candidates: Vec<ClaimCandidate> = self
             .machines()
             .map(|view| &view.status)
             .filter(|machine| self.is_claimable(machine))
             .map(|machine| {
                 let smallest_task = smallest_task_cpus.get(&machine.id).copied();
-                Candidate {
+                ClaimCandidate {
                     machine,
                     cpus_without_claim: machine.cpus.max(smallest_task.unwrap_or(0.0)),
                 }
@@ -146,7 +153,7 @@
         machine.schedulable && !machine.reclaim_notice && !self.claims.contains_key(&machine.id)
     }
 
-    /// Processors of the smallest task on each machine that has any.
+    /// Processors of the smallest task on each machine, for machines with tasks.
     fn smallest_task_cpus(&self) -> BTreeMap<&MachineId, f64> {
         let mut smallest: BTreeMap<&MachineId, f64> = BTreeMap::new();
         let attempts = self.active_attempts.values();
@@ -159,7 +166,7 @@
         smallest
     }
 
-    /// Releases machines that are gone or unusable, or whose job has no waiting task.
+    /// Releases claims on machines that are missing or unschedulable, and claims of jobs without waiting tasks.
     fn release_idle_claims(&mut self) {
         let idle: Vec<MachineId> = self
             .claims
@@ -178,30 +185,30 @@
             .values()
             .filter_map(|partition| partition.machines.get(machine))
             .any(|view| view.status.schedulable);
-        let job_tasks = self.jobs.get(&claim.job);
-        let has_waiting = job_tasks.is_some_and(|tasks| tasks.waiting() > 0);
-        !is_usable || (!has_waiting && !self.is_claim_used(machine))
+        let job_tasks = self.open_jobs.get(&claim.job);
+        let has_waiting_task = job_tasks.is_some_and(|tasks| tasks.waiting_tasks() > 0);
+        !is_usable || (!has_waiting_task && !self.is_claim_in_use(machine))
     }
 
     /// Whether a task was dispatched to the claimed machine and is not placed yet.
-    fn is_claim_used(&self, machine: &MachineId) -> bool {
+    fn is_claim_in_use(&self, machine: &MachineId) -> bool {
         let attempts = self.active_attempts.values();
         attempts
             .filter_map(|attempt| attempt.claimed_machine.as_ref())
             .any(|claimed| claimed == machine)
     }
 
-    /// Machines kept free for a job to which nothing was dispatched yet.
-    pub(super) fn claims_for(&self, job: JobId) -> impl Iterator<Item = &MachineId> {
+    /// Machines with held claims of a job to which none of its tasks was dispatched yet.
+    pub(super) fn unused_claims_of(&self, job: JobId) -> impl Iterator<Item = &MachineId> {
         self.claims
             .iter()
             .filter(move |(_, claim)| claim.job == job && claim.state == ClaimState::Held)
             .map(|(machine, _)| machine)
-            .filter(|machine| !self.is_claim_used(machine))
+            .filter(|machine| !self.is_claim_in_use(machine))
     }
 
-    /// Machines whose claims are durable.
-    pub(super) fn held_claims(&self) -> BTreeSet<MachineId> {
+    /// Machines whose claim records are stored.
+    pub(super) fn machines_with_held_claims(&self) -> BTreeSet<MachineId> {
         self.claims
             .iter()
             .filter(|(_, claim)| claim.state == ClaimState::Held)
@@ -209,7 +216,7 @@
             .collect()
     }
 
-    /// Has a claim removed, if there is one.
+    /// Requests the deletion of the claim on a machine, if there is one.
     pub(super) fn release_claim(&mut self, machine: &MachineId) {
         if let Some(claim) = self.claims.get_mut(machine) {
             claim.state = ClaimState::Releasing;
@@ -218,8 +225,8 @@
         }
     }
 
-    /// Has all claims of a job removed.
-    pub(super) fn release_claims_of(&mut self, job: JobId) {
+    /// Requests the deletion of all claims of a job.
+    pub(super) fn release_claims_of_job(&mut self, job: JobId) {
         let of_job = self.claims.iter().filter(|(_, claim)| claim.job == job);
         let machines: Vec<MachineId> = of_job.map(|(machine, _)| machine.clone()).collect();
         for machine in machines {
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -1,5 +1,5 @@
-//! The demand for machines: the tasks that wait and run, as the fleet needs to know them to scale out
-//! and in. The leading controller asks for it on the fleet's timer.
+//! The demand for machines: waiting and running tasks of the open jobs, by which the fleet scales out and in. The
+//! leading controller computes it on the fleet's timer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -14,42 +14,42 @@
 use super::zone_constraints::ZoneConstraints;
 use super::Scheduler;
 
-/// A group of waiting tasks, for the fleet.
+/// The demand of one open job.
 #[derive(Debug, Clone)]
 pub struct Demand {
     /// The job.
     pub job: Rc<Job>,
-    /// Tasks that wait and that its team's limit lets run beside those that run.
+    /// Waiting tasks that its team's limit admits besides the running ones.
     pub tasks_within_limit: u32,
-    /// All tasks that wait.
+    /// All waiting tasks.
     pub waiting_tasks: u32,
-    /// Tasks dispatched and not completed.
+    /// Tasks that are dispatched and not completed.
     pub running_tasks: u32,
-    /// Estimated seconds those still take, summed up.
+    /// Sum of the estimated remaining run times of the running tasks, seconds.
     pub running_remaining_s: f64,
-    /// Seconds its tasks may wait.
+    /// Seconds, counted from acceptance, that its tasks may wait.
     pub slack_s: f64,
-    /// The zone they must be in.
+    /// The zone that its next tasks have to run in; `None` if its other tasks don't determine one.
     pub zone: Option<String>,
-    /// Zones that they must not be in.
+    /// Zones that may have no more of its tasks.
     pub full_zones: BTreeSet<String>,
-    /// Whether they leave on-demand machines to others.
+    /// Whether its tasks leave on-demand machines to services.
     pub spot_only: bool,
-    /// Whether there are spot machines, or may be soon.
+    /// Whether there are schedulable spot machines, or were within [`SPOT_ABSENCE_MS`].
     pub has_spot_machines: bool,
 }
 
-/// What the leader has seen in its epoch and judges future demand by.
+/// Observations of this epoch from which future demand is estimated.
 #[derive(Debug)]
 pub(super) struct DemandHistory {
-    /// Classes of which there has been a job.
+    /// Classes of the jobs opened so far.
     classes_seen: BTreeSet<String>,
-    /// When a spot machine last took tasks; the beginning of the epoch before that.
+    /// When there last was a schedulable spot machine; until there is one, the start of the epoch.
     spot_last_seen_at: Time,
 }
 
 impl DemandHistory {
-    /// Nothing seen in an epoch that begins now.
+    /// No observations; `now` is the start of the epoch.
     pub fn new(now: Time) -> DemandHistory {
         DemandHistory {
             classes_seen: BTreeSet::new(),
@@ -57,33 +57,33 @@
         }
     }
 
-    /// A job of the class was accepted.
-    pub fn note_class(&mut self, class: &str) {
+    /// Records that a job of the class was opened.
+    pub fn record_class(&mut self, class: &str) {
         if !self.classes_seen.contains(class) {
             self.classes_seen.insert(class.to_owned());
         }
     }
 
-    /// Whether there has been a job of the class.
+    /// Whether a job of the class was opened.
     pub fn has_seen_class(&self, class: &str) -> bool {
         self.classes_seen.contains(class)
     }
 }
 
-/// The tasks of a job that were dispatched and are not completed.
+/// The tasks of a job that are dispatched and not completed.
 #[derive(Debug, Clone, Copy, Default)]
 struct RunningTasks {
     tasks: u32,
-    /// Estimated seconds they still take, summed up.
+    /// Sum of their estimated remaining run times, seconds.
     remaining_s: f64,
 }
 
 impl Scheduler {
-    /// Open jobs in order of service, with as many waiting tasks as the teams' limits let run.
+    /// The demand of the open jobs, in scheduling order.
     pub fn demand(&self, now: Now) -> Vec<Demand> {
         let mut quota = self.quota.clone();
-        // What is reserved for starved jobs is their own demand: counted beside it, a limit's worth of them would leave
-        // no demand at all, and the fleet would be scaled in while they wait.
+        // Quota reserved for starved jobs is part of their own demand. Counted in addition, it could use up the limit,
+        // and the fleet would be scaled in while they wait.
         quota.clear_reservations();
         let running_by_job = self.running_tasks(now.steady);
         let has_spot = self.has_spot_machines(now.steady);
@@ -95,18 +95,19 @@
                 .get(&job.spec.id)
                 .copied()
                 .unwrap_or_default();
-            let waiting = job_tasks.waiting();
-            let tasks = waiting.min(quota.tasks_within_limit(job));
-            quota.charge_many(job, tasks);
-            if waiting + running.tasks > 0 {
-                // Not only where there are machines: a zone may have lost its last one.
+            let waiting_tasks = job_tasks.waiting_tasks();
+            let tasks_within_limit = waiting_tasks.min(quota.tasks_within_limit(job));
+            quota.charge_many(job, tasks_within_limit);
+            if waiting_tasks + running.tasks > 0 {
+                // Zones without machines are included, since the last machine of a zone may be lost.
                 let constraints = self.zone_constraints(job);
                 let constraints = constraints.as_ref();
-                let allowed = constraints.and_then(|constraints| constraints.allowed.as_ref());
+                let allowed =
+                    constraints.and_then(|constraints| constraints.allowed_zones.as_ref());
                 demand.push(Demand {
                     job: Rc::clone(job),
-                    tasks_within_limit: tasks,
-                    waiting_tasks: waiting,
+                    tasks_within_limit,
+                    waiting_tasks,
                     running_tasks: running.tasks,
                     running_remaining_s: running.remaining_s,
                     slack_s: self.objectives.slack_s(job),
@@ -135,8 +136,8 @@
         by_job
     }
 
-    /// Notes whether any spot machine takes tasks.
-    pub fn note_spot_machines(&mut self, now: Time) {
+    /// Records whether there is a schedulable spot machine.
+    pub fn record_spot_machines(&mut self, now: Time) {
         if self
             .machines()
             .any(|view| view.status.spot && view.status.schedulable)
@@ -145,18 +146,18 @@
         }
     }
 
-    /// Whether there are spot machines, or may be soon.
+    /// Whether there are schedulable spot machines, or were within [`SPOT_ABSENCE_MS`].
     fn has_spot_machines(&self, now: Time) -> bool {
         now.since(self.demand_history.spot_last_seen_at) < SPOT_ABSENCE_MS
     }
 
     /// Whether jobs that may use spot machines leave on-demand machines to services.
     pub(super) fn reserves_on_demand_machines(&self, now: Time) -> bool {
-        !self.services.open.is_empty() && self.has_spot_machines(now)
+        !self.services.open_jobs.is_empty() && self.has_spot_machines(now)
     }
 
-    /// Whether a replica has found no free resources since the last preemption.
-    pub fn replica_stuck(&self) -> bool {
-        self.services.has_stuck_replica
+    /// Whether a replica has become unschedulable since the last preemption.
+    pub fn has_unschedulable_replica(&self) -> bool {
+        self.services.has_unschedulable_replica
     }
 }
--- a/crates/worksshunt-core/src/scheduler/dispatch.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -1,6 +1,6 @@
-//! Dispatch of a job's waiting tasks: how many its pass admits, and their attempts.
+//! Dispatch of a job's waiting tasks: how many of them a pass admits, and the creation of their attempts.
 //!
-//! Called by `round` for each job's turn; `placement_targets` determines where the tasks may go.
+//! `round` calls it for each job's turn; `placement_targets` determines where the tasks may go.
 
 use std::rc::Rc;
 
@@ -17,83 +17,85 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Dispatches as many waiting tasks of a job as the pass admits and free resources allow.
+    /// Dispatches waiting tasks of a job, as many as the pass admits and free resources allow.
     pub(super) fn dispatch_job(&mut self, now: Now, pass: Pass, id: JobId) {
-        let Some(job_tasks) = self.jobs.get_mut(&id) else {
+        let Some(job_tasks) = self.open_jobs.get_mut(&id) else {
             return;
         };
         let job = Rc::clone(&job_tasks.job);
-        let waiting = job_tasks.waiting();
-        if waiting == 0 {
-            job_tasks.stuck_since = None;
+        let waiting_tasks = job_tasks.waiting_tasks();
+        if waiting_tasks == 0 {
+            job_tasks.unschedulable_since = None;
         }
-        let mut remaining = self.tasks_admitted(pass, &job, waiting).min(waiting);
-        // Resources that become free are left to a starved job: smaller tasks of its team would always take
-        // them first.
-        let mut has_reservation = pass == Pass::Starved && waiting > 0;
+        let mut remaining_tasks = self
+            .admitted_tasks(pass, &job, waiting_tasks)
+            .min(waiting_tasks);
+        // Reserves quota for a starved job, since smaller tasks of its team would always take what becomes free.
+        let mut has_reservation = pass == Pass::Starved && waiting_tasks > 0;
         if has_reservation {
             self.quota.reserve(&job);
         }
-        while remaining > 0 {
-            // Each task of such a job decides where the next may go.
-            let at_once = match job.has_zone_constraint() {
+        while remaining_tasks > 0 {
+            // The placement of each task constrains that of the next.
+            let batch_size = match job.has_zone_constraint() {
                 true => 1,
-                false => remaining,
+                false => remaining_tasks,
             };
-            let targets = self.placement_targets(now.steady, &job, at_once);
-            let found = targets.len() as u32;
-            if has_reservation && found > 0 {
+            let targets = self.placement_targets(now.steady, &job, batch_size);
+            let targets_found = targets.len() as u32;
+            if has_reservation && targets_found > 0 {
                 self.quota.cancel_reservation(&job);
                 has_reservation = false;
             }
             for target in targets {
                 self.dispatch_task(now, &job, target);
             }
-            if found < at_once {
-                self.note_stuck(now.steady, &job);
+            if targets_found < batch_size {
+                self.mark_unschedulable(now.steady, &job);
                 return;
             }
-            remaining -= found;
+            remaining_tasks -= targets_found;
         }
     }
 
-    /// How many of a job's waiting tasks the pass admits, beside those of its team that are active.
-    fn tasks_admitted(&self, pass: Pass, job: &Job, waiting: u32) -> u32 {
+    /// How many of a job's waiting tasks the pass admits, given the usage of its team.
+    fn admitted_tasks(&self, pass: Pass, job: &Job, waiting_tasks: u32) -> u32 {
         match pass {
             Pass::Starved => self
                 .quota
                 .tasks_within_limit_ignoring_reservations(job)
-                .min((waiting / STARVED_TASK_DIVISOR).max(1)),
+                .min((waiting_tasks / STARVED_TASK_DIVISOR).max(1)),
             Pass::GuaranteeAtRisk | Pass::WithinGuarantee => self.quota.tasks_within_guarantee(job),
             Pass::WithinLimit => self.quota.tasks_within_limit(job),
         }
     }
 
-    /// A task of the job has found no machine.
-    fn note_stuck(&mut self, now: Time, job: &Job) {
-        let Some(job_tasks) = self.jobs.get_mut(&job.spec.id) else {
+    /// Records that no machine fits the job's next task.
+    fn mark_unschedulable(&mut self, now: Time, job: &Job) {
+        let Some(job_tasks) = self.open_jobs.get_mut(&job.spec.id) else {
             return;
         };
-        self.services.has_stuck_replica |= job.is_service() && !job_tasks.is_stuck();
-        job_tasks.stuck_since.get_or_insert(now);
+        self.services.has_unschedulable_replica |=
+            job.is_service() && !job_tasks.is_unschedulable();
+        job_tasks.unschedulable_since.get_or_insert(now);
     }
 
     fn dispatch_task(&mut self, now: Now, job: &Job, target: PlacementTarget) {
-        if self.attempts_exhausted() {
+        if self.are_attempt_numbers_exhausted() {
             return;
         }
         let id = job.spec.id;
-        let Some(job_tasks) = self.jobs.get_mut(&id) else {
+        let Some(job_tasks) = self.open_jobs.get_mut(&id) else {
             return;
         };
-        let Some(index) = job_tasks.next_waiting() else {
+        let Some(index) = job_tasks.next_waiting_task() else {
             return;
         };
         if job_tasks.last_dispatch_at.replace(now.steady).is_none() {
             let waited_ms = now.wall_ms.saturating_sub(job.accepted_ms);
             tracing::debug!(job = %id, tasks = job.spec.tasks, class = job.spec.class, waited_ms, "first task of job dispatched");
         }
-        job_tasks.stuck_since = None;
+        job_tasks.unschedulable_since = None;
         let attempt = self.attempt_numbers.allocate();
         let mut active = ActiveAttempt::new(TaskId { job: id, index }, target.owner.clone());
         active.zone = target.zone;
--- a/crates/worksshunt-core/src/scheduler/forecast.rs
+++ b/crates/worksshunt-core/src/scheduler/forecast.rs
@@ -1,5 +1,5 @@
-//! The forecast of demand: work that is likely to be submitted next and has to start sooner than a machine
-//! boots. The leading controller asks for it together with the demand.
+//! The forecast of demand: work that is likely to be submitted and has to start sooner than a machine boots. The
+//! leading controller computes it together with the demand.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,25 +13,25 @@
 use super::job_tasks::JobTasks;
 use super::Scheduler;
 
-/// Work that is likely to be submitted next and has to start within seconds.
+/// Work that is likely to be submitted and has to start within seconds.
 #[derive(Debug, Clone, Default)]
 pub struct Forecast {
-    /// By class of services.
+    /// Expected demand for each class of services.
     pub classes: Vec<ExpectedDemand>,
-    /// Processors of spare capacity for classes of which there has been no job yet.
+    /// Processors of spare capacity for classes without any job so far.
     pub spare_cpus: f64,
-    /// Silent machines with replicas on them, which are to be replaced before their leases end.
+    /// Silent machines with replicas, to be replaced before their leases expire.
     pub silent_machines: Vec<MachineId>,
 }
 
-/// Replicas that are likely to be submitted next of a class of services.
+/// Past arrivals of services of one class, from which future ones are estimated.
 #[derive(Debug, Clone)]
 pub struct ExpectedDemand {
-    /// One of the jobs.
-    pub job: Rc<Job>,
-    /// Replicas of the job with the most.
+    /// One of the open jobs of the class, for the requirements of a replica.
+    pub sample_job: Rc<Job>,
+    /// Replicas of the job that has the most.
     pub max_replicas: u32,
-    /// Number of jobs accepted within [`ARRIVAL_WINDOW_MS`].
+    /// Jobs accepted within [`ARRIVAL_WINDOW_MS`].
     pub recent_jobs: u32,
     /// Replicas of those jobs.
     pub recent_replicas: u32,
@@ -40,29 +40,30 @@
 }
 
 impl Scheduler {
-    /// The work that is likely to be submitted next, judged by the services that are open. Before there has been a job
-    /// of a class whose tasks should start sooner than a machine boots, it may be a service.
+    /// The demand to expect, estimated from the open services. Includes spare capacity while there has been no job of
+    /// a class whose tasks have to start within `boot_s` seconds, the time a machine takes to boot.
     pub fn forecast(&self, now: Now, boot_s: f64) -> Forecast {
         let mut urgent_classes = self.objectives.classes_starting_within(boot_s);
-        let has_unseen = urgent_classes.any(|class| !self.demand_history.has_seen_class(class));
-        let share = if has_unseen {
+        let has_unseen_class =
+            urgent_classes.any(|class| !self.demand_history.has_seen_class(class));
+        let spare_share = if has_unseen_class {
             SPARE_CAPACITY_SHARE
         } else {
             0.0
         };
         Forecast {
             classes: self.expected_demand(now),
-            spare_cpus: self.quota.guaranteed_cpus() * share,
-            silent_machines: self.silent_with_replicas(now.steady),
+            spare_cpus: self.quota.guaranteed_cpus() * spare_share,
+            silent_machines: self.silent_machines_to_release(now.steady),
         }
     }
 
     fn expected_demand(&self, now: Now) -> Vec<ExpectedDemand> {
         let mut classes: BTreeMap<&str, ExpectedDemand> = BTreeMap::new();
-        let services = self.services.open.iter();
-        for JobTasks { job, .. } in services.filter_map(|id| self.jobs.get(id)) {
+        let services = self.services.open_jobs.iter();
+        for JobTasks { job, .. } in services.filter_map(|id| self.open_jobs.get(id)) {
             let class = classes.entry(&job.spec.class).or_insert(ExpectedDemand {
-                job: Rc::clone(job),
+                sample_job: Rc::clone(job),
                 max_replicas: 0,
                 recent_replicas: 0,
                 recent_jobs: 0,
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -1,5 +1,4 @@
-//! An open job with the state of its tasks. [`Scheduler`](super::Scheduler) owns one [`JobTasks`] per
-//! open job.
+//! The state of an open job's tasks. [`Scheduler`](super::Scheduler) owns one [`JobTasks`] per open job.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,91 +11,92 @@
 use crate::objectives::ServiceLevelObjectives;
 use crate::time::Time;
 
-/// A job's place in the order of service; the least comes first.
+/// A job's position in the scheduling order; the least is first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     priority: Reverse<Priority>,
-    /// Whether waiting tasks can meet none of the job's objectives any more. Served before others of
-    /// its priority it would only make them miss theirs too.
+    /// Whether its waiting tasks can no longer meet any of its objectives. Such a job comes after others of its
+    /// priority, which might miss their objectives otherwise.
     has_missed_objectives: bool,
-    /// Deadline or latest start.
+    /// Deadline or latest start, milliseconds since 1970; `u64::MAX` if there is none.
     ordering_time_ms: u64,
     accepted_ms: u64,
     id: JobId,
 }
 
-/// Tasks of a job, counted for the owners' answers to users.
+/// Task counts of a job, which partitions' owners show to users.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct JobTaskCounts {
     job: JobId,
-    done: u32,
-    running: u32,
+    completed_tasks: u32,
+    running_tasks: u32,
 }
 
 impl JobTaskCounts {
-    /// Whether any task is done or running.
+    /// Whether any task is completed or running.
     pub(super) fn has_any(&self) -> bool {
-        self.done + self.running > 0
+        self.completed_tasks + self.running_tasks > 0
     }
 
-    /// As in [`LeaderDirectives`](worksshunt_wire::peer::LeaderDirectives): job, done and running tasks.
+    /// Job, completed and running tasks, as in [`LeaderDirectives`](worksshunt_wire::peer::LeaderDirectives).
     pub(super) fn to_wire(self) -> (JobId, u32, u32) {
-        (self.job, self.done, self.running)
+        (self.job, self.completed_tasks, self.running_tasks)
     }
 }
 
-/// An open job's tasks.
+/// An open job and the state of its tasks.
 #[derive(Debug)]
 pub(super) struct JobTasks {
     pub(super) job: Rc<Job>,
-    /// When its tasks have to start or be done, milliseconds since 1970; `u64::MAX` if nothing requires that.
+    /// Deadline or latest start, milliseconds since 1970; `u64::MAX` if there is none.
     ordering_time_ms: u64,
-    /// After this its waiting tasks can meet none of its objectives, milliseconds since 1970; `u64::MAX` if
-    /// it has none.
+    /// Latest start with which a task still meets any of the job's objectives, milliseconds since 1970; `u64::MAX` if
+    /// the job has no objectives.
     last_start_ms: u64,
-    /// Tasks known to be done, durable or not.
-    pub(super) done: CompletedTasks,
-    /// Those of them that are not in the store yet.
-    pub(super) not_durable: BTreeSet<u32>,
-    /// Attempts that may be on a machine or are dispatched, by task.
-    pub(super) active: BTreeMap<u32, Vec<Attempt>>,
-    /// How many of those tasks are not done.
-    active_undone: u32,
+    /// Completed tasks, whether or not their completions are stored.
+    pub(super) completed_tasks: CompletedTasks,
+    /// Completed tasks whose completions are not stored yet.
+    pub(super) completions_not_durable: BTreeSet<u32>,
+    /// Active attempts by task index; a task without attempts has no entry.
+    pub(super) attempts_by_task: BTreeMap<u32, Vec<Attempt>>,
+    /// Tasks with active attempts that are not completed.
+    active_incomplete_tasks: u32,
     /// Attempts reported as running.
-    pub(super) running: u32,
-    /// Every task below is done or active, so a search for waiting ones starts here.
-    first_waiting: u32,
-    /// Failures since a task last completed.
-    pub(super) errors: u32,
-    /// No task is dispatched before this.
-    pub(super) not_before: Time,
-    /// When a task of it was last dispatched.
+    pub(super) running_attempts: u32,
+    /// Index where the search for a waiting task starts: all tasks below it are completed or active.
+    waiting_search_start: u32,
+    /// Failures since a task last completed, or since a replica ran for
+    /// [`STABLE_REPLICA_MS`](crate::constants::services::STABLE_REPLICA_MS).
+    pub(super) consecutive_failures: u32,
+    /// No task is dispatched before this time.
+    pub(super) backoff_until: Time,
+    /// When one of its tasks was last dispatched; `None` before the first.
     pub(super) last_dispatch_at: Option<Time>,
-    /// Since when it has had waiting tasks that found no free resources in any partition.
-    pub(super) stuck_since: Option<Time>,
+    /// Since when its next waiting task fits the free resources of no partition; `None` if it fits or none waits.
+    pub(super) unschedulable_since: Option<Time>,
 }
 
 impl JobTasks {
-    /// A job that was accepted, with no task dispatched.
+    /// A job without dispatched tasks.
     pub(super) fn new(job: Rc<Job>, objectives: &ServiceLevelObjectives) -> JobTasks {
         JobTasks {
             last_start_ms: objectives.last_start_ms(&job).unwrap_or(u64::MAX),
             ordering_time_ms: objectives.ordering_time_ms(&job).unwrap_or(u64::MAX),
-            done: CompletedTasks::new(job.spec.tasks),
+            completed_tasks: CompletedTasks::new(job.spec.tasks),
             job,
-            not_durable: BTreeSet::new(),
-            active: BTreeMap::new(),
-            active_undone: 0,
-            running: 0,
-            first_waiting: 0,
-            errors: 0,
-            not_before: Time::default(),
+            completions_not_durable: BTreeSet::new(),
+            attempts_by_task: BTreeMap::new(),
+            active_incomplete_tasks: 0,
+            running_attempts: 0,
+            waiting_search_start: 0,
+            consecutive_failures: 0,
+            backoff_until: Time::default(),
             last_dispatch_at: None,
-            stuck_since: None,
+            unschedulable_since: None,
         }
     }
 
-    /// Its place in the order of service.
+    /// Its position in the scheduling order. `wall_ms` is the time of day, milliseconds since 1970.
     pub(super) fn rank(&self, wall_ms: u64) -> Rank {
         Rank {
             priority: Reverse(self.job.spec.priority),
@@ -107,72 +107,73 @@
         }
     }
 
-    /// How many tasks are done, and attempts running. `id` is the job's.
+    /// Completed and running tasks. `id` is the job's.
     pub(super) fn counts(&self, id: JobId) -> JobTaskCounts {
         JobTaskCounts {
             job: id,
-            done: self.done.count(),
-            running: self.running,
+            completed_tasks: self.completed_tasks.count(),
+            running_tasks: self.running_attempts,
         }
     }
 
-    /// How many tasks are neither done nor dispatched.
-    pub(super) fn waiting(&self) -> u32 {
-        (self.job.spec.tasks - self.done.count()).saturating_sub(self.active_undone)
+    /// Number of tasks that are neither completed nor active.
+    pub(super) fn waiting_tasks(&self) -> u32 {
+        (self.job.spec.tasks - self.completed_tasks.count())
+            .saturating_sub(self.active_incomplete_tasks)
     }
 
-    /// Whether waiting tasks have found no free resources.
-    pub(super) fn is_stuck(&self) -> bool {
-        self.stuck_since.is_some()
+    /// Whether its next waiting task fits the free resources of no partition.
+    pub(super) fn is_unschedulable(&self) -> bool {
+        self.unschedulable_since.is_some()
     }
 
-    /// The first task that is neither done nor dispatched.
-    pub(super) fn next_waiting(&mut self) -> Option<u32> {
-        while self.first_waiting < self.job.spec.tasks {
-            let index = self.first_waiting;
-            if !self.done.contains(index) && !self.active.contains_key(&index) {
+    /// Index of the first task that is neither completed nor active.
+    pub(super) fn next_waiting_task(&mut self) -> Option<u32> {
+        while self.waiting_search_start < self.job.spec.tasks {
+            let index = self.waiting_search_start;
+            if !self.completed_tasks.contains(index) && !self.attempts_by_task.contains_key(&index)
+            {
                 return Some(index);
             }
-            self.first_waiting += 1;
+            self.waiting_search_start += 1;
         }
         None
     }
 
-    /// An attempt at a task was dispatched.
-    pub(super) fn activate(&mut self, index: u32, attempt: Attempt) {
-        let attempts = self.active.entry(index).or_default();
-        if attempts.is_empty() && !self.done.contains(index) {
-            self.active_undone += 1;
+    /// Adds an active attempt at a task.
+    pub(super) fn add_attempt(&mut self, index: u32, attempt: Attempt) {
+        let attempts = self.attempts_by_task.entry(index).or_default();
+        if attempts.is_empty() && !self.completed_tasks.contains(index) {
+            self.active_incomplete_tasks += 1;
         }
         attempts.push(attempt);
     }
 
-    /// An attempt at a task is certainly gone.
-    pub(super) fn deactivate(&mut self, index: u32, attempt: Attempt) {
-        let Some(attempts) = self.active.get_mut(&index) else {
+    /// Removes an attempt at a task. Unless the task is completed or has other attempts, it waits again.
+    pub(super) fn remove_attempt(&mut self, index: u32, attempt: Attempt) {
+        let Some(attempts) = self.attempts_by_task.get_mut(&index) else {
             return;
         };
         attempts.retain(|other| *other != attempt);
         if attempts.is_empty() {
-            self.active.remove(&index);
-            if !self.done.contains(index) {
-                self.active_undone = self.active_undone.saturating_sub(1);
-                self.first_waiting = self.first_waiting.min(index);
+            self.attempts_by_task.remove(&index);
+            if !self.completed_tasks.contains(index) {
+                self.active_incomplete_tasks = self.active_incomplete_tasks.saturating_sub(1);
+                self.waiting_search_start = self.waiting_search_start.min(index);
             }
         }
     }
 
-    /// Marks a task done; false if it was already.
-    pub(super) fn mark_done(&mut self, index: u32) -> bool {
-        let is_new = self.done.insert(index);
-        if is_new && self.active.contains_key(&index) {
-            self.active_undone = self.active_undone.saturating_sub(1);
+    /// Marks a task completed. Returns false if it already was.
+    pub(super) fn mark_completed(&mut self, index: u32) -> bool {
+        let is_new = self.completed_tasks.insert(index);
+        if is_new && self.attempts_by_task.contains_key(&index) {
+            self.active_incomplete_tasks = self.active_incomplete_tasks.saturating_sub(1);
         }
         is_new
     }
 
-    /// Whether all tasks are done.
-    pub(super) fn is_complete(&self) -> bool {
-        self.done.count() == self.job.spec.tasks
+    pub(super) fn all_tasks_completed(&self) -> bool {
+        self.completed_tasks.count() == self.job.spec.tasks
     }
 }
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -1,4 +1,4 @@
-//! How a new leader begins its epoch: the scheduler's state from what is in the key-value store.
+//! Builds the scheduler of a new leader from the key-value store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -24,23 +24,23 @@
 use super::stored_pages::StoredPages;
 use super::{PendingWrite, Scheduler};
 
-/// What a new leader finds in the store.
+/// Scheduler state that a new leader has read from the store.
 #[derive(Debug, Default)]
 pub struct StoredState {
-    /// Pages of attempt records, each with the latest attempts on it.
+    /// Pages of attempt records, reduced to the latest attempt at each task.
     pub record_pages: Vec<RecordPage>,
-    /// Keys of those among them that list earlier attempts too.
+    /// Keys of the pages from which earlier attempts were dropped, and which have to be rewritten.
     pub stale_record_pages: BTreeSet<String>,
     /// Pages of completions.
     pub completion_pages: Vec<KeyValue>,
-    /// Claims of former leaders.
+    /// Claim records of previous epochs.
     pub claims: Vec<KeyValue>,
-    /// Cancelled jobs with attempts on record, which count against quotas until they are certainly gone.
+    /// Cancelled jobs with recorded attempts, which are charged to quotas until they are confirmed to have ended.
     pub cancelled_jobs: BTreeMap<JobId, Rc<Job>>,
 }
 
 impl Scheduler {
-    /// Takes over at the start of an epoch, from what is in the store.
+    /// Builds the scheduler of a new epoch from the stored state.
     pub fn load(
         now: Time,
         epoch: Epoch,
@@ -64,11 +64,14 @@
         for page in &stored.record_pages {
             scheduler.load_record_page(page);
             for record in &page.records {
-                scheduler.load_record(now, record, members, &stored.cancelled_jobs);
+                scheduler.load_attempt_record(now, record, members, &stored.cancelled_jobs);
             }
         }
         for key in &stored.stale_record_pages {
-            scheduler.pages.former_records.mark_for_rewrite(key, now);
+            scheduler
+                .pages
+                .previous_epoch_records
+                .mark_for_rewrite(key, now);
         }
         scheduler.request_initial_writes(&stored.claims);
         scheduler
@@ -80,18 +83,18 @@
             attempt_numbers: AttemptNumbers::new(epoch),
             quota: Quota::new(&facts.teams),
             objectives: ServiceLevelObjectives::new(&facts.objectives),
-            jobs: BTreeMap::new(),
+            open_jobs: BTreeMap::new(),
             active_attempts: BTreeMap::new(),
             partitions: members
                 .iter()
                 .map(|name| (name.clone(), PartitionView::default()))
                 .collect(),
             claims: BTreeMap::new(),
-            next_claim: 0,
+            next_claim_number: 0,
             round: SchedulingRound::default(),
             pending_writes: BTreeSet::new(),
             pages: StoredPages::new(&facts.state),
-            draining: BTreeSet::new(),
+            draining_machines: BTreeSet::new(),
             unreadable_jobs: BTreeSet::new(),
             services: ServiceState::new(&facts.workers),
             demand_history: DemandHistory::new(now),
@@ -100,45 +103,45 @@
 
     fn load_completions(&mut self, now: Time, pair: &KeyValue) {
         let Some(entries) = read_completions(&pair.value) else {
-            // Results are kept by the platform: such tasks run once more and end at once.
+            // The platform keeps the results of completed tasks, so these tasks run again and end at once.
             tracing::error!(
                 key = pair.key,
-                "completions page of another version dropped"
+                "completions page has an unknown format; deleting it and running its tasks again"
             );
             self.pages.completions.skip_number_of(&pair.key);
             self.pending_writes
                 .insert(PendingWrite::RemoveKey(pair.key.clone()));
             return;
         };
-        let mut closed_jobs_keys = Vec::new();
+        let mut keys_of_closed_jobs = Vec::new();
         for (key, entry) in &entries {
             if !self.load_completions_entry(now, key, entry) {
-                closed_jobs_keys.push(*key);
+                keys_of_closed_jobs.push(*key);
             }
         }
         self.pages
             .completions
             .adopt_stored_page(pair.key.clone(), pair.version, entries);
-        for key in closed_jobs_keys {
+        for key in keys_of_closed_jobs {
             self.pages.completions.remove(&key, now, false);
         }
     }
 
-    /// Marks the entry's tasks done; false if its job is over.
+    /// Marks the entry's tasks completed. Returns false if the job is closed.
     fn load_completions_entry(
         &mut self,
         now: Time,
         key: &CompletionsKey,
         entry: &Completions,
     ) -> bool {
-        let Some(job_tasks) = self.jobs.get_mut(&key.job) else {
+        let Some(job_tasks) = self.open_jobs.get_mut(&key.job) else {
             return false;
         };
         for task in &entry.tasks {
-            job_tasks.mark_done(*task);
+            job_tasks.mark_completed(*task);
         }
         for (zone, tasks) in &entry.zones {
-            job_tasks.done.count_zone(zone, *tasks);
+            job_tasks.completed_tasks.count_zone(zone, *tasks);
         }
         job_tasks.last_dispatch_at = Some(now);
         true
@@ -150,47 +153,51 @@
             .iter()
             .map(|record| (record.attempt, record.clone()))
             .collect();
-        self.pages.former_records.adopt_stored_page(
+        self.pages.previous_epoch_records.adopt_stored_page(
             page.stored.key.clone(),
             page.stored.version,
             entries,
         );
     }
 
-    fn load_record(
+    fn load_attempt_record(
         &mut self,
         now: Time,
         record: &AttemptRecord,
         members: &[ControllerName],
-        cancelled: &BTreeMap<JobId, Rc<Job>>,
+        cancelled_jobs: &BTreeMap<JobId, Rc<Job>>,
     ) {
         let Some(owner) = owner(&record.machine, members) else {
             return;
         };
         let mut active = ActiveAttempt::new(record.task, owner.clone());
-        // Of a task that is done no other attempt was made, and this one uses nothing any more.
-        let job_tasks = self.jobs.get(&record.task.job);
-        let is_done = job_tasks.is_some_and(|tasks| tasks.done.contains(record.task.index));
-        active.phase = if is_done {
+        // A completed task has no other attempts, so this one completed it and uses no resources.
+        let job_tasks = self.open_jobs.get(&record.task.job);
+        let is_completed =
+            job_tasks.is_some_and(|tasks| tasks.completed_tasks.contains(record.task.index));
+        active.phase = if is_completed {
             Phase::Completed
         } else {
             Phase::Placed
         };
         active.machine = Some(record.machine.clone());
-        active.job = cancelled.get(&record.task.job).cloned();
+        active.job = cancelled_jobs.get(&record.task.job).cloned();
         self.insert_attempt(record.attempt, active);
-        if let Some(job_tasks) = self.jobs.get_mut(&record.task.job) {
+        if let Some(job_tasks) = self.open_jobs.get_mut(&record.task.job) {
             job_tasks.last_dispatch_at = Some(now);
         }
     }
 
-    /// Claims of former leaders lapse, and jobs whose tasks are all done are to be finished.
-    fn request_initial_writes(&mut self, former_claims: &[KeyValue]) {
-        let keys = former_claims.iter().map(|pair| pair.key.clone());
+    /// Requests the deletion of previous epochs' claims, and the final states of jobs whose tasks are all completed.
+    fn request_initial_writes(&mut self, previous_claims: &[KeyValue]) {
+        let keys = previous_claims.iter().map(|pair| pair.key.clone());
         self.pending_writes
             .extend(keys.map(PendingWrite::RemoveKey));
-        let complete = self.jobs.iter().filter(|(_, tasks)| tasks.is_complete());
+        let completed_jobs = self
+            .open_jobs
+            .iter()
+            .filter(|(_, tasks)| tasks.all_tasks_completed());
         self.pending_writes
-            .extend(complete.map(|(id, _)| PendingWrite::FinishJob(*id)));
+            .extend(completed_jobs.map(|(id, _)| PendingWrite::FinishJob(*id)));
     }
 }
--- a/crates/worksshunt-core/src/scheduler/machine_view.rs
+++ b/crates/worksshunt-core/src/scheduler/machine_view.rs
@@ -1,4 +1,4 @@
-//! The leader's view of one machine. Its partition's view owns it; the fleet reads it.
+//! The leader's view of one machine, owned by the view of its partition and read by the fleet.
 
 use worksshunt_wire::peer::MachineStatus;
 
@@ -6,18 +6,18 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// One machine, with what is left of it after tasks that were dispatched and not placed yet.
+/// A machine as last reported, with the reservations for tasks that are dispatched to it and not placed yet.
 #[derive(Debug)]
 pub struct MachineView {
-    /// As its owner last described it.
+    /// The status last reported by its partition's owner.
     pub status: MachineStatus,
-    /// Since when it is empty.
+    /// Since when no task is on it; `None` while one is or may be.
     pub idle_since: Option<Time>,
-    /// Since when it takes no tasks.
-    pub unusable_since: Option<Time>,
-    /// What is reserved on it for tasks that are dispatched and not placed yet.
+    /// Since when it is unschedulable; `None` while it is schedulable.
+    pub unschedulable_since: Option<Time>,
+    /// Resources of the dispatched tasks that are not placed yet.
     reserved: Resources,
-    /// What is free beside that; nothing while it takes no tasks.
+    /// Free resources without the reserved ones; zero while it is unschedulable.
     pub free: Resources,
 }
 
@@ -27,35 +27,35 @@
         self.reserved.cpus > ROUNDING_TOLERANCE
     }
 
-    /// A machine as first described, with nothing reserved.
+    /// A machine without reservations. The caller applies `status` with [`update`](Self::update).
     pub(super) fn new(status: MachineStatus) -> MachineView {
         MachineView {
             status,
             idle_since: None,
-            unusable_since: None,
+            unschedulable_since: None,
             reserved: Resources::default(),
             free: Resources::default(),
         }
     }
 
-    /// Applies its description by its owner.
+    /// Applies a status reported by its partition's owner.
     pub(super) fn update(&mut self, status: MachineStatus, now: Time) {
         self.idle_since = status.idle_ms.map(|idle_ms| now - idle_ms);
-        self.unusable_since = match status.schedulable {
+        self.unschedulable_since = match status.schedulable {
             true => None,
-            false => self.unusable_since.or(Some(now)),
+            false => self.unschedulable_since.or(Some(now)),
         };
         self.status = status;
         self.recompute_free();
     }
 
-    /// Reserves resources for a dispatched task.
+    /// Reserves the resources that a dispatched task needs.
     pub(super) fn reserve(&mut self, need: &Resources) {
         self.reserved += *need;
         self.recompute_free();
     }
 
-    /// Ends the reservation for a task.
+    /// Releases the reservation for a task.
     pub(super) fn release_reservation(&mut self, need: &Resources) {
         self.reserved -= *need;
         self.recompute_free();
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -1,12 +1,12 @@
-//! The leader's scheduler: which waiting task goes to which partition.
+//! The leader's scheduler: dispatches waiting tasks to partitions.
 //!
-//! It owns the open jobs' tasks, the attempts that may be on machines, the teams' quotas and the
-//! zone constraints of jobs whose tasks depend on each other. A task counts from its dispatch until its
-//! attempt is certainly gone. Counts are updated with every change, so that the cost of a message grows with
-//! what it brings and not with the size of the fleet.
+//! It owns the tasks of the open jobs, the active attempts, the usage of the teams' quotas and the zone constraints of
+//! jobs. An attempt is active from its dispatch until it is confirmed to have ended; it is charged to its team's quota
+//! until then, or until it completes. All counts are updated incrementally: the cost of a message depends on its size,
+//! not on the size of the fleet.
 //!
-//! The leading controller calls it: with every partition's status, on timers, when jobs open or close
-//! and when writes are durable.
+//! The leading controller calls it for every partition status, on timers, when jobs open or close, and when writes
+//! become durable.
 
 mod active_attempt;
 mod attempt_numbers;
@@ -44,7 +44,7 @@
 
 use active_attempt::ActiveAttempt;
 use attempt_numbers::AttemptNumbers;
-pub use claim_records::{claim_key, ClaimRecord, ClaimWrite, CLAIMS_PREFIX};
+pub use claim_records::{claim_key, ClaimWrite, ClaimWriteOutcome, CLAIMS_PREFIX};
 use claims::Claim;
 pub use demand::Demand;
 use demand::DemandHistory;
@@ -58,102 +58,102 @@
 use services::ServiceState;
 use stored_pages::StoredPages;
 
-/// The leader's state.
+/// State of the leader's scheduler in one epoch.
 #[derive(Debug)]
 pub struct Scheduler {
     epoch: Epoch,
     attempt_numbers: AttemptNumbers,
     quota: Quota,
     objectives: ServiceLevelObjectives,
-    /// Open jobs.
-    jobs: BTreeMap<JobId, JobTasks>,
+    open_jobs: BTreeMap<JobId, JobTasks>,
     active_attempts: BTreeMap<Attempt, ActiveAttempt>,
-    /// The members' partitions, by owner.
+    /// Partitions by owner, one for each member of the epoch.
     partitions: BTreeMap<ControllerName, PartitionView>,
     claims: BTreeMap<MachineId, Claim>,
-    /// Number of the next claim of this epoch.
-    next_claim: u64,
+    /// Number of the next claim. No number is used twice in an epoch.
+    next_claim_number: u64,
     round: SchedulingRound,
     pending_writes: BTreeSet<PendingWrite>,
     pages: StoredPages,
-    /// Machines that are to be returned, as the fleet has it.
-    draining: BTreeSet<MachineId>,
-    /// Open jobs of a form that this version does not understand, whose attempts are left alone.
+    /// Machines that the fleet is about to release. Nothing is dispatched to them.
+    draining_machines: BTreeSet<MachineId>,
+    /// Open jobs stored in a format that this version cannot read. Their attempts are left running.
     unreadable_jobs: BTreeSet<JobId>,
     services: ServiceState,
     demand_history: DemandHistory,
 }
 
 impl Scheduler {
-    /// Uses at most `limit` attempt numbers in this epoch, for tests of what follows.
+    /// Limits the epoch to `limit` attempt numbers, to test what happens when an epoch has no numbers left.
     pub fn limit_attempts(&mut self, limit: u64) {
         self.attempt_numbers.set_limit(limit);
     }
 
-    /// Whether there are no more numbers for attempts in this epoch, so that the next one has to begin.
-    pub fn attempts_exhausted(&self) -> bool {
+    /// Whether the epoch has no attempt numbers left, so that the next epoch has to begin.
+    pub fn are_attempt_numbers_exhausted(&self) -> bool {
         self.attempt_numbers.is_exhausted()
     }
 
-    /// A job was accepted.
+    /// Adds an accepted job. A job that is open already is not replaced.
     pub fn open_job(&mut self, id: JobId, job: &Rc<Job>) {
-        self.jobs
+        self.open_jobs
             .entry(id)
             .or_insert_with(|| JobTasks::new(Rc::clone(job), &self.objectives));
         if job.is_service() {
-            self.services.open.insert(id);
+            self.services.open_jobs.insert(id);
         }
-        self.demand_history.note_class(&job.spec.class);
+        self.demand_history.record_class(&job.spec.class);
         self.round.request();
     }
 
-    /// Whether it has the job.
+    /// Whether the job is open in the scheduler.
     pub fn has_job(&self, id: JobId) -> bool {
-        self.jobs.contains_key(&id)
+        self.open_jobs.contains_key(&id)
     }
 
-    /// Whether attempts at the job's tasks may be on machines, ended or not.
+    /// Whether the job has active attempts, completed ones included.
     pub fn has_attempts_of(&self, id: JobId) -> bool {
         let mut attempts = self.active_attempts.values();
         attempts.any(|active| active.task.job == id)
     }
 
-    /// A job is over.
+    /// Removes a job that has reached its final state, and stops its remaining attempts.
     pub fn close_job(&mut self, id: JobId, now: Time) {
-        let Some(closed) = self.jobs.remove(&id) else {
+        let Some(closed) = self.open_jobs.remove(&id) else {
             return;
         };
-        self.services.open.remove(&id);
+        self.services.open_jobs.remove(&id);
         self.remove_completions(id, closed.job.spec.tasks, now);
         self.release_attempts_of_closed_job(closed);
         self.pending_writes.remove(&PendingWrite::FinishJob(id));
-        self.release_claims_of(id);
+        self.release_claims_of_job(id);
         self.round.request();
     }
 
-    /// These machines are to be returned: nothing is dispatched to them, whether or not their owners know.
+    /// Sets the machines that are to be released. Nothing more is dispatched to them, even before their partitions'
+    /// owners know.
     pub fn set_draining(&mut self, draining: BTreeSet<MachineId>) {
-        self.draining = draining;
+        self.draining_machines = draining;
     }
 
-    /// Something changed that a scheduling round may make use of.
+    /// Requests a scheduling round, after a change that may allow more dispatches.
     pub fn request_round(&mut self) {
         self.round.request();
     }
 
-    /// All machines of all partitions.
+    /// The machines of all partitions.
     pub fn machines(&self) -> impl Iterator<Item = &MachineView> {
         self.partitions
             .values()
             .flat_map(|partition| partition.machines.values())
     }
 
-    /// Whether every partition has described itself in this epoch.
-    pub fn all_partitions_reported(&self) -> bool {
+    /// Whether every partition's owner has sent its status in this epoch.
+    pub fn have_all_partitions_reported(&self) -> bool {
         self.partitions.values().all(PartitionView::has_reported)
     }
 
-    /// Enqueues a directive for the owner of its attempt.
+    /// Enqueues a directive for the owner of the attempt's partition.
     fn send_directive(&mut self, directive: Directive) {
         let Some(active) = self.active_attempts.get(&directive.attempt()) else {
             return;
--- a/crates/worksshunt-core/src/scheduler/partition_sync.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync.rs
@@ -1,5 +1,5 @@
-//! The exchange with the partitions' owners: the leader applies what has changed in a partition and
-//! answers with directives. The leading controller calls it for every message of an owner.
+//! The exchange with the partitions' owners: applies the status of a partition and responds with directives. The
+//! leading controller calls it for every message from an owner.
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Applies what has changed in a partition. A message that a later one has overtaken is ignored.
+    /// Applies the changes in a partition. A message that arrives after a later one is ignored.
     pub fn apply_status(&mut self, now: Time, status: PartitionStatus) {
         let Some(partition) = self.partitions.get_mut(&status.from) else {
             return;
@@ -25,11 +25,11 @@
         if !partition.accept_message(now, &status) {
             return;
         }
-        for ended in &status.ended_attempts {
-            self.apply_ended_attempt(now, ended);
+        for ended_attempt in &status.ended_attempts {
+            self.apply_ended_attempt(now, ended_attempt);
         }
-        for listed in &status.attempts {
-            self.apply_attempt_status(now, listed, &status);
+        for reported in &status.attempts {
+            self.apply_attempt_status(now, reported, &status);
         }
         if let Some(partition) = self.partitions.get_mut(&status.from) {
             for id in &status.removed_machines {
@@ -42,47 +42,47 @@
         self.round.request();
     }
 
-    fn apply_ended_attempt(&mut self, now: Time, ended: &AttemptEnded) {
-        let active = self.active_attempts.get(&ended.attempt);
+    fn apply_ended_attempt(&mut self, now: Time, ended_attempt: &AttemptEnded) {
+        let active = self.active_attempts.get(&ended_attempt.attempt);
         let ran_ms = active.map_or(0, |active| active.running_ms(now));
-        let removed = self.remove_attempt(ended.attempt, ended.outcome, now);
-        if removed.is_some() && ended.outcome == AttemptOutcome::Failed {
-            self.task_failed(now, ended, ran_ms);
+        let removed = self.remove_attempt(ended_attempt.attempt, ended_attempt.outcome, now);
+        if removed.is_some() && ended_attempt.outcome == AttemptOutcome::Failed {
+            self.task_failed(now, ended_attempt, ran_ms);
         }
     }
 
-    /// Applies the status of an attempt that a partition lists. A completed one may be forgotten once that is
-    /// durable; another that is no longer needed is to be stopped.
+    /// Applies the status of an attempt that a partition lists. Sends the directive that follows: a completed attempt
+    /// is marked durable once its completion is stored, any other that is no longer needed is stopped.
     fn apply_attempt_status(
         &mut self,
         now: Time,
-        listed: &AttemptStatus,
+        reported: &AttemptStatus,
         status: &PartitionStatus,
     ) {
-        let attempt = listed.attempt;
+        let attempt = reported.attempt;
         self.insert_attempt(
             attempt,
-            ActiveAttempt::new(listed.task, status.from.clone()),
+            ActiveAttempt::new(reported.task, status.from.clone()),
         );
-        self.attempt_placed(attempt, &listed.machine);
+        self.attempt_placed(attempt, &reported.machine);
         let active = self.active_attempts.get(&attempt);
         let was_completed = active.is_some_and(ActiveAttempt::is_completed);
-        self.set_phase(attempt, listed.phase, listed.running_ms, now);
-        if listed.phase == Phase::Completed {
+        self.set_phase(attempt, reported.phase, reported.running_ms, now);
+        if reported.phase == Phase::Completed {
             if !was_completed {
                 self.attempt_completed(attempt, status);
             }
-            if self.is_durable(listed.task) {
+            if self.is_completion_durable(reported.task) {
                 self.send_directive(Directive::MarkDurable(attempt));
             }
-        } else if !self.is_needed(listed.task) {
+        } else if !self.needs_attempt(reported.task) {
             self.send_directive(Directive::Stop(attempt));
         }
     }
 
-    /// Takes back what was dispatched to partitions whose owners' messages no longer arrive and was never
-    /// sent to them, so that it can be dispatched to others.
-    pub fn reassign_unsent(&mut self, now: Time) {
+    /// Cancels the assignments that were never sent to partitions whose owners are silent, so that their tasks can be
+    /// dispatched to other partitions.
+    pub fn reassign_unsent_attempts(&mut self, now: Time) {
         let unsent: Vec<Attempt> = self
             .partitions
             .values_mut()
@@ -94,7 +94,7 @@
         }
     }
 
-    /// An attempt's owner has chosen a machine for it.
+    /// Records the machine on which an attempt was placed.
     fn attempt_placed(&mut self, attempt: Attempt, machine: &MachineId) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// An attempt was reported as completed for the first time.
+    /// Records a completion that was reported for the first time.
     fn attempt_completed(&mut self, attempt: Attempt, status: &PartitionStatus) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
@@ -122,7 +122,7 @@
             self.quota.refund(job);
         }
         if active.zone.is_none() {
-            // Its machine may be described in the same message.
+            // The same message may contain the status of its machine.
             let described = status
                 .machines
                 .iter()
@@ -133,40 +133,40 @@
         self.task_completed(attempt, task, zone.as_deref());
     }
 
-    /// The answer to the message of `to` that was last processed. `terminated` are machines that are gone,
-    /// as the fleet has it.
+    /// The response to the last message from `to`. `terminated` are the machines that the fleet knows to be
+    /// terminated.
     pub fn directives_for<'a>(
         &mut self,
         now: Time,
         to: &ControllerName,
         terminated: impl Iterator<Item = &'a MachineId>,
     ) -> LeaderDirectives {
-        let claimed = self.held_claims();
+        let claimed = self.machines_with_held_claims();
         let Some(partition) = self.partitions.get_mut(to) else {
             return LeaderDirectives::default();
         };
-        let is_member = |id: &&MachineId| partition.machines.contains_key(id);
-        let members_of =
-            |ids: &BTreeSet<MachineId>| ids.iter().filter(is_member).cloned().collect();
+        let is_in_partition = |id: &&MachineId| partition.machines.contains_key(id);
+        let in_partition =
+            |ids: &BTreeSet<MachineId>| ids.iter().filter(is_in_partition).cloned().collect();
         let machine_directives = MachineDirectives {
-            draining: members_of(&self.draining),
-            claimed: members_of(&claimed),
-            terminated: terminated.filter(is_member).cloned().collect(),
+            draining: in_partition(&self.draining_machines),
+            claimed: in_partition(&claimed),
+            terminated: terminated.filter(is_in_partition).cloned().collect(),
         };
         let mut message = partition.next_message();
         message.epoch = self.epoch;
-        partition.add_outbox(&self.active_attempts, &mut message);
+        partition.add_directives(&self.active_attempts, &mut message);
         partition.add_machine_directives(machine_directives, &mut message);
-        if partition.take_progress_due(now) {
-            let counts = self.progress();
+        if partition.mark_progress_sent_if_due(now) {
+            let counts = self.job_task_counts();
             message.progress = Some(counts.map(JobTaskCounts::to_wire).collect());
         }
         message
     }
 
-    /// Done and running tasks of the jobs that have any.
-    fn progress(&self) -> impl Iterator<Item = JobTaskCounts> + '_ {
-        self.jobs
+    /// Task counts of the jobs with completed or running tasks.
+    fn job_task_counts(&self) -> impl Iterator<Item = JobTaskCounts> + '_ {
+        self.open_jobs
             .iter()
             .map(|(id, tasks)| tasks.counts(*id))
             .filter(JobTaskCounts::has_any)
--- a/crates/worksshunt-core/src/scheduler/partition_sync/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `partition_sync`: how much one message to an owner holds.
+//! Tests of `partition_sync`: how many directives one message holds.
 
 use serde_json::json;
 use worksshunt_wire::settings::Facts;
@@ -40,9 +40,9 @@
     }
 }
 
-// Guards against stops of cancelled tasks that wait behind thousands of other directives.
+// Stops of cancelled tasks must not wait behind thousands of other directives.
 #[test]
-fn a_message_holds_up_to_the_limit_of_each_kind_and_the_next_one_the_rest() {
+fn directives_beyond_the_limit_of_their_kind_wait_for_the_next_message() {
     let owner = ControllerName::from("n0");
     let mut scheduler = scheduler(&owner);
     let partition = scheduler.partitions.get_mut(&owner).expect("partition");
@@ -57,7 +57,7 @@
         (first.stop_attempts.len(), first.durable_attempts.len()),
         (SYNC_MAX_CHANGES, SYNC_MAX_CHANGES)
     );
-    // Its owner has acted on the first answer.
+    // The owner acknowledges the first message.
     scheduler.apply_status(Time(2), status(&owner, 2, first.sequence));
     let second = scheduler.directives_for(Time(2), &owner, none());
     assert_eq!(
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -1,8 +1,8 @@
-//! The leader's view of one partition: its machines with what is free on them, and the directives its
-//! owner has not acted on yet.
+//! The leader's view of one partition: its machines with their free resources, and the directives that its owner has
+//! not acknowledged yet.
 //!
-//! [`Scheduler`](super::Scheduler) owns one [`PartitionView`] per member of the epoch; `partition_sync`
-//! brings it up to date, `dispatch` reserves resources in it.
+//! [`Scheduler`](super::Scheduler) owns one [`PartitionView`] per member of the epoch; `partition_sync` updates it,
+//! `dispatch` reserves resources in it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,30 +19,30 @@
 use super::active_attempt::ActiveAttempt;
 use super::machine_view::MachineView;
 
-/// Free processors of a machine, as they are ordered by.
+/// Free processors of a machine, as a sort key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct FreeCpus(u64);
 
 impl FreeCpus {
-    /// The bits of numbers from 0 up are in the order of the numbers.
+    /// The bit patterns of floating-point numbers that are not negative sort like the numbers.
     fn of(cpus: f64) -> FreeCpus {
         FreeCpus(cpus.max(0.0).to_bits())
     }
 }
 
-/// An instruction to an owner about an attempt. It is sent again until it is acknowledged.
+/// An instruction to a partition's owner about an attempt, sent until it is acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Directive {
-    /// Place it.
+    /// Place the attempt.
     Assign(Attempt),
-    /// Stop it.
+    /// Stop the attempt.
     Stop(Attempt),
-    /// Forget it: its completion is in the store.
+    /// Drop the attempt, whose completion is stored.
     MarkDurable(Attempt),
 }
 
 impl Directive {
-    /// The attempt it is about.
+    /// The attempt concerned.
     pub fn attempt(self) -> Attempt {
         match self {
             Directive::Assign(attempt)
@@ -51,7 +51,7 @@
         }
     }
 
-    /// How many directives of its kind a message has.
+    /// Number of directives of this kind in a message.
     fn count_of_kind(self, message: &LeaderDirectives) -> usize {
         match self {
             Directive::Assign(_) => message.assignments.len(),
@@ -61,103 +61,104 @@
     }
 }
 
-/// The machine directives that were last sent, and the message that had them.
+/// The machine directives last sent, and the sequence number of the message that contained them.
 #[derive(Debug)]
 struct SentMachineDirectives {
     sequence: u64,
     directives: MachineDirectives,
 }
 
-/// A partition as its owner describes it.
+/// A partition as last reported by its owner, and the directives for the owner.
 #[derive(Debug, Default)]
 pub(super) struct PartitionView {
-    /// Messages sent to its owner.
-    directives_sent: u64,
-    /// Number of its owner's last message.
-    last_sequence: u64,
-    /// Number of the last message that its owner has acted on.
-    acknowledged: u64,
-    /// When its owner's last message came.
+    /// Sequence number of the last message sent to the owner; 0 before the first.
+    last_sent_sequence: u64,
+    /// Sequence number of the last message received from the owner; 0 before the first.
+    last_received_sequence: u64,
+    /// Sequence number of the last message that the owner has acknowledged.
+    acknowledged_sequence: u64,
+    /// When the last message from the owner was received.
     last_message_at: Time,
     pub machines: BTreeMap<MachineId, MachineView>,
-    /// Machines with free processors, those with fewest first.
+    /// Machines with free processors, those with the fewest first.
     machines_by_free_cpus: BTreeSet<(FreeCpus, MachineId)>,
-    /// Directives that its owner has not acknowledged, each with the number of the message that had it
-    /// last; none before it is sent. Each is queued once, however often an owner that gets no answer in
-    /// time repeats the status that caused it.
+    /// Unacknowledged directives, each with the sequence number of the last message that contained it; `None` before
+    /// it is sent. Each directive is queued once, even if the owner repeats the status that caused it.
     outbox: BTreeMap<Directive, Option<u64>>,
-    /// None before the first, and when a machine is new: then they are sent again.
+    /// `None` before the first, and after a new machine was reported: the directives are sent again then.
     last_machine_directives: Option<SentMachineDirectives>,
-    /// When the jobs' progress was last sent.
+    /// When the jobs' progress was last sent; `None` before the first time.
     progress_sent_at: Option<Time>,
 }
 
 impl PartitionView {
-    /// Adds a directive to be sent.
+    /// Enqueues a directive. One that was sent already is sent again.
     pub fn enqueue(&mut self, directive: Directive) {
         self.outbox.insert(directive, None);
     }
 
-    /// Whether its owner's messages arrive.
+    /// Whether a message from the owner was received within [`PARTITION_SILENT_MS`].
     pub fn is_responsive(&self, now: Time) -> bool {
         now.since(self.last_message_at) < PARTITION_SILENT_MS
     }
 
-    /// Whether it has described itself, and was answered, in this epoch.
+    /// Whether the owner has sent its status, and the leader has responded, in this epoch.
     pub fn has_reported(&self) -> bool {
-        self.directives_sent > 0
+        self.last_sent_sequence > 0
     }
 
-    /// Notes a message of its owner; false if a later one came before it. What it acknowledges need not be
-    /// sent again.
+    /// Accepts a message from the owner and removes the directives that it acknowledges. Returns false for a message
+    /// that arrives after a later one.
     pub fn accept_message(&mut self, now: Time, status: &PartitionStatus) -> bool {
-        if status.sequence <= self.last_sequence {
+        if status.sequence <= self.last_received_sequence {
             return false;
         }
-        self.last_sequence = status.sequence;
-        self.acknowledged = status.acknowledged;
+        self.last_received_sequence = status.sequence;
+        self.acknowledged_sequence = status.acknowledged;
         self.last_message_at = now;
-        self.outbox
-            .retain(|_, sent_in| sent_in.is_none_or(|sequence| sequence > status.acknowledged));
+        self.outbox.retain(|_, sent_sequence| {
+            sent_sequence.is_none_or(|sequence| sequence > status.acknowledged)
+        });
         true
     }
 
-    /// Takes the assignments that were never sent out of the outbox.
+    /// Removes the assignments that were never sent, and returns their attempts.
     pub fn take_unsent_assignments(&mut self) -> Vec<Attempt> {
         let mut unsent = Vec::new();
-        self.outbox
-            .retain(|directive, sent_in| match (directive, *sent_in) {
+        self.outbox.retain(
+            |directive, sent_sequence| match (directive, *sent_sequence) {
                 (Directive::Assign(attempt), None) => {
                     unsent.push(*attempt);
                     false
                 }
                 _ => true,
-            });
+            },
+        );
         unsent
     }
 
-    /// Begins the next message to its owner: its number, and the one it answers.
+    /// Starts the next message to the owner.
     pub fn next_message(&mut self) -> LeaderDirectives {
-        self.directives_sent += 1;
+        self.last_sent_sequence += 1;
         LeaderDirectives {
-            in_reply_to: self.last_sequence,
-            sequence: self.directives_sent,
+            in_reply_to: self.last_received_sequence,
+            sequence: self.last_sent_sequence,
             ..LeaderDirectives::default()
         }
     }
 
-    /// Adds the outbox to the message begun last. What is too much for one message is left for the next;
-    /// each kind has its own limit, so that stops do not wait behind assignments.
-    pub fn add_outbox(
+    /// Adds directives to the message started last. Each kind has its own limit, so that stops don't wait behind
+    /// assignments; the rest is left for the next message.
+    pub fn add_directives(
         &mut self,
         attempts: &BTreeMap<Attempt, ActiveAttempt>,
         message: &mut LeaderDirectives,
     ) {
-        for (directive, sent_in) in &mut self.outbox {
+        for (directive, sent_sequence) in &mut self.outbox {
             if directive.count_of_kind(message) >= SYNC_MAX_CHANGES {
                 continue;
             }
-            *sent_in = Some(self.directives_sent);
+            *sent_sequence = Some(self.last_sent_sequence);
             match *directive {
                 Directive::Assign(attempt) => {
                     let active = attempts.get(&attempt);
@@ -170,26 +171,26 @@
         }
     }
 
-    /// Adds the machine directives to the message begun last, unless its owner has acted on the same ones.
+    /// Adds the machine directives to the message started last, unless the owner has acknowledged the same ones.
     pub fn add_machine_directives(
         &mut self,
         directives: MachineDirectives,
         message: &mut LeaderDirectives,
     ) {
-        let is_confirmed = self.last_machine_directives.as_ref().is_some_and(|last| {
-            last.directives == directives && last.sequence <= self.acknowledged
+        let is_acknowledged = self.last_machine_directives.as_ref().is_some_and(|last| {
+            last.directives == directives && last.sequence <= self.acknowledged_sequence
         });
-        if !is_confirmed {
+        if !is_acknowledged {
             self.last_machine_directives = Some(SentMachineDirectives {
-                sequence: self.directives_sent,
+                sequence: self.last_sent_sequence,
                 directives: directives.clone(),
             });
             message.machine_directives = Some(directives);
         }
     }
 
-    /// Whether the jobs' progress is to be sent again; if so, notes that it is.
-    pub fn take_progress_due(&mut self, now: Time) -> bool {
+    /// Whether the jobs' progress is due to be sent; if so, marks it as sent.
+    pub fn mark_progress_sent_if_due(&mut self, now: Time) -> bool {
         let is_due = self
             .progress_sent_at
             .is_none_or(|sent_at| now.since(sent_at) >= PROGRESS_INTERVAL_MS);
@@ -199,20 +200,20 @@
         is_due
     }
 
-    /// Reserves a machine's resources for a task on its way.
+    /// Reserves a machine's resources for a dispatched task.
     pub fn reserve(&mut self, id: &MachineId, job: &Job) {
-        self.adjust(id, |view| view.reserve(&job.resources()));
+        self.update_view(id, |view| view.reserve(&job.resources()));
     }
 
-    /// Ends the reservation for a task, if it has one.
+    /// Releases the reservation for a task. No effect if `id` is `None`.
     pub fn release_reservation(&mut self, id: Option<&MachineId>, job: &Job) {
         if let Some(id) = id {
-            self.adjust(id, |view| view.release_reservation(&job.resources()));
+            self.update_view(id, |view| view.release_reservation(&job.resources()));
         }
     }
 
-    /// Machines with at least so many free processors, those with fewest first.
-    pub fn with_free_cpus(&self, cpus: f64) -> impl Iterator<Item = &MachineView> {
+    /// Machines with at least `cpus` free processors, those with the fewest first.
+    pub fn machines_with_free_cpus(&self, cpus: f64) -> impl Iterator<Item = &MachineView> {
         let from = (
             FreeCpus::of(cpus - ROUNDING_TOLERANCE),
             MachineId(String::new()),
@@ -221,39 +222,40 @@
         ids.filter_map(|id| self.machines.get(id))
     }
 
-    /// Changes a machine and updates what is free on it, and the order by that.
-    fn adjust(&mut self, id: &MachineId, change: impl FnOnce(&mut MachineView)) {
+    /// Changes a machine's view and keeps the order by free processors up to date.
+    fn update_view(&mut self, id: &MachineId, change: impl FnOnce(&mut MachineView)) {
         let Some(view) = self.machines.get_mut(id) else {
             return;
         };
-        let before = FreeCpus::of(view.free.cpus);
+        let free_before = FreeCpus::of(view.free.cpus);
         change(view);
-        let after = FreeCpus::of(view.free.cpus);
+        let free_after = FreeCpus::of(view.free.cpus);
         let has_free_cpus = view.free.cpus > ROUNDING_TOLERANCE;
-        if before != after {
-            self.machines_by_free_cpus.remove(&(before, id.clone()));
+        if free_before != free_after {
+            self.machines_by_free_cpus
+                .remove(&(free_before, id.clone()));
         }
         if has_free_cpus {
-            self.machines_by_free_cpus.insert((after, id.clone()));
+            self.machines_by_free_cpus.insert((free_after, id.clone()));
         } else {
-            self.machines_by_free_cpus.remove(&(after, id.clone()));
+            self.machines_by_free_cpus.remove(&(free_after, id.clone()));
         }
     }
 
-    /// Applies a machine's description by its owner.
+    /// Applies a machine's status as reported by its owner.
     pub fn update_machine(&mut self, status: MachineStatus, now: Time) {
         let id = status.id.clone();
         if !self.machines.contains_key(&id) {
-            // Its owner has dropped what was sent about the machine before.
+            // The owner has dropped the earlier directives for this machine.
             self.last_machine_directives = None;
         }
         self.machines
             .entry(id.clone())
             .or_insert_with(|| MachineView::new(status.clone()));
-        self.adjust(&id, |view| view.update(status, now));
+        self.update_view(&id, |view| view.update(status, now));
     }
 
-    /// A machine is no longer part of the partition.
+    /// Removes a machine that no longer belongs to the partition.
     pub fn remove_machine(&mut self, id: &MachineId) {
         if let Some(view) = self.machines.remove(id) {
             let free = FreeCpus::of(view.free.cpus);
--- a/crates/worksshunt-core/src/scheduler/partition_view/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `partition_view`: the order of machines by their free processors.
+//! Tests of `partition_view`: the order of machines by free processors.
 
 use super::*;
 
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn machines_are_found_by_their_free_processors() {
+fn machines_are_ordered_by_free_processors() {
     let mut partition = PartitionView::default();
     for (n, cpus) in [4.0, 0.0, 1.5, 2.0, 0.5].into_iter().enumerate() {
         partition.update_machine(machine(n, cpus), Time(0));
     }
     let free = |partition: &PartitionView, cpus: f64| -> Vec<f64> {
         partition
-            .with_free_cpus(cpus)
+            .machines_with_free_cpus(cpus)
             .map(|view| view.free.cpus)
             .collect()
     };
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -1,5 +1,5 @@
-//! The leader's pending writes, and what follows once they are durable. The controller asks for the next
-//! writes and reports the results.
+//! The leader's pending writes, and the effects once they are durable. The controller takes the next writes from here
+//! and reports their outcomes.
 
 use worksshunt_wire::{Attempt, JobId, MachineId, Revision, TaskId};
 
@@ -10,49 +10,49 @@
 use super::partition_view::Directive;
 use super::Scheduler;
 
-/// A pending write apart from pages; the most useful kind comes first.
+/// A pending write other than of pages. The order of the variants is their priority.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
-    /// All tasks of the job are done.
+    /// Stores the final state of a job whose tasks are all completed.
     FinishJob(JobId),
-    /// A claim on a machine, or its end.
+    /// Puts or deletes the claim record of the machine.
     UpdateClaim(MachineId),
-    /// A key of a former epoch that nothing needs any more.
+    /// Deletes a key of a previous epoch.
     RemoveKey(String),
 }
 
 impl Scheduler {
-    /// The pending writes apart from pages, the most useful first.
+    /// The pending writes other than of pages, by priority.
     pub fn pending_writes(&self) -> impl Iterator<Item = &PendingWrite> {
         self.pending_writes.iter()
     }
 
-    /// A key of a former epoch is gone.
+    /// Records that a key of a previous epoch was deleted.
     pub fn key_removed(&mut self, key: &str) {
         self.pending_writes
             .remove(&PendingWrite::RemoveKey(key.to_owned()));
     }
 
-    /// The store refused a job's final state: its user cancelled it first, or it is done already.
-    pub fn finish_refused(&mut self, id: JobId) {
+    /// Drops the pending final state of a job that already has one: its user cancelled it first, or it is done.
+    pub fn finish_job_refused(&mut self, id: JobId) {
         self.pending_writes.remove(&PendingWrite::FinishJob(id));
     }
 
-    /// The next write of completions, and of records of former epochs, of at most `max_pages` pages.
+    /// The next write of completions and of attempt records of previous epochs, with at most `max_pages` pages.
     pub fn next_page_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.pages.next_writes(now, max_pages)
     }
 
-    /// The pages under way are durable, at `revision` if it is known.
+    /// Records that the page writes in flight are durable, at `revision` if that is known.
     pub fn page_writes_applied(&mut self, revision: Option<Revision>) {
-        self.pages.former_records.write_applied(revision);
+        self.pages.previous_epoch_records.write_applied(revision);
         for key in self.pages.completions.write_applied(revision) {
-            self.chunk_durable(key);
+            self.mark_chunk_durable(key);
         }
     }
 
-    /// Completions of one chunk of a job's tasks are durable: their machines may forget them.
-    fn chunk_durable(&mut self, key: CompletionsKey) {
+    /// Marks the completions of a chunk durable. Directives tell the attempts' machines to drop them.
+    fn mark_chunk_durable(&mut self, key: CompletionsKey) {
         for attempt in self.take_durable_attempts(key) {
             let active = self.active_attempts.get(&attempt);
             if active.is_some_and(|active| active.is_completed()) {
@@ -61,27 +61,39 @@
         }
     }
 
-    /// Marks the written tasks of a chunk durable; the attempts at them.
+    /// Marks the written completions of a chunk durable and returns the active attempts at their tasks.
     fn take_durable_attempts(&mut self, key: CompletionsKey) -> Vec<Attempt> {
         let job = key.job;
-        // What completed since the write began is pending again and is not durable yet.
-        let pending = self.pages.completions.pending_entry(&key);
-        let is_pending = |index: &u32| pending.is_some_and(|entry| entry.tasks.contains(index));
-        // All of a complete job becomes durable with its end.
-        let Some(job_tasks) = self.jobs.get_mut(&job).filter(|tasks| !tasks.is_complete()) else {
+        // Tasks completed since the write began are pending again and not durable yet.
+        let pending_entry = self.pages.completions.pending_entry(&key);
+        let is_pending =
+            |index: &u32| pending_entry.is_some_and(|entry| entry.tasks.contains(index));
+        // The completions of such a job become durable with its final state.
+        let Some(job_tasks) = self
+            .open_jobs
+            .get_mut(&job)
+            .filter(|tasks| !tasks.all_tasks_completed())
+        else {
             return Vec::new();
         };
         let in_chunk = |index: &u32| completions_key(TaskId { job, index: *index }) == key;
-        let written: Vec<u32> = job_tasks
-            .not_durable
+        let written_tasks: Vec<u32> = job_tasks
+            .completions_not_durable
             .iter()
             .copied()
             .filter(|index| in_chunk(index) && !is_pending(index))
             .collect();
         let mut attempts = Vec::new();
-        for index in written {
-            job_tasks.not_durable.remove(&index);
-            attempts.extend(job_tasks.active.get(&index).into_iter().flatten().copied());
+        for index in written_tasks {
+            job_tasks.completions_not_durable.remove(&index);
+            attempts.extend(
+                job_tasks
+                    .attempts_by_task
+                    .get(&index)
+                    .into_iter()
+                    .flatten()
+                    .copied(),
+            );
         }
         attempts
     }
@@ -91,7 +103,7 @@
         self.pages.uncertain_keys().cloned().collect()
     }
 
-    /// A page's version was read.
+    /// Applies the version read for a page.
     pub fn page_version_read(&mut self, key: &str, version: Revision) {
         self.pages.version_read(key, version);
     }
--- a/crates/worksshunt-core/src/scheduler/placement_targets.rs
+++ b/crates/worksshunt-core/src/scheduler/placement_targets.rs
@@ -1,4 +1,5 @@
-//! Where a job's waiting tasks may go: a claimed machine, or the partitions with most free processors.
+//! Chooses targets for a job's waiting tasks: a claimed machine, or machines of the partitions with most free
+//! processors.
 
 use std::collections::BTreeSet;
 
@@ -11,31 +12,32 @@
 use super::partition_view::PartitionView;
 use super::{MachineView, Scheduler};
 
-/// Where a task may go: a partition, and a machine there with enough free resources. The partition's
-/// owner may choose another machine, unless that one is claimed.
+/// Where a task may be dispatched: a partition, and a machine there with enough free resources. The partition's owner
+/// may place the task on another machine unless this one is claimed.
 pub(super) struct PlacementTarget {
     pub owner: ControllerName,
     pub machine: MachineId,
-    /// The zone, if the task is bound to it.
+    /// The machine's zone if the job constrains the zones of its tasks, otherwise `None`.
     pub zone: Option<String>,
     pub is_claimed: bool,
 }
 
-/// A machine that fits a task, with what is free on it.
+/// A machine that fits a task, with its free resources.
 struct FreeMachine<'a> {
     id: &'a MachineId,
     free: Resources,
 }
 
-/// A partition's machines that fit a job's tasks, the emptiest first, and what is free on all of them.
-struct CandidateMachines<'a> {
+/// The machines of a partition that fit a job's tasks, those with most free processors first. `free_cpus` is the sum
+/// of their free processors.
+struct PartitionCandidates<'a> {
     owner: &'a ControllerName,
     free_cpus: f64,
     machines: Vec<FreeMachine<'a>>,
 }
 
-impl<'a> CandidateMachines<'a> {
-    /// Takes the resources of one task from the fullest machine.
+impl<'a> PartitionCandidates<'a> {
+    /// Allocates one task on the machine with the fewest free processors.
     fn allocate(&mut self, need: &Resources) -> Option<&'a MachineId> {
         let fullest = self.machines.last_mut()?;
         let id = fullest.id;
@@ -50,7 +52,7 @@
 }
 
 impl Scheduler {
-    /// Targets for at most `limit` tasks of a job, as many as there are.
+    /// Chooses targets for a job's tasks, at most `limit`; fewer if no more tasks fit.
     pub(super) fn placement_targets(
         &self,
         now: Time,
@@ -61,12 +63,12 @@
         let mut targets: Vec<PlacementTarget> = Vec::new();
         targets.extend(self.claimed_target(job, zones.as_ref()));
         let need = job.resources();
-        let mut candidates: Vec<CandidateMachines> = self
+        let mut candidates: Vec<PartitionCandidates> = self
             .partitions
             .iter()
             .filter(|(_, partition)| partition.is_responsive(now))
             .map(|(owner, partition)| {
-                self.candidate_machines(now, owner, partition, job, zones.as_ref())
+                self.partition_candidates(now, owner, partition, job, zones.as_ref())
             })
             .collect();
         while (targets.len() as u32) < limit {
@@ -89,14 +91,14 @@
         targets
     }
 
-    fn candidate_machines<'a>(
+    fn partition_candidates<'a>(
         &'a self,
         now: Time,
         owner: &'a ControllerName,
         partition: &'a PartitionView,
         job: &Job,
         zones: Option<&BTreeSet<String>>,
-    ) -> CandidateMachines<'a> {
+    ) -> PartitionCandidates<'a> {
         let need = job.resources();
         let reserves_on_demand = job.spec.spot && self.reserves_on_demand_machines(now);
         let is_candidate = |view: &&MachineView| {
@@ -106,10 +108,10 @@
                 && job.allows_machine(&status.machine_type, &status.zone, status.spot)
                 && zones.is_none_or(|zones| zones.contains(&status.zone))
                 && !self.claims.contains_key(&status.id)
-                && !self.draining.contains(&status.id)
+                && !self.draining_machines.contains(&status.id)
         };
         let mut machines: Vec<FreeMachine> = partition
-            .with_free_cpus(need.cpus)
+            .machines_with_free_cpus(need.cpus)
             .filter(is_candidate)
             .map(|view| FreeMachine {
                 id: &view.status.id,
@@ -117,21 +119,21 @@
             })
             .collect();
         machines.sort_by(|a, b| b.free.cpus.total_cmp(&a.free.cpus));
-        CandidateMachines {
+        PartitionCandidates {
             owner,
             free_cpus: machines.iter().map(|machine| machine.free.cpus).sum(),
             machines,
         }
     }
 
-    /// A machine claimed for the job that fits its task by now.
+    /// A machine claimed for the job, if its task fits there.
     fn claimed_target(
         &self,
         job: &Job,
         zones: Option<&BTreeSet<String>>,
     ) -> Option<PlacementTarget> {
         let need = job.resources();
-        self.claims_for(job.spec.id).find_map(|machine| {
+        self.unused_claims_of(job.spec.id).find_map(|machine| {
             let (owner, view) = self
                 .partitions
                 .iter()
@@ -148,7 +150,7 @@
         })
     }
 
-    /// The zone of a machine, as its owner described it.
+    /// The zone of a machine, as reported by its partition's owner.
     pub(super) fn zone_of(&self, owner: &ControllerName, machine: &MachineId) -> Option<String> {
         let view = self.partitions.get(owner)?.machines.get(machine)?;
         Some(view.status.zone.clone())
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -1,7 +1,7 @@
-//! Preemption: stopping attempts to free resources for waiting tasks that come before them.
+//! Preemption: stops attempts to free resources for waiting tasks that come first in the scheduling order.
 //!
-//! The leading controller calls [`Scheduler::preempt`] on a timer, and sooner for replicas;
-//! `preemption_candidates` has the machines and what may be stopped there.
+//! The leading controller calls [`Scheduler::preempt`] on a timer, and without delay for replicas;
+//! `preemption_candidates` determines what may be stopped on which machine.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,25 +18,25 @@
 use super::preemption_candidates::{GuaranteeState, PreemptionCandidates, Preemptor};
 use super::Scheduler;
 
-/// A job with waiting tasks that have found no free resources.
-struct StuckJob {
-    /// Its place in the order of service.
+/// A job whose waiting tasks fit the free resources of no partition.
+struct UnschedulableJob {
+    /// Its position in the scheduling order.
     rank: Rank,
     job: Rc<Job>,
-    waiting: u32,
+    waiting_tasks: u32,
 }
 
-/// The attempts chosen so far, with machines and quotas as they will be once those are stopped and the
-/// waiting tasks run.
-struct Selection<'a> {
+/// The attempts chosen so far, with machines and quotas as they will be once those are stopped and the waiting tasks
+/// run.
+struct VictimSelection<'a> {
     candidates: PreemptionCandidates<'a>,
     quota: Quota,
     chosen: Vec<Attempt>,
 }
 
-impl Selection<'_> {
-    /// Chooses attempts to be stopped for one task where that loses least work, on a machine in a zone
-    /// that may have more of the job's tasks. The zone; none if there is no such machine.
+impl VictimSelection<'_> {
+    /// Chooses the attempts to stop for one task, on the machine where the least work is lost. `zones` limits how many
+    /// more of the job's tasks each zone may have. Returns the machine's zone; `None` if there is no such machine.
     fn preempt_for(
         &mut self,
         preemptor: &Preemptor,
@@ -48,7 +48,7 @@
         let candidate = self.candidates.machines.get_mut(&plan.machine)?;
         for victim in candidate.remove_victims(&plan.victims) {
             self.quota.refund(&victim.job);
-            tracing::debug!(attempt = %victim.attempt, machine = %plan.machine, lost_ms = plan.lost_ms, job = %job.spec.id, "attempt preempted");
+            tracing::debug!(attempt = %victim.attempt, machine = %plan.machine, lost_work_ms = plan.lost_work_ms, job = %job.spec.id, "attempt preempted");
             self.chosen.push(victim.attempt);
         }
         candidate.free.allocate(&job.resources());
@@ -57,17 +57,16 @@
 }
 
 impl Scheduler {
-    /// Stops attempts for waiting tasks that have found no free resources for a while: work of lower
-    /// priority, and work that another team runs beyond its guarantee for a team within its own.
-    /// What would be served before the waiting task anyway is never stopped for it, so nothing is
-    /// stopped twice in a row.
+    /// Stops attempts for tasks that have been unschedulable for a while: those of lower priority, and those that
+    /// exceed the guarantee of another team if the task is within its own team's guarantee. Never stops an attempt
+    /// whose task would be scheduled before the waiting one, so tasks don't preempt each other in turn.
     pub fn preempt(&mut self, now: Now, budget: &Budget) {
-        self.services.has_stuck_replica = false;
-        let stuck = self.stuck_jobs(now);
-        if stuck.is_empty() {
+        self.services.has_unschedulable_replica = false;
+        let unschedulable = self.unschedulable_jobs(now);
+        if unschedulable.is_empty() {
             return;
         }
-        for attempt in self.choose_victims(&stuck, now, budget) {
+        for attempt in self.choose_victims(&unschedulable, now, budget) {
             if let Some(active) = self.active_attempts.get_mut(&attempt) {
                 active.is_preempted = true;
             }
@@ -75,60 +74,69 @@
         }
     }
 
-    /// Jobs that others may be preempted for, in order of service.
-    fn stuck_jobs(&self, now: Now) -> Vec<StuckJob> {
-        let mut stuck: Vec<StuckJob> = self
-            .jobs
+    /// The jobs that others may be preempted for, in scheduling order.
+    fn unschedulable_jobs(&self, now: Now) -> Vec<UnschedulableJob> {
+        let mut unschedulable: Vec<UnschedulableJob> = self
+            .open_jobs
             .values()
             .filter(|tasks| self.may_preempt_for(tasks, now))
-            .map(|tasks| StuckJob {
+            .map(|tasks| UnschedulableJob {
                 rank: tasks.rank(now.wall_ms),
                 job: Rc::clone(&tasks.job),
-                waiting: tasks.waiting(),
+                waiting_tasks: tasks.waiting_tasks(),
             })
             .collect();
-        stuck.sort_by_key(|stuck| stuck.rank);
-        stuck
+        unschedulable.sort_by_key(|job| job.rank);
+        unschedulable
     }
 
-    /// Whether others may be preempted for the job: its tasks have found no free resources for long enough,
-    /// at once for a replica, its team's limit admits them, and waiting puts an objective at risk.
+    /// Whether others may be preempted for the job: it has been unschedulable for [`PREEMPT_AFTER_MS`] (services: for
+    /// any time), its team's limit admits one more task, and waiting puts an objective at risk. False for jobs whose
+    /// tasks have to run in one zone, and for others with a zone constraint that are not services.
     fn may_preempt_for(&self, job_tasks: &JobTasks, now: Now) -> bool {
         let job = &job_tasks.job;
         let is_service = job.is_service();
         let has_waited = |since| is_service || now.steady.since(since) >= PREEMPT_AFTER_MS;
-        job_tasks.stuck_since.is_some_and(has_waited)
+        job_tasks.unschedulable_since.is_some_and(has_waited)
             && (is_service || !job.has_zone_constraint())
             && !job.spec.one_zone
             && self.quota.admits_one_more(job)
-            && self.is_at_risk(job, now, self.quota.guarantees_one_more(job))
+            && self.is_objective_at_risk(job, now, self.quota.guarantees_one_more(job))
     }
 
-    fn is_at_risk(&self, job: &Job, now: Now, is_guaranteed: bool) -> bool {
+    fn is_objective_at_risk(&self, job: &Job, now: Now, is_guaranteed: bool) -> bool {
         job.is_service() || self.objectives.is_at_risk(job, now.wall_ms, is_guaranteed)
     }
 
-    fn choose_victims(&self, stuck: &[StuckJob], now: Now, budget: &Budget) -> Vec<Attempt> {
-        let mut selection = Selection {
+    fn choose_victims(
+        &self,
+        unschedulable: &[UnschedulableJob],
+        now: Now,
+        budget: &Budget,
+    ) -> Vec<Attempt> {
+        let mut selection = VictimSelection {
             candidates: self.preemption_candidates(now.steady),
             quota: self.quota.clone(),
             chosen: Vec::new(),
         };
-        for StuckJob { job, waiting, .. } in stuck {
+        for UnschedulableJob {
+            job, waiting_tasks, ..
+        } in unschedulable
+        {
             let mut zones = self.remaining_tasks_by_zone(job);
-            for _ in 0..*waiting {
+            for _ in 0..*waiting_tasks {
                 if budget.exhausted() {
                     return selection.chosen;
                 }
                 let is_guaranteed = selection.quota.guarantees_one_more(job);
                 if !selection.quota.admits_one_more(job)
-                    || !self.is_at_risk(job, now, is_guaranteed)
+                    || !self.is_objective_at_risk(job, now, is_guaranteed)
                 {
                     break;
                 }
                 let preemptor = Preemptor {
                     job,
-                    guarantee: match (is_guaranteed, self.round.is_at_risk(job)) {
+                    guarantee: match (is_guaranteed, self.round.is_guarantee_at_risk(job)) {
                         (true, true) => GuaranteeState::AtRisk,
                         (true, false) => GuaranteeState::Available,
                         (false, _) => GuaranteeState::Exhausted,
--- a/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
+++ b/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
@@ -1,5 +1,5 @@
-//! The machines that attempts may be preempted on, what each preemption loses, and which attempts may be
-//! preempted for which job. Built anew for every call of [`Scheduler::preempt`].
+//! Candidates for preemption: which attempts may be stopped for a job on which machine, and the work that is lost.
+//! Computed anew for each call of [`Scheduler::preempt`].
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,14 +17,14 @@
 use super::active_attempt::ActiveAttempt;
 use super::Scheduler;
 
-/// What is left of its team's guarantee for a job's next task.
+/// Whether a job's next task is within its team's guarantee, which determines what it may preempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GuaranteeState {
-    /// Nothing: the task comes in order of priority.
+    /// The task exceeds the guarantee and is scheduled by its priority.
     Exhausted,
-    /// The task fits into it, and so comes before others of its priority.
+    /// The task is within the guarantee and comes before others of its priority.
     Available,
-    /// The task fits into it and would soon have waited too long for that, and so comes before all others.
+    /// The task is within the guarantee, has waited nearly as long as that allows, and comes before all others.
     AtRisk,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl Preemptor<'_> {
-    /// Whether a task of `other` may be stopped for one of the job: never what would be served before it.
-    /// `is_over_guarantee`: whether the team of `other` uses more than its guarantee.
+    /// Whether a task of `other` may be stopped for one of the job. `is_over_guarantee`: whether the team of `other`
+    /// uses more than its guarantee.
     fn may_preempt(&self, other: &Job, is_over_guarantee: bool) -> bool {
         let (spec, other_spec) = (&self.job.spec, &other.spec);
         let is_lower = other_spec.priority < spec.priority;
@@ -47,7 +47,7 @@
             GuaranteeState::Available => {
                 (is_borrowed && other_spec.priority <= spec.priority) || is_lower
             }
-            // A replica cannot wait for work of its own team either.
+            // A replica has to start at once, even if its own team's work has to be stopped for it.
             GuaranteeState::Exhausted => {
                 is_lower && (is_over_guarantee || (self.job.is_service() && is_same_team))
             }
@@ -55,18 +55,18 @@
     }
 }
 
-/// What decides whether a task may be stopped for another one, apart from how much of its team's guarantee is used.
+/// Decides, together with the usage of the team's guarantee, whether an attempt may be stopped for a task.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionClass {
     team: TeamName,
     priority: Priority,
 }
 
-/// The classes of the attempts, numbered.
+/// The preemption classes of the attempts, with an index for each.
 #[derive(Default)]
 struct PreemptionClasses {
     indices: BTreeMap<PreemptionClass, usize>,
-    /// A job of each class, by index.
+    /// One job of each class, by index.
     jobs: Vec<Rc<Job>>,
 }
 
@@ -85,24 +85,24 @@
 
 /// An attempt that may be stopped for another task.
 pub(super) struct PreemptibleAttempt {
-    /// The work that would be lost, milliseconds.
-    lost_ms: u64,
+    /// Work lost if it is stopped, milliseconds.
+    lost_work_ms: u64,
     pub attempt: Attempt,
     pub job: Rc<Job>,
-    /// Index of its class.
-    class: usize,
+    /// Index of its class in [`PreemptionClasses`].
+    class_index: usize,
 }
 
-/// A machine with what is or will be free there, and the attempts on it.
+/// A machine, its free resources once the chosen attempts have stopped, and the remaining attempts on it.
 pub(super) struct CandidateMachine<'a> {
     pub machine: &'a MachineStatus,
     pub free: Resources,
-    /// Those that lose least first.
+    /// In order of the work lost if they are stopped, the least first.
     attempts: Vec<PreemptibleAttempt>,
 }
 
 impl CandidateMachine<'_> {
-    /// Whether the job may use it, and its zone may have more of the job's tasks.
+    /// Whether the job may use the machine, and `zones` allows more of the job's tasks in the machine's zone.
     fn allows(&self, job: &Job, zones: Option<&BTreeMap<String, u32>>) -> bool {
         let machine = self.machine;
         let has_tasks_left = |zones: &BTreeMap<String, u32>| {
@@ -112,26 +112,26 @@
             && zones.is_none_or(has_tasks_left)
     }
 
-    /// What has to be stopped here for one task; none if the task does not fit even then.
-    /// `preemptible` states for each class whether its attempts may be stopped as long as nothing is.
+    /// Plans which attempts to stop here for one task; `None` if it would not fit even then. `preemptible_classes`
+    /// has, by class index, whether attempts of the class may be stopped while all of them run.
     fn plan(
         &self,
         preemptor: &Preemptor,
-        preemptible: &[bool],
+        preemptible_classes: &[bool],
         quota: &Quota,
     ) -> Option<PreemptionPlan> {
         let need = preemptor.job.resources();
         let mut free = self.free;
-        let mut lost_ms = 0;
+        let mut lost_work_ms = 0;
         let mut victims: Vec<usize> = Vec::new();
         for (index, attempt) in self.attempts.iter().enumerate() {
             if free.fits(&need) {
                 break;
             }
-            if !preemptible[attempt.class] {
+            if !preemptible_classes[attempt.class_index] {
                 continue;
             }
-            // Those before it may have brought its team back within its guarantee.
+            // The victims before it may have brought its team back within its guarantee.
             let team = &attempt.job.spec.team;
             let same_team = victims
                 .iter()
@@ -140,18 +140,18 @@
             let is_over_guarantee = quota.is_over_guarantee_without(team, same_team);
             if preemptor.may_preempt(&attempt.job, is_over_guarantee) {
                 free.release(&attempt.job.resources());
-                lost_ms += attempt.lost_ms;
+                lost_work_ms += attempt.lost_work_ms;
                 victims.push(index);
             }
         }
         free.fits(&need).then(|| PreemptionPlan {
-            lost_ms,
+            lost_work_ms,
             machine: self.machine.id.clone(),
             victims,
         })
     }
 
-    /// Takes the attempts at these indices, which are in ascending order, off the machine; the last one first.
+    /// Removes the attempts at these indices, which ascend, and frees their resources. Returns the last one first.
     pub fn remove_victims(&mut self, indices: &[usize]) -> Vec<PreemptibleAttempt> {
         let mut removed = Vec::new();
         for index in indices.iter().rev() {
@@ -163,31 +163,31 @@
     }
 }
 
-/// The attempts to be stopped on a machine for one task.
+/// The attempts to stop on a machine for one task.
 pub(super) struct PreemptionPlan {
-    /// The work that is lost, milliseconds.
-    pub lost_ms: u64,
+    /// Work lost with all of them, milliseconds.
+    pub lost_work_ms: u64,
     pub machine: MachineId,
-    /// Indices of the attempts among those of the machine, ascending.
+    /// Indices into the machine's attempts, ascending.
     pub victims: Vec<usize>,
 }
 
-/// The machines that attempts may be preempted on, and the classes of the attempts there.
+/// The machines on which attempts may be preempted, and the preemption classes of the attempts there.
 pub(super) struct PreemptionCandidates<'a> {
     pub machines: BTreeMap<MachineId, CandidateMachine<'a>>,
     classes: PreemptionClasses,
 }
 
 impl PreemptionCandidates<'_> {
-    /// The plan for one task that loses least work.
+    /// The plan for one task that loses the least work; `None` if the task fits nowhere.
     pub fn best_plan(
         &self,
         preemptor: &Preemptor,
         zones: Option<&BTreeMap<String, u32>>,
         quota: &Quota,
     ) -> Option<PreemptionPlan> {
-        let preemptible = self.preemptible_classes(preemptor, quota);
-        if !self.may_fit(preemptor.job, &preemptible) {
+        let preemptible_classes = self.preemptible_classes(preemptor, quota);
+        if !self.may_fit(preemptor.job, &preemptible_classes) {
             return None;
         }
         let mut best: Option<PreemptionPlan> = None;
@@ -195,20 +195,23 @@
             if !candidate.allows(preemptor.job, zones) {
                 continue;
             }
-            let Some(plan) = candidate.plan(preemptor, &preemptible, quota) else {
+            let Some(plan) = candidate.plan(preemptor, &preemptible_classes, quota) else {
                 continue;
             };
-            if plan.lost_ms == 0 {
+            if plan.lost_work_ms == 0 {
                 return Some(plan);
             }
-            if best.as_ref().is_none_or(|best| plan.lost_ms < best.lost_ms) {
+            if best
+                .as_ref()
+                .is_none_or(|best| plan.lost_work_ms < best.lost_work_ms)
+            {
                 best = Some(plan);
             }
         }
         best
     }
 
-    /// Which classes of tasks may be stopped for the job as long as none is.
+    /// For each class, by index, whether its attempts may be stopped for the job while all of them run.
     fn preemptible_classes(&self, preemptor: &Preemptor, quota: &Quota) -> Vec<bool> {
         let may_preempt = |other: &Rc<Job>| {
             let team = &other.spec.team;
@@ -218,15 +221,15 @@
         self.classes.jobs.iter().map(may_preempt).collect()
     }
 
-    /// Whether a task of the job can fit at all: on some machine as it is, or where attempts may be stopped. For
-    /// most jobs that wait on a full fleet this check is enough; what runs on each machine is not examined.
-    fn may_fit(&self, job: &Job, preemptible: &[bool]) -> bool {
+    /// Whether a task of the job may fit at all. For most jobs that wait on a full fleet this is false, which saves
+    /// the examination of every machine.
+    fn may_fit(&self, job: &Job, preemptible_classes: &[bool]) -> bool {
         let need = job.resources();
         let mut machines = self.machines.values();
-        preemptible.contains(&true) || machines.any(|candidate| candidate.free.fits(&need))
+        preemptible_classes.contains(&true) || machines.any(|candidate| candidate.free.fits(&need))
     }
 
-    /// Adds an attempt to its machine, if that is a candidate.
+    /// Adds an attempt to its machine if that is a candidate.
     fn add_attempt(&mut self, attempt: Attempt, active: &ActiveAttempt, now: Time) {
         let (Some(machine), Some(job)) = (&active.machine, &active.job) else {
             return;
@@ -238,23 +241,23 @@
             return;
         }
         if active.is_preempted {
-            // What earlier preemptions will leave.
+            // Earlier preemptions will free these resources.
             candidate.free.release(&job.resources());
             return;
         }
         candidate.attempts.push(PreemptibleAttempt {
-            lost_ms: work_lost_ms(job, active.running_ms(now)),
+            lost_work_ms: lost_work_ms(job, active.running_ms(now)),
             attempt,
             job: Rc::clone(job),
-            class: self.classes.index_of(job),
+            class_index: self.classes.index_of(job),
         });
     }
 }
 
-/// The work that is lost when an attempt is stopped that ran for `ran_ms`, milliseconds.
-fn work_lost_ms(job: &Job, ran_ms: u64) -> u64 {
+/// Work lost if an attempt is stopped after running for `ran_ms`, milliseconds.
+fn lost_work_ms(job: &Job, ran_ms: u64) -> u64 {
     match job.spec.checkpoint_s {
-        // A replica does its work only while it runs, so it is stopped last.
+        // A replica does its work only while it runs, so it is the last to be stopped.
         _ if job.is_service() => REPLICA_PREEMPTION_COST_MS,
         interval_s if interval_s > 0.0 => ran_ms.min((interval_s * 1_000.0) as u64),
         _ => ran_ms,
@@ -262,7 +265,7 @@
 }
 
 impl Scheduler {
-    /// The machines that attempts may be preempted on, with the attempts there.
+    /// The schedulable machines without a claim or reclaim notice, with the attempts that may be preempted there.
     pub(super) fn preemption_candidates(&self, now: Time) -> PreemptionCandidates<'_> {
         let machines = self
             .machines()
@@ -287,7 +290,7 @@
         for candidate in candidates.machines.values_mut() {
             candidate
                 .attempts
-                .sort_by_key(|attempt| (attempt.lost_ms, attempt.attempt));
+                .sort_by_key(|attempt| (attempt.lost_work_ms, attempt.attempt));
         }
         candidates
     }
--- a/crates/worksshunt-core/src/scheduler/round.rs
+++ b/crates/worksshunt-core/src/scheduler/round.rs
@@ -1,7 +1,7 @@
-//! Scheduling rounds: in which order the jobs with waiting tasks are served.
+//! Scheduling rounds: the order in which jobs with waiting tasks are served.
 //!
-//! [`Scheduler`] owns one [`SchedulingRound`]; the leading controller calls
-//! [`run_round`](Scheduler::run_round) until its time budget is used up.
+//! [`Scheduler`] owns one [`SchedulingRound`]; the leading controller calls [`run_round`](Scheduler::run_round), which
+//! suspends the round when the time budget is used up.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -16,54 +16,55 @@
 use super::job_tasks::JobTasks;
 use super::Scheduler;
 
-/// What a job is served for in a round, in this order.
+/// A pass of a round over the waiting jobs. `Starved` and `GuaranteeAtRisk` are first; the other two follow in turn
+/// for each priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Pass {
-    /// No task of it was dispatched for so long that it gets a share of its tasks before all others.
+    /// Dispatches a share of the tasks of jobs that have waited too long, before all others.
     Starved,
-    /// Its team is within its guarantee, and it would soon have waited too long for that.
+    /// Dispatches tasks within their team's guarantee that have waited nearly as long as it allows.
     GuaranteeAtRisk,
-    /// What leaves its team within its guarantee.
+    /// Dispatches tasks within their team's guarantee.
     WithinGuarantee,
-    /// What its team's limit admits.
+    /// Dispatches tasks within their team's limit.
     WithinLimit,
 }
 
-/// One job's turn in a round.
+/// One job's turn in a pass.
 #[derive(Debug, Clone, Copy)]
 struct Turn {
     pass: Pass,
     job: JobId,
 }
 
-/// A round under way: the jobs' turns in order of service, and how far it has come.
+/// A round in progress: the jobs' turns in scheduling order, and the position in them.
 #[derive(Debug, Default)]
 pub(super) struct SchedulingRound {
     turns: Vec<Turn>,
-    position: usize,
+    turn_index: usize,
     began_at: Option<Time>,
-    /// Something changed that another round may make use of.
+    /// Whether another round is requested.
     is_requested: bool,
-    /// Jobs that come first as long as their team is within its guarantee, as of the round's beginning.
-    at_risk: BTreeSet<JobId>,
+    /// Jobs that come before all others while their teams are within their guarantees, as of the start of the round.
+    at_risk_jobs: BTreeSet<JobId>,
 }
 
 impl SchedulingRound {
-    /// Something changed that another round may make use of.
+    /// Requests another round.
     pub fn request(&mut self) {
         self.is_requested = true;
     }
 
-    /// Whether the job comes first as long as its team is within its guarantee.
-    pub fn is_at_risk(&self, job: &Job) -> bool {
-        self.at_risk.contains(&job.spec.id)
+    /// Whether the job comes before all others while its team is within its guarantee.
+    pub fn is_guarantee_at_risk(&self, job: &Job) -> bool {
+        self.at_risk_jobs.contains(&job.spec.id)
     }
 
-    fn is_over(&self) -> bool {
-        self.position >= self.turns.len()
+    fn is_finished(&self) -> bool {
+        self.turn_index >= self.turns.len()
     }
 
-    /// Whether a new round should begin: one is requested, and the last began long enough ago.
+    /// Whether to start a new round: one is requested, and the last started at least [`ROUND_INTERVAL_MS`] ago.
     fn is_due(&self, now: Time) -> bool {
         self.is_requested
             && self
@@ -71,71 +72,76 @@
                 .is_none_or(|began_at| now.since(began_at) >= ROUND_INTERVAL_MS)
     }
 
-    fn next_turn(&self) -> Option<Turn> {
-        self.turns.get(self.position).copied()
+    fn current_turn(&self) -> Option<Turn> {
+        self.turns.get(self.turn_index).copied()
     }
 }
 
 impl Scheduler {
-    /// Dispatches waiting tasks: first of jobs that have waited too long; then what leaves its team within
-    /// its guarantee and has waited nearly as long as that allows, by priority, and among equals first
-    /// the jobs that users take to be within it; then by priority, among equals what leaves its team
-    /// within its guarantee before the rest. Each by deadline or latest start, and age. Goes on where the last call
-    /// stopped.
+    /// Dispatches waiting tasks, and resumes the round that the last call suspended. The order is: starved jobs; tasks
+    /// within their team's guarantee that have waited nearly as long as it allows, by priority; all others by
+    /// priority, those within their team's guarantee first. Within each of these, jobs are served by deadline or
+    /// latest start, then by age.
     pub fn run_round(&mut self, now: Now, budget: &Budget) {
-        if self.round.is_over() {
+        if self.round.is_finished() {
             if !self.round.is_due(now.steady) {
                 return;
             }
             self.begin_round(now);
         }
-        while let Some(turn) = self.round.next_turn() {
-            if budget.exhausted() || self.attempts_exhausted() {
+        while let Some(turn) = self.round.current_turn() {
+            if budget.exhausted() || self.are_attempt_numbers_exhausted() {
                 return;
             }
             self.dispatch_job(now, turn.pass, turn.job);
-            self.round.position += 1;
+            self.round.turn_index += 1;
         }
     }
 
     fn begin_round(&mut self, now: Now) {
-        let waiting = self.dispatchable_jobs(now, |tasks| tasks.waiting() > 0);
-        let at_risk = self.guarantees_at_risk(&waiting, now);
-        let mut turns = turns_of(Pass::Starved, &starved_jobs(&waiting, now));
-        turns.extend(turns_of(Pass::GuaranteeAtRisk, &at_risk));
-        for equals in waiting.chunk_by(|a, b| a.job.spec.priority == b.job.spec.priority) {
-            turns.extend(turns_of(Pass::WithinGuarantee, equals));
-            turns.extend(turns_of(Pass::WithinLimit, equals));
+        let waiting_jobs = self.dispatchable_jobs(now, |tasks| tasks.waiting_tasks() > 0);
+        let at_risk = self.jobs_with_guarantee_at_risk(&waiting_jobs, now);
+        let mut turns = turns_for(Pass::Starved, &starved_jobs(&waiting_jobs, now));
+        turns.extend(turns_for(Pass::GuaranteeAtRisk, &at_risk));
+        for same_priority in
+            waiting_jobs.chunk_by(|a, b| a.job.spec.priority == b.job.spec.priority)
+        {
+            turns.extend(turns_for(Pass::WithinGuarantee, same_priority));
+            turns.extend(turns_for(Pass::WithinLimit, same_priority));
         }
         self.round = SchedulingRound {
-            at_risk: at_risk.iter().map(|tasks| tasks.job.spec.id).collect(),
+            at_risk_jobs: at_risk.iter().map(|tasks| tasks.job.spec.id).collect(),
             turns,
-            position: 0,
+            turn_index: 0,
             began_at: Some(now.steady),
             is_requested: false,
         };
         self.quota.clear_reservations();
     }
 
-    /// Jobs that `filter` admits and that no backoff delays, in order of service.
+    /// Open jobs that pass `filter` and are not delayed by a backoff, in scheduling order.
     pub(super) fn dispatchable_jobs(
         &self,
         now: Now,
         filter: impl Fn(&JobTasks) -> bool,
     ) -> Vec<&JobTasks> {
         let mut jobs: Vec<&JobTasks> = self
-            .jobs
+            .open_jobs
             .values()
-            .filter(|tasks| tasks.not_before <= now.steady && filter(tasks))
+            .filter(|tasks| tasks.backoff_until <= now.steady && filter(tasks))
             .collect();
         jobs.sort_by_cached_key(|tasks| tasks.rank(now.wall_ms));
         jobs
     }
 
-    /// Those of the jobs that have waited nearly as long as their teams' guarantees allow: by priority, and
-    /// among equals first the jobs that users take to be within the guarantee.
-    fn guarantees_at_risk<'a>(&self, waiting: &[&'a JobTasks], now: Now) -> Vec<&'a JobTasks> {
-        let mut at_risk: Vec<&JobTasks> = waiting
+    /// Jobs that have waited nearly as long as their teams' guarantees allow, by priority. Among equals, those come
+    /// first that fit into the guarantee by order of acceptance.
+    fn jobs_with_guarantee_at_risk<'a>(
+        &self,
+        waiting_jobs: &[&'a JobTasks],
+        now: Now,
+    ) -> Vec<&'a JobTasks> {
+        let mut at_risk: Vec<&JobTasks> = waiting_jobs
             .iter()
             .copied()
             .filter(|tasks| {
@@ -144,19 +150,19 @@
             })
             .collect();
         if !at_risk.is_empty() {
-            let within = self.jobs_within_guarantees();
+            let within_guarantee = self.jobs_within_guarantees();
             at_risk.sort_by_key(|tasks| {
                 let spec = &tasks.job.spec;
-                (Reverse(spec.priority), !within.contains(&spec.id))
+                (Reverse(spec.priority), !within_guarantee.contains(&spec.id))
             });
         }
         at_risk
     }
 
-    /// Jobs that fit into their teams' guarantees together with the teams' earlier ones: those that users
-    /// take to be within it.
+    /// Jobs that fit into their teams' guarantees together with all jobs of the team accepted before them. Users
+    /// expect these to be within the guarantee.
     fn jobs_within_guarantees(&self) -> BTreeSet<JobId> {
-        let mut by_age: Vec<&JobTasks> = self.jobs.values().collect();
+        let mut by_age: Vec<&JobTasks> = self.open_jobs.values().collect();
         by_age.sort_unstable_by_key(|tasks| (tasks.job.accepted_ms, tasks.job.spec.id));
         let mut guarantees = self.quota.without_usage();
         by_age
@@ -167,7 +173,7 @@
     }
 }
 
-fn turns_of(pass: Pass, jobs: &[&JobTasks]) -> Vec<Turn> {
+fn turns_for(pass: Pass, jobs: &[&JobTasks]) -> Vec<Turn> {
     jobs.iter()
         .map(|tasks| Turn {
             pass,
@@ -176,9 +182,9 @@
         .collect()
 }
 
-/// Those of the jobs whose age has to win, the oldest first.
-fn starved_jobs<'a>(waiting: &[&'a JobTasks], now: Now) -> Vec<&'a JobTasks> {
-    let mut starved: Vec<&JobTasks> = waiting
+/// The starved ones of the waiting jobs, the oldest first.
+fn starved_jobs<'a>(waiting_jobs: &[&'a JobTasks], now: Now) -> Vec<&'a JobTasks> {
+    let mut starved: Vec<&JobTasks> = waiting_jobs
         .iter()
         .copied()
         .filter(|tasks| is_starved(tasks, now))
@@ -187,7 +193,7 @@
     starved
 }
 
-/// Whether no task of a job was dispatched for so long that its age has to win; an old job sooner.
+/// Whether no task of the job has been dispatched for [`STARVATION_MS`], or [`OLD_JOB_STARVATION_MS`] for an old job.
 fn is_starved(job_tasks: &JobTasks, now: Now) -> bool {
     let age_ms = now.wall_ms.saturating_sub(job_tasks.job.accepted_ms);
     let waited_ms = job_tasks
--- a/crates/worksshunt-core/src/scheduler/services.rs
+++ b/crates/worksshunt-core/src/scheduler/services.rs
@@ -1,5 +1,4 @@
-//! What the leader knows of the open services, whose replicas have to start and be replaced within
-//! seconds.
+//! The leader's state of the open services, whose replicas have to start and be replaced within seconds.
 
 use std::collections::BTreeSet;
 
@@ -8,26 +7,26 @@
 
 use crate::constants::services::{MIN_SILENT_RELEASE_MS, SILENT_RELEASE_HEARTBEAT_INTERVALS};
 
-/// The open services and what is done for them.
+/// State of the open services.
 #[derive(Debug)]
 pub(super) struct ServiceState {
-    /// Open services.
-    pub open: BTreeSet<JobId>,
-    /// A replica has found no free resources since the last preemption.
-    pub has_stuck_replica: bool,
-    /// Milliseconds for which a machine with replicas takes no tasks before the fleet is to release it.
-    pub silent_release_ms: u64,
+    /// The open jobs that are services.
+    pub open_jobs: BTreeSet<JobId>,
+    /// Whether a replica has become unschedulable since the last preemption.
+    pub has_unschedulable_replica: bool,
+    /// Milliseconds for which a machine with replicas has to be unschedulable before the fleet is asked to release it.
+    pub silent_release_delay_ms: u64,
 }
 
 impl ServiceState {
-    /// No open service yet.
+    /// No open services.
     pub fn new(workers: &Workers) -> ServiceState {
-        let silent_release_ms =
+        let silent_release_delay_ms =
             (workers.heartbeat_interval_s * 1_000.0 * SILENT_RELEASE_HEARTBEAT_INTERVALS) as u64;
         ServiceState {
-            open: BTreeSet::new(),
-            has_stuck_replica: false,
-            silent_release_ms: silent_release_ms.max(MIN_SILENT_RELEASE_MS),
+            open_jobs: BTreeSet::new(),
+            has_unschedulable_replica: false,
+            silent_release_delay_ms: silent_release_delay_ms.max(MIN_SILENT_RELEASE_MS),
         }
     }
 }
--- a/crates/worksshunt-core/src/scheduler/silent_machines.rs
+++ b/crates/worksshunt-core/src/scheduler/silent_machines.rs
@@ -1,4 +1,4 @@
-//! Silent machines with replicas on them: which of them the fleet should release before their leases expire.
+//! Determines which silent machines with replicas the fleet should release before their leases expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,42 +9,41 @@
 
 use super::{MachineView, Scheduler};
 
-/// The machines of a zone, counted.
+/// Counts of the machines in a zone.
 #[derive(Default)]
-struct ZoneCounts {
+struct ZoneMachineCounts {
     machines: usize,
-    /// Those that take no tasks.
-    unusable: usize,
+    /// Those of them that are unschedulable.
+    unschedulable: usize,
 }
 
-impl ZoneCounts {
-    /// Whether so few take no tasks that each of them failed by itself.
-    fn are_failures_isolated(&self) -> bool {
-        self.unusable * SILENT_RELEASE_MACHINE_DIVISOR <= self.machines
+impl ZoneMachineCounts {
+    /// Whether so few machines are unschedulable that failures of single machines explain it.
+    fn has_isolated_failures(&self) -> bool {
+        self.unschedulable * SILENT_RELEASE_MACHINE_DIVISOR <= self.machines
     }
 }
 
 impl Scheduler {
-    /// Machines with replicas on them that have sent no heartbeat for so long that they are to be released:
-    /// the cloud's response proves that nothing runs on them any more, well before their leases expire. What
-    /// appears to be a failed machine may be a controller partitioned from its workers, a partitioned zone or a
-    /// slow key-value store, but then several machines are silent; so only a few are released, where nearly all
-    /// others are reachable.
-    pub(super) fn silent_with_replicas(&self, now: Time) -> Vec<MachineId> {
-        if self.services.open.is_empty() {
+    /// Machines with replicas that have been unschedulable for so long that the fleet should release them: the
+    /// response of the cloud proves that nothing runs there any more, well before their leases expire. Several silent
+    /// machines may also be due to a network partition or a slow key-value store, so only machines are chosen in whose
+    /// zone nearly all others are schedulable.
+    pub(super) fn silent_machines_to_release(&self, now: Time) -> Vec<MachineId> {
+        if self.services.open_jobs.is_empty() {
             return Vec::new();
         }
         let with_replicas = self.machines_with_replicas();
-        let zones = self.zone_counts(now);
+        let zones = self.machine_counts_by_zone(now);
         let is_silent = |view: &&MachineView| {
-            view.unusable_since
-                .is_some_and(|since| now.since(since) >= self.services.silent_release_ms)
+            view.unschedulable_since
+                .is_some_and(|since| now.since(since) >= self.services.silent_release_delay_ms)
                 && !view.status.reclaim_notice
                 && with_replicas.contains(&view.status.id)
         };
         let is_isolated = |view: &&MachineView| {
             let counts = zones.get(&view.status.zone);
-            counts.is_some_and(ZoneCounts::are_failures_isolated)
+            counts.is_some_and(ZoneMachineCounts::has_isolated_failures)
         };
         self.responsive_machines(now)
             .filter(is_silent)
@@ -61,17 +60,17 @@
             .collect()
     }
 
-    fn zone_counts(&self, now: Time) -> BTreeMap<&String, ZoneCounts> {
-        let mut zones: BTreeMap<&String, ZoneCounts> = BTreeMap::new();
+    fn machine_counts_by_zone(&self, now: Time) -> BTreeMap<&String, ZoneMachineCounts> {
+        let mut zones: BTreeMap<&String, ZoneMachineCounts> = BTreeMap::new();
         for view in self.responsive_machines(now) {
             let counts = zones.entry(&view.status.zone).or_default();
             counts.machines += 1;
-            counts.unusable += usize::from(view.unusable_since.is_some());
+            counts.unschedulable += usize::from(view.unschedulable_since.is_some());
         }
         zones
     }
 
-    /// The machines whose owners' messages arrive.
+    /// Machines of the partitions whose owners are responsive.
     fn responsive_machines(&self, now: Time) -> impl Iterator<Item = &MachineView> {
         self.partitions
             .values()
--- a/crates/worksshunt-core/src/scheduler/stored_pages.rs
+++ b/crates/worksshunt-core/src/scheduler/stored_pages.rs
@@ -1,5 +1,5 @@
-//! The pages that the leader keeps in the key-value store: completions, and the machines' records of
-//! former epochs until nothing needs them.
+//! The pages that the leader writes to the key-value store: completions, and the attempt records of previous epochs
+//! until they are no longer needed.
 
 use worksshunt_wire::settings::KeyValueLimits;
 use worksshunt_wire::Revision;
@@ -13,36 +13,41 @@
 #[derive(Debug)]
 pub(super) struct StoredPages {
     pub completions: Pages<Completions>,
-    /// Machines' records of former epochs, with the attempts that may still be on machines.
-    pub former_records: Pages<AttemptRecord>,
-    /// Whether the last write began with the former records.
-    former_records_first: bool,
+    /// Attempt records of previous epochs, for attempts that may still be on machines.
+    pub previous_epoch_records: Pages<AttemptRecord>,
+    /// Whether the last write began with the attempt records.
+    previous_epoch_records_first: bool,
 }
 
 impl StoredPages {
-    /// No page yet.
+    /// Two empty sets of pages.
     pub fn new(limits: &KeyValueLimits) -> StoredPages {
         StoredPages {
             completions: Pages::new(COMPLETIONS_PREFIX.to_owned(), page_bytes(limits)),
-            former_records: Pages::new(ATTEMPT_RECORDS_PREFIX.to_owned(), page_bytes(limits)),
-            former_records_first: false,
+            previous_epoch_records: Pages::new(
+                ATTEMPT_RECORDS_PREFIX.to_owned(),
+                page_bytes(limits),
+            ),
+            previous_epoch_records_first: false,
         }
     }
 
-    /// The next write, of at most `max_pages` pages. The two sets alternate in priority: under high
-    /// load there are always completions to be written, and records that are not rewritten would list all
-    /// attempts that have ended since to the next epoch.
+    /// The next write, of at most `max_pages` pages. The two sets take turns in going first: under high load there are
+    /// always completions to write, and records that are never rewritten would list ended attempts to the next epoch.
     pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
-        self.former_records_first = !self.former_records_first;
-        if self.former_records_first {
-            let mut writes = self.former_records.next_writes(now, max_pages);
-            let remaining = max_pages - writes.len();
-            writes.extend(self.completions.next_writes(now, remaining));
+        self.previous_epoch_records_first = !self.previous_epoch_records_first;
+        if self.previous_epoch_records_first {
+            let mut writes = self.previous_epoch_records.next_writes(now, max_pages);
+            let remaining_pages = max_pages - writes.len();
+            writes.extend(self.completions.next_writes(now, remaining_pages));
             writes
         } else {
             let mut writes = self.completions.next_writes(now, max_pages);
-            let remaining = max_pages - writes.len();
-            writes.extend(self.former_records.next_writes(now, remaining));
+            let remaining_pages = max_pages - writes.len();
+            writes.extend(
+                self.previous_epoch_records
+                    .next_writes(now, remaining_pages),
+            );
             writes
         }
     }
@@ -50,12 +55,12 @@
     /// Keys of the pages whose versions have to be read.
     pub fn uncertain_keys(&self) -> impl Iterator<Item = &String> {
         let completions = self.completions.uncertain_keys();
-        completions.chain(self.former_records.uncertain_keys())
+        completions.chain(self.previous_epoch_records.uncertain_keys())
     }
 
-    /// A page's version was read.
+    /// Applies the version read for a page.
     pub fn version_read(&mut self, key: &str, version: Revision) {
         self.completions.version_read(key, version);
-        self.former_records.version_read(key, version);
+        self.previous_epoch_records.version_read(key, version);
     }
 }
--- a/crates/worksshunt-core/src/scheduler/workload_log.rs
+++ b/crates/worksshunt-core/src/scheduler/workload_log.rs
@@ -1,11 +1,11 @@
-//! The regular log line about the leader's load.
+//! The periodic log message about the leader's load.
 
 use worksshunt_wire::peer::Phase;
 
 use super::job_tasks::JobTasks;
 use super::{MachineView, Scheduler};
 
-/// Some machines, counted.
+/// Count and total free processors of some machines.
 #[derive(Default)]
 struct MachineTotals {
     machines: usize,
@@ -22,24 +22,28 @@
 }
 
 impl Scheduler {
-    /// Logs how many jobs, tasks, attempts and machines there are, and what is free.
+    /// Logs counts of jobs, tasks, attempts and machines, and the free processors.
     pub fn log_load(&self) {
-        let usable = || self.machines().filter(|view| view.status.schedulable);
-        let all = MachineTotals::of(usable());
-        let on_demand = MachineTotals::of(usable().filter(|view| !view.status.spot));
-        let waiting: u32 = self.jobs.values().map(JobTasks::waiting).sum();
-        let stuck = self.jobs.values().filter(|tasks| tasks.is_stuck()).count();
+        let schedulable = || self.machines().filter(|view| view.status.schedulable);
+        let all = MachineTotals::of(schedulable());
+        let on_demand = MachineTotals::of(schedulable().filter(|view| !view.status.spot));
+        let waiting_tasks: u32 = self.open_jobs.values().map(JobTasks::waiting_tasks).sum();
+        let unschedulable_jobs = self
+            .open_jobs
+            .values()
+            .filter(|tasks| tasks.is_unschedulable())
+            .count();
         let in_phase = |phase| {
             let attempts = self.active_attempts.values();
             attempts.filter(|attempt| attempt.phase == phase).count()
         };
         tracing::debug!(
-            jobs = self.jobs.len(), waiting, stuck,
-            machines = all.machines, free_cpus = all.free_cpus,
+            open_jobs = self.open_jobs.len(), waiting_tasks, unschedulable_jobs,
+            schedulable_machines = all.machines, free_cpus = all.free_cpus,
             on_demand_machines = on_demand.machines, on_demand_free_cpus = on_demand.free_cpus,
-            queued = in_phase(Phase::Queued), placed = in_phase(Phase::Placed),
-            running = in_phase(Phase::Running), completed = in_phase(Phase::Completed),
-            used_cpus = %self.quota, claims = self.claims.len(),
+            queued_attempts = in_phase(Phase::Queued), placed_attempts = in_phase(Phase::Placed),
+            running_attempts = in_phase(Phase::Running), completed_attempts = in_phase(Phase::Completed),
+            used_cpus_by_team = %self.quota, claims = self.claims.len(),
             "scheduler load"
         );
     }
