--- a/crates/worksshunt-core/src/scheduler/round.rs
+++ b/crates/worksshunt-core/src/scheduler/round.rs
@@ -78,10 +78,10 @@
 }
 
 impl Scheduler {
-    /// Dispatches waiting tasks, and resumes the round that the last call suspended. The order is: starved jobs; tasks
-    /// within their team's guarantee that have waited nearly as long as it allows, by priority; all others by
-    /// priority, those within their team's guarantee first. Within each of these, jobs are served by deadline or
-    /// latest start, then by age.
+    /// Dispatches waiting tasks, and resumes the round that the last call suspended. The order is: starved jobs, the
+    /// oldest first; tasks within their team's guarantee that have waited nearly as long as it allows, by priority;
+    /// all others by priority, those within their team's guarantee first. Equals are served by deadline or latest
+    /// start, then by age.
     pub fn run_round(&mut self, now: Now, budget: &Budget) {
         if self.round.is_finished() {
             if !self.round.is_due(now.steady) {
