--- a/crates/worksshunt-core/src/controller/metrics.rs
+++ b/crates/worksshunt-core/src/controller/metrics.rs
@@ -3,7 +3,7 @@
 use crate::job_api::HttpResponse;
 use crate::jobs::FinalStateEvidence;
 use crate::metrics::{EvidenceLabel, EvidenceLabels, Metrics, QueueLabel, METRICS_CONTENT_TYPE};
-use crate::scheduler::ClaimRecord;
+use crate::scheduler::ClaimWriteOutcome;
 
 use super::{Controller, WriteQueueId};
 
@@ -30,11 +30,11 @@
     }
 
     /// Counts an observed change of a claim record by its evidence.
-    pub(super) fn count_claim_record(&self, record: ClaimRecord) {
+    pub(super) fn count_claim_record(&self, record: ClaimWriteOutcome) {
         let evidence = match record {
-            ClaimRecord::Committed(_) => EvidenceLabel::Committed,
-            ClaimRecord::Exists => EvidenceLabel::Exists,
-            ClaimRecord::Deleted(_) => EvidenceLabel::Deleted,
+            ClaimWriteOutcome::Committed(_) => EvidenceLabel::Committed,
+            ClaimWriteOutcome::Exists => EvidenceLabel::Exists,
+            ClaimWriteOutcome::Deleted(_) => EvidenceLabel::Deleted,
         };
         let labels = EvidenceLabels { evidence };
         self.claim_records.get_or_create(&labels).inc();
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -68,7 +68,7 @@
         let Some(open) = self.job_cache.get(id) else {
             // The job is no longer open, so there is nothing to complete.
             if let Some(leader) = &mut self.leader {
-                leader.scheduler.finish_refused(id);
+                leader.scheduler.finish_job_refused(id);
             }
             return None;
         };
