--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -1,7 +1,7 @@
-//! A controller's limits on connections and on requests in flight, and what a deployment needs; from its settings.
+//! Limits of a controller on connections and requests in flight, derived from the settings, and warnings about limits
+//! that are too low for the fleet.
 //!
-//! The controller and the binary's service compute [`Capacity`] once, at the start; [`shortfalls`] is checked when the
-//! catalogue is known. Nothing here keeps state.
+//! [`Capacity`] is computed once at the start, [`shortfalls`] once the catalogue has been read.
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::settings::{Facts, Settings};
@@ -15,33 +15,33 @@
 use crate::constants::pages::ATTEMPT_RECORD_BYTES;
 use crate::pages::page_bytes;
 
-/// Bytes of a megabyte of memory, as the platform counts.
-const MEGABYTE: f64 = 1_000_000.0;
+/// Bytes per megabyte (10^6) of the memory limit in the settings.
+const BYTES_PER_MB: f64 = 1_000_000.0;
 
-/// A controller's limits on connections and on requests in flight.
+/// Limits of a controller on connections and requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Capacity {
-    /// Connections that users and workers may have to it.
-    pub connections: usize,
-    /// Connections that it may have to workers.
+    /// Maximum number of connections accepted from users and workers.
+    pub client_connections: usize,
+    /// Maximum number of connections opened to workers.
     pub worker_connections: usize,
-    /// Direct commands in flight.
+    /// Maximum number of direct commands to workers in flight.
     pub direct_commands: usize,
-    /// Requests of users that wait for the key-value store.
+    /// Maximum number of users' requests that wait for the key-value store.
     pub user_requests: usize,
-    /// Requests to provision machines in flight.
+    /// Maximum number of provision requests to the cloud in flight.
     pub provision_requests: usize,
 }
 
 impl Capacity {
-    /// What these settings allow.
+    /// Limits that follow from the sockets, the memory and the cloud's rate limit in the settings.
     pub fn new(settings: &Settings) -> Capacity {
         let facts = &settings.facts;
         let sockets = facts.limits.sockets.saturating_sub(RESERVED_SOCKETS);
         let worker_connections = sockets / WORKER_CONNECTION_DIVISOR;
         let exchanges = max_exchanges(facts);
         Capacity {
-            connections: sockets - worker_connections,
+            client_connections: sockets - worker_connections,
             worker_connections,
             direct_commands: exchanges.min(worker_connections),
             user_requests: exchanges,
@@ -51,33 +51,34 @@
     }
 }
 
-/// Exchanges of one kind that may be in flight, as far as the memory allows.
+/// Maximum number of exchanges of one kind in flight, by the memory limit; at least [`MIN_EXCHANGES`].
 fn max_exchanges(facts: &Facts) -> usize {
-    let bytes = facts.limits.mem_mb.unwrap_or(0.0) * MEGABYTE * EXCHANGE_MEMORY_SHARE;
+    let bytes = facts.limits.mem_mb.unwrap_or(0.0) * BYTES_PER_MB * EXCHANGE_MEMORY_SHARE;
     ((bytes / EXCHANGE_BYTES as f64) as usize).max(MIN_EXCHANGES)
 }
 
-/// A limit in the settings that is lower than the fleet implied by the guarantees may need.
+/// A limit in the settings that may be too low for the fleet implied by the teams' guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortfall {
-    /// One controller cannot keep a connection to every worker: they share them, which takes new connections.
+    /// A single controller has too few sockets for a connection from every worker, so that connections are closed and
+    /// opened more often.
     Connections {
-        /// Machines that the guarantees imply.
+        /// Number of machines that the guarantees imply.
         machines: usize,
-        /// Sockets that one controller would need.
+        /// Number of sockets that one controller would need.
         sockets_needed: usize,
     },
-    /// Launches on the whole fleet take longer to record than a worker lease lasts.
+    /// Recording launches on the whole fleet takes longer than a worker lease.
     KeyValueWrites {
-        /// Machines that the guarantees imply.
+        /// Number of machines that the guarantees imply.
         machines: usize,
-        /// Changes a second that would be enough.
+        /// Changes per second that would suffice.
         write_rps_needed: usize,
     },
 }
 
-/// What the settings lack if all guarantees are used with tasks of one processor on machines of the largest type
-/// there is. Whether it matters depends on the load.
+/// Limits that are too low if all guarantees are used by tasks of one processor on machines of the largest type. Other
+/// workloads may need less.
 pub fn shortfalls(settings: &Settings, catalog: &Catalog) -> Vec<Shortfall> {
     let facts = &settings.facts;
     let cpus: f64 = facts.teams.iter().map(|team| team.cpus).sum();
@@ -87,12 +88,12 @@
         .map(|machine_type| machine_type.cpus)
         .fold(1.0, f64::max);
     let machines = (cpus / largest_cpus).ceil() as usize;
-    let mut found = Vec::new();
-    if machines > Capacity::new(settings).connections {
-        // Users and workers get all but one in `WORKER_CONNECTION_DIVISOR` of the sockets that are not reserved.
+    let mut shortfalls = Vec::new();
+    if machines > Capacity::new(settings).client_connections {
+        // One in `WORKER_CONNECTION_DIVISOR` unreserved sockets is for connections to workers, the others for clients.
         let sockets_needed = RESERVED_SOCKETS
             + (machines * WORKER_CONNECTION_DIVISOR).div_ceil(WORKER_CONNECTION_DIVISOR - 1);
-        found.push(Shortfall::Connections {
+        shortfalls.push(Shortfall::Connections {
             machines,
             sockets_needed,
         });
@@ -100,12 +101,12 @@
     let pages = cpus * ATTEMPT_RECORD_BYTES as f64 / page_bytes(&facts.state) as f64;
     let write_rps_needed = (pages / (RECORD_WRITE_SHARE * facts.workers.lease_s)).ceil() as usize;
     if write_rps_needed as f64 > facts.state.write_rps {
-        found.push(Shortfall::KeyValueWrites {
+        shortfalls.push(Shortfall::KeyValueWrites {
             machines,
             write_rps_needed,
         });
     }
-    found
+    shortfalls
 }
 
 #[cfg(test)]
--- a/crates/worksshunt-core/src/capacity/tests.rs
+++ b/crates/worksshunt-core/src/capacity/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn limits_grow_with_memory_sockets_and_the_clouds_rate() {
+fn limits_follow_from_memory_sockets_and_the_cloud_rate_limit() {
     let small = Capacity::new(&settings(900, Some(56.0), 3.0));
     assert_eq!(
         (small.user_requests, small.provision_requests),
@@ -36,27 +36,27 @@
     );
     assert_eq!(
         small.direct_commands, small.worker_connections,
-        "no more than there are connections"
+        "no more direct commands than connections to workers"
     );
     let large = Capacity::new(&settings(12_000, Some(320.0), 16.0));
     assert_eq!((large.direct_commands, large.user_requests), (2_000, 2_000));
     assert_eq!(large.provision_requests, 6);
-    let unnamed = Capacity::new(&settings(12_000, None, 16.0));
-    assert_eq!(unnamed.direct_commands, MIN_EXCHANGES);
+    let without_memory_limit = Capacity::new(&settings(12_000, None, 16.0));
+    assert_eq!(without_memory_limit.direct_commands, MIN_EXCHANGES);
 }
 
 #[test]
-fn a_shortfall_names_the_number_needed() {
+fn a_socket_shortfall_states_a_sufficient_number() {
     // 16,000 guaranteed processors are 4,000 machines of four.
     let enough = settings(5_400, None, 8.0);
     assert_eq!(shortfalls(&enough, &catalog(4.0)), Vec::new());
-    let few = shortfalls(&settings(5_000, None, 8.0), &catalog(4.0));
+    let found = shortfalls(&settings(5_000, None, 8.0), &catalog(4.0));
     let [Shortfall::Connections {
         machines,
         sockets_needed,
-    }] = few[..]
+    }] = found[..]
     else {
-        panic!("{few:?}");
+        panic!("{found:?}");
     };
     assert_eq!(machines, 4_000);
     assert_eq!(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn launches_on_the_whole_fleet_have_to_be_recorded_within_a_lease() {
+fn a_write_rate_shortfall_states_a_sufficient_rate() {
     let mut slow = settings(5_400, None, 8.0);
     slow.facts.state.write_rps = 5.0;
     let found = shortfalls(&slow, &catalog(4.0));
--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -6,7 +6,7 @@
 use crate::job_api::{
     accepted_response, HttpResponse, JobOperation, JobRequest, PendingSubmission,
 };
-use crate::jobs::{final_state_key, is_submission_batch, open_job_key, submission_batch_key};
+use crate::jobs::{final_state_key, is_submission_batch_key, open_job_key, submission_batch_key};
 use crate::time::{Periodic, Time};
 
 use super::hedged_request::{second_copy, HedgedRequest};
@@ -32,7 +32,7 @@
             tokens.take(write.changes.len());
             actions.push(second_copy(KvPurpose::AcceptSubmissions(number), write));
         }
-        if !accept.timer.is_due(now) || !self.job_api.requests.write_due() {
+        if !accept.timer.is_due(now) || !self.job_api.requests.needs_write() {
             return;
         }
         let limits = &self.settings.facts.state;
@@ -75,7 +75,9 @@
         let jobs = self.job_api.requests.write_answered();
         match response {
             // Nobody else writes this process's submission batches: an earlier copy was applied.
-            KvResponse::Conflict(failed) if failed.iter().any(|key| is_submission_batch(key)) => {
+            KvResponse::Conflict(failed)
+                if failed.iter().any(|key| is_submission_batch_key(key)) =>
+            {
                 accept_all(jobs, actions);
             }
             KvResponse::Committed(_) => accept_all(jobs, actions),
@@ -121,7 +123,7 @@
                     request_id,
                     id,
                     operation: JobOperation::Submit(job),
-                    seen_in_batch: false,
+                    was_in_batch: false,
                 });
             } else {
                 self.job_api.requests.queue_submission(now, request_id, job);
--- a/crates/worksshunt-core/src/controller/catalog.rs
+++ b/crates/worksshunt-core/src/controller/catalog.rs
@@ -46,7 +46,7 @@
             return;
         };
         let write = CompareAndSwap {
-            expected: self.membership.epoch_unchanged().into_iter().collect(),
+            expected: self.membership.epoch_condition().into_iter().collect(),
             changes: vec![Change::Put {
                 key: CATALOG_KEY.to_owned(),
                 value: serde_json::json!(catalog),
--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::machines::EpochStart;
 use crate::membership::EpochRecord;
-use crate::partitioning::owner;
+use crate::partitioning::partition_owner;
 use crate::records::{self, AttemptRecord, RecordPage};
 use crate::scheduler::{Scheduler, StoredState};
 use crate::time::Time;
@@ -60,8 +60,8 @@
                 records: &records,
                 job_cache: &self.job_cache,
             },
-            |machine| owner(machine, owners) == Some(me),
-            |machine| owner(machine, &previous_owners) == Some(me),
+            |machine| partition_owner(machine, owners) == Some(me),
+            |machine| partition_owner(machine, &previous_owners) == Some(me),
         );
         self.partition_epoch = Some(PartitionEpoch {
             number: epoch.number,
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -19,7 +19,7 @@
         let now = times.answered_at;
         match self.membership.process_control_keys(times.sent_at, listing) {
             MembershipAction::Unchanged => {}
-            MembershipAction::MemberKeyGone => {
+            MembershipAction::MemberKeyMissing => {
                 tracing::info!("member key missing, joining again");
                 self.leave_epoch(now);
             }
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -87,7 +87,7 @@
                 if let Some(state) = read_final_state(&pair.value) {
                     let evidence = FinalStateEvidence::Read(pair.version);
                     self.metrics.final_state_learnt(evidence);
-                    self.job_cache.remember_final(id, state, evidence);
+                    self.job_cache.cache_final_state(id, state, evidence);
                 }
             }
             KvResponse::Missing => lookups.answered(id),
@@ -109,7 +109,7 @@
                     let evidence = FinalStateEvidence::Read(pair.version);
                     self.metrics.final_state_learnt(evidence);
                     self.job_cache
-                        .remember_final(job_request.id, state, evidence);
+                        .cache_final_state(job_request.id, state, evidence);
                     final_state_response(&job_request, state)
                 }
                 None => {
--- a/crates/worksshunt-core/src/controller/heartbeats.rs
+++ b/crates/worksshunt-core/src/controller/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::job_api::HttpResponse;
 use crate::machines::HeartbeatOutcome;
 use crate::membership::EpochRecord;
-use crate::partitioning::owner;
+use crate::partitioning::partition_owner;
 use crate::time::Time;
 
 use super::Controller;
@@ -24,7 +24,10 @@
             .epoch()
             .map(EpochRecord::partition_owners)
             .unwrap_or_default();
-        match (owner(&heartbeat.machine, &owners), &self.catalog.current) {
+        match (
+            partition_owner(&heartbeat.machine, &owners),
+            &self.catalog.current,
+        ) {
             (Some(name), _) if name != self.membership.name() => HttpResponse::json(
                 421,
                 &Redirect {
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -62,7 +62,7 @@
     fn advance_catch_up_read(&mut self, now: Time, actions: &mut Vec<Action>) {
         let job_api = &mut self.job_api;
         let may_read = job_api.read_tokens.available(now) > 0;
-        if !job_api.catch_up_timer.is_due(now) || !job_api.requests.read_due() || !may_read {
+        if !job_api.catch_up_timer.is_due(now) || !job_api.requests.needs_read() || !may_read {
             return;
         }
         if let Some(since) = self.job_cache.revision() {
@@ -94,7 +94,7 @@
                     request_id,
                     id,
                     operation,
-                    seen_in_batch: false,
+                    was_in_batch: false,
                 };
                 match self.job_cache.final_state(id) {
                     Some(state) => Some(final_state_response(&job_request, state)),
@@ -179,7 +179,7 @@
             JobRequestStep::Respond(request_id, response) => {
                 actions.push(Action::Respond(request_id, response));
             }
-            JobRequestStep::LookUpFinal(job_request) => {
+            JobRequestStep::LookUpFinalState(job_request) => {
                 self.look_up_final_state(now, job_request, actions);
             }
             JobRequestStep::Cancel(job_request, write) => {
@@ -220,7 +220,7 @@
                 let evidence = FinalStateEvidence::Committed(revision);
                 self.metrics.final_state_learnt(evidence);
                 self.job_cache
-                    .remember_final(id, JobState::Cancelled, evidence);
+                    .cache_final_state(id, JobState::Cancelled, evidence);
                 self.apply_job_changes(now, vec![JobCacheChange::Closed(id)]);
                 let response = final_state_response(&job_request, JobState::Cancelled);
                 actions.push(Action::Respond(job_request.request_id, response));
@@ -235,7 +235,7 @@
 
     /// Answers every request that waits, because the key-value store does not answer.
     pub(super) fn give_up_job_requests(&mut self, actions: &mut Vec<Action>) {
-        for request in self.job_api.requests.take_all() {
+        for request in self.job_api.requests.take_queued() {
             let response = HttpResponse::retry_later(STORE_SILENT);
             actions.push(Action::Respond(request, response));
         }
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -11,8 +11,8 @@
 use crate::constants::timers::UNREADABLE_RECORDS_RETRY_MS;
 use crate::fleet::Fleet;
 use crate::jobs::{
-    final_state_key, read_cancelled, read_final_state, FinalStateEvidence, Job, COMPLETIONS_PREFIX,
-    OPEN_JOBS_PREFIX,
+    final_state_key, read_cancelled_job, read_final_state, FinalStateEvidence, Job,
+    COMPLETIONS_PREFIX, OPEN_JOBS_PREFIX,
 };
 use crate::membership::MemberState;
 use crate::records::{RecordPage, UnknownRecordFormat, ATTEMPT_RECORDS_PREFIX};
@@ -247,11 +247,11 @@
         if let Some(state) = state {
             let evidence = FinalStateEvidence::Read(pair.version);
             self.metrics.final_state_learnt(evidence);
-            self.job_cache.remember_final(id, state, evidence);
+            self.job_cache.cache_final_state(id, state, evidence);
         }
         if state != Some(JobState::Done) {
             // Final states of the release in production do not contain the job.
-            let stored = read_cancelled(&pair.value).map(Rc::new);
+            let stored = read_cancelled_job(&pair.value).map(Rc::new);
             let job = stored.or_else(|| self.job_cache.recently_closed(id).cloned());
             let cancelled = &mut self.epoch_load.cancelled_jobs;
             cancelled.extend(job.map(|job| (id, job)));
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -43,7 +43,7 @@
             }
             (_, Some(lease)) => lease,
         };
-        if !self.membership.needs_key_write() {
+        if !self.membership.needs_member_key_write() {
             timer.mark_sent(now, MEMBER_LEASE_RENEWAL_INTERVAL_MS);
             let request = KvRequest::RenewLease(lease);
             return call_store(actions, KvPurpose::RenewLease(lease), request);
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -41,12 +41,12 @@
 use crate::constants::key_value::KV_DEADLINE_MS;
 use crate::constants::timers::ROUND_BUDGET_MS;
 use crate::fleet::Fleet;
-use crate::job_api::{JobOperation, Progress};
+use crate::job_api::{JobOperation, ProgressByJob};
 use crate::jobs::JobCache;
 use crate::machines::{DirectCommands, DirectCommandsOutcome, Partition};
 use crate::membership::{MemberState, Membership};
 use crate::metrics::Metrics;
-use crate::placement::Parameters;
+use crate::placement::PlacementParameters;
 use crate::quota::Quota;
 use crate::scheduler::Scheduler;
 use crate::time::{Budget, Now, Time};
@@ -94,7 +94,7 @@
     job_cache: JobCache,
     job_cache_reads: JobCacheReads,
     job_api: JobApiState,
-    progress: Progress,
+    progress: ProgressByJob,
     catalog: CatalogState,
     epoch_load: EpochLoad,
     partition: Partition,
@@ -114,7 +114,7 @@
 
 impl Controller {
     /// A controller that has just started.
-    pub fn new(mut settings: Settings, parameters: Parameters) -> Controller {
+    pub fn new(mut settings: Settings, parameters: PlacementParameters) -> Controller {
         // Announced limits come without notice, so they are kept from the start.
         settings.facts.state = settings.facts.state.lowest();
         let capacity = Capacity::new(&settings);
@@ -136,10 +136,10 @@
             job_cache: JobCache::default(),
             job_cache_reads: JobCacheReads::new(cancellation_staleness_ms),
             job_api: JobApiState::new(capacity.user_requests, &facts.state),
-            progress: Progress::new(),
+            progress: ProgressByJob::new(),
             catalog: CatalogState::default(),
             epoch_load: EpochLoad::default(),
-            over_capacity_summary: OverCapacitySummary::new(parameters.summary_every_ms),
+            over_capacity_summary: OverCapacitySummary::new(parameters.summary_interval_ms),
             partition: Partition::new(parameters, &facts.workers, &facts.state),
             partition_epoch: None,
             partition_sync: PartitionSync::default(),
--- a/crates/worksshunt-core/src/controller/reconciliation.rs
+++ b/crates/worksshunt-core/src/controller/reconciliation.rs
@@ -15,7 +15,7 @@
         };
         for id in self.open_jobs_not_scheduled() {
             self.metrics.reconciled_jobs.inc();
-            let known = self.job_cache.forget_final(id);
+            let known = self.job_cache.remove_final_state(id);
             tracing::error!(
                 job = %id,
                 epoch = %self.membership.fencing_token(),
@@ -38,7 +38,7 @@
         let scheduler = &leader.scheduler;
         let open = self.job_cache.open_jobs().map(|(id, _)| *id);
         open.filter(|id| !scheduler.has_job(*id))
-            .filter(|id| !self.job_cache.is_closed_later(*id))
+            .filter(|id| !self.job_cache.has_newer_final_state(*id))
             .filter(|id| !scheduler.has_attempts_of(*id))
             .collect()
     }
--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -5,7 +5,7 @@
 use crate::constants::job_api::STORED_JOB_OVERHEAD_BYTES;
 use crate::job_api::{final_state_response, HttpResponse, JobOperation, JobRequest, RequestId};
 use crate::jobs::Job;
-use crate::submissions::{check_possible, parse, Malformed, RefusedSubmission};
+use crate::submissions::{check_schedulable, parse_submission, Malformed, RefusedSubmission};
 use crate::time::{Now, Time};
 
 use super::store_outage::STORE_SILENT;
@@ -31,8 +31,8 @@
                 let job_request = JobRequest {
                     request_id,
                     id,
-                    operation: JobOperation::Unacceptable(refusal),
-                    seen_in_batch: false,
+                    operation: JobOperation::SubmitInvalid(refusal),
+                    was_in_batch: false,
                 };
                 self.queue_job_request(now.steady, job_request).err()
             }
@@ -49,18 +49,18 @@
     /// Why it is refused, with the job's id if that can be read: under a known id it is answered with the job's
     /// state.
     fn check_submission(&self, body: &[u8]) -> Result<Option<JobSpec>, RefusedSubmission> {
-        let spec = parse(body)?;
+        let spec = parse_submission(body)?;
         let id = Some(spec.id);
         let max_bytes = (self.settings.facts.state.value_kb * 1_024.0) as usize;
         let spec_bytes = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
         if spec_bytes.saturating_add(STORED_JOB_OVERHEAD_BYTES) > max_bytes {
-            let refusal = Malformed::TooLong.into();
+            let refusal = Malformed::TooLarge.into();
             return Err(RefusedSubmission { id, refusal });
         }
         let Some(catalog) = &self.catalog.current else {
             return Ok(None);
         };
-        check_possible(&spec, catalog, &self.quota)
+        check_schedulable(&spec, catalog, &self.quota)
             .map_err(|refusal| RefusedSubmission { id, refusal })?;
         Ok(Some(spec))
     }
@@ -78,7 +78,8 @@
             accepted_ms: now.wall_ms,
         });
         let final_state = self.job_cache.final_state(id);
-        let is_known = self.job_cache.get(id).is_some() || self.job_cache.is_in_batch(id);
+        let is_known =
+            self.job_cache.get(id).is_some() || self.job_cache.is_in_submission_batch(id);
         if final_state.is_none() && !is_known {
             let refusal = self.refuse_new_job(now.steady, job.is_service());
             if refusal.is_none() {
@@ -91,7 +92,7 @@
             request_id,
             id,
             operation: JobOperation::Submit(job),
-            seen_in_batch: false,
+            was_in_batch: false,
         };
         match final_state {
             Some(state) => Some(final_state_response(&job_request, state)),
--- a/crates/worksshunt-core/src/controller/tick.rs
+++ b/crates/worksshunt-core/src/controller/tick.rs
@@ -57,7 +57,7 @@
 
     /// Answers submissions that have waited too long, and all requests while the key-value store is silent.
     fn expire_job_requests(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for request in self.job_api.requests.take_overdue(now) {
+        for request in self.job_api.requests.take_overdue_submissions(now) {
             let response = HttpResponse::retry_later("not accepted yet");
             actions.push(Action::Respond(request, response));
         }
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -7,7 +7,7 @@
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
-use crate::jobs::{is_submission_batch, job_of_key, open_job_key};
+use crate::jobs::{is_submission_batch_key, job_id_of_key, open_job_key};
 use crate::membership::EPOCH_KEY;
 use crate::metrics::ConflictLabels;
 use crate::scheduler::ClaimRecord;
@@ -115,10 +115,10 @@
     /// The jobs whose keys differ have a key of their own by now, or are over. The batch is handled again unless its own
     /// key has changed, which happens only when it is deleted with its last job.
     fn submission_batch_conflicted(&mut self, failed_keys: &[String]) {
-        if !failed_keys.iter().any(|key| is_submission_batch(key)) {
+        if !failed_keys.iter().any(|key| is_submission_batch_key(key)) {
             self.write_queues.handled_batch = None;
         }
-        let settled = failed_keys.iter().filter_map(|key| job_of_key(key));
+        let settled = failed_keys.iter().filter_map(|key| job_id_of_key(key));
         self.write_queues.settled_jobs.extend(settled);
     }
 }
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -5,7 +5,7 @@
 use worksshunt_wire::{JobId, Revision};
 
 use crate::constants::key_value::{KV_RETRY_MS, MIN_TRANSACTION_CHANGES, MIN_VALUE_KIB};
-use crate::jobs::{job_of_key, FinalStateEvidence};
+use crate::jobs::{job_id_of_key, FinalStateEvidence};
 use crate::membership::EPOCH_KEY;
 use crate::scheduler::ClaimRecord;
 use crate::time::Time;
@@ -115,7 +115,8 @@
                 FinalWrite::FinishJob(id) => {
                     let evidence = FinalStateEvidence::Committed(revision);
                     self.metrics.final_state_learnt(evidence);
-                    self.job_cache.remember_final(id, JobState::Done, evidence);
+                    self.job_cache
+                        .cache_final_state(id, JobState::Done, evidence);
                     leader.scheduler.close_job(id, now);
                 }
                 FinalWrite::UpdateClaim { machine, change } => {
@@ -201,5 +202,5 @@
 fn opened_jobs(write: &CompareAndSwap) -> impl Iterator<Item = JobId> + '_ {
     let is_put = |change: &&Change| matches!(change, Change::Put { .. });
     let puts = write.changes.iter().filter(is_put);
-    puts.filter_map(|change| job_of_key(change.key()))
+    puts.filter_map(|change| job_id_of_key(change.key()))
 }
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -73,7 +73,7 @@
 
     /// What the queue has to write, if anything.
     fn next_write(&mut self, queue_id: WriteQueueId, now: Time) -> Option<CompareAndSwap> {
-        let epoch = self.membership.epoch_unchanged()?;
+        let epoch = self.membership.epoch_condition()?;
         let mut write = CompareAndSwap {
             expected: vec![epoch],
             changes: Vec::new(),
--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -1,14 +1,14 @@
-//! Confirmation of the epoch by the other controllers while the key-value store answers nobody.
+//! Confirmation of the epoch by the peers during an outage of the key-value store.
 //!
 //! A controller acts for [`EPOCH_LEASE_MS`](crate::constants::leases::EPOCH_LEASE_MS) after sending a request that
-//! confirmed its epoch. Usually that is a read of the key-value store. A poll that *every* other controller of the
-//! deployment has answered serves as well. A controller that takes machines over assumes that their former owner may
-//! renew worker leases until `EPOCH_LEASE_MS` after it learnt of the new epoch itself. A response that names no newer
-//! epoch shows that its sender learns of one only after the poll was sent, so the owner that asked has stopped by
-//! then. A controller that was restarted has forgotten what it knew, but also every conclusion it had drawn from
-//! expired worker leases, and waits anew from the epoch that admits it.
+//! confirmed its epoch. Normally that request is a read of the key-value store; a poll answered by *every* other
+//! controller of the deployment is equivalent. It is safe because a new owner of machines assumes that their previous
+//! owner may renew worker leases until `EPOCH_LEASE_MS` after the new owner itself read the new epoch. A peer that
+//! answers without a newer epoch reads one only after the poll was sent, so the epoch lease of the polling controller
+//! has expired before that peer takes over. A restarted peer has lost the epochs it had read, but also every
+//! conclusion from expired worker leases, and waits again from the epoch that admits it.
 //!
-//! [`EpochConfirmation`] owns the poll in flight; the controller sends it and passes the responses on.
+//! [`EpochConfirmation`] tracks the poll in flight; the controller sends the poll and passes the responses to it.
 
 use std::collections::BTreeSet;
 
@@ -17,56 +17,58 @@
 
 use crate::time::Time;
 
-/// The poll in flight, and the controllers that have not answered it.
+/// State of the last poll of the peers.
 #[derive(Debug, Default)]
 pub struct EpochConfirmation {
     poll_number: u64,
     sent_at: Time,
     epoch: Epoch,
-    awaiting: BTreeSet<ControllerName>,
-    /// An answer has shown that the epoch is not to be confirmed by a poll.
-    contradicted: bool,
-    /// A poll has confirmed the epoch since the key-value store last answered.
-    confirmed_before: bool,
+    /// Controllers that have not answered the poll.
+    unanswered: BTreeSet<ControllerName>,
+    /// Whether a response has made the poll fail.
+    has_failed: bool,
+    /// Whether a poll has confirmed the epoch since the key-value store last answered.
+    is_confirmed_in_outage: bool,
 }
 
 impl EpochConfirmation {
-    /// Begins a poll that all of these have to answer, and returns its number. Answers to earlier polls are
-    /// ignored from now on.
+    /// Begins a poll that all of `others` have to answer, and returns its number. Responses to earlier polls no longer
+    /// count.
     pub fn begin_poll(&mut self, now: Time, epoch: Epoch, others: BTreeSet<ControllerName>) -> u64 {
         self.poll_number += 1;
         self.sent_at = now;
         self.epoch = epoch;
-        self.awaiting = others;
-        self.contradicted = false;
+        self.unanswered = others;
+        self.has_failed = false;
         self.poll_number
     }
 
-    /// Processes an answer. The poll fails if the sender knows a newer epoch. It also fails if the sender reaches
-    /// the key-value store: then the asker alone is cut off, and the others go on without it.
-    pub fn record_response(&mut self, from: &ControllerName, known: &KnownEpoch) {
-        if known.poll != self.poll_number {
+    /// Processes a response. The poll fails if the peer has read a newer epoch or can reach the key-value store: in the
+    /// latter case only the polling controller is disconnected, and the others may begin an epoch without it.
+    pub fn record_response(&mut self, from: &ControllerName, response: &KnownEpoch) {
+        if response.poll != self.poll_number {
             return;
         }
-        self.contradicted |= known.epoch > self.epoch || known.key_value_store_reachable;
-        self.awaiting.remove(from);
+        self.has_failed |= response.epoch > self.epoch || response.key_value_store_reachable;
+        self.unanswered.remove(from);
     }
 
-    /// When the poll was sent, if all have answered and thereby confirmed that epoch.
+    /// Time at which the last poll was sent, if it was about `epoch` and all peers have confirmed it.
     pub fn confirmed_at(&self, epoch: Epoch) -> Option<Time> {
         let is_polled = self.poll_number > 0 && self.epoch == epoch;
-        let is_confirmed = is_polled && self.awaiting.is_empty() && !self.contradicted;
+        let is_confirmed = is_polled && self.unanswered.is_empty() && !self.has_failed;
         is_confirmed.then_some(self.sent_at)
     }
 
-    /// Notes a confirmation. Returns whether it is the first since the key-value store last answered.
+    /// Records a confirmation. Returns whether it is the first since the key-value store last answered, so that the
+    /// controller logs it once per outage.
     pub fn mark_confirmed(&mut self) -> bool {
-        !std::mem::replace(&mut self.confirmed_before, true)
+        !std::mem::replace(&mut self.is_confirmed_in_outage, true)
     }
 
-    /// The key-value store has answered: the next confirmation by a poll is the first of another outage.
+    /// Records a response of the key-value store, which ends the outage.
     pub fn key_value_store_answered(&mut self) {
-        self.confirmed_before = false;
+        self.is_confirmed_in_outage = false;
     }
 }
 
--- a/crates/worksshunt-core/src/epoch_confirmation/tests.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation/tests.rs
@@ -6,7 +6,7 @@
     text.into()
 }
 
-fn known(poll: u64, epoch: u64) -> KnownEpoch {
+fn response(poll: u64, epoch: u64) -> KnownEpoch {
     KnownEpoch {
         poll,
         epoch: Epoch(epoch),
@@ -22,52 +22,52 @@
 }
 
 #[test]
-fn a_poll_confirms_its_epoch_once_all_have_answered() {
+fn a_poll_confirms_its_epoch_once_all_peers_answered() {
     let (mut poll, number) = poll();
     assert_eq!(poll.confirmed_at(Epoch(4)), None);
-    poll.record_response(&name("n1"), &known(number, 4));
-    poll.record_response(&name("n1"), &known(number, 4));
-    assert_eq!(poll.confirmed_at(Epoch(4)), None, "one of two, twice");
-    poll.record_response(&name("n2"), &known(number, 0));
+    poll.record_response(&name("n1"), &response(number, 4));
+    poll.record_response(&name("n1"), &response(number, 4));
+    assert_eq!(poll.confirmed_at(Epoch(4)), None, "one of two peers, twice");
+    poll.record_response(&name("n2"), &response(number, 0));
     assert_eq!(poll.confirmed_at(Epoch(4)), Some(Time(1_000)));
     assert_eq!(
         poll.confirmed_at(Epoch(5)),
         None,
-        "another epoch began meanwhile"
+        "the poll was about another epoch"
     );
 }
 
 #[test]
-fn a_poll_fails_if_a_peer_knows_a_newer_epoch_or_reaches_the_key_value_store() {
-    let reaches = |number| KnownEpoch {
+fn a_newer_epoch_or_a_reachable_store_fails_the_poll() {
+    let store_reachable = |number| KnownEpoch {
         key_value_store_reachable: true,
-        ..known(number, 4)
+        ..response(number, 4)
     };
-    for contradiction in [known(1, 5), reaches(1)] {
+    for failing_response in [response(1, 5), store_reachable(1)] {
         let (mut poll, number) = poll();
         assert_eq!(number, 1);
-        poll.record_response(&name("n1"), &contradiction);
-        poll.record_response(&name("n1"), &known(number, 4));
-        poll.record_response(&name("n2"), &known(number, 4));
-        assert_eq!(poll.confirmed_at(Epoch(4)), None, "{contradiction:?}");
+        poll.record_response(&name("n1"), &failing_response);
+        poll.record_response(&name("n1"), &response(number, 4));
+        poll.record_response(&name("n2"), &response(number, 4));
+        assert_eq!(poll.confirmed_at(Epoch(4)), None, "{failing_response:?}");
     }
 }
 
 #[test]
 fn responses_to_an_earlier_poll_are_ignored() {
     let (mut poll, first) = poll();
-    poll.record_response(&name("n1"), &known(first, 4));
+    poll.record_response(&name("n1"), &response(first, 4));
     let others = [name("n1"), name("n2")].into_iter().collect();
     let second = poll.begin_poll(Time(2_000), Epoch(4), others);
-    poll.record_response(&name("n1"), &known(first, 4));
-    poll.record_response(&name("n2"), &known(second, 4));
+    poll.record_response(&name("n1"), &response(first, 4));
+    poll.record_response(&name("n2"), &response(second, 4));
     assert_eq!(poll.confirmed_at(Epoch(4)), None);
-    poll.record_response(&name("n1"), &known(second, 4));
+    poll.record_response(&name("n1"), &response(second, 4));
     assert_eq!(poll.confirmed_at(Epoch(4)), Some(Time(2_000)));
 }
 
 #[test]
-fn only_the_first_confirmation_of_an_outage_is_news() {
+fn only_the_first_confirmation_of_an_outage_is_reported() {
     let mut poll = EpochConfirmation::default();
     assert!(poll.mark_confirmed());
     assert!(!poll.mark_confirmed());
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -133,7 +133,7 @@
     };
     let zones = machine_type.zones.len() as f64;
     let machines_per_zone = (cpus / machine_type.cpus / zones).ceil() as u32;
-    let job = Rc::new(Job::whole_machine(machine_type));
+    let job = Rc::new(Job::whole_machine_service(machine_type));
     let zones = machine_type.zones.iter().cloned();
     zones
         .map(|zone| reserved_demand(&job, Some(zone), machines_per_zone))
--- a/crates/worksshunt-core/src/job_api/http_response.rs
+++ b/crates/worksshunt-core/src/job_api/http_response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: users, workers and whoever probes the controller.
+//! HTTP responses to clients: users, workers and health checks.
 
 use serde::Serialize;
 use worksshunt_wire::user::{JobState, JobStatus};
@@ -12,21 +12,21 @@
 /// Content type of JSON bodies.
 const JSON_CONTENT_TYPE: &str = "application/json";
 
-/// A response to a client.
+/// An HTTP response to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: String,
-    /// Its content type.
+    /// Value of the `Content-Type` header.
     pub content_type: &'static str,
-    /// Seconds after which the client should retry.
+    /// Value of the `Retry-After` header, seconds; `None` for a response without it.
     pub retry_after_s: Option<u64>,
 }
 
 impl HttpResponse {
-    /// A response with a JSON body.
+    /// Response with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> HttpResponse {
         match serde_json::to_string(body) {
             Ok(body) => HttpResponse {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A response with a text that is no JSON.
+    /// Response with status 200 and a body that is not JSON.
     pub fn text(body: String, content_type: &'static str) -> HttpResponse {
         HttpResponse {
             status: 200,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A response that states an error.
+    /// Error response; its JSON body contains `text` as the error.
     pub fn error(status: u16, text: &str) -> HttpResponse {
         HttpResponse {
             status,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The response to a request that cannot be served now (503).
+    /// Response 503 with `Retry-After`, to a request that cannot be served now.
     pub fn retry_later(text: &str) -> HttpResponse {
         HttpResponse {
             retry_after_s: Some(RETRY_AFTER_S),
@@ -67,16 +67,16 @@
         }
     }
 
-    /// The permanent refusal of a submission (400 or 422).
+    /// Response 400 or 422, to a submission that is refused permanently.
     pub fn refused(refusal: &Refusal) -> HttpResponse {
         let status = match refusal {
             Refusal::Malformed(_) => 400,
-            Refusal::Impossible(_) => 422,
+            Refusal::Unschedulable(_) => 422,
         };
         HttpResponse::error(status, &refusal.to_string())
     }
 
-    /// The state of a job without the progress of its tasks.
+    /// Response with the state of a job, without the progress of its tasks.
     pub(super) fn job_state(status: u16, id: JobId, state: JobState) -> HttpResponse {
         HttpResponse::json(
             status,
@@ -90,12 +90,12 @@
     }
 }
 
-/// The response to a request about a closed job.
+/// Response 200 to a request about a closed job.
 pub fn final_state_response(job_request: &JobRequest, state: JobState) -> HttpResponse {
     HttpResponse::job_state(200, job_request.id, state)
 }
 
-/// The response to an accepted submission.
+/// Response 201 to an accepted submission.
 pub fn accepted_response(id: JobId) -> HttpResponse {
     HttpResponse::job_state(201, id, JobState::Pending)
 }
--- a/crates/worksshunt-core/src/job_api/mod.rs
+++ b/crates/worksshunt-core/src/job_api/mod.rs
@@ -1,11 +1,10 @@
-//! The job API: users' requests, what each of them waits for, and its response.
+//! The job API: users' requests about jobs, their queues, and their responses.
 //!
-//! A request about a job is answered only after the [`JobCache`](crate::jobs::JobCache) has caught up with the
-//! store by a read sent after the request came in; one read serves all that wait. So no controller answers
-//! with an older state than another has answered with.
+//! Reads are linearizable: a request is answered only after the [`JobCache`](crate::jobs::JobCache) has caught up with
+//! the store by a read that was sent after the request arrived. One such catch-up read serves all waiting requests.
 //!
-//! [`JobApi`] owns the waiting requests and submissions. The controller fills it, sends the reads and writes
-//! it asks for, and passes each request to [`resolve`] when its read is answered.
+//! [`JobApi`] queues requests and submissions. The controller sends the reads and writes that it needs, and passes
+//! each request to [`resolve`] once its read is answered.
 
 mod http_response;
 mod queue;
@@ -15,10 +14,10 @@
 pub use queue::{JobApi, PendingSubmission};
 pub use resolution::{
     resolve, resolve_without_final_state, JobOperation, JobProgress, JobRequest, JobRequestStep,
-    Progress,
+    ProgressByJob,
 };
 
-/// Identifies an open request of a client, for its response.
+/// Identifies a client's request until its response is sent; assigned by the caller of the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/crates/worksshunt-core/src/job_api/queue.rs
+++ b/crates/worksshunt-core/src/job_api/queue.rs
@@ -1,4 +1,4 @@
-//! Requests and submissions that wait for the key-value store, and the batching of submissions.
+//! Queues of requests and submissions that wait for the key-value store, and the batching of submissions.
 
 use std::collections::VecDeque;
 
@@ -14,39 +14,38 @@
 
 use super::{JobRequest, RequestId};
 
-/// Batched jobs that a write may hold for each change that it may have: it may have four conditions for each
-/// change (protocol), and a job takes two.
+/// Maximum number of batched jobs in a write per change that the write may have: the protocol allows four conditions
+/// per change, and each job takes two.
 const BATCHED_JOBS_PER_CHANGE: usize = 2;
 
-/// A submission that waits to be written.
+/// A submission that is not written yet.
 #[derive(Debug, Clone)]
 pub struct PendingSubmission {
-    /// When it came in.
+    /// Time at which it was queued; [`SUBMISSION_TIMEOUT_MS`] counts from here.
     pub received_at: Time,
-    /// The client's request.
+    /// Request to respond to.
     pub request_id: RequestId,
-    /// The job.
+    /// Job to accept.
     pub job: Box<Job>,
 }
 
-/// Requests and submissions that wait for the key-value store. At most one catch-up read and one write are
-/// in flight at a time.
+/// Queues of requests and submissions. At most one catch-up read and one write are in flight at a time.
 #[derive(Debug)]
 pub struct JobApi {
-    /// Maximum number of requests that may wait.
+    /// Maximum number of requests and submissions, queued or in flight.
     capacity: usize,
-    /// Requests that wait for the next catch-up read to be sent.
+    /// Requests queued for the next catch-up read.
     awaiting_read: Vec<JobRequest>,
-    /// Requests that wait for the response of the one in flight.
+    /// Requests waiting for the catch-up read in flight.
     in_read: Vec<JobRequest>,
-    /// Submissions that wait for the next write.
+    /// Submissions queued for the next write.
     awaiting_write: VecDeque<PendingSubmission>,
     /// Submissions in the write in flight.
     in_write: Vec<PendingSubmission>,
 }
 
 impl JobApi {
-    /// Empty, for at most so many waiting requests.
+    /// Empty queues for at most `capacity` requests and submissions together.
     pub fn new(capacity: usize) -> JobApi {
         JobApi {
             capacity,
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Whether as many requests wait as may.
+    /// Whether the queues are at capacity. The caller refuses further requests.
     pub fn is_full(&self) -> bool {
         self.awaiting_read.len()
             + self.in_read.len()
@@ -71,22 +70,22 @@
         self.awaiting_read.push(job_request);
     }
 
-    /// Whether requests wait for a catch-up read and none is in flight.
-    pub fn read_due(&self) -> bool {
+    /// Whether a catch-up read should be sent: requests are queued for one, and none is in flight.
+    pub fn needs_read(&self) -> bool {
         !self.awaiting_read.is_empty() && self.in_read.is_empty()
     }
 
-    /// A catch-up read was sent for all requests that wait.
+    /// Records that a catch-up read was sent for all queued requests.
     pub fn read_sent(&mut self) {
         self.in_read = std::mem::take(&mut self.awaiting_read);
     }
 
-    /// The catch-up read was answered. Returns its requests, to be resolved or refused.
+    /// Records that the catch-up read was answered or failed. Returns its requests, to be resolved or refused.
     pub fn read_answered(&mut self) -> Vec<JobRequest> {
         std::mem::take(&mut self.in_read)
     }
 
-    /// Queues a submission to be written.
+    /// Queues a submission for the next write.
     pub fn queue_submission(&mut self, now: Time, request_id: RequestId, job: Box<Job>) {
         self.awaiting_write.push_back(PendingSubmission {
             received_at: now,
@@ -95,16 +94,16 @@
         });
     }
 
-    /// Puts submissions whose write was not executed back at the front of the queue, in their order.
+    /// Returns submissions whose write was not executed to the front of the queue, in their original order.
     pub fn requeue_submissions(&mut self, submissions: Vec<PendingSubmission>) {
         for submission in submissions.into_iter().rev() {
             self.awaiting_write.push_front(submission);
         }
     }
 
-    /// Removes the submissions that have waited for [`SUBMISSION_TIMEOUT_MS`]. Returns their requests, to be
-    /// refused with a retry.
-    pub fn take_overdue(&mut self, now: Time) -> Vec<RequestId> {
+    /// Removes submissions queued for [`SUBMISSION_TIMEOUT_MS`] or longer. Returns their requests, to be answered with
+    /// a retry.
+    pub fn take_overdue_submissions(&mut self, now: Time) -> Vec<RequestId> {
         let mut overdue = Vec::new();
         self.awaiting_write.retain(|submission| {
             let is_overdue = now.since(submission.received_at) >= SUBMISSION_TIMEOUT_MS;
@@ -116,17 +115,17 @@
         overdue
     }
 
-    /// Whether submissions wait and none is being written.
-    pub fn write_due(&self) -> bool {
+    /// Whether a write should be sent: submissions are queued for one, and none is in flight.
+    pub fn needs_write(&self) -> bool {
         !self.awaiting_write.is_empty() && self.in_write.is_empty()
     }
 
-    /// The next compare-and-swap that accepts jobs, with at most `max_changes` changes; `None` if there is
-    /// nothing to write. Each job is accepted only if its id is neither open nor closed.
+    /// Next compare-and-swap that accepts jobs, with at most `max_changes` changes; `None` if there is nothing to
+    /// write. It is conditional on every job's id being neither open nor closed.
     ///
-    /// Where many submissions wait they share keys, so that a burst of submissions is no burst of changes.
-    /// `next_batch_key` returns those keys; there is none for a controller without a lease, in which case
-    /// each job has a key of its own.
+    /// Above [`SUBMISSION_BATCH_THRESHOLD`] queued submissions the jobs are batched under shared keys, which saves
+    /// changes. `next_batch_key` returns the key of the next batch; without it (a controller without a lease) every job
+    /// is written under its own key.
     pub fn next_write(
         &mut self,
         max_changes: usize,
@@ -147,7 +146,7 @@
         (!write.changes.is_empty()).then_some(write)
     }
 
-    /// Adds submissions to the compare-and-swap, each under a key of its own.
+    /// Adds submissions to the compare-and-swap, each under its own key.
     fn add_single_submissions(&mut self, write: &mut CompareAndSwap, max_changes: usize) {
         while write.changes.len() < max_changes
             && self.add_next_submission(write, usize::MAX).is_some()
@@ -163,20 +162,20 @@
         }
     }
 
-    /// Adds a batch of submissions to the compare-and-swap. Returns false if none waits that can be added, or if
-    /// the compare-and-swap has as many conditions as it may.
+    /// Adds a batch of submissions to the compare-and-swap. Returns false if no queued submission can be added, or if
+    /// the compare-and-swap has reached its maximum number of conditions.
     fn add_submission_batch(
         &mut self,
         write: &mut CompareAndSwap,
         limits: &KeyValueLimits,
         next_batch_key: &mut impl FnMut() -> String,
     ) -> bool {
-        // The key of each batch takes a condition as well.
+        // The key of each batch takes one more condition.
         let max_jobs = (limits.txn_ops * BATCHED_JOBS_PER_CHANGE)
             .saturating_sub(PAGES_PER_WRITE)
             .max(1);
         let first = self.in_write.len();
-        // The first job is added whatever its size, the others as long as the page has space.
+        // The first job is added regardless of its size, the others while the page has space.
         let mut free_bytes = usize::MAX;
         while self.in_write.len() < max_jobs {
             let Some(job_bytes) = self.add_next_submission(write, free_bytes) else {
@@ -202,8 +201,8 @@
         true
     }
 
-    /// Moves the next submission to those being written and adds its conditions, unless it takes more than
-    /// `max_bytes` or its id is among those being written already. Returns the bytes it takes.
+    /// Moves the next queued submission into the write and adds its conditions. Returns its size in bytes; `None` if
+    /// none is queued, its size exceeds `max_bytes`, or a job with the same id is in the write.
     fn add_next_submission(
         &mut self,
         write: &mut CompareAndSwap,
@@ -211,7 +210,7 @@
     ) -> Option<usize> {
         let job = &self.awaiting_write.front()?.job;
         let id = job.spec.id;
-        // One more for the comma that separates it from the next.
+        // One more byte for the comma between jobs.
         let bytes = serde_json::to_string(job).map_or(usize::MAX, |text| text.len() + 1);
         if self.is_being_written(id) || bytes > max_bytes {
             return None;
@@ -231,13 +230,13 @@
         submissions.any(|submission| submission.job.spec.id == id)
     }
 
-    /// The write in flight was answered. Returns the submissions that were in it.
+    /// Records that the write was answered or failed. Returns its submissions.
     pub fn write_answered(&mut self) -> Vec<PendingSubmission> {
         std::mem::take(&mut self.in_write)
     }
 
-    /// Removes all requests and submissions that wait and are not in flight. Returns them, to be refused.
-    pub fn take_all(&mut self) -> Vec<RequestId> {
+    /// Removes all requests and submissions that are not in flight. Returns their ids, to be answered with a retry.
+    pub fn take_queued(&mut self) -> Vec<RequestId> {
         let job_requests = self.awaiting_read.drain(..);
         let submissions = self.awaiting_write.drain(..);
         job_requests
--- a/crates/worksshunt-core/src/job_api/resolution.rs
+++ b/crates/worksshunt-core/src/job_api/resolution.rs
@@ -1,5 +1,5 @@
-//! Resolution of requests about jobs: from a job cache that has caught up with the store to the next step.
-//! Pure functions; the controller takes the step they return.
+//! Resolution of requests about jobs: determines the next step of a request from a job cache that has caught up with
+//! the store. The functions are pure; the controller carries out the step.
 
 use std::collections::BTreeMap;
 
@@ -12,64 +12,64 @@
 
 use super::{final_state_response, HttpResponse, RequestId};
 
-/// The operation that a request asks for.
+/// Operation of a request about a job.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobOperation {
-    /// Read a job's state.
+    /// Return the job's state.
     Status,
-    /// Cancel a job.
+    /// Cancel the job.
     Cancel,
-    /// Submit a job whose id may be known already.
+    /// Submit a job whose id may exist already, in which case the request is idempotent and returns its state.
     Submit(Box<Job>),
-    /// A submission that is refused unless its id is known already.
-    Unacceptable(Refusal),
+    /// Submit an invalid job: refused, unless the id exists, in which case the job's state is returned.
+    SubmitInvalid(Refusal),
 }
 
 /// A request about a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRequest {
-    /// The client's request.
+    /// Request to respond to.
     pub request_id: RequestId,
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
-    /// What to do.
+    /// Operation on the job.
     pub operation: JobOperation,
-    /// Whether the job was seen in a submission batch, and so is known.
-    pub seen_in_batch: bool,
+    /// Whether an earlier step found the job in a submission batch, which proves that it was accepted.
+    pub was_in_batch: bool,
 }
 
-/// The next step for a request.
+/// Next step of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobRequestStep {
     /// Send the response.
     Respond(RequestId, HttpResponse),
-    /// Look up whether the job has a final state.
-    LookUpFinal(JobRequest),
-    /// Write the cancellation.
+    /// Read the job's final state from the store, and continue with [`resolve_without_final_state`] if there is none.
+    LookUpFinalState(JobRequest),
+    /// Write the cancellation, and resolve the request again if the write conflicts.
     Cancel(JobRequest, CompareAndSwap),
-    /// Resolve it again once the cache has caught up once more.
+    /// Resolve the request again after another catch-up read.
     ResolveAgain(JobRequest),
-    /// Write the job to accept it.
+    /// Queue the job for the next write of submissions.
     Accept(RequestId, Box<Job>),
 }
 
-/// Progress of an open job, for display.
+/// Progress of an open job, for display only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// Progress by job, as the leader last sent it.
-pub type Progress = BTreeMap<JobId, JobProgress>;
+/// Progress by job, as of the leader's last message.
+pub type ProgressByJob = BTreeMap<JobId, JobProgress>;
 
-/// Resolves a request from a cache that has caught up with the store.
+/// Resolves a request from a job cache that has caught up with the store since the request arrived.
 pub fn resolve(
     mut job_request: JobRequest,
     job_cache: &JobCache,
-    progress: &Progress,
+    progress: &ProgressByJob,
 ) -> JobRequestStep {
     let id = job_request.id;
     if let Some(state) = job_cache.final_state(id) {
@@ -81,41 +81,41 @@
     if job_cache.is_unreadable(id) {
         return JobRequestStep::Respond(
             job_request.request_id,
-            HttpResponse::retry_later("another version's job"),
+            HttpResponse::retry_later("job was written by another version of the controller"),
         );
     }
     let Some(open) = job_cache.get(id) else {
-        job_request.seen_in_batch |= job_cache.is_in_batch(id);
-        return JobRequestStep::LookUpFinal(job_request);
+        job_request.was_in_batch |= job_cache.is_in_submission_batch(id);
+        return JobRequestStep::LookUpFinalState(job_request);
     };
     match &job_request.operation {
         JobOperation::Cancel => {
             let write = cancellation_write(id, Some(open));
             JobRequestStep::Cancel(job_request, write)
         }
-        JobOperation::Status | JobOperation::Submit(_) | JobOperation::Unacceptable(_) => {
+        JobOperation::Status | JobOperation::Submit(_) | JobOperation::SubmitInvalid(_) => {
             let progress = progress.get(&id).copied().unwrap_or_default();
             JobRequestStep::Respond(job_request.request_id, open_job_response(id, progress))
         }
     }
 }
 
-/// Resolves a request about a job that has no final state. A job seen in a submission batch is pending if it
-/// has no key of its own yet; otherwise it has been opened since, so the cache has to catch up once more.
+/// Resolves a request about a job that was not open and has no final state. A job from a submission batch is pending
+/// as long as it is in the batch only; otherwise it has been split off since, and needs another catch-up read.
 pub fn resolve_without_final_state(
     job_request: JobRequest,
     job_cache: &JobCache,
 ) -> JobRequestStep {
     let id = job_request.id;
-    if !job_request.seen_in_batch {
+    if !job_request.was_in_batch {
         return resolve_unknown(job_request);
     }
-    if job_cache.get(id).is_some() || !job_cache.is_in_batch(id) {
+    if job_cache.get(id).is_some() || !job_cache.is_in_submission_batch(id) {
         return JobRequestStep::ResolveAgain(job_request);
     }
     match job_request.operation {
         JobOperation::Cancel => JobRequestStep::Cancel(job_request, cancellation_write(id, None)),
-        JobOperation::Status | JobOperation::Submit(_) | JobOperation::Unacceptable(_) => {
+        JobOperation::Status | JobOperation::Submit(_) | JobOperation::SubmitInvalid(_) => {
             JobRequestStep::Respond(
                 job_request.request_id,
                 HttpResponse::job_state(200, id, JobState::Pending),
@@ -124,7 +124,7 @@
     }
 }
 
-/// Resolves a request about a job that is neither open nor closed.
+/// Resolves a request about a job that does not exist.
 fn resolve_unknown(job_request: JobRequest) -> JobRequestStep {
     match job_request.operation {
         JobOperation::Status | JobOperation::Cancel => JobRequestStep::Respond(
@@ -132,7 +132,7 @@
             HttpResponse::error(404, "no such job"),
         ),
         JobOperation::Submit(job) => JobRequestStep::Accept(job_request.request_id, job),
-        JobOperation::Unacceptable(refusal) => {
+        JobOperation::SubmitInvalid(refusal) => {
             JobRequestStep::Respond(job_request.request_id, HttpResponse::refused(&refusal))
         }
     }
@@ -153,7 +153,7 @@
     HttpResponse::json(200, &status)
 }
 
-/// The cancellation of an open job, or of one in a submission batch that has no key of its own yet.
+/// Compare-and-swap that cancels a job; `open` is `None` for a job that is in a submission batch only.
 fn cancellation_write(id: JobId, open: Option<&OpenJob>) -> CompareAndSwap {
     let version = open.map_or(Revision(0), |open| open.version);
     let condition = |key: String, version| ExpectedRevision { key, version };
--- a/crates/worksshunt-core/src/job_api/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -11,9 +11,9 @@
 
 use super::*;
 
-fn job_api_with(jobs: u64) -> JobApi {
+fn job_api_with_submissions(count: u64) -> JobApi {
     let mut job_api = JobApi::new(MIN_EXCHANGES);
-    for id in 1..=jobs {
+    for id in 1..=count {
         job_api.queue_submission(Time(0), RequestId(id), small_job(id));
     }
     job_api
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn many_submissions_share_keys_within_the_limits_of_a_transaction() {
-    let mut job_api = job_api_with(200);
+fn many_submissions_are_batched_within_the_transaction_limits() {
+    let mut job_api = job_api_with_submissions(200);
     let mut batches = 0;
     let write = job_api.next_write(
         20,
@@ -54,24 +54,28 @@
     assert!(write.changes.len() <= PAGES_PER_WRITE && write.expected.len() <= 80);
     assert!(serde_json::json!(write).to_string().len() < 64 * 1024);
     let written = job_api.write_answered().len();
-    assert!((30..200).contains(&written), "{written} at once");
-    assert!(job_api.write_due(), "the others still wait");
+    assert!((30..200).contains(&written), "{written} in one write");
+    assert!(job_api.needs_write(), "the others are still queued");
 }
 
-// Guards against submissions that hang for ever at a controller that has just lost its lease, which is
-// part of its batches' keys.
+// Guards against submissions that are never written by a controller without a lease, which has no batch keys.
 #[test]
 fn without_a_batch_key_each_job_has_its_own_key() {
-    let mut job_api = job_api_with(30);
+    let mut job_api = job_api_with_submissions(30);
     let write = job_api.next_write(20, &limits(), None::<fn() -> String>);
     assert_eq!(write.map(|write| write.changes.len()), Some(20));
     assert_eq!(job_api.write_answered().len(), 20);
-    assert_eq!(job_api.take_overdue(Time(SUBMISSION_TIMEOUT_MS)).len(), 10);
+    assert_eq!(
+        job_api
+            .take_overdue_submissions(Time(SUBMISSION_TIMEOUT_MS))
+            .len(),
+        10
+    );
 }
 
 #[test]
 fn requests_are_refused_only_at_capacity() {
-    let mut job_api = job_api_with(MIN_EXCHANGES as u64 - 1);
+    let mut job_api = job_api_with_submissions(MIN_EXCHANGES as u64 - 1);
     assert!(!job_api.is_full());
     job_api.requeue_submissions(vec![PendingSubmission {
         received_at: Time(0),
--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -1,7 +1,7 @@
-//! Which tasks of a job are done, in memory and as stored.
+//! Completed tasks of a job, in memory and in their stored form.
 //!
-//! The leader's scheduler keeps a [`CompletedTasks`] for each open job and writes [`Completions`] to pages of
-//! records, of which a new leader restores it.
+//! The leader's scheduler has a [`CompletedTasks`] for each open job and writes [`Completions`] to pages in the
+//! key-value store, from which a new leader restores it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,34 +13,34 @@
 use crate::constants::pages::TASKS_PER_COMPLETIONS_ENTRY;
 use crate::pages::PageEntry;
 
-/// The completed tasks of a job, and the zones they ran in where those matter.
+/// The completed tasks of a job; for a job with a zone constraint also the zones they ran in.
 #[derive(Debug, Clone, Default)]
 pub struct CompletedTasks {
-    /// One bit for each task, the lowest bit of a byte first.
+    /// Bitmap with one bit per task, the lowest bit of each byte first.
     bits: Vec<u8>,
-    /// Bits that are set.
+    /// Number of bits set.
     count: u32,
-    zones: BTreeMap<String, u32>,
+    tasks_by_zone: BTreeMap<String, u32>,
 }
 
 impl CompletedTasks {
-    /// For a job of so many tasks, none of them done.
-    pub fn new(tasks: u32) -> CompletedTasks {
+    /// No completed tasks, for a job of `task_count` tasks.
+    pub fn new(task_count: u32) -> CompletedTasks {
         CompletedTasks {
-            bits: vec![0; tasks.div_ceil(8) as usize],
+            bits: vec![0; task_count.div_ceil(8) as usize],
             count: 0,
-            zones: BTreeMap::new(),
+            tasks_by_zone: BTreeMap::new(),
         }
     }
 
-    /// Whether a task is done.
+    /// Whether the task is completed.
     pub fn contains(&self, index: u32) -> bool {
         self.bits
             .get((index / 8) as usize)
             .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
     }
 
-    /// Marks a task done. Returns false if it already was, or if the job has no such task.
+    /// Marks the task as completed. Returns false if it already was, or if `index` is out of range.
     pub fn insert(&mut self, index: u32) -> bool {
         match self.bits.get_mut((index / 8) as usize) {
             Some(byte) if *byte >> (index % 8) & 1 == 0 => {
@@ -52,41 +52,41 @@
         }
     }
 
-    /// Counts tasks done in a zone. The scheduler does so for jobs with a zone constraint only.
+    /// Adds to the number of tasks completed in a zone; called for jobs with a zone constraint only.
     pub fn count_zone(&mut self, zone: &str, tasks: u32) {
-        *self.zones.entry(zone.to_owned()).or_default() += tasks;
+        *self.tasks_by_zone.entry(zone.to_owned()).or_default() += tasks;
     }
 
-    /// Tasks done by zone, where counted.
-    pub fn zones(&self) -> &BTreeMap<String, u32> {
-        &self.zones
+    /// Number of completed tasks by zone; empty for a job without a zone constraint.
+    pub fn tasks_by_zone(&self) -> &BTreeMap<String, u32> {
+        &self.tasks_by_zone
     }
 
-    /// How many tasks are done.
+    /// Number of completed tasks.
     pub fn count(&self) -> u32 {
         self.count
     }
 }
 
-/// Identifies an entry of [`Completions`]. Ordered by job, then by chunk.
+/// Key of an entry of [`Completions`] on a page. Ordered by job, then by chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CompletionsKey {
-    /// The job.
+    /// Job that the tasks belong to.
     pub job: JobId,
-    /// Index of the chunk of [`TASKS_PER_COMPLETIONS_ENTRY`] tasks that the entry covers.
+    /// Index of the chunk that the entry covers; chunk N begins at task N * [`TASKS_PER_COMPLETIONS_ENTRY`].
     pub chunk: u32,
 }
 
-/// Completed tasks of one chunk of a job's tasks, as recorded.
+/// Completed tasks within one chunk of a job, as recorded on a page.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Completions {
     /// Indexes of the tasks.
     pub tasks: BTreeSet<u32>,
-    /// How many of them ran in each zone, for jobs with a zone constraint.
-    pub zones: BTreeMap<String, u32>,
+    /// Number of those tasks by zone; empty for a job without a zone constraint.
+    pub tasks_by_zone: BTreeMap<String, u32>,
 }
 
-/// The entry that a task's completion belongs to.
+/// Key of the entry that records the completion of a task.
 pub fn completions_key(task: TaskId) -> CompletionsKey {
     CompletionsKey {
         job: task.job,
@@ -97,23 +97,22 @@
 /// Format version of pages of completions.
 const COMPLETIONS_FORMAT_VERSION: u32 = 2;
 
-/// Bytes that an entry takes on a page without its runs and zones, at most.
+/// Maximum bytes of an entry on a page, without its runs and zones.
 const ENTRY_BASE_BYTES: usize = 40;
 
-/// Bytes that a run takes, at most: two indexes of at most five digits each in brackets, and commas.
+/// Maximum bytes of a run: two indexes of at most five digits, brackets and commas.
 const RUN_BYTES: usize = 14;
 
-/// Bytes that a zone takes beside its name, at most: quotes, a count and punctuation.
+/// Maximum bytes of a zone besides its name: quotes, a count and punctuation.
 const ZONE_COUNT_BYTES: usize = 12;
 
-/// The first and the last index of consecutive completed tasks. Stored as an array of the two.
+/// A run of consecutive completed tasks: the first and the last index. Stored as an array.
 type StoredRun = (u32, u32);
 
-/// An entry as stored: an array of the job, the runs of its completed tasks, and the number of tasks
-/// completed in each zone.
+/// Stored form of an entry: an array of the job, the runs of completed tasks, and the number of tasks by zone.
 type StoredEntry = (JobId, Vec<StoredRun>, BTreeMap<String, u32>);
 
-/// A page of completions as stored.
+/// Stored form of a page of completions.
 #[derive(Serialize, Deserialize)]
 struct StoredCompletions {
     #[serde(rename = "v")]
@@ -139,25 +138,25 @@
     type Key = CompletionsKey;
 
     fn size_bytes(&self, _: &CompletionsKey) -> usize {
-        let zones: usize = self
-            .zones
+        let zones_bytes: usize = self
+            .tasks_by_zone
             .keys()
             .map(|zone| zone.len() + ZONE_COUNT_BYTES)
             .sum();
-        ENTRY_BASE_BYTES + RUN_BYTES * self.runs().len() + zones
+        ENTRY_BASE_BYTES + RUN_BYTES * self.runs().len() + zones_bytes
     }
 
     fn join(&mut self, later: Completions) {
         self.tasks.extend(later.tasks);
-        for (zone, tasks) in later.zones {
-            *self.zones.entry(zone).or_default() += tasks;
+        for (zone, tasks) in later.tasks_by_zone {
+            *self.tasks_by_zone.entry(zone).or_default() += tasks;
         }
     }
 
     fn page_value(entries: &BTreeMap<CompletionsKey, Completions>) -> Value {
         let entries = entries
             .iter()
-            .map(|(key, entry)| (key.job, entry.runs(), entry.zones.clone()))
+            .map(|(key, entry)| (key.job, entry.runs(), entry.tasks_by_zone.clone()))
             .collect();
         serde_json::json!(StoredCompletions {
             format_version: COMPLETIONS_FORMAT_VERSION,
@@ -166,12 +165,12 @@
     }
 }
 
-/// Reads a page of completions; `None` if its form is not that of this version of the program. Entries
-/// may span several chunks; each goes to the chunk of its first task.
+/// Reads a page of completions; `None` if its format is unknown or a task index is out of range. An entry may span
+/// several chunks; it is assigned to the chunk of its first task.
 pub fn read_completions(value: &Value) -> Option<BTreeMap<CompletionsKey, Completions>> {
     let stored = StoredCompletions::deserialize(value).ok()?;
     let mut entries: BTreeMap<CompletionsKey, Completions> = BTreeMap::new();
-    for (job, runs, zones) in stored.entries {
+    for (job, runs, tasks_by_zone) in stored.entries {
         let last = runs.last().map_or(0, |(_, last)| *last);
         if stored.format_version != COMPLETIONS_FORMAT_VERSION || last >= MAX_TASKS_PER_JOB {
             return None;
@@ -183,7 +182,10 @@
         let index = tasks.first().copied().unwrap_or(0);
         let key = completions_key(TaskId { job, index });
         let entry = entries.entry(key).or_default();
-        entry.join(Completions { tasks, zones });
+        entry.join(Completions {
+            tasks,
+            tasks_by_zone,
+        });
     }
     Some(entries)
 }
--- a/crates/worksshunt-core/src/jobs/final_state.rs
+++ b/crates/worksshunt-core/src/jobs/final_state.rs
@@ -1,19 +1,19 @@
-//! How a controller knows that a job is over.
+//! Final states of jobs, with the evidence that they are in the store.
 
 use worksshunt_wire::user::JobState;
 use worksshunt_wire::Revision;
 
-/// What shows that a final state is in the store. There is no other way to know it: a conflict, or no answer, is none.
+/// Evidence that a final state is in the store. A conflict or a missing response is not evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalStateEvidence {
-    /// This controller's write of it was committed at that revision.
+    /// A write of the final state by this controller was committed at this revision.
     Committed(Revision),
-    /// Its key was read, with that revision.
+    /// The key of the final state was read, with this version.
     Read(Revision),
 }
 
 impl FinalStateEvidence {
-    /// The store's revision from which on the job is not open.
+    /// Revision of the store at or after which the job is not open.
     pub fn revision(self) -> Revision {
         match self {
             FinalStateEvidence::Committed(revision) | FinalStateEvidence::Read(revision) => {
@@ -23,11 +23,11 @@
     }
 }
 
-/// A final state and how it is known.
+/// A final state in the job cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnownFinalState {
-    /// Done or cancelled.
+pub struct CachedFinalState {
+    /// [`JobState::Done`] or [`JobState::Cancelled`].
     pub state: JobState,
-    /// What shows it.
+    /// Evidence that the state is in the store.
     pub evidence: FinalStateEvidence,
 }
--- a/crates/worksshunt-core/src/jobs/job.rs
+++ b/crates/worksshunt-core/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! An accepted job: what its user submitted and what follows from that alone.
+//! An accepted job, and the properties that follow from its specification.
 
 use serde::{Deserialize, Serialize};
 use worksshunt_wire::cloud::MachineType;
@@ -7,26 +7,26 @@
 
 use crate::resources::Resources;
 
-/// An accepted job, also in its stored form.
+/// An accepted job; also its stored form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What the user submitted.
+    /// Specification that the user submitted.
     #[serde(rename = "spec")]
     pub spec: JobSpec,
-    /// When it was accepted, milliseconds since 1970.
+    /// Time of acceptance, milliseconds since 1970.
     #[serde(rename = "at")]
     pub accepted_ms: u64,
 }
 
 impl Job {
-    /// Whether its tasks are replicas that run until the job is cancelled, so that it is never done.
+    /// Whether the job is a service: its tasks are replicas that run until the job is cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
-    /// A service that no user submitted, whose replicas each take a whole machine of that type. The
-    /// fleet plans spare capacity with it.
-    pub fn whole_machine(machine: &MachineType) -> Job {
+    /// Placeholder service of one replica that takes a whole machine of this type. It is never submitted: the fleet
+    /// uses it to represent spare capacity as demand.
+    pub fn whole_machine_service(machine_type: &MachineType) -> Job {
         let spec = JobSpec {
             id: JobId(0),
             class: String::new(),
@@ -34,12 +34,12 @@
             kind: JobKind::Service,
             priority: Priority::Prod,
             tasks: 1,
-            cpus: machine.cpus,
-            gpus: machine.gpus,
-            memory_gb: machine.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
             image: String::new(),
             image_gb: 0.0,
-            machine_types: Some(vec![machine.name.clone()]),
+            machine_types: Some(vec![machine_type.name.clone()]),
             zone: None,
             one_zone: false,
             spread: false,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Resources that one of its tasks needs.
+    /// Resources that each of its tasks needs.
     pub fn resources(&self) -> Resources {
         Resources::of_task(&self.spec)
     }
 
-    /// When it should be complete, milliseconds since 1970; `None` for a job without a deadline.
+    /// Deadline, milliseconds since 1970; `None` for a job without one.
     pub fn deadline_ms(&self) -> Option<u64> {
         let deadline_s = self.spec.deadline_s?;
         Some(
@@ -69,16 +69,16 @@
         )
     }
 
-    /// The latest time, milliseconds since 1970, at which its last tasks can start and, by the estimate,
-    /// still meet the deadline.
+    /// Latest time, milliseconds since 1970, at which a task can start and, by the estimate, still meet the deadline;
+    /// `None` for a job without a deadline.
     pub fn latest_start_ms(&self) -> Option<u64> {
         let estimate_ms = (self.spec.estimate_s * 1_000.0) as u64;
         Some(self.deadline_ms()?.saturating_sub(estimate_ms))
     }
 
-    /// Whether its tasks may run on a machine of that type in that zone, spot (`spot`) or on-demand.
-    pub fn allows_machine(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        (!spot || self.spec.spot)
+    /// Whether its tasks may run on a machine of this type and zone, which is a spot or an on-demand machine.
+    pub fn allows_machine(&self, machine_type: &str, zone: &str, is_spot: bool) -> bool {
+        (!is_spot || self.spec.spot)
             && self
                 .spec
                 .zone
@@ -91,20 +91,20 @@
                 .is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
     }
 
-    /// Whether it leaves such a machine to services. On-demand machines are reserved for them
-    /// (`on_demand_reserved`) while any are open and spot machines are up: services may not use spot
-    /// machines and have to start within seconds.
-    pub fn leaves_machine_to_others(&self, spot: bool, on_demand_reserved: bool) -> bool {
-        on_demand_reserved && !spot && self.spec.spot
+    /// Whether the job must not use a machine because it is reserved for services. While services are open and spot
+    /// machines are available, on-demand machines are reserved (`is_on_demand_reserved`) and jobs that allow spot
+    /// machines use only those: services may not run on spot machines and have to start within seconds.
+    pub fn leaves_machine_to_services(&self, is_spot: bool, is_on_demand_reserved: bool) -> bool {
+        is_on_demand_reserved && !is_spot && self.spec.spot
     }
 
-    /// Whether the zone of one of its tasks constrains the zones of the others.
+    /// Whether the zone of one task constrains the zones of the others.
     pub fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
-    /// The maximum number of its tasks in one zone.
-    pub fn zone_limit(&self) -> u32 {
+    /// Maximum number of its tasks in one zone.
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spec.spread {
             self.spec.tasks.div_ceil(2)
         } else {
--- a/crates/worksshunt-core/src/jobs/job_cache.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -1,8 +1,8 @@
-//! A controller's cache of the open jobs, kept up to date by a watch of the key-value store.
+//! Cache of the open jobs, one per controller, updated by a watch of the key-value store.
 //!
-//! It also holds the submission batches that the leader has not yet split, and a bounded number of
-//! final states and recently closed jobs. The controller feeds it and answers users from it; the leader's
-//! scheduler follows the changes it returns.
+//! The cache also contains the submission batches that the leader has not yet split into single jobs, and a bounded
+//! number of final states and recently closed jobs. The controller updates it and answers users from it; the changes
+//! it returns are applied to the leader's scheduler and to the partition.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -14,89 +14,88 @@
 
 use crate::constants::job_api::{CLOSED_JOBS_CACHED, FINAL_STATES_CACHED};
 
-use super::final_state::{FinalStateEvidence, KnownFinalState};
+use super::final_state::{CachedFinalState, FinalStateEvidence};
 use super::stored::{parse_job_key, read_submission_batch};
-use super::{is_submission_batch, Job, OPEN_JOBS_PREFIX};
+use super::{is_submission_batch_key, Job, OPEN_JOBS_PREFIX};
 
-/// An open job as the store has it.
+/// An open job in the cache.
 #[derive(Debug, Clone)]
 pub struct OpenJob {
-    /// The job.
+    /// Job as stored.
     pub job: Rc<Job>,
-    /// Revision of its key.
+    /// Version of the job's key.
     pub version: Revision,
 }
 
-/// Jobs accepted together under one key. The leader then writes each a key of its own.
+/// Jobs accepted together under one key. The leader splits the batch by writing a separate key for each job.
 #[derive(Debug, Clone)]
 pub struct SubmissionBatch {
-    /// The jobs.
+    /// Jobs in the order of their submission.
     pub jobs: Vec<Rc<Job>>,
-    /// Revision of its key.
+    /// Version of the batch's key.
     pub version: Revision,
 }
 
-/// A change of the open jobs in the cache.
+/// Change of the set of open jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobCacheChange {
     /// The job was accepted.
     Opened(JobId),
-    /// The job is done or cancelled.
+    /// The job was completed or cancelled.
     Closed(JobId),
 }
 
-/// A controller's copy of the open jobs, never newer than the store, and the final states that it has
-/// read so far.
+/// A controller's cache of open jobs, submission batches and final states.
 #[derive(Debug, Default)]
 pub struct JobCache {
     open: BTreeMap<JobId, OpenJob>,
     /// Submission batches by key.
     submission_batches: BTreeMap<String, SubmissionBatch>,
-    /// Open jobs in a form that this version of the program does not understand. They are left as they are.
+    /// Open jobs whose values this version of the program cannot read. It does not schedule or change them.
     unreadable: BTreeSet<JobId>,
-    /// Store revision that the cache is current at; `None` until it is loaded.
+    /// Revision of the store that the open jobs are current at; `None` until loaded and while outdated.
     revision: Option<Revision>,
-    final_states: HashMap<JobId, KnownFinalState>,
-    /// The jobs of `final_states`, the oldest entry first.
+    final_states: HashMap<JobId, CachedFinalState>,
+    /// Keys of `final_states`, oldest entry first, for eviction.
     final_states_order: VecDeque<JobId>,
-    /// Jobs that were open here and are closed, the latest last.
+    /// Closed jobs that were in `open`, most recently closed last.
     recently_closed: VecDeque<Rc<Job>>,
 }
 
 impl JobCache {
-    /// Whether it has been loaded and not been outdated since.
+    /// Whether the cache is loaded and not outdated.
     pub fn is_loaded(&self) -> bool {
         self.revision.is_some()
     }
 
-    /// Store revision that it is known to be current at.
+    /// Revision of the store that the cache is current at; `None` unless it is loaded.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// Marks the cache as outdated: the store no longer has the changes since its revision, so the jobs
-    /// have to be listed again. The content stays, so that the listing shows what has changed.
+    /// Marks the cache as outdated, because the store has compacted the changes since its revision. The content stays,
+    /// so that [`load`](Self::load) can return the changes.
     pub fn mark_outdated(&mut self) {
         self.revision = None;
     }
 
-    /// An open job.
+    /// The open job with this id.
     pub fn get(&self, id: JobId) -> Option<&OpenJob> {
         self.open.get(&id)
     }
 
-    /// Whether the job is open in a form that this version of the program cannot read.
+    /// Whether the job is open but this version of the program cannot read it.
     pub fn is_unreadable(&self, id: JobId) -> bool {
         self.unreadable.contains(&id)
     }
 
-    /// Submission batches and their keys.
+    /// All submission batches, with their keys.
     pub fn submission_batches(&self) -> impl Iterator<Item = (&String, &SubmissionBatch)> {
         self.submission_batches.iter()
     }
 
-    /// Whether the job is in a submission batch. It may have been opened, and even closed, since.
-    pub fn is_in_batch(&self, id: JobId) -> bool {
+    /// Whether the job is in a submission batch. It may also have a key of its own by now, or be closed.
+    pub fn is_in_submission_batch(&self, id: JobId) -> bool {
         let mut jobs = self
             .submission_batches
             .values()
@@ -104,40 +103,40 @@
         jobs.any(|job| job.spec.id == id)
     }
 
-    /// All open jobs.
+    /// All readable open jobs, in the order of their ids.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&JobId, &OpenJob)> {
         self.open.iter()
     }
 
-    /// Whether any service is open.
-    pub fn any_service(&self) -> bool {
+    /// Whether any open job is a service.
+    pub fn has_open_service(&self) -> bool {
         self.open.values().any(|open| open.job.is_service())
     }
 
-    /// The final state of a job, if it is in the cache.
+    /// The cached final state of a job; `None` if it is not cached, although the store may have one.
     pub fn final_state(&self, id: JobId) -> Option<JobState> {
-        self.final_states.get(&id).map(|known| known.state)
+        self.final_states.get(&id).map(|cached| cached.state)
     }
 
-    /// Whether a final state is in the cache that the cached open jobs are too old to show.
-    pub fn is_closed_later(&self, id: JobId) -> bool {
-        let known = self.final_states.get(&id);
-        known.is_some_and(|known| Some(known.evidence.revision()) > self.revision)
+    /// Whether the cached final state of the job is newer than the cached open jobs, which may still contain it.
+    pub fn has_newer_final_state(&self, id: JobId) -> bool {
+        let cached = self.final_states.get(&id);
+        cached.is_some_and(|cached| Some(cached.evidence.revision()) > self.revision)
     }
 
-    /// Removes a final state that the store does not have, if it is in the cache.
-    pub fn forget_final(&mut self, id: JobId) -> Option<KnownFinalState> {
-        self.final_states_order.retain(|known| *known != id);
+    /// Removes the final state of a job that is open in the store. Returns it if it was cached.
+    pub fn remove_final_state(&mut self, id: JobId) -> Option<CachedFinalState> {
+        self.final_states_order.retain(|cached| *cached != id);
         self.final_states.remove(&id)
     }
 
-    /// Adds a final state to the cache. It never changes, so it may be evicted at any time.
-    pub fn remember_final(&mut self, id: JobId, state: JobState, evidence: FinalStateEvidence) {
-        let known = KnownFinalState { state, evidence };
-        if self.final_states.insert(id, known).is_some() {
+    /// Caches a final state. Above [`FINAL_STATES_CACHED`] entries the oldest is evicted.
+    pub fn cache_final_state(&mut self, id: JobId, state: JobState, evidence: FinalStateEvidence) {
+        let cached = CachedFinalState { state, evidence };
+        if self.final_states.insert(id, cached).is_some() {
             return;
         }
-        tracing::debug!(job = %id, ?state, ?evidence, "final state known");
+        tracing::debug!(job = %id, ?state, ?evidence, "final state cached");
         self.final_states_order.push_back(id);
         if self.final_states_order.len() > FINAL_STATES_CACHED {
             if let Some(oldest) = self.final_states_order.pop_front() {
@@ -146,20 +145,20 @@
         }
     }
 
-    /// A job that was open here until recently.
+    /// A job closed since this controller started, if it is among the last [`CLOSED_JOBS_CACHED`] ones.
     pub fn recently_closed(&self, id: JobId) -> Option<&Rc<Job>> {
-        let mut latest_first = self.recently_closed.iter().rev();
-        latest_first.find(|job| job.spec.id == id)
+        let mut newest_first = self.recently_closed.iter().rev();
+        newest_first.find(|job| job.spec.id == id)
     }
 
-    fn remember_closed(&mut self, open: OpenJob) {
+    fn cache_closed_job(&mut self, open: OpenJob) {
         self.recently_closed.push_back(open.job);
         if self.recently_closed.len() > CLOSED_JOBS_CACHED {
             self.recently_closed.pop_front();
         }
     }
 
-    /// Replaces the content by a full listing of the open jobs. Returns what has changed.
+    /// Replaces the open jobs and submission batches by a full listing. Returns the changes of the open jobs.
     pub fn load(&mut self, listing: &Listing) -> Vec<JobCacheChange> {
         let listed = read_open_jobs(listing);
         self.unreadable = job_ids(listing)
@@ -179,15 +178,15 @@
         for (id, open) in previous {
             if !self.open.contains_key(&id) {
                 changes.push(JobCacheChange::Closed(id));
-                self.remember_closed(open);
+                self.cache_closed_job(open);
             }
         }
         changes
     }
 
-    /// Applies a watch response; no effect until the cache is loaded. Responses may overlap and overtake
-    /// each other, so an event counts only if its key's version is later than the cache's revision: a
-    /// response from before the last one must not bring back a closed job.
+    /// Applies a watch response and returns the changes of the open jobs. Has no effect unless the cache is loaded.
+    /// Responses may overlap and arrive out of order, so events up to the cache's revision are ignored: an older
+    /// response must not reopen a closed job.
     pub fn apply_changes(&mut self, response: &WatchResponse) -> Vec<JobCacheChange> {
         let Some(revision) = self.revision else {
             return Vec::new();
@@ -212,7 +211,7 @@
     }
 
     fn apply_put(&mut self, key: &str, value: &Value, version: Revision) -> Option<JobCacheChange> {
-        if is_submission_batch(key) {
+        if is_submission_batch_key(key) {
             let batch = read_submission_batch(key, value, version)?;
             self.submission_batches.insert(key.to_owned(), batch);
             return None;
@@ -234,12 +233,12 @@
         let id = parse_job_key(key, OPEN_JOBS_PREFIX)?;
         self.unreadable.remove(&id);
         let closed = self.open.remove(&id)?;
-        self.remember_closed(closed);
+        self.cache_closed_job(closed);
         Some(JobCacheChange::Closed(id))
     }
 }
 
-/// Ids of the open jobs in a listing, readable or not.
+/// Ids of all open jobs in a listing, including unreadable ones.
 fn job_ids(listing: &Listing) -> impl Iterator<Item = JobId> + '_ {
     let pairs = listing.pairs.iter();
     pairs.filter_map(|pair| parse_job_key(&pair.key, OPEN_JOBS_PREFIX))
@@ -258,7 +257,7 @@
 fn read_submission_batches(listing: &Listing) -> BTreeMap<String, SubmissionBatch> {
     let pairs = listing.pairs.iter();
     pairs
-        .filter(|pair| is_submission_batch(&pair.key))
+        .filter(|pair| is_submission_batch_key(&pair.key))
         .filter_map(|pair| {
             let batch = read_submission_batch(&pair.key, &pair.value, pair.version)?;
             Some((pair.key.clone(), batch))
@@ -273,7 +272,7 @@
             version,
         }),
         Err(error) => {
-            tracing::error!(job = %id, %error, "open job in the store cannot be read");
+            tracing::error!(job = %id, %error, "open job in the store is unreadable, not scheduled");
             None
         }
     }
--- a/crates/worksshunt-core/src/jobs/stored.rs
+++ b/crates/worksshunt-core/src/jobs/stored.rs
@@ -1,5 +1,4 @@
-//! Keys and values of jobs in the key-value store. All functions are pure; the controller sends what
-//! they return.
+//! Keys and values of jobs in the key-value store.
 
 use std::rc::Rc;
 
@@ -10,14 +9,14 @@
 
 use super::{Job, SubmissionBatch};
 
-/// Prefix of the keys of open jobs, and of submission batches.
+/// Prefix of the keys of open jobs and of submission batches.
 pub const OPEN_JOBS_PREFIX: &str = "j/";
 /// Prefix of the keys of final states.
 pub const FINAL_STATES_PREFIX: &str = "f/";
-/// Prefix of the pages of completed tasks.
+/// Prefix of the keys of pages of completed tasks.
 pub const COMPLETIONS_PREFIX: &str = "d/";
 
-/// Prefix of submission batches. It extends [`OPEN_JOBS_PREFIX`], so that a watch of open jobs covers them too.
+/// Prefix of the keys of submission batches. It extends [`OPEN_JOBS_PREFIX`], so that one watch covers both.
 const SUBMISSION_BATCH_PREFIX: &str = "j/+";
 
 /// Format version of submission batches.
@@ -33,28 +32,27 @@
     format!("{FINAL_STATES_PREFIX}{id}")
 }
 
-/// Key of a submission batch. The controller's lease identifies its incarnation, within which `number`
-/// is unique.
+/// Key of a submission batch. The lease identifies the controller's incarnation, within which `number` is unique.
 pub fn submission_batch_key(controller: &ControllerName, lease: u64, number: u64) -> String {
     format!("{SUBMISSION_BATCH_PREFIX}{controller}.{lease}.{number}")
 }
 
-/// Whether a key is that of a submission batch.
-pub fn is_submission_batch(key: &str) -> bool {
+/// Whether the key belongs to a submission batch.
+pub fn is_submission_batch_key(key: &str) -> bool {
     key.starts_with(SUBMISSION_BATCH_PREFIX)
 }
 
-/// The job that the key of an open job or of a final state belongs to.
-pub fn job_of_key(key: &str) -> Option<JobId> {
+/// Id of the job whose open job or final state has this key; `None` for other keys.
+pub fn job_id_of_key(key: &str) -> Option<JobId> {
     parse_job_key(key, OPEN_JOBS_PREFIX).or_else(|| parse_job_key(key, FINAL_STATES_PREFIX))
 }
 
-/// The job id in a key that consists of `prefix` and an id.
+/// Job id in a key that consists of `prefix` and the id; `None` for other keys.
 pub(super) fn parse_job_key(key: &str, prefix: &str) -> Option<JobId> {
     key.strip_prefix(prefix)?.parse().ok()
 }
 
-/// A submission batch as stored.
+/// Stored form of a submission batch.
 #[derive(Serialize, Deserialize)]
 struct StoredSubmissionBatch<J> {
     #[serde(rename = "v")]
@@ -62,7 +60,7 @@
     jobs: Vec<J>,
 }
 
-/// A submission batch as stored.
+/// Value of a submission batch.
 pub fn submission_batch_value(jobs: &[&Job]) -> Value {
     serde_json::json!(StoredSubmissionBatch {
         format_version: SUBMISSION_BATCH_FORMAT_VERSION,
@@ -70,7 +68,7 @@
     })
 }
 
-/// Reads a submission batch; `None` if its format version is unknown, in which case it is left as it is.
+/// Reads a submission batch; `None` if its format is unknown, in which case the batch is not split.
 pub(super) fn read_submission_batch(
     key: &str,
     value: &Value,
@@ -84,19 +82,22 @@
             })
         }
         _ => {
-            tracing::error!(key, "submission batch in the store cannot be read");
+            tracing::error!(
+                key,
+                "submission batch in the store is unreadable, not split"
+            );
             None
         }
     }
 }
 
-/// A final state as stored.
+/// Value of a final state.
 pub fn final_state_value(state: JobState) -> Value {
     serde_json::json!({ "state": state })
 }
 
-/// The final state of a cancelled job as stored. Its tasks use their resources until they have stopped,
-/// which also a leader that never knew the job as open has to account for: so the job is stored with it.
+/// Value of the final state of a cancelled job, with the job itself if available. Its tasks use resources until they
+/// have stopped; a later leader, for which the job was never open, needs the job to count them.
 pub fn cancelled_state_value(job: Option<&Job>) -> Value {
     let mut value = final_state_value(JobState::Cancelled);
     if let Some(job) = job {
@@ -105,12 +106,12 @@
     value
 }
 
-/// Reads the job stored with the final state of a cancelled one; `None` if there is none.
-pub fn read_cancelled(value: &Value) -> Option<Job> {
+/// Reads the job stored with its final state; `None` if the value contains none.
+pub fn read_cancelled_job(value: &Value) -> Option<Job> {
     serde_json::from_value(value.get("job")?.clone()).ok()
 }
 
-/// Reads a final state.
+/// Reads a final state; `None` if the value is malformed.
 pub fn read_final_state(value: &Value) -> Option<JobState> {
     serde_json::from_value(value.get("state")?.clone()).ok()
 }
--- a/crates/worksshunt-core/src/jobs/tests.rs
+++ b/crates/worksshunt-core/src/jobs/tests.rs
@@ -11,7 +11,7 @@
 use crate::pages::PageEntry;
 
 #[test]
-fn completed_tasks_survive_the_store() {
+fn completions_are_read_as_written_within_the_estimated_size() {
     let job = JobId(7);
     let indexes = [
         0,
@@ -25,11 +25,14 @@
     let mut entries: BTreeMap<CompletionsKey, Completions> = BTreeMap::new();
     for index in indexes {
         let task = TaskId { job, index };
-        let one = Completions {
+        let entry = Completions {
             tasks: BTreeSet::from([index]),
-            zones: BTreeMap::from([("a".to_owned(), 1)]),
+            tasks_by_zone: BTreeMap::from([("a".to_owned(), 1)]),
         };
-        entries.entry(completions_key(task)).or_default().join(one);
+        entries
+            .entry(completions_key(task))
+            .or_default()
+            .join(entry);
     }
     let value = Completions::page_value(&entries);
     assert_eq!(read_completions(&value), Some(entries.clone()));
@@ -39,27 +42,27 @@
         .sum();
     assert!(
         value.to_string().len() <= size + 32,
-        "no larger than estimated"
+        "the page is no larger than estimated"
     );
     let every_other = Completions {
         tasks: (0..TASKS_PER_COMPLETIONS_ENTRY).step_by(2).collect(),
-        zones: BTreeMap::new(),
+        tasks_by_zone: BTreeMap::new(),
     };
-    let smallest = (crate::constants::key_value::MIN_VALUE_KIB * 1_024.0) as usize;
+    let min_value_bytes = (crate::constants::key_value::MIN_VALUE_KIB * 1_024.0) as usize;
     assert!(
-        every_other.size_bytes(&CompletionsKey { job, chunk: 0 }) * 2 <= smallest,
-        "the worst entry fits a page of the smallest value"
+        every_other.size_bytes(&CompletionsKey { job, chunk: 0 }) * 2 <= min_value_bytes,
+        "the largest entry fits a page of the minimum value size"
     );
     assert_eq!(
         read_completions(&serde_json::json!({ "bits": "AAAA" })),
         None
     );
-    let later = serde_json::json!({ "v": 3, "done": [["j-000007", [[0, 1]], {}]] });
-    assert_eq!(read_completions(&later), None, "another version's");
+    let other_version = serde_json::json!({ "v": 3, "done": [["j-000007", [[0, 1]], {}]] });
+    assert_eq!(read_completions(&other_version), None, "unknown version");
 }
 
 #[test]
-fn the_cache_applies_overlapping_responses_in_any_order() {
+fn the_cache_ignores_events_of_overlapping_older_responses() {
     let spec = serde_json::json!({
         "Ref": "j-000001", "Carril": "c", "Cuadrilla": "t", "Oficio": "array",
         "Turno": "normal", "Piezas": 1, "Cores": 1.0, "Gpus": 0.0, "RamGb": 1.0,
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -85,10 +85,10 @@
         }
         if let Some(band) = tracked.over_capacity_band {
             let outcome = match outcome {
-                AttemptOutcome::Failed => OverCapacityOutcome::Faulted,
+                AttemptOutcome::Failed => OverCapacityOutcome::Failed,
                 _ => OverCapacityOutcome::Aborted,
             };
-            self.over_capacity.ended(band, outcome);
+            self.over_capacity.count_outcome(band, outcome);
         }
     }
 
--- a/crates/worksshunt-core/src/machines/fixtures.rs
+++ b/crates/worksshunt-core/src/machines/fixtures.rs
@@ -4,7 +4,7 @@
 use worksshunt_wire::settings::Workers;
 use worksshunt_wire::MachineId;
 
-use crate::placement::Parameters;
+use crate::placement::PlacementParameters;
 use crate::time::Time;
 
 use super::machine::Machine;
@@ -24,7 +24,7 @@
 pub(super) fn partition(machines: usize) -> Partition {
     let limits = json!({"rps": 500.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 20});
     let limits = serde_json::from_value(limits).expect("limits");
-    let mut partition = Partition::new(Parameters::default(), &workers(), &limits);
+    let mut partition = Partition::new(PlacementParameters::default(), &workers(), &limits);
     for n in 0..machines {
         let machine = Machine::new(SequenceNumber::NONE, Time(0), Time(0));
         partition.machines.insert(machine_id(n), machine);
--- a/crates/worksshunt-core/src/machines/partition.rs
+++ b/crates/worksshunt-core/src/machines/partition.rs
@@ -11,7 +11,7 @@
 use worksshunt_wire::{Attempt, JobId, MachineId, Revision};
 
 use crate::pages::{page_bytes, PageWrite, Pages};
-use crate::placement::{OverCapacity, Parameters, Speed};
+use crate::placement::{OverCapacityCounts, PlacementParameters, Speed};
 use crate::records::AttemptRecord;
 use crate::resources::Resources;
 use crate::time::Time;
@@ -28,7 +28,7 @@
 /// The machines of one partition, as their owner knows them.
 #[derive(Debug)]
 pub struct Partition {
-    pub(super) parameters: Parameters,
+    pub(super) parameters: PlacementParameters,
     pub(super) timeouts: MachineTimeouts,
     /// Bytes that a page of records may take, from the next epoch on.
     pub(super) page_bytes: usize,
@@ -51,12 +51,16 @@
     /// Machines that direct commands will be waiting for, from that time on.
     pub(super) deferred_commands: BTreeSet<(Time, MachineId)>,
     pub(super) pending_updates: PendingUpdates,
-    pub(super) over_capacity: OverCapacity,
+    pub(super) over_capacity: OverCapacityCounts,
 }
 
 impl Partition {
     /// An empty partition.
-    pub fn new(parameters: Parameters, workers: &Workers, limits: &KeyValueLimits) -> Partition {
+    pub fn new(
+        parameters: PlacementParameters,
+        workers: &Workers,
+        limits: &KeyValueLimits,
+    ) -> Partition {
         let page_bytes = page_bytes(limits);
         Partition {
             parameters,
@@ -74,7 +78,7 @@
             pending_commands: BTreeSet::new(),
             deferred_commands: BTreeSet::new(),
             pending_updates: PendingUpdates::default(),
-            over_capacity: OverCapacity::default(),
+            over_capacity: OverCapacityCounts::default(),
         }
     }
 
@@ -160,7 +164,7 @@
 
     /// One line about the placements over capacity since the last summary.
     pub fn over_capacity_summary(&mut self) -> String {
-        self.over_capacity.summary(&self.parameters)
+        self.over_capacity.take_summary(&self.parameters)
     }
 }
 
--- a/crates/worksshunt-core/src/machines/queued_placement.rs
+++ b/crates/worksshunt-core/src/machines/queued_placement.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::{Incarnation, JobId, MachineId};
 
 use crate::jobs::{Job, JobCache};
-use crate::placement::{choose, Candidate, Choice, Speed};
+use crate::placement::{choose_machine, Candidate, Choice, Speed};
 use crate::records::AttemptRecord;
 use crate::time::{Budget, Time};
 
@@ -96,7 +96,7 @@
             machine.summary.is_schedulable && machine.info.as_ref().is_some_and(|info| info.spot)
         };
         !self.assignment_queue.queued.is_empty()
-            && job_cache.any_service()
+            && job_cache.has_open_service()
             && self.machines.values().any(is_schedulable_spot)
     }
 
@@ -122,9 +122,9 @@
             incarnation,
             round.now,
         );
-        if choice.over_capacity {
+        if choice.is_over_capacity {
             let band = self.parameters.size_band(job.spec.estimate_s);
-            self.over_capacity.placed(band);
+            self.over_capacity.count_placement(band);
             tracing::debug!(task = %assignment.task, machine = %choice.machine, "attempt placed over capacity");
             tracked.over_capacity_band = Some(band);
         }
@@ -148,7 +148,7 @@
         job: &Job,
     ) -> Option<Choice> {
         let choose_by = |history| {
-            choose(
+            choose_machine(
                 job.spec.estimate_s,
                 self.candidates(round, assignment, job, history),
             )
@@ -180,7 +180,7 @@
                     && machine.is_schedulable(round.now, self.timeouts)
                     && has_failed == (history == JobHistory::Failed)
                     && job.allows_machine(&info.machine_type, &info.zone, info.spot)
-                    && !job.leaves_machine_to_others(info.spot, round.is_on_demand_kept)
+                    && !job.leaves_machine_to_services(info.spot, round.is_on_demand_kept)
                     && assignment
                         .zone
                         .as_ref()
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -91,7 +91,7 @@
         }
         if let Some(band) = tracked.over_capacity_band.take() {
             self.over_capacity
-                .ended(band, OverCapacityOutcome::Completed);
+                .count_outcome(band, OverCapacityOutcome::Completed);
         }
     }
 
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -1,11 +1,11 @@
 //! Membership, leadership and the epoch lease of one controller.
 //!
-//! `c/n/NAME` is a controller's member key, attached to a lease of the key-value store; `c/epoch` is the epoch:
-//! number, leader, members. A member is a name together with its lease, so a controller that restarts is another
-//! member. Whoever finds the leader's member key gone writes the next epoch, conditional on the present one.
+//! Each controller writes a member key, `c/n/NAME`, attached to a lease of the key-value store. The key `c/epoch`
+//! holds the current epoch: its number, leader and members. A member is identified by its name and its lease, so a
+//! restarted controller is a different member. Any member that finds the leader's member key missing writes the next
+//! epoch, conditional on the revision of the current one.
 //!
-//! [`Membership`] owns what this controller knows of that; the controller sends its requests and passes their
-//! responses on.
+//! [`Membership`] is a state machine without I/O: the controller sends the requests and passes their responses to it.
 
 mod control_keys;
 mod proposals;
@@ -24,35 +24,35 @@
 use proposals::Candidate;
 use records::{put_if_unchanged, LEASE_FIELD, READY_FIELD, SERVICES_FIELD};
 
-/// A controller's state as a member.
+/// Membership state of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// Has no lease.
+    /// Holds no lease.
     NoLease,
-    /// Has a lease, but its member key is not known to be written.
+    /// Holds a lease; the write of its member key is not confirmed.
     Joining,
-    /// Has a member key, but the epoch does not name it.
+    /// Has a member key; the epoch does not list it.
     NotInEpoch,
-    /// Is in the epoch and reads the records.
+    /// Is a member of the epoch and loads its records.
     Loading,
-    /// Is in the epoch and acts.
+    /// Is a member of the epoch and has loaded its records.
     Serving,
 }
 
-/// What a read of the control keys calls for.
+/// Action required after a read of the control keys.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MembershipAction {
-    /// Nothing new.
+    /// No action.
     Unchanged,
-    /// The own member key is gone: join again.
-    MemberKeyGone,
-    /// There is another epoch than the one known.
+    /// This controller's member key does not exist: join again.
+    MemberKeyMissing,
+    /// The read returned a newer epoch, which is the current one from here on.
     NewEpoch,
-    /// The next epoch should be written.
+    /// Write the next epoch.
     Propose(CompareAndSwap),
 }
 
-/// An epoch as it was read, and the version of its key.
+/// An epoch read from the store, with the version of its key.
 #[derive(Debug)]
 struct StoredEpoch {
     record: EpochRecord,
@@ -66,184 +66,185 @@
     state: MemberState,
     lease: Option<u64>,
     epoch: Option<StoredEpoch>,
+    /// Expiry of the epoch lease.
     epoch_lease_until: Time,
-    /// Until when what this controller knows of cancellations is recent enough to act on.
+    /// Time until which the last read of the open jobs, and so of cancellations, is recent enough to act on.
     cancellations_fresh_until: Time,
-    /// How long that is after the open jobs were read, ms.
+    /// Maximum age of that read, ms.
     cancellation_staleness_ms: u64,
-    /// Whether this controller is ready to own machines, by its own judgement.
-    ready: bool,
-    /// The readiness that the member key states; none if it is not known to be written.
+    /// Whether this controller is ready to own machines; set by the controller.
+    is_ready: bool,
+    /// Readiness in the stored member key; `None` until a write of the key is confirmed.
     published_readiness: Option<bool>,
-    /// The readiness in the member key that is being written.
+    /// Readiness in the last write of the member key.
     readiness_being_written: bool,
-    /// Version of the member key as last read; none before that. Writing it is conditional on it, so that a late
-    /// copy of a former incarnation's message cannot undo it.
-    key_version: Option<Revision>,
-    /// Whether members of the first release were seen last.
-    first_release_members_seen: bool,
-    /// Members seen alive but not in the epoch.
+    /// Version of the member key; `None` until it is read. Writes of the key are conditional on it, so a delayed
+    /// message of an earlier incarnation cannot overwrite a newer key.
+    member_key_version: Option<Revision>,
+    /// Whether the last read of the control keys contained members of the first release.
+    has_first_release_members: bool,
+    /// Live members that are not in the epoch.
     candidates: Vec<Candidate>,
-    /// The last epoch that could not number any more attempts; 0 for none.
+    /// Number of the last epoch whose attempt numbers were used up; 0 if none was.
     exhausted_epoch: Epoch,
-    /// All controllers of the deployment.
-    deployment: BTreeSet<ControllerName>,
-    /// Controllers whose last member key said that they support services.
-    supports_services: BTreeSet<ControllerName>,
+    /// All controllers of the deployment, including this one.
+    all_controllers: BTreeSet<ControllerName>,
+    /// Controllers whose last member key declares support for services.
+    service_supporters: BTreeSet<ControllerName>,
 }
 
 impl Membership {
-    /// A controller that has just started, in a deployment with these others.
+    /// State of a controller that has just started; `others` are the other controllers of the deployment.
     ///
-    /// `cancellation_staleness_ms`: how long after a read of the open jobs it may act without another one.
+    /// `cancellation_staleness_ms` is the time for which it may act after a read of the open jobs, ms.
     pub fn new(
-        me: ControllerName,
+        name: ControllerName,
         others: impl Iterator<Item = ControllerName>,
         cancellation_staleness_ms: u64,
     ) -> Membership {
         Membership {
-            deployment: others.chain([me.clone()]).collect(),
-            supports_services: BTreeSet::new(),
-            name: me,
+            all_controllers: others.chain([name.clone()]).collect(),
+            service_supporters: BTreeSet::new(),
+            name,
             state: MemberState::NoLease,
             lease: None,
             epoch: None,
             epoch_lease_until: Time::default(),
             cancellations_fresh_until: Time::default(),
             cancellation_staleness_ms,
-            ready: true,
+            is_ready: true,
             published_readiness: None,
             readiness_being_written: true,
-            key_version: None,
-            first_release_members_seen: false,
+            member_key_version: None,
+            has_first_release_members: false,
             candidates: Vec::new(),
             exhausted_epoch: Epoch(0),
         }
     }
 
-    /// The present epoch cannot number any more attempts: the leader writes the next one.
+    /// Records that the attempt numbers of the current epoch are used up, so that the leader writes the next epoch.
     pub fn mark_attempts_exhausted(&mut self) {
         self.exhausted_epoch = self.fencing_token();
     }
 
-    /// Notes whether this controller is ready to own machines.
-    pub fn set_ready(&mut self, ready: bool) {
-        self.ready = ready;
+    /// Sets whether this controller is ready to own machines.
+    pub fn set_ready(&mut self, is_ready: bool) {
+        self.is_ready = is_ready;
     }
 
-    /// Whether the member key has to be written: for the first time, or with something new.
-    pub fn needs_key_write(&self) -> bool {
+    /// Whether the member key has to be written, for the first time or with a changed readiness.
+    pub fn needs_member_key_write(&self) -> bool {
         self.state == MemberState::Joining
-            || (self.lease.is_some() && self.published_readiness != Some(self.ready))
+            || (self.lease.is_some() && self.published_readiness != Some(self.is_ready))
     }
 
-    /// Its name.
+    /// Name of this controller.
     pub fn name(&self) -> &ControllerName {
         &self.name
     }
 
-    /// Its state as a member.
+    /// Membership state of this controller.
     pub fn state(&self) -> MemberState {
         self.state
     }
 
-    /// Its lease.
+    /// Lease that the member key is attached to; `None` in [`MemberState::NoLease`].
     pub fn lease(&self) -> Option<u64> {
         self.lease
     }
 
-    /// The epoch it knows.
+    /// The newest epoch read; `None` before the first.
     pub fn epoch(&self) -> Option<&EpochRecord> {
         self.epoch.as_ref().map(|epoch| &epoch.record)
     }
 
-    /// Whether services may be accepted: no controller that does not support them can be left.
+    /// Whether jobs of kind service may be accepted: every controller supports them.
     pub fn accepts_services(&self) -> bool {
-        self.epoch().is_some_and(|epoch| epoch.services)
+        self.epoch().is_some_and(|epoch| epoch.accepts_services)
     }
 
-    /// The token it acts under; 0 before any epoch is known.
+    /// Number of the current epoch; 0 before the first is read.
     pub fn fencing_token(&self) -> Epoch {
         self.epoch().map_or(Epoch(0), |epoch| epoch.number)
     }
 
-    /// The condition every write of this epoch carries.
-    pub fn epoch_unchanged(&self) -> Option<ExpectedRevision> {
+    /// Condition of every write of this epoch: the epoch's key is unchanged. `None` before an epoch is read.
+    pub fn epoch_condition(&self) -> Option<ExpectedRevision> {
         self.epoch.as_ref().map(|epoch| ExpectedRevision {
             key: EPOCH_KEY.to_owned(),
             version: epoch.version,
         })
     }
 
-    /// Whether it leads the epoch it knows.
+    /// Whether this controller is the leader of the current epoch.
     pub fn is_leader(&self) -> bool {
-        self.in_epoch()
+        self.is_in_epoch()
             && self
                 .epoch()
                 .is_some_and(|epoch| epoch.leader.name == self.name)
     }
 
-    fn in_epoch(&self) -> bool {
+    fn is_in_epoch(&self) -> bool {
         matches!(self.state, MemberState::Loading | MemberState::Serving)
     }
 
-    /// Whether it may act as a member of its epoch now. The epoch lease alone is not enough: a controller that
-    /// cannot know what was cancelled must not go on renewing worker leases.
+    /// Whether this controller may act as a member of its epoch. Besides the epoch lease it needs a recent read of the
+    /// open jobs: without one it would go on renewing the worker leases of cancelled tasks.
     pub fn may_act(&self, now: Time) -> bool {
         self.state == MemberState::Serving
             && now < self.epoch_lease_until
             && now < self.cancellations_fresh_until
     }
 
-    /// For how long it knows enough of the open jobs to act, ms.
+    /// Time for which the last read of the open jobs remains recent enough to act on, ms.
     pub fn cancellations_fresh_for_ms(&self, now: Time) -> u64 {
         self.cancellations_fresh_until.since(now)
     }
 
-    /// A read of the open jobs sent at `sent_at` was answered.
+    /// Processes the response to a read of the open jobs that was sent at `sent_at`.
     pub fn open_jobs_read(&mut self, sent_at: Time) {
         self.cancellations_fresh_until = self
             .cancellations_fresh_until
             .max(sent_at + self.cancellation_staleness_ms);
     }
 
-    /// A request sent at `sent_at` has confirmed that the epoch is still the one known.
+    /// Extends the epoch lease: a request sent at `sent_at` confirmed that the epoch is still current.
     pub fn epoch_confirmed(&mut self, sent_at: Time) {
-        if self.in_epoch() {
+        if self.is_in_epoch() {
             self.epoch_lease_until = self.epoch_lease_until.max(sent_at + EPOCH_LEASE_MS);
         }
     }
 
-    /// The one place where the state changes.
+    /// Changes the state, and ends the epoch lease outside an epoch. All changes of the state go through here.
     fn set_state(&mut self, next: MemberState) {
         if self.state != next {
             tracing::info!(from = ?self.state, to = ?next, epoch = %self.fencing_token(), "member state changed");
             self.state = next;
         }
-        if !self.in_epoch() {
+        if !self.is_in_epoch() {
             self.epoch_lease_until = Time::default();
         }
     }
 
-    /// A lease was granted.
+    /// Processes the grant of a lease.
     pub fn lease_granted(&mut self, lease: u64) {
         self.lease = Some(lease);
-        self.key_version = None;
+        self.member_key_version = None;
         self.set_state(MemberState::Joining);
     }
 
-    /// The lease is gone, or its member key could not be written.
+    /// Processes the loss of the lease: it has expired, or its member key is missing or could not be written.
     pub fn lease_lost(&mut self) {
         self.lease = None;
         self.published_readiness = None;
-        self.key_version = None;
+        self.member_key_version = None;
         self.set_state(MemberState::NoLease);
     }
 
-    /// The write of the member key, once its present version is known.
+    /// Compare-and-swap that writes the member key; `None` until the key's version is read.
     pub fn member_key_write(&mut self) -> Option<CompareAndSwap> {
-        let (lease, version) = (self.lease?, self.key_version?);
-        self.readiness_being_written = self.ready;
+        let (lease, version) = (self.lease?, self.member_key_version?);
+        self.readiness_being_written = self.is_ready;
         let value = serde_json::json!({
             LEASE_FIELD: lease,
             READY_FIELD: self.readiness_being_written,
@@ -253,28 +254,28 @@
         Some(put_if_unchanged(key, version, value, Some(lease)))
     }
 
-    /// The member key is written as [`Membership::member_key_write`] last returned it.
+    /// Processes the commit of the write that [`Membership::member_key_write`] last returned.
     pub fn member_key_written(&mut self, version: Revision) {
         self.published_readiness = Some(self.readiness_being_written);
-        self.key_version = Some(version);
+        self.member_key_version = Some(version);
         if self.state == MemberState::Joining {
             self.set_state(MemberState::NotInEpoch);
         }
     }
 
-    /// The member key's version is not the one known.
+    /// Processes a conflict of the write of the member key: its version has to be read again.
     pub fn member_key_conflict(&mut self) {
-        self.key_version = None;
+        self.member_key_version = None;
     }
 
-    /// All records of the epoch are read.
+    /// Starts serving, once all records of the epoch are loaded.
     pub fn epoch_loaded(&mut self) {
         if self.state == MemberState::Loading {
             self.set_state(MemberState::Serving);
         }
     }
 
-    /// This incarnation of the controller; none without a lease.
+    /// This incarnation of the controller; `None` without a lease.
     fn member(&self) -> Option<Member> {
         self.lease.map(|lease| Member {
             name: self.name.clone(),
--- a/crates/worksshunt-core/src/membership/control_keys.rs
+++ b/crates/worksshunt-core/src/membership/control_keys.rs
@@ -1,4 +1,4 @@
-//! What a read of all control keys shows: who is alive, and which epoch there is.
+//! Processing of reads of the control keys: the live members and the current epoch.
 
 use serde_json::Value;
 use worksshunt_wire::key_value::{KeyValue, Listing};
@@ -12,21 +12,21 @@
 };
 use super::{MemberState, Membership, MembershipAction, StoredEpoch};
 
-/// Members whose member keys exist.
+/// Members whose member keys exist, in the order of the keys.
 #[derive(Debug, Default)]
 pub(super) struct LiveMembers {
     pub all: Vec<Member>,
-    /// Those that are not to own machines.
+    /// Members among them that are not ready to own machines; empty if none is ready.
     pub without_partition: Vec<Member>,
 }
 
-/// How the epoch that was read compares with the one known.
+/// Comparison of the epoch in a listing with the current epoch.
 enum EpochRead {
-    /// The read was overtaken by a later one.
+    /// The listing is older than the current epoch.
     Outdated,
-    /// There is another epoch, which is the one known from now on.
+    /// The listing holds a newer epoch, which became the current one.
     New,
-    /// It is the one known, or there is none yet.
+    /// The listing holds the current epoch, or none.
     Unchanged,
 }
 
@@ -36,9 +36,9 @@
         if self.predates_member_key(listing) {
             return MembershipAction::Unchanged;
         }
-        self.learn_key_version(listing);
+        self.read_member_key_version(listing);
         if matches!(self.state, MemberState::NoLease | MemberState::Joining)
-            || self.sees_first_release_members(listing)
+            || self.contains_first_release_members(listing)
         {
             return MembershipAction::Unchanged;
         }
@@ -47,7 +47,7 @@
         };
         let live = self.read_members(listing);
         if !live.all.contains(&me) {
-            return MembershipAction::MemberKeyGone;
+            return MembershipAction::MemberKeyMissing;
         }
         match self.process_epoch(sent_at, listing, &me) {
             EpochRead::Outdated => MembershipAction::Unchanged,
@@ -58,31 +58,34 @@
         }
     }
 
-    /// Whether the listing was read before the own member key was written, and answered after.
+    /// Whether the listing is older than the last write of this controller's member key.
     fn predates_member_key(&self, listing: &Listing) -> bool {
-        self.key_version
+        self.member_key_version
             .is_some_and(|version| listing.revision < version)
     }
 
-    /// Notes the version of the own member key, if it has to be known for the next write.
-    fn learn_key_version(&mut self, listing: &Listing) {
-        if self.key_version.is_none() && self.lease.is_some() {
+    /// Takes the version of this controller's member key from the listing, if the next write needs it.
+    fn read_member_key_version(&mut self, listing: &Listing) {
+        if self.member_key_version.is_none() && self.lease.is_some() {
             let pair = find(listing, &member_key(&self.name));
-            self.key_version = Some(pair.map_or(Revision(0), |pair| pair.version));
+            self.member_key_version = Some(pair.map_or(Revision(0), |pair| pair.version));
         }
     }
 
-    /// Whether members of the first release are left; logged when that changes.
-    fn sees_first_release_members(&mut self, listing: &Listing) -> bool {
+    /// Whether the listing contains members of the first release. Logs every change.
+    fn contains_first_release_members(&mut self, listing: &Listing) -> bool {
         let is_first_release = |pair: &KeyValue| pair.key.starts_with(FIRST_RELEASE_MEMBERS_PREFIX);
-        let seen = listing.pairs.iter().any(is_first_release);
-        if seen != std::mem::replace(&mut self.first_release_members_seen, seen) {
-            tracing::warn!(present = seen, "first-release members appeared or left");
+        let is_present = listing.pairs.iter().any(is_first_release);
+        if is_present != std::mem::replace(&mut self.has_first_release_members, is_present) {
+            tracing::warn!(
+                present = is_present,
+                "presence of first-release members changed; no epoch is entered or proposed while they are present"
+            );
         }
-        seen
+        is_present
     }
 
-    /// The members that are alive. Notes which of them support services.
+    /// Returns the live members, and records which controllers support services.
     fn read_members(&mut self, listing: &Listing) -> LiveMembers {
         let mut live = LiveMembers::default();
         for pair in &listing.pairs {
@@ -90,9 +93,9 @@
                 continue;
             };
             if pair.value.get(SERVICES_FIELD) == Some(&Value::Bool(true)) {
-                self.supports_services.insert(member.name.clone());
+                self.service_supporters.insert(member.name.clone());
             } else {
-                self.supports_services.remove(&member.name);
+                self.service_supporters.remove(&member.name);
             }
             if pair.value.get(READY_FIELD) == Some(&Value::Bool(false)) {
                 live.without_partition.push(member.clone());
@@ -100,30 +103,30 @@
             live.all.push(member);
         }
         if live.without_partition.len() == live.all.len() {
-            // Somebody has to own the machines.
+            // At least one member has to own machines.
             live.without_partition.clear();
         }
         live
     }
 
-    /// Applies the epoch that was read.
+    /// Applies the epoch in the listing.
     fn process_epoch(&mut self, sent_at: Time, listing: &Listing, me: &Member) -> EpochRead {
         let Some(stored) = read_epoch(listing) else {
             return EpochRead::Unchanged;
         };
-        let known = self.epoch.as_ref().map(|epoch| epoch.version);
-        // A read that was overtaken by a later one must not bring back an old epoch.
-        if known.is_some_and(|known| stored.version < known) {
+        let current_version = self.epoch.as_ref().map(|epoch| epoch.version);
+        // Responses may arrive out of order: an older one must not restore an earlier epoch.
+        if current_version.is_some_and(|version| stored.version < version) {
             return EpochRead::Outdated;
         }
-        if known != Some(stored.version) {
+        if current_version != Some(stored.version) {
             self.enter_epoch(sent_at, stored, me);
             return EpochRead::New;
         }
         self.epoch_confirmed(sent_at);
         tracing::debug!(
-            epoch = %self.fencing_token(), leads = self.is_leader(), revision = ?listing.revision, sent = ?sent_at,
-            "epoch confirmed by a read"
+            epoch = %self.fencing_token(), is_leader = self.is_leader(), revision = ?listing.revision, ?sent_at,
+            "epoch confirmed by a read of the control keys"
         );
         EpochRead::Unchanged
     }
@@ -132,12 +135,12 @@
         let record = &stored.record;
         tracing::info!(
             epoch = %record.number, leader = %record.leader.name,
-            members = record.members.len(), services = record.services, "new epoch"
+            members = record.members.len(), accepts_services = record.accepts_services, "new epoch read"
         );
         let is_member = record.members.contains(me);
         self.epoch = Some(stored);
         self.epoch_lease_until = Time::default();
-        // Loading starts anew in every epoch, also from Loading or Serving.
+        // Records are loaded anew in every epoch, also after Loading or Serving.
         let next_state = if is_member {
             MemberState::Loading
         } else {
@@ -152,7 +155,7 @@
     listing.pairs.iter().find(|pair| pair.key == key)
 }
 
-/// The member that a key identifies, if it is a member key.
+/// Reads a member key; `None` for other keys and values without a lease.
 fn read_member(pair: &KeyValue) -> Option<Member> {
     Some(Member {
         name: pair.key.strip_prefix(MEMBERS_PREFIX)?.into(),
@@ -160,7 +163,7 @@
     })
 }
 
-/// The epoch, if there is one that can be read.
+/// Reads the epoch; `None` if it is missing or malformed.
 fn read_epoch(listing: &Listing) -> Option<StoredEpoch> {
     let pair = find(listing, EPOCH_KEY)?;
     let record: EpochRecord = serde_json::from_value(pair.value.clone()).ok()?;
--- a/crates/worksshunt-core/src/membership/proposals.rs
+++ b/crates/worksshunt-core/src/membership/proposals.rs
@@ -1,4 +1,4 @@
-//! When the next epoch is written, and its content.
+//! Proposals of the next epoch: when a controller writes it, and its content.
 
 use worksshunt_wire::key_value::CompareAndSwap;
 use worksshunt_wire::{Epoch, Revision};
@@ -9,36 +9,36 @@
 use super::records::{put_if_unchanged, EpochRecord, Member, EPOCH_KEY};
 use super::Membership;
 
-/// A member that is alive but not in the epoch.
+/// A live member that is not in the epoch.
 #[derive(Debug)]
 pub(super) struct Candidate {
     member: Member,
-    /// Reads in a row that showed it.
-    reads: u32,
+    /// Consecutive reads of the control keys that contained its member key.
+    consecutive_reads: u32,
 }
 
 impl Membership {
-    /// The write of the next epoch, if this controller should write it: as the leader, or because the leader's
-    /// member key is gone.
+    /// Compare-and-swap that writes the next epoch with this controller as its leader. `None` unless there is no epoch,
+    /// the current leader's member key is missing, or this controller leads and the epoch's record is out of date.
     pub(super) fn propose_epoch(
         &mut self,
         me: &Member,
         live: &LiveMembers,
     ) -> Option<CompareAndSwap> {
-        let (number, version, services) = match &self.epoch {
+        let (number, version, accepts_services) = match &self.epoch {
             None => (Epoch(1), Revision(0), self.all_support_services()),
             Some(epoch) => {
-                let present = &epoch.record;
-                let leader_alive = live.all.contains(&present.leader);
-                if leader_alive && present.leader != *me {
+                let current = &epoch.record;
+                let is_leader_alive = live.all.contains(&current.leader);
+                if is_leader_alive && current.leader != *me {
                     return None;
                 }
-                self.candidates = next_candidates(&self.candidates, present, live);
-                let services = self.next_services(present, live);
-                if leader_alive && !self.is_superseded(present, live, services) {
+                self.candidates = next_candidates(&self.candidates, current, live);
+                let accepts_services = self.next_epoch_accepts_services(current, live);
+                if is_leader_alive && !self.is_outdated(current, live, accepts_services) {
                     return None;
                 }
-                (Epoch(present.number.0 + 1), epoch.version, services)
+                (Epoch(current.number.0 + 1), epoch.version, accepts_services)
             }
         };
         let record = EpochRecord {
@@ -46,57 +46,65 @@
             leader: me.clone(),
             members: live.all.clone(),
             without_partition: live.without_partition.clone(),
-            services,
+            accepts_services,
         };
         let value = serde_json::to_value(record).ok()?;
         Some(put_if_unchanged(EPOCH_KEY.to_owned(), version, value, None))
     }
 
-    /// Whether something has changed that the epoch's record should contain, or its attempts are exhausted.
-    fn is_superseded(&self, present: &EpochRecord, live: &LiveMembers, services: bool) -> bool {
-        let members = &present.members;
-        let member_left = members.iter().any(|member| !live.all.contains(member));
-        let admits = |candidate: &Candidate| candidate.reads >= ADMIT_AFTER_READS;
-        // Readiness of members that the epoch does not have yet is no reason for another one.
+    /// Whether the epoch's record no longer matches the live members, or its attempt numbers are used up.
+    fn is_outdated(
+        &self,
+        current: &EpochRecord,
+        live: &LiveMembers,
+        accepts_services: bool,
+    ) -> bool {
+        let members = &current.members;
+        let has_member_left = members.iter().any(|member| !live.all.contains(member));
+        let is_admissible =
+            |candidate: &Candidate| candidate.consecutive_reads >= ADMIT_AFTER_READS;
+        // The readiness of candidates does not count: they are not in the record yet.
         let not_ready = live.without_partition.iter();
-        let known_not_ready = not_ready.filter(|member| members.contains(member));
-        let readiness_changed = !known_not_ready.eq(present.without_partition.iter());
-        member_left
-            || self.candidates.iter().any(admits)
-            || readiness_changed
-            || services != present.services
-            || self.exhausted_epoch == present.number
+        let members_not_ready = not_ready.filter(|member| members.contains(member));
+        let has_readiness_changed = !members_not_ready.eq(current.without_partition.iter());
+        has_member_left
+            || self.candidates.iter().any(is_admissible)
+            || has_readiness_changed
+            || accepts_services != current.accepts_services
+            || self.exhausted_epoch == current.number
     }
 
     fn all_support_services(&self) -> bool {
-        self.deployment.is_subset(&self.supports_services)
+        self.all_controllers.is_subset(&self.service_supporters)
     }
 
-    /// Whether the next epoch accepts services. Once accepted they are so until a controller that does not support
-    /// them returns.
-    fn next_services(&self, present: &EpochRecord, live: &LiveMembers) -> bool {
-        let supports = |member: &Member| self.supports_services.contains(&member.name);
-        self.all_support_services() || (present.services && live.all.iter().all(supports))
+    /// Whether the next epoch accepts services: all controllers support them, or the current epoch accepts them and
+    /// all live members support them.
+    fn next_epoch_accepts_services(&self, current: &EpochRecord, live: &LiveMembers) -> bool {
+        let supports_services = |member: &Member| self.service_supporters.contains(&member.name);
+        self.all_support_services()
+            || (current.accepts_services && live.all.iter().all(supports_services))
     }
 }
 
-/// Members that are alive but not in the epoch, with the reads in a row that showed them.
+/// Live members that are not in the epoch, with their consecutive reads counted on from `candidates`.
 fn next_candidates(
     candidates: &[Candidate],
-    present: &EpochRecord,
+    current: &EpochRecord,
     live: &LiveMembers,
 ) -> Vec<Candidate> {
     let reads_before = |member: &Member| {
-        let seen = candidates.iter().find(|seen| seen.member == *member);
-        seen.map_or(0, |seen| seen.reads)
+        let mut candidates = candidates.iter();
+        let candidate = candidates.find(|candidate| candidate.member == *member);
+        candidate.map_or(0, |candidate| candidate.consecutive_reads)
     };
-    let not_in_epoch = |member: &&Member| !present.members.contains(member);
+    let not_in_epoch = |member: &&Member| !current.members.contains(member);
     live.all
         .iter()
         .filter(not_in_epoch)
         .map(|member| Candidate {
             member: member.clone(),
-            reads: reads_before(member) + 1,
+            consecutive_reads: reads_before(member) + 1,
         })
         .collect()
 }
--- a/crates/worksshunt-core/src/membership/records.rs
+++ b/crates/worksshunt-core/src/membership/records.rs
@@ -1,4 +1,4 @@
-//! The control keys: their names, and the form of their values.
+//! Names and values of the control keys.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -11,23 +11,23 @@
 pub const EPOCH_KEY: &str = "c/epoch";
 /// Prefix of the member keys.
 pub(super) const MEMBERS_PREFIX: &str = "c/n/";
-/// Prefix of the member keys of the first release, whose records and messages differ. The two must
-/// not act together: this one waits until no such member is left.
+/// Prefix of the member keys of the first release, whose records and messages are incompatible. A controller of this
+/// release joins no epoch while such keys exist.
 pub(super) const FIRST_RELEASE_MEMBERS_PREFIX: &str = "c/m/";
 
-/// Field of a member key: the lease it is attached to.
+/// Field of a member key: the lease that it is attached to.
 pub(super) const LEASE_FIELD: &str = "hold";
 /// Field of a member key: whether the controller is ready to own machines.
 pub(super) const READY_FIELD: &str = "reached";
 /// Field of a member key: whether the controller supports services.
 pub(super) const SERVICES_FIELD: &str = "standing";
 
-/// Key of a controller's membership.
+/// Member key of a controller.
 pub fn member_key(name: &ControllerName) -> String {
     format!("{MEMBERS_PREFIX}{name}")
 }
 
-/// The write of one key, conditional on its version; attached to a lease, if there is one.
+/// Compare-and-swap of one key, conditional on its version; 0 if it must not exist. Attaches it to `lease`, if any.
 pub(super) fn put_if_unchanged(
     key: String,
     version: Revision,
@@ -46,38 +46,37 @@
 /// One incarnation of a controller.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Controller name.
     pub name: ControllerName,
-    /// The lease of the key-value store that its member key is attached to.
+    /// Lease of the key-value store that the member key is attached to.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// An epoch as stored.
+/// Stored form of an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Its number, which is the fencing token.
+    /// Number of the epoch, which is the fencing token.
     pub number: Epoch,
-    /// The leader.
+    /// Leader, also listed in `members`.
     pub leader: Member,
-    /// All members, the leader among them, by name.
+    /// All members, ordered by name.
     pub members: Vec<Member>,
-    /// Members that own no machines: workers do not reach them, or the leader does not answer them.
+    /// Members that own no machines, because workers cannot reach them or the leader does not answer them.
     #[serde(default, rename = "unreached")]
     pub without_partition: Vec<Member>,
-    /// Whether every controller of the deployment has been seen to support services, so that a service cannot
-    /// meet one that does not. A version that does not know the field leaves it out of the next epoch, after
-    /// which no more services are accepted.
+    /// Whether jobs of kind service are accepted, because every controller of the deployment supports them. A leader of
+    /// a version without this field omits it from the next epoch, which then accepts no services.
     #[serde(
         default,
         rename = "standing",
         skip_serializing_if = "std::ops::Not::not"
     )]
-    pub services: bool,
+    pub accepts_services: bool,
 }
 
 impl EpochRecord {
-    /// Names of the members that own machines.
+    /// Names of the members that own machines, in the order of `members`.
     pub fn partition_owners(&self) -> Vec<ControllerName> {
         self.members
             .iter()
--- a/crates/worksshunt-core/src/membership/tests.rs
+++ b/crates/worksshunt-core/src/membership/tests.rs
@@ -12,21 +12,20 @@
     }
 }
 
-// Guards against a controller that leaves because a read that was in flight while its member key was written does
-// not show the key.
+// Guards against a controller that rejoins because a read older than its member key does not contain the key.
 #[test]
-fn a_read_from_before_the_member_key_does_not_show_it_gone() {
+fn a_read_older_than_the_member_key_is_ignored() {
     let mut membership = Membership::new("estiba-0".into(), std::iter::empty(), 10_000);
     membership.lease_granted(7);
     assert!(
         membership.member_key_write().is_none(),
-        "its version is not known"
+        "the version of the key is not read yet"
     );
     membership.process_control_keys(Time(10), &listing(4, Vec::new()));
     assert!(membership.member_key_write().is_some());
     membership.member_key_written(Revision(5));
-    let early = membership.process_control_keys(Time(20), &listing(4, Vec::new()));
-    assert_eq!(early, MembershipAction::Unchanged);
-    let gone = membership.process_control_keys(Time(30), &listing(6, Vec::new()));
-    assert_eq!(gone, MembershipAction::MemberKeyGone);
+    let older = membership.process_control_keys(Time(20), &listing(4, Vec::new()));
+    assert_eq!(older, MembershipAction::Unchanged);
+    let newer = membership.process_control_keys(Time(30), &listing(6, Vec::new()));
+    assert_eq!(newer, MembershipAction::MemberKeyMissing);
 }
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -1,5 +1,5 @@
-//! Service-level objectives: what users expect of each class of jobs, as the settings state it, and the
-//! times that follow for a job. The leader's scheduler owns them and orders jobs by them.
+//! Service-level objectives of the classes of jobs, from the settings, and the start times that they imply for a job.
+//! The leader's scheduler orders jobs by them.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 use crate::constants::scheduling::{GUARANTEE_LEAD_S, OBJECTIVE_AT_RISK_S};
 use crate::jobs::Job;
 
-/// Milliseconds of a second.
+/// Milliseconds per second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// The objectives of one class of jobs.
+/// Objectives of one class of jobs.
 #[derive(Debug, Clone, Default)]
 struct ClassObjectives {
-    /// Multiples of the job's deadline by which it should be done.
+    /// Multiples of the time to a job's deadline within which the job should be complete.
     deadline_factors: Vec<f64>,
-    /// Seconds after acceptance within which it should be done.
+    /// Seconds from acceptance within which a job should be complete.
     finish_within_s: Vec<f64>,
-    /// Seconds after acceptance within which its tasks should start.
+    /// Seconds from acceptance within which a job's tasks should start; `None` without such an objective.
     start_within_s: Option<f64>,
 }
 
@@ -34,19 +34,20 @@
     }
 }
 
-/// The objectives by class.
+/// Objectives of all classes.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceLevelObjectives {
     classes: BTreeMap<String, ClassObjectives>,
-    /// Seconds within which work within a guarantee should start.
+    /// Seconds from acceptance within which tasks within a team's guarantee should start, in all classes; `None`
+    /// without such an objective.
     guarantee_within_s: Option<f64>,
 }
 
 impl ServiceLevelObjectives {
-    /// Reads the settings' list. Objectives of kinds that concern no scheduling are skipped.
-    pub fn new(list: &[Objective]) -> ServiceLevelObjectives {
+    /// Objectives in the settings. Those of kinds that do not affect scheduling are skipped.
+    pub fn new(settings: &[Objective]) -> ServiceLevelObjectives {
         let mut objectives = ServiceLevelObjectives::default();
-        for objective in list {
+        for objective in settings {
             if objective.kind == "guarantee" {
                 objectives.guarantee_within_s = objective.within_s;
             }
@@ -62,7 +63,7 @@
         self.classes.get(&job.spec.class)
     }
 
-    /// Seconds after acceptance by which a task of the job has to start, for each of the job's objectives.
+    /// Latest start of the job's tasks that meets an objective, seconds from acceptance, for each objective of the job.
     fn latest_starts_s(&self, job: &Job) -> Vec<f64> {
         let class = self.class_of(job);
         let mut finish_within_s = class.map_or(Vec::new(), |class| class.finish_within_s.clone());
@@ -80,9 +81,9 @@
             .collect()
     }
 
-    /// Whether an objective of the job can still be met, but not for much longer if its tasks go on
-    /// waiting. A job without objectives is always at risk. `is_guaranteed`: whether the job's next
-    /// task is within its team's guarantee; `wall_ms` is the time of day, milliseconds since 1970.
+    /// Whether the latest start for an objective of the job is at most [`OBJECTIVE_AT_RISK_S`] ahead and not past. A
+    /// job without objectives is always at risk. `is_guaranteed` is whether its team's guarantee covers its next
+    /// task; `wall_ms` is the wall-clock time, milliseconds since 1970.
     pub fn is_at_risk(&self, job: &Job, wall_ms: u64, is_guaranteed: bool) -> bool {
         let age_s = age_s(job, wall_ms);
         let mut latest_starts_s = self.latest_starts_s(job);
@@ -93,17 +94,17 @@
         latest_starts_s.is_empty() || latest_starts_s.iter().any(is_near)
     }
 
-    /// Whether a job within its team's guarantee has waited nearly as long as that allows. `wall_ms` is the
-    /// time of day, milliseconds since 1970.
+    /// Whether a job within its team's guarantee has at most [`GUARANTEE_LEAD_S`] left to start, or is past that time;
+    /// always true without an objective for guarantees. `wall_ms` is the wall-clock time, milliseconds since 1970.
     pub fn is_guarantee_at_risk(&self, job: &Job, wall_ms: u64) -> bool {
         let age_s = age_s(job, wall_ms);
         self.guarantee_within_s
             .is_none_or(|within_s| age_s >= within_s - GUARANTEE_LEAD_S)
     }
 
-    /// The time that decides among jobs of one priority, milliseconds since 1970: its deadline; where its
-    /// tasks are expected to start in time, its latest start. By deadline long jobs wait for shorter ones
-    /// that come much later whenever there is more work than capacity, but fewer jobs miss it.
+    /// Sort key among jobs of one priority, milliseconds since 1970: the latest start for a class with a start
+    /// objective, the deadline for other classes; `None` for a job without a deadline. Under overload, ordering by
+    /// deadline delays long jobs in favor of shorter ones submitted later, but fewer jobs miss their deadlines.
     pub fn ordering_time_ms(&self, job: &Job) -> Option<u64> {
         match self.class_of(job).and_then(|class| class.start_within_s) {
             Some(_) => job.latest_start_ms(),
@@ -111,8 +112,8 @@
         }
     }
 
-    /// The last time at which a task of the job can start for any of the job's objectives to be met,
-    /// milliseconds since 1970; none where it has none.
+    /// Time after which a start of the job's tasks meets none of its objectives, milliseconds since 1970; `None` for a
+    /// job without objectives.
     pub fn last_start_ms(&self, job: &Job) -> Option<u64> {
         let last_s = self
             .latest_starts_s(job)
@@ -121,8 +122,8 @@
         Some(job.accepted_ms + (last_s.max(0.0) * MS_PER_S) as u64)
     }
 
-    /// Seconds a task of the job may wait, counted from acceptance, for the first of the job's objectives
-    /// to be met.
+    /// Seconds from acceptance that the job's tasks may wait without missing any objective ([`DEFAULT_SLACK_S`] without
+    /// objectives), clamped to the range from [`MIN_SLACK_S`] to [`MAX_SLACK_S`].
     pub fn slack_s(&self, job: &Job) -> f64 {
         self.latest_starts_s(job)
             .into_iter()
@@ -131,17 +132,17 @@
             .clamp(MIN_SLACK_S, MAX_SLACK_S)
     }
 
-    /// Classes whose tasks should start sooner than after `seconds`.
+    /// Classes whose tasks should start in less than `seconds` from acceptance.
     pub fn classes_starting_within(&self, seconds: f64) -> impl Iterator<Item = &String> {
-        let is_sooner = move |start_s: f64| start_s < seconds;
+        let is_within = move |start_within_s: f64| start_within_s < seconds;
         self.classes
             .iter()
-            .filter(move |(_, class)| class.start_within_s.is_some_and(is_sooner))
+            .filter(move |(_, class)| class.start_within_s.is_some_and(is_within))
             .map(|(name, _)| name)
     }
 }
 
-/// Seconds since a job was accepted.
+/// Seconds since the job was accepted.
 fn age_s(job: &Job, wall_ms: u64) -> f64 {
     wall_ms.saturating_sub(job.accepted_ms) as f64 / MS_PER_S
 }
--- a/crates/worksshunt-core/src/partitioning.rs
+++ b/crates/worksshunt-core/src/partitioning.rs
@@ -1,17 +1,19 @@
-//! Which partition a machine belongs to.
+//! Partitioning of the machines among the controllers of an epoch by rendezvous hashing.
 //!
-//! Rendezvous hashing assigns each machine to one of the partition owners of an epoch. Every controller computes the
-//! same assignment from the names alone: the controller to accept or redirect heartbeats and to load its records, the
-//! leader to know the owner of a machine.
+//! Every controller computes the same assignment from names alone. Controllers use it to accept or redirect heartbeats
+//! and to load the records of their machines, the leader to find the owner of a machine.
 
 use std::hash::Hasher;
 
 use worksshunt_wire::{ControllerName, MachineId};
 
-/// The controller, of those that own partitions (`owners`), that owns a machine; none if there are none.
+/// The controller among `owners` that owns the machine; `None` if `owners` is empty.
 ///
-/// A change of the owners moves only the machines of those that left or joined.
-pub fn owner<'a>(machine: &MachineId, owners: &'a [ControllerName]) -> Option<&'a ControllerName> {
+/// When an owner leaves or joins, only the machines that it owned or will own are reassigned.
+pub fn partition_owner<'a>(
+    machine: &MachineId,
+    owners: &'a [ControllerName],
+) -> Option<&'a ControllerName> {
     owners.iter().max_by_key(|owner| {
         let mut hash = Fnv::default();
         hash.write(machine.0.as_bytes());
@@ -21,8 +23,8 @@
     })
 }
 
-/// FNV-1a: partitioning needs a hash that is the same in every process and release, which the
-/// standard library's default hasher does not promise.
+/// FNV-1a hash. Partitioning needs a hash that is the same in every process and release, which the standard library's
+/// default hasher does not guarantee.
 struct Fnv(u64);
 
 impl Fnv {
@@ -48,8 +50,8 @@
     }
 }
 
-/// Spreads a hash's low bits over all of it (the finalizer of SplitMix64), without which names that differ only in
-/// their last letter would rank alike for every machine.
+/// Finalizer of SplitMix64, which spreads the low bits of a hash over all bits. Without it, names that differ only in
+/// their last letter would rank in the same order for every machine.
 fn mix(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/worksshunt-core/src/partitioning/tests.rs
+++ b/crates/worksshunt-core/src/partitioning/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn a_lost_owner_moves_only_its_own_machines() {
+fn when_an_owner_leaves_only_its_machines_move() {
     let three: Vec<ControllerName> = ["estiba-0", "estiba-1", "estiba-2"]
         .map(ControllerName::from)
         .into();
@@ -13,10 +13,10 @@
     let mut counts = BTreeMap::new();
     for n in 0..300 {
         let machine = MachineId(format!("i-{n:06}"));
-        let before = owner(&machine, &three).expect("an owner");
+        let before = partition_owner(&machine, &three).expect("an owner");
         *counts.entry(before.clone()).or_insert(0) += 1;
         if *before != three[2] {
-            assert_eq!(owner(&machine, &two), Some(before));
+            assert_eq!(partition_owner(&machine, &two), Some(before));
         }
     }
     assert!(counts.values().all(|n| *n > 60), "{counts:?}");
--- a/crates/worksshunt-core/src/placement.rs
+++ b/crates/worksshunt-core/src/placement.rs
@@ -1,8 +1,10 @@
-//! The design's placement rule: the most utilized capable machine takes the task, else any fitting one.
+//! Placement by measured speed: the most utilized machine that is fast enough for a task takes it, else the most
+//! utilized one whose free resources fit it.
 //!
-//! Pure rules without state of their own; the [partition](crate::machines) applies them to its machines and keeps the
-//! measured [`Speed`]s and the counts of [`OverCapacity`] placements. See `docs/design.md` for what comes from the
-//! paper and what is ours.
+//! A machine's *capacity* is the estimated work that it finishes within a window, at its measured speed. A machine is
+//! *capable* of a task if its capacity is at least the task's estimate; a task on any other machine is an
+//! *over-capacity* placement. The rules here have no state: the [partition](crate::machines) applies them to its
+//! machines, and owns the measured [`Speed`]s and the [`OverCapacityCounts`].
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,106 +16,105 @@
 };
 use crate::constants::timers::OVER_CAPACITY_SUMMARY_INTERVAL_MS;
 
-// Its callers in the controller and the scheduler import it from here.
-
-/// The design's open parameters.
+/// Parameters of placement, from the options file.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Parameters {
-    /// Window in which a capable machine finishes a task, seconds.
+pub struct PlacementParameters {
+    /// Window within which a capable machine finishes a task, seconds.
     pub window_s: f64,
-    /// Speed of an unmeasured machine, seconds of estimated work per second.
+    /// Assumed speed of a machine without measurements, seconds of estimated work per second.
     pub start_speed: f64,
-    /// Upper bounds of the size bands, seconds of estimated work, ascending.
+    /// Inclusive upper bounds of the size bands, seconds of estimated work, ascending. Larger tasks form one more band.
     pub size_bands_s: Vec<f64>,
-    /// Milliseconds between over-capacity summaries.
-    pub summary_every_ms: u64,
+    /// Interval between log lines with the over-capacity counts, ms.
+    pub summary_interval_ms: u64,
 }
 
-impl Default for Parameters {
-    fn default() -> Parameters {
-        Parameters {
+impl Default for PlacementParameters {
+    fn default() -> PlacementParameters {
+        PlacementParameters {
             window_s: SPEED_WINDOW_S,
             start_speed: START_SPEED,
             size_bands_s: SIZE_BANDS_S.to_vec(),
-            summary_every_ms: OVER_CAPACITY_SUMMARY_INTERVAL_MS,
+            summary_interval_ms: OVER_CAPACITY_SUMMARY_INTERVAL_MS,
         }
     }
 }
 
-impl Parameters {
-    /// Capacity of a machine of that speed: the estimated work that it finishes within the window, seconds.
+impl PlacementParameters {
+    /// Capacity of a machine of this speed, whole seconds of estimated work.
     pub fn capacity(&self, speed: f64) -> f64 {
         (speed * self.window_s).floor()
     }
 
-    /// Index of the size band of a task with that much estimated work, seconds.
+    /// Index of the size band of a task with an estimate of `estimate_s` seconds.
     pub fn size_band(&self, estimate_s: f64) -> usize {
         self.size_bands_s
             .iter()
-            .position(|bound| estimate_s <= *bound)
+            .position(|upper_bound| estimate_s <= *upper_bound)
             .unwrap_or(self.size_bands_s.len())
     }
 
-    /// The name of a size band in summaries.
-    fn size_band_name(&self, band: usize) -> String {
-        match (self.size_bands_s.get(band), self.size_bands_s.last()) {
-            (Some(bound), _) => format!("<={bound}s"),
+    /// Name of a size band in summaries.
+    fn size_band_name(&self, size_band: usize) -> String {
+        match (self.size_bands_s.get(size_band), self.size_bands_s.last()) {
+            (Some(upper_bound), _) => format!("<={upper_bound}s"),
             (None, Some(last)) => format!(">{last}s"),
             (None, None) => "all".to_owned(),
         }
     }
 }
 
-/// A machine's measured speed: seconds of estimated work finished per second for which the machine was held.
+/// Measured speed of a machine: a moving average of the seconds of estimated work finished per second of allocation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Speed(Option<f64>);
 
 impl Speed {
-    /// Nothing measured yet.
+    /// Speed of a machine without measurements.
     pub const UNMEASURED: Speed = Speed(None);
 
-    /// The measured speed, or `start_speed` if nothing was measured yet.
+    /// The measured speed, or `start_speed` without measurements.
     pub fn value(self, start_speed: f64) -> f64 {
         self.0.unwrap_or(start_speed)
     }
 
-    /// Records a completed task of `estimate_s` seconds of estimated work that held the machine for `held_s` seconds.
-    /// A measurement replaces the assumed speed gradually.
-    pub fn record_measurement(&mut self, estimate_s: f64, held_s: f64, start_speed: f64) {
-        if held_s > 0.0 && estimate_s > 0.0 {
-            let before = self.value(start_speed);
-            self.0 = Some(before + SPEED_SMOOTHING_FACTOR * (estimate_s / held_s - before));
+    /// Adds a measurement to the moving average, which begins at `start_speed`: a task with an estimate of `estimate_s`
+    /// seconds was completed `allocated_s` seconds after its placement on the machine.
+    pub fn record_measurement(&mut self, estimate_s: f64, allocated_s: f64, start_speed: f64) {
+        if allocated_s > 0.0 && estimate_s > 0.0 {
+            let previous = self.value(start_speed);
+            self.0 =
+                Some(previous + SPEED_SMOOTHING_FACTOR * (estimate_s / allocated_s - previous));
         }
     }
 }
 
-/// A machine whose free resources fit the task in question.
+/// A machine whose free resources fit the task to be placed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate<'a> {
-    /// The machine.
+    /// Id of the machine.
     pub id: &'a MachineId,
-    /// Its capacity, seconds of estimated work.
+    /// Capacity of the machine, seconds of estimated work.
     pub capacity: f64,
 }
 
 /// The machine chosen for a task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// Whether the estimated work exceeds the machine's capacity.
-    pub over_capacity: bool,
+    /// Whether the task's estimate exceeds the machine's capacity.
+    pub is_over_capacity: bool,
 }
 
-/// Chooses the most utilized capable machine, or the most utilized fitting one when none is capable. The
-/// candidates are ordered by utilization, the highest first, equals by name.
-pub fn choose<'a>(
+/// Chooses the first capable candidate, or the first candidate if none is capable; `None` without candidates. The
+/// caller orders the candidates by utilization, highest first, and by name among equals.
+pub fn choose_machine<'a>(
     estimate_s: f64,
     candidates: impl Iterator<Item = Candidate<'a>>,
 ) -> Option<Choice> {
-    let choice = |machine: &MachineId, over_capacity| Choice {
+    let choice = |machine: &MachineId, is_over_capacity| Choice {
         machine: machine.clone(),
-        over_capacity,
+        is_over_capacity,
     };
     let mut first_fitting = None;
     for candidate in candidates {
@@ -125,14 +126,14 @@
     first_fitting.map(|id| choice(id, true))
 }
 
-/// How the attempt of an over-capacity placement ended.
+/// Outcome of the attempt of an over-capacity placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OverCapacityOutcome {
     /// The task completed.
     Completed,
     /// The task failed.
-    Faulted,
-    /// The task was stopped or its machine lost.
+    Failed,
+    /// The attempt was stopped, or its machine was lost.
     Aborted,
 }
 
@@ -140,41 +141,42 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             OverCapacityOutcome::Completed => "completed",
-            OverCapacityOutcome::Faulted => "faulted",
+            OverCapacityOutcome::Failed => "failed",
             OverCapacityOutcome::Aborted => "aborted",
         })
     }
 }
 
-/// Counts of over-capacity placements since the last summary, by size band.
+/// Counts of over-capacity placements and of their outcomes since the last summary, by size band.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct OverCapacity {
-    placed: BTreeMap<usize, u32>,
-    ended: BTreeMap<(usize, OverCapacityOutcome), u32>,
+pub struct OverCapacityCounts {
+    placements: BTreeMap<usize, u32>,
+    outcomes: BTreeMap<(usize, OverCapacityOutcome), u32>,
 }
 
-impl OverCapacity {
+impl OverCapacityCounts {
     /// Counts a placement.
-    pub fn placed(&mut self, band: usize) {
-        *self.placed.entry(band).or_default() += 1;
+    pub fn count_placement(&mut self, size_band: usize) {
+        *self.placements.entry(size_band).or_default() += 1;
     }
 
-    /// Counts the end of a placement that was counted as over capacity.
-    pub fn ended(&mut self, band: usize, outcome: OverCapacityOutcome) {
-        *self.ended.entry((band, outcome)).or_default() += 1;
+    /// Counts the outcome of a counted placement.
+    pub fn count_outcome(&mut self, size_band: usize, outcome: OverCapacityOutcome) {
+        *self.outcomes.entry((size_band, outcome)).or_default() += 1;
     }
 
-    /// One line about everything counted, after which counting starts anew.
-    pub fn summary(&mut self, parameters: &Parameters) -> String {
+    /// Returns the counts as text for a log line, and resets them.
+    pub fn take_summary(&mut self, parameters: &PlacementParameters) -> String {
         let counts = std::mem::take(self);
-        let placed = counts
-            .placed
-            .iter()
-            .map(|(band, count)| format!("{} placed={count}", parameters.size_band_name(*band)));
-        let ended = counts.ended.iter().map(|((band, outcome), count)| {
-            format!("{} {outcome}={count}", parameters.size_band_name(*band))
+        let placements = counts.placements.iter().map(|(size_band, count)| {
+            let name = parameters.size_band_name(*size_band);
+            format!("{name} placed={count}")
+        });
+        let outcomes = counts.outcomes.iter().map(|((size_band, outcome), count)| {
+            let name = parameters.size_band_name(*size_band);
+            format!("{name} {outcome}={count}")
         });
-        let entries: Vec<String> = placed.chain(ended).collect();
+        let entries: Vec<String> = placements.chain(outcomes).collect();
         if entries.is_empty() {
             "none".to_owned()
         } else {
--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -1,7 +1,7 @@
-//! Teams' quotas: what each team is guaranteed, what it may use at most, and what it uses.
+//! Quotas of teams: guarantee, limit and usage.
 //!
-//! The leader's scheduler owns one [`Quota`] and charges every active attempt to it; copies of it serve to
-//! try out preemptions and to compute the demand. Every controller has one without usage to check submissions.
+//! The leader's scheduler has a [`Quota`] and charges every active attempt to it; it evaluates preemptions and demand
+//! on copies. Every controller has a [`Quota`] without usage for the validation of submissions.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,11 +12,10 @@
 use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::jobs::Job;
 
-/// The resources that quotas count.
+/// Resources that count against quotas.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct QuotaResources {
     cpus: f64,
-    /// Accelerators.
     gpus: f64,
 }
 
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Infinite where there is no limit.
+    /// The team's limit; infinite for resources without one.
     fn limit_of(team: &Team) -> QuotaResources {
         let limits = team.limits();
         QuotaResources {
@@ -37,34 +36,35 @@
         }
     }
 
-    /// Adds what `tasks` tasks of the job use.
+    /// Adds the resources of `tasks` tasks of the job.
     fn add(&mut self, job: &Job, tasks: u32) {
         self.cpus += job.spec.cpus * f64::from(tasks);
         self.gpus += job.spec.gpus * f64::from(tasks);
     }
 
-    /// Subtracts what one task of the job uses.
+    /// Subtracts the resources of one task of the job, down to zero.
     fn subtract(&mut self, job: &Job) {
         self.cpus = (self.cpus - job.spec.cpus).max(0.0);
         self.gpus = (self.gpus - job.spec.gpus).max(0.0);
     }
 
-    /// Whether it is more than `bound` of either.
-    fn exceeds(&self, bound: &QuotaResources) -> bool {
-        self.cpus > bound.cpus + ROUNDING_TOLERANCE || self.gpus > bound.gpus + ROUNDING_TOLERANCE
+    /// Whether any of the resources exceeds its maximum.
+    fn exceeds(&self, maximum: &QuotaResources) -> bool {
+        self.cpus > maximum.cpus + ROUNDING_TOLERANCE
+            || self.gpus > maximum.gpus + ROUNDING_TOLERANCE
     }
 }
 
-/// What teams may use and do use.
+/// Quotas of all teams, with their usage and reservations.
 #[derive(Debug, Clone, Default)]
 pub struct Quota {
     teams: BTreeMap<TeamName, Team>,
     used: BTreeMap<TeamName, QuotaResources>,
-    /// What is reserved for starved tasks.
+    /// Resources reserved for starved tasks.
     reserved: BTreeMap<TeamName, QuotaResources>,
 }
 
-/// Processors in use by team.
+/// Formats the processors in use by team, for logs.
 impl std::fmt::Display for Quota {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (i, (name, used)) in self.used.iter().enumerate() {
@@ -76,7 +76,7 @@
 }
 
 impl Quota {
-    /// The teams' quotas from the settings, with nothing in use.
+    /// Quotas of the teams in the settings, without usage.
     pub fn new(teams: &[Team]) -> Quota {
         Quota {
             teams: teams
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The same quotas with nothing in use.
+    /// The same quotas without usage and reservations.
     pub fn without_usage(&self) -> Quota {
         Quota {
             teams: self.teams.clone(),
@@ -95,60 +95,62 @@
         }
     }
 
-    /// The team of that name.
+    /// Settings of the team; `None` if it is unknown.
     pub fn team(&self, name: &TeamName) -> Option<&Team> {
         self.teams.get(name)
     }
 
-    /// Processors guaranteed to all teams together.
+    /// Sum of the processors guaranteed to the teams.
     pub fn guaranteed_cpus(&self) -> f64 {
         self.teams.values().map(|team| team.cpus).sum()
     }
 
-    /// Whether one more task of the job keeps its team within its limit.
+    /// Whether the team's limit admits one more task of the job.
     pub fn admits_one_more(&self, job: &Job) -> bool {
         self.tasks_within_limit(job) > 0
     }
 
-    /// How many more tasks of the job its team's limit admits beside what is reserved.
+    /// Number of further tasks of the job that its team's limit admits, besides usage and reservations.
     pub fn tasks_within_limit(&self, job: &Job) -> u32 {
         let reserved = self.reserved(&job.spec.team);
         self.remaining_tasks(job, reserved, QuotaResources::limit_of)
     }
 
-    /// How many more tasks of the job its team's limit admits: for a job that resources are reserved for.
+    /// Number of further tasks of the job that its team's limit admits, besides usage only. For a job that has a
+    /// reservation itself.
     pub fn tasks_within_limit_ignoring_reservations(&self, job: &Job) -> u32 {
-        let reserved = QuotaResources::default();
-        self.remaining_tasks(job, reserved, QuotaResources::limit_of)
+        let no_reservation = QuotaResources::default();
+        self.remaining_tasks(job, no_reservation, QuotaResources::limit_of)
     }
 
-    /// Whether one more task of the job keeps its team within its guarantee.
+    /// Whether the team's guarantee covers one more task of the job.
     pub fn guarantees_one_more(&self, job: &Job) -> bool {
         self.tasks_within_guarantee(job) > 0
     }
 
-    /// How many more tasks of the job its team's guarantee covers beside what is reserved.
+    /// Number of further tasks of the job that its team's guarantee covers, besides usage and reservations.
     pub fn tasks_within_guarantee(&self, job: &Job) -> u32 {
         let reserved = self.reserved(&job.spec.team);
         self.remaining_tasks(job, reserved, QuotaResources::guarantee_of)
     }
 
-    /// How many more tasks of the job fit below its team's bound beside what is used and reserved.
+    /// Number of further tasks of the job that fit into the team's maximum, besides its usage and `reserved`; 0 for an
+    /// unknown team.
     fn remaining_tasks(
         &self,
         job: &Job,
         reserved: QuotaResources,
-        bound_of: impl Fn(&Team) -> QuotaResources,
+        maximum_of: impl Fn(&Team) -> QuotaResources,
     ) -> u32 {
         let Some(team) = self.teams.get(&job.spec.team) else {
             return 0;
         };
-        let bound = bound_of(team);
+        let maximum = maximum_of(team);
         let mut used = self.used(&job.spec.team);
         used.cpus += reserved.cpus;
         used.gpus += reserved.gpus;
-        let by_cpus = tasks_that_fit(bound.cpus - used.cpus, job.spec.cpus);
-        let by_gpus = tasks_that_fit(bound.gpus - used.gpus, job.spec.gpus);
+        let by_cpus = tasks_that_fit(maximum.cpus - used.cpus, job.spec.cpus);
+        let by_gpus = tasks_that_fit(maximum.gpus - used.gpus, job.spec.gpus);
         by_cpus.min(by_gpus)
     }
 
@@ -160,33 +162,33 @@
         self.reserved.get(team).copied().unwrap_or_default()
     }
 
-    /// Whether a team uses more than its guarantee even without one task of each of these jobs.
+    /// Whether the team's usage exceeds its guarantee even after one task of each of `stopped_jobs` has ended.
     pub fn is_over_guarantee_without<'a>(
         &self,
         name: &TeamName,
-        without: impl Iterator<Item = &'a Rc<Job>>,
+        stopped_jobs: impl Iterator<Item = &'a Rc<Job>>,
     ) -> bool {
         let mut used = self.used(name);
-        for job in without {
+        for job in stopped_jobs {
             used.subtract(job);
         }
         let team = self.teams.get(name);
         team.is_some_and(|team| used.exceeds(&QuotaResources::guarantee_of(team)))
     }
 
-    /// Reserves one task's resources for the job, below its team's limit.
+    /// Reserves the resources of one task of the job within its team's quota.
     pub fn reserve(&mut self, job: &Job) {
         let reserved = self.reserved.entry(job.spec.team.clone()).or_default();
         reserved.add(job, 1);
     }
 
-    /// Ends the reservation for the job.
+    /// Releases the reservation for one task of the job.
     pub fn cancel_reservation(&mut self, job: &Job) {
         let reserved = self.reserved.entry(job.spec.team.clone()).or_default();
         reserved.subtract(job);
     }
 
-    /// Ends all reservations.
+    /// Releases all reservations.
     pub fn clear_reservations(&mut self) {
         self.reserved.clear();
     }
@@ -202,29 +204,29 @@
         used.add(job, tasks);
     }
 
-    /// Charges all tasks of the job to its team; whether the team's guarantee covers them beside what was
-    /// charged before.
+    /// Charges all tasks of the job to its team. Returns whether the team's guarantee covers them in addition to
+    /// earlier charges.
     pub fn charge_all_within_guarantee(&mut self, job: &Job) -> bool {
         let is_covered = self.tasks_within_guarantee(job) >= job.spec.tasks;
         self.charge_many(job, job.spec.tasks);
         is_covered
     }
 
-    /// Takes back the charge for one task of the job.
+    /// Reverses the charge of one task of the job.
     pub fn refund(&mut self, job: &Job) {
         let used = self.used.entry(job.spec.team.clone()).or_default();
         used.subtract(job);
     }
 }
 
-/// How many tasks that use `per_task` of a resource each fit into `free` of it.
+/// Number of tasks that fit into the `free` amount of a resource if each uses `per_task` of it.
 fn tasks_that_fit(free: f64, per_task: f64) -> u32 {
     if per_task > 0.0 {
         ((free + ROUNDING_TOLERANCE) / per_task).max(0.0) as u32
     } else if free + ROUNDING_TOLERANCE >= 0.0 {
         u32::MAX
     } else {
-        // More than the bound is used, so no task is admitted, even one that uses none of it.
+        // The usage exceeds the maximum, so no task is admitted, not even one that uses none of this resource.
         0
     }
 }
--- a/crates/worksshunt-core/src/resources.rs
+++ b/crates/worksshunt-core/src/resources.rs
@@ -1,5 +1,5 @@
-//! Resources: what a machine has and what a task needs of it. Used wherever tasks are fitted onto
-//! machines: by the scheduler, by the partitions' owners and by the fleet.
+//! Resources of machines and tasks, and their arithmetic. Used by the scheduler, the partitions and the fleet to fit
+//! tasks onto machines.
 
 use std::ops::{AddAssign, SubAssign};
 
@@ -8,19 +8,19 @@
 
 use crate::constants::placement::ROUNDING_TOLERANCE;
 
-/// Resources of a machine or a task.
+/// Amounts of each resource, of a machine or a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// Processors.
+    /// Number of processors; may be fractional.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators; may be fractional.
     pub gpus: f64,
     /// Memory, GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// All of a machine of that type.
+    /// All resources of a machine of this type.
     pub fn of_machine_type(machine_type: &MachineType) -> Resources {
         Resources {
             cpus: machine_type.cpus,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What one task of such a job needs.
+    /// Resources that one task of the job requires.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -38,21 +38,21 @@
         }
     }
 
-    /// Whether a task that needs `need` fits, if these are free.
-    pub fn fits(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + ROUNDING_TOLERANCE
-            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
-            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
+    /// Whether a task that requires `required` fits into these free resources.
+    pub fn fits(&self, required: &Resources) -> bool {
+        required.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && required.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && required.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// Takes a task's resources out of these free ones.
-    pub fn allocate(&mut self, need: &Resources) {
-        *self -= *need;
+    /// Subtracts the resources of a task that is placed from these free resources.
+    pub fn allocate(&mut self, allocated: &Resources) {
+        *self -= *allocated;
     }
 
-    /// Adds the resources of a task that ended to these free ones.
-    pub fn release(&mut self, freed: &Resources) {
-        *self += *freed;
+    /// Adds the resources of a task that has ended to these free resources.
+    pub fn release(&mut self, released: &Resources) {
+        *self += *released;
     }
 }
 
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -110,11 +110,11 @@
         job_tasks.errors = 0;
         let mut completions = Completions {
             tasks: BTreeSet::from([task.index]),
-            zones: BTreeMap::new(),
+            tasks_by_zone: BTreeMap::new(),
         };
         if let (true, Some(zone)) = (job_tasks.job.has_zone_constraint(), zone) {
             job_tasks.done.count_zone(zone, 1);
-            completions.zones.insert(zone.to_owned(), 1);
+            completions.tasks_by_zone.insert(zone.to_owned(), 1);
         }
         let attempts = job_tasks.active.get(&task.index).cloned();
         if job_tasks.is_complete() {
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -112,7 +112,7 @@
                     slack_s: self.objectives.slack_s(job),
                     zone: allowed.and_then(|zones| zones.first().cloned()),
                     full_zones: constraints.map_or(BTreeSet::new(), ZoneConstraints::full_zones),
-                    spot_only: job.leaves_machine_to_others(false, reserves_on_demand),
+                    spot_only: job.leaves_machine_to_services(false, reserves_on_demand),
                     has_spot_machines: has_spot,
                 });
             }
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -10,7 +10,7 @@
 
 use crate::jobs::{read_completions, Completions, CompletionsKey, Job, JobCache};
 use crate::objectives::ServiceLevelObjectives;
-use crate::partitioning::owner;
+use crate::partitioning::partition_owner;
 use crate::quota::Quota;
 use crate::records::{AttemptRecord, RecordPage};
 use crate::time::Time;
@@ -137,7 +137,7 @@
         for task in &entry.tasks {
             job_tasks.mark_done(*task);
         }
-        for (zone, tasks) in &entry.zones {
+        for (zone, tasks) in &entry.tasks_by_zone {
             job_tasks.done.count_zone(zone, *tasks);
         }
         job_tasks.last_dispatch_at = Some(now);
@@ -164,7 +164,7 @@
         members: &[ControllerName],
         cancelled: &BTreeMap<JobId, Rc<Job>>,
     ) {
-        let Some(owner) = owner(&record.machine, members) else {
+        let Some(owner) = partition_owner(&record.machine, members) else {
             return;
         };
         let mut active = ActiveAttempt::new(record.task, owner.clone());
--- a/crates/worksshunt-core/src/scheduler/placement_targets.rs
+++ b/crates/worksshunt-core/src/scheduler/placement_targets.rs
@@ -102,7 +102,7 @@
         let is_candidate = |view: &&MachineView| {
             let status = &view.status;
             view.free.fits(&need)
-                && !job.leaves_machine_to_others(status.spot, reserves_on_demand)
+                && !job.leaves_machine_to_services(status.spot, reserves_on_demand)
                 && job.allows_machine(&status.machine_type, &status.zone, status.spot)
                 && zones.is_none_or(|zones| zones.contains(&status.zone))
                 && !self.claims.contains_key(&status.id)
--- a/crates/worksshunt-core/src/scheduler/zone_constraints.rs
+++ b/crates/worksshunt-core/src/scheduler/zone_constraints.rs
@@ -78,7 +78,7 @@
             mut tasks_by_zone,
             unplaced_tasks,
         } = self.active_zones(job_tasks);
-        let done_by_zone = job_tasks.done.zones();
+        let done_by_zone = job_tasks.done.tasks_by_zone();
         // Tasks on machines bind those to come, whatever zone others were done in: the zone of a completion
         // may become known only when the rest is elsewhere. What is done binds when nothing else does.
         let binding = match tasks_by_zone.is_empty() {
@@ -98,7 +98,7 @@
             allowed,
             tasks_by_zone,
             unplaced_tasks,
-            max_tasks_per_zone: job.zone_limit(),
+            max_tasks_per_zone: job.max_tasks_per_zone(),
         })
     }
 
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -1,5 +1,5 @@
-//! The checks that a submission has to pass before it is accepted. Pure functions, called by the
-//! controller for each submission; the wire fields that messages name are those of the protocol.
+//! Validation of submissions. The functions are pure; the controller calls them for each submission. Error texts name
+//! fields as in the protocol.
 
 use serde_json::Value;
 use worksshunt_wire::cloud::{Catalog, MachineType};
@@ -11,76 +11,76 @@
 use crate::quota::Quota;
 use crate::resources::Resources;
 
-/// Why a submission is refused permanently. The text is part of the response to the user.
+/// Reason for which a submission is refused permanently. Its text is part of the response to the user.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// It is malformed (400).
+    /// The submission is malformed (400).
     #[error("malformed: {0}")]
     Malformed(#[from] Malformed),
-    /// It can never run (422).
+    /// The job can never be scheduled (422).
     #[error("can never run: {0}")]
-    Impossible(#[from] Impossible),
+    Unschedulable(#[from] Unschedulable),
 }
 
-/// Why a submission is malformed.
+/// Reason for which a submission is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// The body is not JSON, for the reason given by the parser.
+    /// The body is not JSON. Contains the parser's error.
     #[error("not JSON: {0}")]
     NotJson(String),
     /// The body is JSON but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// A field is missing or has a wrong type, for the reason given by the parser.
+    /// A field is missing or has a wrong type or value. Contains the parser's error.
     #[error("{0}")]
     Field(String),
     /// A number is negative or not finite.
-    #[error("{field} is not an amount")]
-    NotAnAmount {
-        /// Name of the field in the protocol.
+    #[error("{field} is negative or not finite")]
+    InvalidAmount {
+        /// Protocol name of the field.
         field: &'static str,
     },
     /// The number of tasks is out of range.
-    #[error("Piezas is not from 1 to {MAX_TASKS_PER_JOB}")]
+    #[error("Piezas is not in the range from 1 to {MAX_TASKS_PER_JOB}")]
     TaskCount,
-    /// It exceeds the value limit of the key-value store.
-    #[error("longer than the state service keeps")]
-    TooLong,
+    /// The job exceeds the value size limit of the key-value store, which users know as the state service.
+    #[error("job exceeds the value size limit of the state service")]
+    TooLarge,
 }
 
-/// Why a job can never run here.
+/// Reason for which a job can never be scheduled in this deployment.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Impossible {
-    /// The settings have no such team.
+pub enum Unschedulable {
+    /// The team is not in the settings.
     #[error("unknown team")]
     UnknownTeam,
     /// A single task exceeds the team's limit.
-    #[error("one task needs more than the team's limit")]
+    #[error("one task exceeds the team's limit")]
     TaskExceedsLimit,
-    /// The replicas of a service, which run all at once, exceed the team's limit.
-    #[error("its replicas together need more than the team's limit")]
+    /// The replicas of a service, which all run at the same time, exceed the team's limit.
+    #[error("all replicas together exceed the team's limit")]
     ReplicasExceedLimit,
-    /// No machine type that the job allows is large enough.
-    #[error("a task fits no allowed machine type")]
+    /// No machine type that the job allows, in a zone that it allows, is large enough for a task.
+    #[error("a task fits on no allowed machine type")]
     NoMachineType,
 }
 
-/// A submission that is refused. The id is kept where it can be read, because a known job is answered
-/// with its state whatever else the repeated submission contains.
+/// A refused submission. The id is included because a submission with the id of an existing job returns the job's
+/// state, whatever else it contains.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{refusal}")]
 pub struct RefusedSubmission {
-    /// The job's id, if it can be read.
+    /// Id of the job; `None` if it cannot be read from the body.
     pub id: Option<JobId>,
-    /// Why it is refused.
+    /// Reason of the refusal.
     pub refusal: Refusal,
 }
 
-/// Parses and validates the body of a submission.
+/// Parses the body of a submission, and checks its values.
 ///
 /// # Errors
 /// [`Refusal::Malformed`] if the body is not a valid job description.
-pub fn parse(body: &[u8]) -> Result<JobSpec, RefusedSubmission> {
+pub fn parse_submission(body: &[u8]) -> Result<JobSpec, RefusedSubmission> {
     let refused = |id, malformed: Malformed| RefusedSubmission {
         id,
         refusal: malformed.into(),
@@ -107,7 +107,7 @@
     Ok(spec)
 }
 
-/// Checks that all amounts are finite and not negative.
+/// Checks that all amounts are finite and non-negative.
 fn check_amounts(spec: &JobSpec) -> Result<(), Malformed> {
     let amounts = [
         ("Cores", spec.cpus),
@@ -123,48 +123,48 @@
         .into_iter()
         .find(|(_, amount)| !amount.is_finite() || *amount < 0.0);
     match invalid {
-        Some((field, _)) => Err(Malformed::NotAnAmount { field }),
+        Some((field, _)) => Err(Malformed::InvalidAmount { field }),
         None => Ok(()),
     }
 }
 
-/// Checks that the job could run here at some time.
+/// Checks that the job could be scheduled if its team used nothing and machines of any type were available.
 ///
 /// # Errors
-/// [`Refusal::Impossible`] if the team is unknown, its limit is too low, or no machine type is large enough.
-pub fn check_possible(spec: &JobSpec, catalog: &Catalog, quota: &Quota) -> Result<(), Refusal> {
+/// [`Refusal::Unschedulable`] if the team is unknown, its limit is too low, or no machine type is large enough.
+pub fn check_schedulable(spec: &JobSpec, catalog: &Catalog, quota: &Quota) -> Result<(), Refusal> {
     check_team_limit(spec, quota)?;
-    let need = Resources::of_task(spec);
+    let required = Resources::of_task(spec);
     let mut types = catalog.types.iter();
-    if types.any(|machine_type| can_run_on(spec, &need, machine_type)) {
+    if types.any(|machine_type| can_run_on(spec, &required, machine_type)) {
         Ok(())
     } else {
-        Err(Impossible::NoMachineType.into())
+        Err(Unschedulable::NoMachineType.into())
     }
 }
 
-fn check_team_limit(spec: &JobSpec, quota: &Quota) -> Result<(), Impossible> {
+fn check_team_limit(spec: &JobSpec, quota: &Quota) -> Result<(), Unschedulable> {
     let Some(team) = quota.team(&spec.team) else {
-        return Err(Impossible::UnknownTeam);
+        return Err(Unschedulable::UnknownTeam);
     };
     let limits = team.limits();
-    // Replicas run all at once, other tasks one after the other if need be.
-    let (concurrent_tasks, impossible) = match spec.kind {
-        JobKind::Array => (1.0, Impossible::TaskExceedsLimit),
-        JobKind::Service => (f64::from(spec.tasks), Impossible::ReplicasExceedLimit),
+    // All replicas of a service run at the same time; tasks of an array can run one after another.
+    let (concurrent_tasks, refusal) = match spec.kind {
+        JobKind::Array => (1.0, Unschedulable::TaskExceedsLimit),
+        JobKind::Service => (f64::from(spec.tasks), Unschedulable::ReplicasExceedLimit),
     };
     let exceeds =
         |per_task: f64, limit: f64| per_task * concurrent_tasks > limit + ROUNDING_TOLERANCE;
     if exceeds(spec.cpus, limits.cpus) || exceeds(spec.gpus, limits.gpus) {
-        return Err(impossible);
+        return Err(refusal);
     }
     Ok(())
 }
 
-/// Whether a task that needs so much could run on an empty machine of that type.
-fn can_run_on(spec: &JobSpec, need: &Resources, machine_type: &MachineType) -> bool {
+/// Whether a task that requires these resources could run on an idle machine of this type.
+fn can_run_on(spec: &JobSpec, required: &Resources, machine_type: &MachineType) -> bool {
     let allowed_types = spec.machine_types.as_ref();
-    Resources::of_machine_type(machine_type).fits(need)
+    Resources::of_machine_type(machine_type).fits(required)
         && allowed_types.is_none_or(|types| types.contains(&machine_type.name))
         && spec
             .zone
--- a/crates/worksshunt-core/src/submissions/tests.rs
+++ b/crates/worksshunt-core/src/submissions/tests.rs
@@ -12,56 +12,60 @@
         "CalculoS": 600.0, "RespaldoS": 0.0, "GuardadoS": 0.0})
 }
 
-/// The submission with another value of one field.
-fn with(field: &str, value: Value) -> Value {
+/// The valid submission with another value of one field.
+fn submission_with(field: &str, value: Value) -> Value {
     let mut submission = submission();
     submission[field] = value;
     submission
 }
 
-/// The id and the text that a user is refused with.
-fn refused(body: &str) -> (Option<JobId>, String) {
-    let refused = parse(body.as_bytes()).expect_err("a refusal");
+/// Job id and error text of the refusal of a body.
+fn parse_error(body: &str) -> (Option<JobId>, String) {
+    let refused = parse_submission(body.as_bytes()).expect_err("a refusal");
     assert_eq!(refused.to_string(), refused.refusal.to_string());
     (refused.id, refused.refusal.to_string())
 }
 
 #[test]
 fn a_valid_submission_is_parsed() {
-    let spec = parse(submission().to_string().as_bytes()).expect("a job");
+    let spec = parse_submission(submission().to_string().as_bytes()).expect("a job");
     assert_eq!((spec.id, spec.tasks), (JobId(1), 1));
 }
 
 #[test]
-fn a_refusal_says_what_is_malformed_and_keeps_the_id() {
-    let (id, text) = refused("{");
+fn a_malformed_submission_is_refused_with_the_reason_and_the_id() {
+    let (id, text) = parse_error("{");
     assert_eq!(id, None);
     assert!(text.starts_with("malformed: not JSON: "), "{text}");
     let object = "malformed: not an object".to_owned();
-    assert_eq!(refused("[1]"), (None, object));
+    assert_eq!(parse_error("[1]"), (None, object));
     let cases = [
-        ("Cores", json!(-1.0), "malformed: Cores is not an amount"),
+        (
+            "Cores",
+            json!(-1.0),
+            "malformed: Cores is negative or not finite",
+        ),
         (
             "EntregaS",
             json!(-5),
-            "malformed: EntregaS is not an amount",
+            "malformed: EntregaS is negative or not finite",
         ),
         (
             "Piezas",
             json!(0),
-            "malformed: Piezas is not from 1 to 100000",
+            "malformed: Piezas is not in the range from 1 to 100000",
         ),
         (
             "Piezas",
             json!(MAX_TASKS_PER_JOB + 1),
-            "malformed: Piezas is not from 1 to 100000",
+            "malformed: Piezas is not in the range from 1 to 100000",
         ),
     ];
     for (field, value, text) in cases {
-        let body = with(field, value).to_string();
-        assert_eq!(refused(&body), (Some(JobId(1)), text.to_owned()));
+        let body = submission_with(field, value).to_string();
+        assert_eq!(parse_error(&body), (Some(JobId(1)), text.to_owned()));
     }
-    let (id, text) = refused(&with("Cores", json!("many")).to_string());
+    let (id, text) = parse_error(&submission_with("Cores", json!("many")).to_string());
     assert_eq!(id, Some(JobId(1)));
     assert!(
         text.starts_with("malformed: invalid type: string"),
@@ -70,24 +74,24 @@
 }
 
 #[test]
-fn a_refusal_says_why_a_job_can_never_run() {
+fn an_unschedulable_job_is_refused_with_the_reason() {
     let texts = [
-        (Impossible::UnknownTeam, "unknown team"),
+        (Unschedulable::UnknownTeam, "unknown team"),
         (
-            Impossible::TaskExceedsLimit,
-            "one task needs more than the team's limit",
+            Unschedulable::TaskExceedsLimit,
+            "one task exceeds the team's limit",
         ),
         (
-            Impossible::ReplicasExceedLimit,
-            "its replicas together need more than the team's limit",
+            Unschedulable::ReplicasExceedLimit,
+            "all replicas together exceed the team's limit",
         ),
         (
-            Impossible::NoMachineType,
-            "a task fits no allowed machine type",
+            Unschedulable::NoMachineType,
+            "a task fits on no allowed machine type",
         ),
     ];
-    for (impossible, text) in texts {
-        let refusal = Refusal::from(impossible);
+    for (reason, text) in texts {
+        let refusal = Refusal::from(reason);
         assert_eq!(refusal.to_string(), format!("can never run: {text}"));
     }
 }
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -1,6 +1,6 @@
 //! Machines that hang, die, fail tasks, are unreachable or are not needed any more.
 
-use worksshunt_core::partitioning::owner;
+use worksshunt_core::partitioning::partition_owner;
 use worksshunt_wire::{ControllerName, MachineId};
 
 use crate::{long_job, ready, ready_with_boots_of};
@@ -59,7 +59,7 @@
     let dead = cluster
         .workers
         .keys()
-        .find(|id| [&names, &rest].map(|n| owner(id, n)) == [Some(&names[leader]); 2])
+        .find(|id| [&names, &rest].map(|n| partition_owner(id, n)) == [Some(&names[leader]); 2])
         .cloned()
         .expect("the leader owns one of six");
     cluster.workers.get_mut(&dead).expect("a worker").hung = true;
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -123,7 +123,7 @@
         "{read:?}"
     );
     let epoch: EpochRecord = serde_json::from_value(store["c/epoch"].clone()).expect("an epoch");
-    assert!(!epoch.services);
+    assert!(!epoch.accepts_services);
     assert_eq!(
         json!(epoch),
         store["c/epoch"],
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -5,9 +5,9 @@
 use serde_json::{json, Value};
 use worksshunt_core::constants::pages::TASKS_PER_COMPLETIONS_ENTRY;
 use worksshunt_core::jobs::{
-    cancelled_state_value, final_state_key, final_state_value, is_submission_batch, job_of_key,
-    open_job_key, read_cancelled, read_completions, read_final_state, submission_batch_key,
-    submission_batch_value, Completions, CompletionsKey, Job,
+    cancelled_state_value, final_state_key, final_state_value, is_submission_batch_key,
+    job_id_of_key, open_job_key, read_cancelled_job, read_completions, read_final_state,
+    submission_batch_key, submission_batch_value, Completions, CompletionsKey, Job,
 };
 use worksshunt_core::membership::{
     member_key, EpochRecord, Member, Membership, MembershipAction, EPOCH_KEY,
@@ -83,7 +83,7 @@
         leader: member("n0", 71),
         members: vec![member("n0", 71), member("n1", 72), member("n2", 73)],
         without_partition: vec![member("n1", 72)],
-        services: true,
+        accepts_services: true,
     }
 }
 
@@ -95,7 +95,7 @@
     written(EPOCH_KEY, &json!(epoch_record()));
     // As long as some controller does not know services, and as written before them.
     let mut record = epoch_record();
-    record.services = false;
+    record.accepts_services = false;
     let mut value = stored(EPOCH_KEY);
     let fields = value.as_object_mut().expect("an object");
     fields.remove("standing");
@@ -175,7 +175,7 @@
         leader: member("n0", 71),
         members: vec![member("n0", 71), member("n2", 73)],
         without_partition: vec![member("n2", 73)],
-        services: true,
+        accepts_services: true,
     };
     assert_eq!((key, value), (EPOCH_KEY, &json!(proposed)));
 }
@@ -189,14 +189,14 @@
     };
     for (key, job) in [("j/j-000001", full_job(1, 7)), ("j/j-000002", service())] {
         assert_eq!(open_job_key(job.spec.id), key);
-        assert_eq!(job_of_key(key), Some(job.spec.id));
+        assert_eq!(job_id_of_key(key), Some(job.spec.id));
         let read: Job = serde_json::from_value(stored(key)).expect("a job");
         assert_eq!(read, job);
         written(key, &json!(job));
     }
     let key = "j/+n1.72.5";
     assert_eq!(submission_batch_key(&"n1".into(), 72, 5), key);
-    assert!(is_submission_batch(key));
+    assert!(is_submission_batch_key(key));
     let jobs = [full_job(11, 1), red_job()];
     written(key, &submission_batch_value(&[&jobs[0], &jobs[1]]));
     let read: Vec<Job> = serde_json::from_value(stored(key)["jobs"].clone()).expect("jobs");
@@ -213,16 +213,16 @@
 fn final_states_keep_their_form() {
     let done = "f/j-000005";
     assert_eq!(final_state_key(JobId(5)), done);
-    assert_eq!(job_of_key(done), Some(JobId(5)));
+    assert_eq!(job_id_of_key(done), Some(JobId(5)));
     assert_eq!(read_final_state(&stored(done)), Some(JobState::Done));
     written(done, &final_state_value(JobState::Done));
     let bare = "f/j-000006";
     assert_eq!(read_final_state(&stored(bare)), Some(JobState::Cancelled));
-    assert_eq!(read_cancelled(&stored(bare)), None);
+    assert_eq!(read_cancelled_job(&stored(bare)), None);
     written(bare, &cancelled_state_value(None));
     let kept = "f/j-000007";
     assert_eq!(read_final_state(&stored(kept)), Some(JobState::Cancelled));
-    assert_eq!(read_cancelled(&stored(kept)), Some(full_job(7, 7)));
+    assert_eq!(read_cancelled_job(&stored(kept)), Some(full_job(7, 7)));
     written(kept, &cancelled_state_value(Some(&full_job(7, 7))));
 }
 
@@ -263,7 +263,7 @@
 fn completions_keep_their_form() {
     let entry = Completions {
         tasks: BTreeSet::from([0, 4, 5, 6]),
-        zones: BTreeMap::from([("a".to_owned(), 3), ("b".to_owned(), 1)]),
+        tasks_by_zone: BTreeMap::from([("a".to_owned(), 3), ("b".to_owned(), 1)]),
     };
     let key = |chunk| CompletionsKey {
         job: JobId(1),
@@ -274,7 +274,7 @@
     written("d/0", &Completions::page_value(&entries));
     let later = Completions {
         tasks: BTreeSet::from([TASKS_PER_COMPLETIONS_ENTRY + 1]),
-        zones: BTreeMap::new(),
+        tasks_by_zone: BTreeMap::new(),
     };
     entries.insert(key(1), later);
     let value = Completions::page_value(&entries);
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use worksshunt_core::controller::Event;
 use worksshunt_core::job_api::RequestId;
-use worksshunt_core::jobs::{read_cancelled, Job};
+use worksshunt_core::jobs::{read_cancelled_job, Job};
 use worksshunt_simulation::{job, service, Cluster};
 use worksshunt_wire::{JobId, TaskId};
 
@@ -157,7 +157,7 @@
         cluster.invariants.completed(task(1, index));
     }
     // What users know of the jobs that are over: the first is done, the others they cancelled.
-    let cancelled = read_cancelled(&stored("f/j-000007")).expect("a job");
+    let cancelled = read_cancelled_job(&stored("f/j-000007")).expect("a job");
     for id in [5, 6, 7] {
         let mut spec = cancelled.spec.clone();
         spec.id = JobId(id);
