--- a/crates/worksshunt-simulation/src/controllers.rs
+++ b/crates/worksshunt-simulation/src/controllers.rs
@@ -5,7 +5,7 @@
 
 use worksshunt_core::constants::timers::TICK_MS;
 use worksshunt_core::controller::{Action, Controller, Event};
-use worksshunt_core::placement::Parameters;
+use worksshunt_core::placement::PlacementParameters;
 use worksshunt_core::time::{Now, Time};
 
 use crate::events::{ControllerRun, SimulationEvent};
@@ -76,7 +76,7 @@
     pub fn start(&mut self, controller: usize) {
         let settings = &self.settings[controller];
         self.invariants.set_limits(settings);
-        let mut started = Controller::new(settings.clone(), Parameters::default());
+        let mut started = Controller::new(settings.clone(), PlacementParameters::default());
         let controllers = &mut self.controllers;
         controllers.last_incarnation += 1;
         controllers.paused.remove(&controller);
--- a/crates/worksshunt/src/options.rs
+++ b/crates/worksshunt/src/options.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use serde::Deserialize;
-use worksshunt_core::placement::Parameters;
+use worksshunt_core::placement::PlacementParameters;
 use worksshunt_wire::settings::Settings;
 
 mod check;
@@ -44,10 +44,10 @@
 pub fn load(
     config: &Path,
     options: Option<&Path>,
-) -> Result<(Settings, Parameters), SettingsError> {
+) -> Result<(Settings, PlacementParameters), SettingsError> {
     let settings = load_file(config, parse_settings)?;
     let parameters = match options {
-        None => Parameters::default(),
+        None => PlacementParameters::default(),
         Some(path) => load_file(path, parse_parameters)?,
     };
     Ok((settings, parameters))
@@ -74,17 +74,17 @@
     Ok(settings)
 }
 
-fn parse_parameters(text: &str) -> Result<Parameters, SettingsProblem> {
+fn parse_parameters(text: &str) -> Result<PlacementParameters, SettingsProblem> {
     let options: Options = toml::from_str(text)?;
-    let defaults = Parameters::default();
+    let defaults = PlacementParameters::default();
     let given = options.placement;
-    let parameters = Parameters {
+    let parameters = PlacementParameters {
         window_s: given.window_s.unwrap_or(defaults.window_s),
         start_speed: given.start_speed.unwrap_or(defaults.start_speed),
         size_bands_s: given.size_bands_s.unwrap_or(defaults.size_bands_s),
-        summary_every_ms: given
+        summary_interval_ms: given
             .summary_interval_s
-            .map_or(defaults.summary_every_ms, |interval_s| {
+            .map_or(defaults.summary_interval_ms, |interval_s| {
                 (interval_s * MS_PER_S) as u64
             }),
     };
--- a/crates/worksshunt/src/options/tests.rs
+++ b/crates/worksshunt/src/options/tests.rs
@@ -86,7 +86,10 @@
 fn operators_settings_refuse_unknown_keys_and_bad_values() {
     let given = parse_parameters("[placement]\nwindow_s = 60.0\n").expect("valid");
     assert_eq!(given.window_s, 60.0);
-    assert_eq!(given.start_speed, Parameters::default().start_speed);
+    assert_eq!(
+        given.start_speed,
+        PlacementParameters::default().start_speed
+    );
     for bad in [
         "windows = 1",
         "[placement]\nwindow = 1.0",
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -25,7 +25,7 @@
 use worksshunt_core::fleet::CloudRequest;
 use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_core::machines::DirectCommands;
-use worksshunt_core::placement::Parameters;
+use worksshunt_core::placement::PlacementParameters;
 use worksshunt_core::time::{Now, Time};
 use worksshunt_net::client::HttpClient;
 use worksshunt_net::peer::PeerClient;
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// An address that is not one, or on which it is impossible to listen.
-pub fn run(settings: Settings, parameters: Parameters) -> Result<Infallible, RunError> {
+pub fn run(settings: Settings, parameters: PlacementParameters) -> Result<Infallible, RunError> {
     let client_listener = listen(&settings.client_listen)?;
     let peer_listener = listen(&settings.internal_addr)?;
     let capacity = Capacity::new(&settings);
@@ -79,7 +79,7 @@
         pending_clients: PendingResponses::new(),
         pending_peers: PendingResponses::new(),
     });
-    service.serve_clients(client_listener, capacity.connections, idle_timeout);
+    service.serve_clients(client_listener, capacity.client_connections, idle_timeout);
     service.serve_peers(peer_listener);
     async_io::block_on(executor.run(async {
         loop {
