--- a/crates/worksshunt-core/src/job_api/queue.rs
+++ b/crates/worksshunt-core/src/job_api/queue.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct PendingSubmission {
     /// Time at which it was queued; [`SUBMISSION_TIMEOUT_MS`] counts from here.
-    pub received_at: Time,
+    pub queued_at: Time,
     /// Request to respond to.
     pub request_id: RequestId,
     /// Job to accept.
@@ -88,7 +88,7 @@
     /// Queues a submission for the next write.
     pub fn queue_submission(&mut self, now: Time, request_id: RequestId, job: Box<Job>) {
         self.awaiting_write.push_back(PendingSubmission {
-            received_at: now,
+            queued_at: now,
             request_id,
             job,
         });
@@ -106,7 +106,7 @@
     pub fn take_overdue_submissions(&mut self, now: Time) -> Vec<RequestId> {
         let mut overdue = Vec::new();
         self.awaiting_write.retain(|submission| {
-            let is_overdue = now.since(submission.received_at) >= SUBMISSION_TIMEOUT_MS;
+            let is_overdue = now.since(submission.queued_at) >= SUBMISSION_TIMEOUT_MS;
             if is_overdue {
                 overdue.push(submission.request_id);
             }
--- a/crates/worksshunt-core/src/job_api/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -78,7 +78,7 @@
     let mut job_api = job_api_with_submissions(MIN_EXCHANGES as u64 - 1);
     assert!(!job_api.is_full());
     job_api.requeue_submissions(vec![PendingSubmission {
-        received_at: Time(0),
+        queued_at: Time(0),
         request_id: RequestId(0),
         job: small_job(999_999),
     }]);
--- a/crates/worksshunt-core/src/membership/control_keys.rs
+++ b/crates/worksshunt-core/src/membership/control_keys.rs
@@ -67,7 +67,7 @@
     /// Takes the version of this controller's member key from the listing, if the next write needs it.
     fn read_member_key_version(&mut self, listing: &Listing) {
         if self.member_key_version.is_none() && self.lease.is_some() {
-            let pair = find(listing, &member_key(&self.name));
+            let pair = find_pair(listing, &member_key(&self.name));
             self.member_key_version = Some(pair.map_or(Revision(0), |pair| pair.version));
         }
     }
@@ -151,7 +151,7 @@
     }
 }
 
-fn find<'a>(listing: &'a Listing, key: &str) -> Option<&'a KeyValue> {
+fn find_pair<'a>(listing: &'a Listing, key: &str) -> Option<&'a KeyValue> {
     listing.pairs.iter().find(|pair| pair.key == key)
 }
 
@@ -165,7 +165,7 @@
 
 /// Reads the epoch; `None` if it is missing or malformed.
 fn read_epoch(listing: &Listing) -> Option<StoredEpoch> {
-    let pair = find(listing, EPOCH_KEY)?;
+    let pair = find_pair(listing, EPOCH_KEY)?;
     let record: EpochRecord = serde_json::from_value(pair.value.clone()).ok()?;
     Some(StoredEpoch {
         record,
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -33,7 +33,7 @@
     NotAnObject,
     /// A field is missing or has a wrong type or value. Contains the parser's error.
     #[error("{0}")]
-    Field(String),
+    InvalidField(String),
     /// A number is negative or not finite.
     #[error("{field} is negative or not finite")]
     InvalidAmount {
@@ -98,8 +98,8 @@
     if !value.is_object() {
         return Err(Malformed::NotAnObject);
     }
-    let spec: JobSpec =
-        serde_json::from_value(value).map_err(|error| Malformed::Field(error.to_string()))?;
+    let spec: JobSpec = serde_json::from_value(value)
+        .map_err(|error| Malformed::InvalidField(error.to_string()))?;
     check_amounts(&spec)?;
     if spec.tasks == 0 || spec.tasks > MAX_TASKS_PER_JOB {
         return Err(Malformed::TaskCount);
