--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -6,7 +6,7 @@
 use crate::job_api::{
     accepted_response, HttpResponse, JobOperation, JobRequest, PendingSubmission,
 };
-use crate::jobs::{final_state_key, is_submission_batch, open_job_key, submission_batch_key};
+use crate::jobs::{final_state_key, is_submission_batch_key, open_job_key, submission_batch_key};
 use crate::time::{PeriodicTimer, Time};
 
 use super::hedged_request::{hedge_action, HedgedRequest};
@@ -33,7 +33,7 @@
             tokens.take(write.changes.len());
             actions.push(hedge_action(KvPurpose::AcceptSubmissions(number), write));
         }
-        if !accept.timer.is_due(now) || !self.job_api.requests.write_due() {
+        if !accept.timer.is_due(now) || !self.job_api.requests.needs_write() {
             return;
         }
         let limits = &self.settings.facts.key_value_store;
@@ -76,7 +76,9 @@
         let jobs = self.job_api.requests.write_answered();
         match response {
             // Only this process writes this key, so another copy of the write was applied.
-            KvResponse::Conflict(failed) if failed.iter().any(|key| is_submission_batch(key)) => {
+            KvResponse::Conflict(failed)
+                if failed.iter().any(|key| is_submission_batch_key(key)) =>
+            {
                 accept_all(jobs, actions);
             }
             KvResponse::Committed(_) => accept_all(jobs, actions),
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Requeues the submissions of a write that was not executed. The next write follows after [`KV_RETRY_MS`].
+    /// Requeues the submissions of a write that was not executed. The next write follows after [`KV_RETRY_DELAY_MS`].
     fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
         accept.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
@@ -123,7 +125,7 @@
                     request_id,
                     id,
                     operation: JobOperation::Submit(job),
-                    seen_in_batch: false,
+                    was_in_batch: false,
                 });
             } else {
                 self.job_api.requests.queue_submission(now, request_id, job);
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -19,7 +19,7 @@
         let now = times.answered_at;
         match self.membership.process_control_keys(times.sent_at, listing) {
             MembershipAction::Unchanged => {}
-            MembershipAction::MemberKeyGone => {
+            MembershipAction::MemberKeyMissing => {
                 tracing::info!("own member key not found; joining again with a new lease");
                 self.leave_epoch(now);
             }
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -26,7 +26,7 @@
 }
 
 impl FinalStateLookups {
-    /// Queues a lookup, unless one is pending for the job or [`FINAL_STATES_CACHED`] are queued.
+    /// Queues a lookup, unless one is pending for the job or [`MAX_CACHED_FINAL_STATES`] are queued.
     fn queue(&mut self, id: JobId) {
         if self.queued.len() < MAX_CACHED_FINAL_STATES && self.pending.insert(id) {
             self.queued.push_back(id);
@@ -87,7 +87,7 @@
                 if let Some(state) = read_final_state(&pair.value) {
                     let evidence = FinalStateEvidence::Read(pair.version);
                     self.metrics.count_final_state(evidence);
-                    self.job_cache.remember_final(id, state, evidence);
+                    self.job_cache.cache_final_state(id, state, evidence);
                 }
             }
             KvResponse::Missing => lookups.complete(id),
@@ -109,7 +109,7 @@
                     let evidence = FinalStateEvidence::Read(pair.version);
                     self.metrics.count_final_state(evidence);
                     self.job_cache
-                        .remember_final(job_request.id, state, evidence);
+                        .cache_final_state(job_request.id, state, evidence);
                     final_state_response(&job_request, state)
                 }
                 None => {
--- a/crates/worksshunt-core/src/controller/hedged_request.rs
+++ b/crates/worksshunt-core/src/controller/hedged_request.rs
@@ -7,7 +7,7 @@
 
 use super::{Action, KvPurpose, KvRequest};
 
-/// Tracks the copies in flight of one write. A second copy is sent after [`KV_HEDGE_AFTER_MS`], to cut the tail latency
+/// Tracks the copies in flight of one write. A second copy is sent after [`KV_HEDGE_DELAY_MS`], to cut the tail latency
 /// of the key-value store. The conditions of the write ensure that it is applied at most once.
 #[derive(Debug, Default)]
 pub(super) struct HedgedRequest {
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -28,7 +28,7 @@
     /// Earliest return to [`Readiness::Ready`].
     ready_not_before: Time,
     /// Delay before the controller becomes ready again after the next loss of heartbeats, in milliseconds. Doubles with
-    /// each loss, up to [`READINESS_RETRY_MAX_MS`].
+    /// each loss, up to [`MAX_READINESS_RETRY_MS`].
     heartbeat_loss_delay_ms: u64,
     /// Time of the leader's last response, or of the start of the epoch if that is later.
     last_leader_response_at: Time,
--- a/crates/worksshunt-core/src/controller/reconciliation.rs
+++ b/crates/worksshunt-core/src/controller/reconciliation.rs
@@ -15,7 +15,7 @@
         };
         for id in self.unscheduled_open_jobs() {
             self.metrics.reconciled_jobs.inc();
-            let removed_final_state = self.job_cache.forget_final(id);
+            let removed_final_state = self.job_cache.remove_final_state(id);
             tracing::error!(
                 job = %id,
                 epoch = %self.membership.fencing_token(),
@@ -39,7 +39,7 @@
         let scheduler = &leader.scheduler;
         let open = self.job_cache.open_jobs().map(|(id, _)| *id);
         open.filter(|id| !scheduler.has_job(*id))
-            .filter(|id| !self.job_cache.is_closed_later(*id))
+            .filter(|id| !self.job_cache.has_newer_final_state(*id))
             .filter(|id| !scheduler.has_attempts_of(*id))
             .collect()
     }
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -53,8 +53,8 @@
         now.since(self.last_response_at) < KV_SUSPECT_AFTER_MS
     }
 
-    /// Whether the key-value store has not responded for [`KV_SILENT_AFTER_MS`], so that user requests are rejected at
-    /// once.
+    /// Whether the key-value store has not responded for [`KV_FAIL_FAST_AFTER_MS`], so that user requests are rejected
+    /// at once.
     pub fn is_unresponsive(&self, now: Time) -> bool {
         now.since(self.last_response_at) > KV_FAIL_FAST_AFTER_MS
     }
--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -6,7 +6,7 @@
 use crate::constants::job_api::STORED_JOB_OVERHEAD_BYTES;
 use crate::job_api::{final_state_response, HttpResponse, JobOperation, JobRequest, RequestId};
 use crate::jobs::Job;
-use crate::submissions::{check_possible, parse, Malformed, RefusedSubmission};
+use crate::submissions::{check_schedulable, parse_submission, Malformed, RefusedSubmission};
 use crate::time::{Now, Time};
 
 use super::store_outage::STORE_UNRESPONSIVE;
@@ -32,8 +32,8 @@
                 let job_request = JobRequest {
                     request_id,
                     id,
-                    operation: JobOperation::Unacceptable(refusal),
-                    seen_in_batch: false,
+                    operation: JobOperation::SubmitInvalid(refusal),
+                    was_in_batch: false,
                 };
                 self.queue_job_request(now.steady, job_request).err()
             }
@@ -50,18 +50,18 @@
     /// The reason for the refusal, and the job's ID if it is readable: if a job with that ID exists, the response is
     /// its state.
     fn check_submission(&self, body: &[u8]) -> Result<Option<JobSpec>, RefusedSubmission> {
-        let spec = parse(body)?;
+        let spec = parse_submission(body)?;
         let id = Some(spec.id);
         let max_bytes = (self.settings.facts.key_value_store.max_value_kib * 1_024.0) as usize;
         let spec_bytes = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
         if spec_bytes.saturating_add(STORED_JOB_OVERHEAD_BYTES) > max_bytes {
-            let refusal = Malformed::TooLong.into();
+            let refusal = Malformed::TooLarge.into();
             return Err(RefusedSubmission { id, refusal });
         }
         let Some(catalog) = &self.catalog.current else {
             return Ok(None);
         };
-        check_possible(&spec, catalog, &self.quota)
+        check_schedulable(&spec, catalog, &self.quota)
             .map_err(|refusal| RefusedSubmission { id, refusal })?;
         Ok(Some(spec))
     }
@@ -79,7 +79,8 @@
             accepted_ms: now.wall_ms,
         });
         let final_state = self.job_cache.final_state(id);
-        let is_known = self.job_cache.get(id).is_some() || self.job_cache.is_in_batch(id);
+        let is_known =
+            self.job_cache.get(id).is_some() || self.job_cache.is_in_submission_batch(id);
         if final_state.is_none() && !is_known {
             let refusal = self.refuse_new_job(now.steady, job.is_service());
             if refusal.is_none() {
@@ -92,7 +93,7 @@
             request_id,
             id,
             operation: JobOperation::Submit(job),
-            seen_in_batch: false,
+            was_in_batch: false,
         };
         match final_state {
             Some(state) => Some(final_state_response(&job_request, state)),
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -7,7 +7,7 @@
 
 use worksshunt_wire::key_value::CompareAndSwap;
 
-use crate::jobs::{is_submission_batch, job_of_key, open_job_key};
+use crate::jobs::{is_submission_batch_key, job_id_of_key, open_job_key};
 use crate::membership::EPOCH_KEY;
 use crate::metrics::ConflictLabels;
 use crate::scheduler::ClaimWriteOutcome;
@@ -123,10 +123,10 @@
     /// processed again unless its own key has changed, which only happens when it is deleted together with its last
     /// job.
     fn process_submission_batch_conflict(&mut self, failed_keys: &[String]) {
-        if !failed_keys.iter().any(|key| is_submission_batch(key)) {
+        if !failed_keys.iter().any(|key| is_submission_batch_key(key)) {
             self.write_queues.processed_batch = None;
         }
-        let processed_jobs = failed_keys.iter().filter_map(|key| job_of_key(key));
+        let processed_jobs = failed_keys.iter().filter_map(|key| job_id_of_key(key));
         self.write_queues
             .processed_batch_jobs
             .extend(processed_jobs);
--- a/crates/worksshunt-core/src/controller/writes.rs
+++ b/crates/worksshunt-core/src/controller/writes.rs
@@ -75,7 +75,7 @@
 
     /// Builds the next write of the queue; `None` if there is nothing to write.
     fn next_write(&mut self, queue_id: WriteQueueId, now: Time) -> Option<CompareAndSwap> {
-        let epoch = self.membership.epoch_unchanged()?;
+        let epoch = self.membership.epoch_condition()?;
         let mut write = CompareAndSwap {
             expected: vec![epoch],
             changes: Vec::new(),
--- a/crates/worksshunt-core/src/machines/attempt.rs
+++ b/crates/worksshunt-core/src/machines/attempt.rs
@@ -141,7 +141,7 @@
         self.job.as_ref().is_some_and(|job| job.is_service())
     }
 
-    /// Whether it is a replica that has been running for at least `STABLE_REPLICA_MS`.
+    /// Whether it is a replica that has been running for at least `REPLICA_STABLE_AFTER_MS`.
     pub fn is_stable_replica(&self, now: Time) -> bool {
         self.is_replica()
             && matches!(self.state, AttemptState::Running(since) if now.since(since) >= REPLICA_STABLE_AFTER_MS)
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -87,10 +87,10 @@
         }
         if let Some(band) = tracked.over_capacity_band {
             let outcome = match outcome {
-                AttemptOutcome::Failed => OverCapacityOutcome::Faulted,
+                AttemptOutcome::Failed => OverCapacityOutcome::Failed,
                 _ => OverCapacityOutcome::Aborted,
             };
-            self.over_capacity_counts.ended(band, outcome);
+            self.over_capacity_counts.count_outcome(band, outcome);
         }
     }
 
--- a/crates/worksshunt-core/src/machines/expiry.rs
+++ b/crates/worksshunt-core/src/machines/expiry.rs
@@ -75,7 +75,7 @@
         findings
     }
 
-    /// Returns the next machines to check, at most `SWEEP_MACHINES_PER_TICK`, and advances the cursor.
+    /// Returns the next machines to check, at most `MACHINES_CHECKED_PER_TICK`, and advances the cursor.
     fn sweep(&mut self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let start = self.sweep_cursor.take().map_or(Unbounded, Excluded);
         let ids = self
@@ -119,7 +119,7 @@
         self.refresh_summary(id, now);
     }
 
-    /// Whether workers seem unable to reach this controller: there are at least `UNREACHABLE_MIN_MACHINES` machines
+    /// Whether workers seem unable to reach this controller: there are at least `MIN_UNREACHABLE_MACHINES` machines
     /// that have sent a message and are not lost, and none of them has sent one within `controller_unreachable_ms`.
     pub fn is_unreachable_by_workers(&self, now: Time) -> bool {
         let mut without_heartbeats = 0;
--- a/crates/worksshunt-core/src/machines/partition.rs
+++ b/crates/worksshunt-core/src/machines/partition.rs
@@ -11,7 +11,7 @@
 use worksshunt_wire::{Attempt, JobId, MachineId, Revision};
 
 use crate::pages::{max_page_bytes, PageWrite, Pages};
-use crate::placement::{OverCapacity, Parameters, Speed};
+use crate::placement::{OverCapacityCounts, PlacementParameters, Speed};
 use crate::records::AttemptRecord;
 use crate::resources::Resources;
 use crate::time::Time;
@@ -28,7 +28,7 @@
 /// The machines of one partition and the attempts on them, as their owner knows them.
 #[derive(Debug)]
 pub struct Partition {
-    pub(super) placement_parameters: Parameters,
+    pub(super) placement_parameters: PlacementParameters,
     pub(super) timeouts: MachineTimeouts,
     /// Maximum bytes of a page of records; a change applies from the next epoch on.
     pub(super) page_bytes: usize,
@@ -48,11 +48,15 @@
     /// Machines that return to `machines_with_pending_commands` at the given time.
     pub(super) machines_with_deferred_commands: BTreeSet<(Time, MachineId)>,
     pub(super) pending_updates: PendingUpdates,
-    pub(super) over_capacity_counts: OverCapacity,
+    pub(super) over_capacity_counts: OverCapacityCounts,
 }
 
 impl Partition {
-    pub fn new(parameters: Parameters, workers: &Workers, limits: &KeyValueLimits) -> Partition {
+    pub fn new(
+        parameters: PlacementParameters,
+        workers: &Workers,
+        limits: &KeyValueLimits,
+    ) -> Partition {
         let page_bytes = max_page_bytes(limits);
         Partition {
             placement_parameters: parameters,
@@ -70,7 +74,7 @@
             machines_with_pending_commands: BTreeSet::new(),
             machines_with_deferred_commands: BTreeSet::new(),
             pending_updates: PendingUpdates::default(),
-            over_capacity_counts: OverCapacity::default(),
+            over_capacity_counts: OverCapacityCounts::default(),
         }
     }
 
@@ -161,7 +165,7 @@
     /// Returns one line of counts of over-capacity placements and resets the counts.
     pub fn take_over_capacity_summary(&mut self) -> String {
         self.over_capacity_counts
-            .summary(&self.placement_parameters)
+            .take_summary(&self.placement_parameters)
     }
 }
 
--- a/crates/worksshunt-core/src/machines/queued_placement.rs
+++ b/crates/worksshunt-core/src/machines/queued_placement.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::{Incarnation, JobId, MachineId};
 
 use crate::jobs::{Job, JobCache};
-use crate::placement::{choose, Candidate, Choice, Speed};
+use crate::placement::{choose_machine, Candidate, Choice, Speed};
 use crate::records::AttemptRecord;
 use crate::time::{Budget, Time};
 
@@ -101,7 +101,7 @@
             machine.summary.is_schedulable && machine.info.as_ref().is_some_and(|info| info.is_spot)
         };
         !self.assignment_queue.assignments.is_empty()
-            && job_cache.any_service()
+            && job_cache.has_open_service()
             && self.machines.values().any(is_schedulable_spot)
     }
 
@@ -127,11 +127,11 @@
             incarnation,
             round.now,
         );
-        if choice.over_capacity {
+        if choice.is_over_capacity {
             let band = self
                 .placement_parameters
                 .size_band(job.spec.estimated_runtime_s);
-            self.over_capacity_counts.placed(band);
+            self.over_capacity_counts.count_placement(band);
             tracing::debug!(task = %assignment.task, machine = %choice.machine, "attempt placed over capacity");
             tracked.over_capacity_band = Some(band);
         }
@@ -155,7 +155,7 @@
         job: &Job,
     ) -> Option<Choice> {
         let choose_with = |filter| {
-            choose(
+            choose_machine(
                 job.spec.estimated_runtime_s,
                 self.candidates(round, assignment, job, filter),
             )
@@ -188,7 +188,7 @@
                     && machine.is_schedulable(round.now, self.timeouts)
                     && has_failed == (filter == FailureFilter::WithFailures)
                     && job.allows_machine(&info.machine_type, &info.zone, info.is_spot)
-                    && !job.leaves_machine_to_others(info.is_spot, round.is_on_demand_reserved)
+                    && !job.leaves_machine_to_services(info.is_spot, round.is_on_demand_reserved)
                     && assignment
                         .zone
                         .as_ref()
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -92,7 +92,7 @@
         }
         if let Some(band) = tracked.over_capacity_band.take() {
             self.over_capacity_counts
-                .ended(band, OverCapacityOutcome::Completed);
+                .count_outcome(band, OverCapacityOutcome::Completed);
         }
     }
 
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -19,7 +19,7 @@
 use super::partition_view::Directive;
 use super::{PendingWrite, Scheduler};
 
-/// Bounds the exponent of the backoff, which reaches [`FAILURE_BACKOFF_MAX_MS`] long before.
+/// Bounds the exponent of the backoff, which reaches [`MAX_FAILURE_BACKOFF_MS`] long before.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Scheduler {
@@ -121,11 +121,11 @@
         job_tasks.consecutive_failures = 0;
         let mut completions = Completions {
             tasks: BTreeSet::from([task.index]),
-            zones: BTreeMap::new(),
+            tasks_by_zone: BTreeMap::new(),
         };
         if let (true, Some(zone)) = (job_tasks.job.has_zone_constraint(), zone) {
             job_tasks.completed_tasks.count_zone(zone, 1);
-            completions.zones.insert(zone.to_owned(), 1);
+            completions.tasks_by_zone.insert(zone.to_owned(), 1);
         }
         let attempts = job_tasks.attempts_by_task.get(&task.index).cloned();
         if job_tasks.all_tasks_completed() {
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -35,7 +35,7 @@
     pub full_zones: BTreeSet<String>,
     /// Whether its tasks leave on-demand machines to services.
     pub spot_only: bool,
-    /// Whether there are schedulable spot machines, or were within [`SPOT_ABSENCE_MS`].
+    /// Whether there are schedulable spot machines, or were within [`SPOT_UNAVAILABLE_AFTER_MS`].
     pub has_spot_machines: bool,
 }
 
@@ -113,7 +113,7 @@
                     slack_s: self.objectives.slack_s(job),
                     zone: allowed.and_then(|zones| zones.first().cloned()),
                     full_zones: constraints.map_or(BTreeSet::new(), ZoneConstraints::full_zones),
-                    spot_only: job.leaves_machine_to_others(false, reserves_on_demand),
+                    spot_only: job.leaves_machine_to_services(false, reserves_on_demand),
                     has_spot_machines: has_spot,
                 });
             }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Whether there are schedulable spot machines, or were within [`SPOT_ABSENCE_MS`].
+    /// Whether there are schedulable spot machines, or were within [`SPOT_UNAVAILABLE_AFTER_MS`].
     fn has_spot_machines(&self, now: Time) -> bool {
         now.since(self.demand_history.spot_last_seen_at) < SPOT_UNAVAILABLE_AFTER_MS
     }
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -66,7 +66,7 @@
     /// Index where the search for a waiting task starts: all tasks below it are completed or active.
     waiting_search_start: u32,
     /// Failures since a task last completed, or since a replica ran for
-    /// [`STABLE_REPLICA_MS`](crate::constants::services::STABLE_REPLICA_MS).
+    /// [`REPLICA_STABLE_AFTER_MS`](crate::constants::services::REPLICA_STABLE_AFTER_MS).
     pub(super) consecutive_failures: u32,
     /// No task is dispatched before this time.
     pub(super) backoff_until: Time,
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -10,7 +10,7 @@
 
 use crate::jobs::{read_completions, Completions, CompletionsKey, Job, JobCache};
 use crate::objectives::ServiceLevelObjectives;
-use crate::partitioning::owner;
+use crate::partitioning::partition_owner;
 use crate::quota::Quota;
 use crate::records::{AttemptRecord, RecordPage};
 use crate::time::Time;
@@ -140,7 +140,7 @@
         for task in &entry.tasks {
             job_tasks.mark_completed(*task);
         }
-        for (zone, tasks) in &entry.zones {
+        for (zone, tasks) in &entry.tasks_by_zone {
             job_tasks.completed_tasks.count_zone(zone, *tasks);
         }
         job_tasks.last_dispatch_at = Some(now);
@@ -167,7 +167,7 @@
         members: &[ControllerName],
         cancelled_jobs: &BTreeMap<JobId, Rc<Job>>,
     ) {
-        let Some(owner) = owner(&record.machine, members) else {
+        let Some(owner) = partition_owner(&record.machine, members) else {
             return;
         };
         let mut active = ActiveAttempt::new(record.task, owner.clone());
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -97,7 +97,7 @@
         self.outbox.insert(directive, None);
     }
 
-    /// Whether a message from the owner was received within [`PARTITION_SILENT_MS`].
+    /// Whether a message from the owner was received within [`PARTITION_SILENCE_TIMEOUT_MS`].
     pub fn is_responsive(&self, now: Time) -> bool {
         now.since(self.last_message_at) < PARTITION_SILENCE_TIMEOUT_MS
     }
--- a/crates/worksshunt-core/src/scheduler/placement_targets.rs
+++ b/crates/worksshunt-core/src/scheduler/placement_targets.rs
@@ -104,7 +104,7 @@
         let is_candidate = |view: &&MachineView| {
             let status = &view.status;
             view.free.fits(&need)
-                && !job.leaves_machine_to_others(status.is_spot, reserves_on_demand)
+                && !job.leaves_machine_to_services(status.is_spot, reserves_on_demand)
                 && job.allows_machine(&status.machine_type, &status.zone, status.is_spot)
                 && zones.is_none_or(|zones| zones.contains(&status.zone))
                 && !self.claims.contains_key(&status.id)
--- a/crates/worksshunt-core/src/scheduler/zone_constraints.rs
+++ b/crates/worksshunt-core/src/scheduler/zone_constraints.rs
@@ -78,7 +78,7 @@
             mut tasks_by_zone,
             tasks_in_unknown_zones,
         } = self.active_zones(job_tasks);
-        let completed_by_zone = job_tasks.completed_tasks.zones();
+        let completed_by_zone = job_tasks.completed_tasks.tasks_by_zone();
         // Active attempts determine the zone, even if other tasks completed elsewhere: the zone of a completion may
         // become known only after others were placed. Completed tasks determine it if there are no active attempts.
         let constraining_zones = match tasks_by_zone.is_empty() {
@@ -100,7 +100,7 @@
             allowed_zones,
             tasks_by_zone,
             tasks_in_unknown_zones,
-            max_tasks_per_zone: job.zone_limit(),
+            max_tasks_per_zone: job.max_tasks_per_zone(),
         })
     }
 
