--- a/crates/worksshunt-core/src/constants.rs
+++ b/crates/worksshunt-core/src/constants.rs
@@ -1,8 +1,8 @@
-//! Every constant of the service, grouped by what it governs, with its unit and the reason for its value.
+//! Constants of the service by subject, with units and reasons. Deployment limits come from the settings file and the
+//! catalog instead.
 //!
-//! Names end in their unit: `_MS` milliseconds, `_S` seconds, `_BYTES` bytes, `_KIB` kibibytes; `_SHARE` is a fraction
-//! of a limit, `_DIVISOR` the inverse of one. Limits of a deployment are not here: they come from the settings file and
-//! the catalogue.
+//! Suffixes: `_MS` milliseconds, `_S` seconds, `_BYTES` bytes, `_KIB` kibibytes. `_SHARE` is a fraction of a limit and
+//! `_DIVISOR` the inverse of a fraction.
 
 pub mod capacity;
 pub mod fleet;
--- a/crates/worksshunt-core/src/constants/capacity.rs
+++ b/crates/worksshunt-core/src/constants/capacity.rs
@@ -1,50 +1,47 @@
-//! Memory and sockets: limits on the requests in flight and the connections of a controller.
+//! Memory and sockets: limits on a controller's requests in flight and connections.
 
-/// Bytes of memory that an exchange takes while it is in flight: a request that waits for its response, or a call.
+/// Memory of a request in flight, bytes: an incoming request without a response, or an outgoing call.
 pub const IN_FLIGHT_REQUEST_BYTES: usize = 20_000;
 
-/// Share of the memory for exchanges of one kind: direct commands in flight, or users' requests that wait for
-/// the key-value store. Both together leave three quarters to the controller's state.
+/// Share of the process memory for requests in flight, for direct commands and for user requests each.
 pub const IN_FLIGHT_REQUEST_MEMORY_SHARE: f64 = 0.125;
 
-/// Exchanges of one kind that are allowed in any case, 10 MB: when many machines hang at the same time, each
-/// direct command is given up only at its deadline. Commands beyond the limit go with the responses to
-/// heartbeats, and users' requests beyond it are refused at once.
+/// Lower bound of the limit of requests in flight of each kind. Direct commands above the limit are delivered with
+/// heartbeat responses; user requests above it are refused at once.
 pub const MIN_IN_FLIGHT_REQUEST_LIMIT: usize = 512;
 
-/// Milliseconds without accepting after a connection could not be accepted: most likely the process is out of
-/// sockets, so connections need time to close.
+/// Delay before the listener accepts again after an accept error, milliseconds. The usual cause is a lack of sockets,
+/// so connections need time to close.
 pub const ACCEPT_RETRY_DELAY_MS: u64 = 20;
 
-/// Heartbeat intervals without a request after which a connection is closed: its worker has died, was cut
-/// off or sends its heartbeats to another controller.
+/// Idle timeout of a connection, in heartbeat intervals. A worker that is silent longer has failed or has switched to
+/// another controller.
 pub const IDLE_CONNECTION_HEARTBEAT_INTERVALS: f64 = 4.0;
 
-/// Milliseconds that a connection may be idle in any case: users poll every 5 s.
+/// Minimum idle timeout of a connection, milliseconds: longer than the 5 s between two polls of a user.
 pub const MIN_IDLE_CONNECTION_TIMEOUT_MS: u64 = 20_000;
 
-/// Connections to the key-value store: the long watch, the batch in flight, lease renewal, the read of the
-/// control keys, and some for users' reads.
+/// Connections to the key-value store, for the watch, writes, lease renewals, control keys and user reads.
 pub const KV_CONNECTIONS: usize = 16;
 
-/// Connections to the cloud: machine list, provisioning, release, catalogue.
+/// Connections to the cloud, for the machine list, provisioning, releases and the catalog.
 pub const CLOUD_CONNECTIONS: usize = 4;
 
-/// Connections accepted from peers: each has one or two, and may leave dead ones behind.
+/// Connections accepted from peers: one or two from each peer, and some that are dead but not yet closed.
 pub const PEER_CONNECTIONS: usize = 16;
 
-/// Sockets that users and workers cannot use: the above, both listeners, the client connections to peers.
+/// Sockets that users and workers cannot use: the connections above, both listeners and the connections to peers.
 pub const RESERVED_SOCKETS: usize = KV_CONNECTIONS + CLOUD_CONNECTIONS + PEER_CONNECTIONS + 12;
 
-/// One in so many of the other sockets may be a connection to a worker.
+/// Inverse of the share of the unreserved sockets for connections to workers.
 pub const WORKER_CONNECTION_DIVISOR: usize = 4;
 
-/// One in so many of the connections of users and workers is left free: beyond that a connection is closed
-/// after each response, so that more clients than there are connections share them.
+/// Inverse of the share of user and worker connections that stays free. When fewer are free, each connection is closed
+/// after its response, so that more clients than connections can be served.
 pub const SPARE_CONNECTION_DIVISOR: usize = 8;
 
-/// Milliseconds between two log lines that compare the connections with their limit.
+/// Interval of the log line that compares the connections with their limit, milliseconds.
 pub const CONNECTION_LOG_INTERVAL_MS: u64 = 60_000;
 
-/// Minimum number of sockets that the service can work with: those it reserves, and some for users and workers.
+/// Minimum socket limit of the process: the reserved sockets and some for users and workers.
 pub const MIN_SOCKETS: usize = 64;
--- a/crates/worksshunt-core/src/constants/placement.rs
+++ b/crates/worksshunt-core/src/constants/placement.rs
@@ -1,12 +1,12 @@
-//! Placement by measured speed: the parameters of the published design.
+//! Placement by measured speed: parameters of the published design.
 
-/// Window of the speed measurement, seconds (paper: lease after its preparation allowance).
+/// Window of the speed measurement, seconds.
 pub const SPEED_WINDOW_S: f64 = 120.0;
 
-/// Speed of a machine without measurements, seconds of estimated work per second of allocation (design).
+/// Speed of a machine without measurements, seconds of estimated work per second of allocation.
 pub const START_SPEED: f64 = 1.0;
 
-/// Weight of a new measurement in a machine's moving average: four or five tasks outweigh the earlier ones.
+/// Weight of a new measurement in a machine's moving average.
 pub const SPEED_SMOOTHING_FACTOR: f64 = 0.2;
 
 /// Upper bounds of the size bands for over-capacity placements, seconds of estimated work.
--- a/crates/worksshunt-core/src/constants/timers.rs
+++ b/crates/worksshunt-core/src/constants/timers.rs
@@ -1,32 +1,32 @@
 //! Intervals of a controller's periodic work, and the time budget of a scheduling round.
 
-/// Milliseconds between two ticks. Events are handled at once; ticks are for timers that are due.
+/// Interval of ticks, milliseconds. Ticks run due timers; events are handled when they arrive.
 pub const TICK_MS: u64 = 100;
 
-/// Milliseconds that a scheduling round may take before its rest is deferred to the next one: a quarter of
-/// [`ROUND_INTERVAL_MS`], which leaves the rest of the time for responses to requests.
+/// Time budget of a scheduling round, milliseconds. The remaining work is deferred to the next round, which leaves most
+/// of [`ROUND_INTERVAL_MS`] for responses to requests.
 pub const ROUND_BUDGET_MS: u64 = 12;
 
-/// Milliseconds between the beginnings of two scheduling rounds.
+/// Interval between the beginnings of scheduling rounds, milliseconds.
 pub const ROUND_INTERVAL_MS: u64 = 50;
 
-/// Milliseconds between two checks of tasks that have been waiting for capacity.
+/// Interval of checks of tasks that wait for capacity, milliseconds.
 pub const WAITING_TASKS_CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds before unreadable records are read again.
+/// Delay before unreadable records are read again, milliseconds.
 pub const UNREADABLE_RECORDS_RETRY_DELAY_MS: u64 = 5_000;
 
-/// Milliseconds between two plans of scaling out and in.
+/// Interval of plans for scaling out and in, milliseconds.
 pub const FLEET_PLANNING_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds between two reads of the machine list.
+/// Interval of reads of the cloud's machine list, milliseconds.
 pub const MACHINE_LIST_INTERVAL_MS: u64 = 3_000;
 
-/// Milliseconds between two reads of the catalogue once it is known.
+/// Interval of reads of the catalog after the first successful one, milliseconds.
 pub const CATALOG_INTERVAL_MS: u64 = 120_000;
 
-/// Milliseconds before an unanswered or refused catalogue request is retried.
+/// Delay before an unanswered or refused catalog request is retried, milliseconds.
 pub const CATALOG_RETRY_DELAY_MS: u64 = 1_000;
 
-/// Milliseconds between two log summaries of over-capacity placements (design).
+/// Interval of log summaries of over-capacity placements, milliseconds.
 pub const OVER_CAPACITY_SUMMARY_INTERVAL_MS: u64 = 30_000;
--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -71,7 +71,7 @@
         if !accept.hedge.answered(number, is_clear) {
             return;
         }
-        accept.timer.schedule_retry(now, 0);
+        accept.timer.schedule_next(now, 0);
         let jobs = self.job_api.requests.write_answered();
         match response {
             // Nobody else writes this process's submission batches: an earlier copy was applied.
@@ -98,7 +98,7 @@
     /// Queues the submissions of a write that was not executed for the next one, after a pause.
     fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
-        accept.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
+        accept.timer.schedule_next(now, KV_RETRY_DELAY_MS);
         self.job_api.requests.requeue_submissions(jobs);
     }
 
--- a/crates/worksshunt-core/src/controller/catalog.rs
+++ b/crates/worksshunt-core/src/controller/catalog.rs
@@ -62,7 +62,7 @@
         let Some(catalog) = catalog else {
             self.catalog
                 .read_timer
-                .schedule_retry(now, CATALOG_RETRY_DELAY_MS);
+                .schedule_next(now, CATALOG_RETRY_DELAY_MS);
             return;
         };
         self.catalog.read_timer.is_in_flight = false;
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -5,7 +5,7 @@
 
 use worksshunt_wire::cloud::{Catalog, MachineIds, MachineList};
 use worksshunt_wire::key_value::{CompareAndSwap, KeyValue, Listing, WatchResponse};
-use worksshunt_wire::peer::{KnownEpoch, PeerRequest, PeerResponse};
+use worksshunt_wire::peer::{EpochPollResponse, PeerRequest, PeerResponse};
 use worksshunt_wire::{ControllerName, Epoch, JobId, Revision};
 
 use crate::fleet::CloudRequest;
@@ -238,7 +238,7 @@
     /// A peer has answered whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
     /// A peer has answered with what it knows of the epoch.
-    PeerKnownEpoch(ControllerName, KnownEpoch),
+    PeerKnownEpoch(ControllerName, EpochPollResponse),
 }
 
 /// What a controller has its process do.
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -73,7 +73,7 @@
     pub(super) fn open_jobs_answered(&mut self, times: RequestTimes, response: KvResponse) {
         self.job_cache_reads
             .list_timer
-            .schedule_retry(times.answered_at, KV_RETRY_DELAY_MS);
+            .schedule_next(times.answered_at, KV_RETRY_DELAY_MS);
         if let KvResponse::Listing(listing) = response {
             if !self.job_cache.is_loaded() {
                 self.membership.open_jobs_read(times.sent_at);
@@ -93,14 +93,14 @@
         let timer = &mut self.job_cache_reads.watch_timer;
         match response {
             KvResponse::WatchResponse(changes) => {
-                timer.schedule_retry(times.answered_at, WATCH_PAUSE_MS);
+                timer.schedule_next(times.answered_at, WATCH_PAUSE_MS);
                 self.open_jobs_changed(times, &changes);
             }
             KvResponse::RevisionCompacted => {
-                timer.schedule_retry(times.answered_at, 0);
+                timer.schedule_next(times.answered_at, 0);
                 self.reload_job_cache(actions);
             }
-            _ => timer.schedule_retry(times.answered_at, KV_RETRY_DELAY_MS),
+            _ => timer.schedule_next(times.answered_at, KV_RETRY_DELAY_MS),
         }
     }
 
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -149,7 +149,7 @@
         actions: &mut Vec<Action>,
     ) {
         let now = times.answered_at;
-        self.job_api.catch_up_timer.schedule_retry(now, 0);
+        self.job_api.catch_up_timer.schedule_next(now, 0);
         match response {
             KvResponse::WatchResponse(changes) if self.job_cache.is_loaded() => {
                 self.open_jobs_changed(times, &changes);
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -87,7 +87,7 @@
     }
 
     fn retry_load_step(&mut self, now: Time, wait_ms: u64) {
-        self.epoch_load.retry_timer.schedule_retry(now, wait_ms);
+        self.epoch_load.retry_timer.schedule_next(now, wait_ms);
     }
 
     /// Whether it is that epoch's records that are being read.
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -62,7 +62,7 @@
         } else {
             KV_RETRY_DELAY_MS
         };
-        self.membership_timers.lease.schedule_retry(now, wait_ms);
+        self.membership_timers.lease.schedule_next(now, wait_ms);
         if let KvResponse::LeaseGranted(lease) = response {
             self.membership.lease_granted(lease);
             self.read_control_keys_at(now);
@@ -73,20 +73,20 @@
         let lease_timer = &mut self.membership_timers.lease;
         match response {
             KvResponse::Committed(version) => {
-                lease_timer.schedule_retry(now, 0);
+                lease_timer.schedule_next(now, 0);
                 self.read_control_keys_at(now);
                 self.membership.member_key_written(version);
             }
             KvResponse::Conflict(_) => {
-                lease_timer.schedule_retry(now, KV_RETRY_DELAY_MS);
+                lease_timer.schedule_next(now, KV_RETRY_DELAY_MS);
                 self.read_control_keys_at(now);
                 self.membership.member_key_conflict();
             }
             KvResponse::NoSuchLease => {
-                lease_timer.schedule_retry(now, 0);
+                lease_timer.schedule_next(now, 0);
                 self.membership.lease_lost();
             }
-            _ => lease_timer.schedule_retry(now, KV_RETRY_DELAY_MS),
+            _ => lease_timer.schedule_next(now, KV_RETRY_DELAY_MS),
         }
     }
 
@@ -119,7 +119,7 @@
 
     /// The write of the next epoch was answered. A read of the control keys shows whether it was applied.
     pub(super) fn proposal_answered(&mut self, now: Time) {
-        self.membership_timers.proposal.schedule_retry(now, 0);
+        self.membership_timers.proposal.schedule_next(now, 0);
         self.read_control_keys_at(now);
     }
 
--- a/crates/worksshunt-core/src/controller/peers.rs
+++ b/crates/worksshunt-core/src/controller/peers.rs
@@ -24,8 +24,8 @@
             PeerRequest::KeyValueHealth => {
                 PeerResponse::KeyValueHealth(self.store_health.is_answering(now.steady))
             }
-            PeerRequest::KnownEpoch { poll_number: poll } => {
-                PeerResponse::KnownEpoch(self.known_epoch(now.steady, poll))
+            PeerRequest::EpochPoll { poll_number: poll } => {
+                PeerResponse::EpochPoll(self.known_epoch(now.steady, poll))
             }
         };
         actions.push(Action::RespondToPeer(request, response));
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_wire::peer::{KnownEpoch, PeerRequest};
+use worksshunt_wire::peer::{EpochPollResponse, PeerRequest};
 use worksshunt_wire::ControllerName;
 
 use crate::constants::key_value::{
-    KV_FAIL_FAST_AFTER_MS, KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS,
+    KV_UNHEALTHY_AFTER_MS, KV_UNREACHABLE_AFTER_MS, KV_UNRESPONSIVE_AFTER_MS,
     PEER_HEALTH_QUERY_INTERVAL_MS, PEER_HEALTH_VALIDITY_MS,
 };
 use crate::epoch_confirmation::EpochConfirmation;
@@ -50,12 +50,12 @@
 
     /// Whether the key-value store answered this controller lately.
     pub fn is_answering(&self, now: Time) -> bool {
-        now.since(self.answered_at) < KV_SUSPECT_AFTER_MS
+        now.since(self.answered_at) < KV_UNREACHABLE_AFTER_MS
     }
 
     /// Whether it has not answered for so long that waiting for a response is futile.
     pub fn is_silent(&self, now: Time) -> bool {
-        now.since(self.answered_at) > KV_FAIL_FAST_AFTER_MS
+        now.since(self.answered_at) > KV_UNRESPONSIVE_AFTER_MS
     }
 
     /// Whether users should be routed to this controller, as far as the key-value store is concerned.
@@ -117,14 +117,14 @@
         for peer in others {
             actions.push(Action::SendToPeer(
                 peer,
-                PeerRequest::KnownEpoch { poll_number: poll },
+                PeerRequest::EpochPoll { poll_number: poll },
             ));
         }
     }
 
     /// What this controller knows of the epoch, for a peer that asks.
-    pub(super) fn known_epoch(&self, now: Time, poll: u64) -> KnownEpoch {
-        KnownEpoch {
+    pub(super) fn known_epoch(&self, now: Time, poll: u64) -> EpochPollResponse {
+        EpochPollResponse {
             poll_number: poll,
             epoch: self.membership.fencing_token(),
             is_key_value_store_reachable: self.store_health.is_answering(now),
@@ -132,7 +132,7 @@
     }
 
     /// Processes what a peer knows of the epoch; once all have confirmed it, the epoch lease is extended.
-    pub(super) fn peer_epoch_answered(&mut self, from: &ControllerName, known: &KnownEpoch) {
+    pub(super) fn peer_epoch_answered(&mut self, from: &ControllerName, known: &EpochPollResponse) {
         let confirmation = &mut self.store_health.epoch_confirmation;
         confirmation.record_response(from, known);
         let epoch = self.membership.fencing_token();
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -51,7 +51,7 @@
         if !queue.hedge.answered(number, is_clear) {
             return;
         }
-        queue.timer.schedule_retry(now, interval_ms);
+        queue.timer.schedule_next(now, interval_ms);
         match outcome {
             WriteOutcome::Unclear => {}
             WriteOutcome::Committed(revision) => {
@@ -143,7 +143,7 @@
         } else {
             tracing::error!(queue = ?queue_id, "write of minimum size refused as too large");
             let queue = self.write_queues.queue(queue_id);
-            queue.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
+            queue.timer.schedule_next(now, KV_RETRY_DELAY_MS);
         }
     }
 
@@ -190,9 +190,9 @@
         let version = match response {
             KvResponse::Found(pair) => pair.version,
             KvResponse::Missing => Revision(0),
-            _ => return timer.schedule_retry(now, KV_RETRY_DELAY_MS),
+            _ => return timer.schedule_next(now, KV_RETRY_DELAY_MS),
         };
-        timer.schedule_retry(now, 0);
+        timer.schedule_next(now, 0);
         self.partition.record_page_version_read(key, version);
         if let Some(leader) = &mut self.leader {
             leader.scheduler.page_version_read(key, version);
--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_wire::peer::KnownEpoch;
+use worksshunt_wire::peer::EpochPollResponse;
 use worksshunt_wire::{ControllerName, Epoch};
 
 use crate::time::Time;
@@ -44,7 +44,7 @@
 
     /// Processes an answer. The poll fails if the sender knows a newer epoch. It also fails if the sender reaches
     /// the key-value store: then the asker alone is cut off, and the others go on without it.
-    pub fn record_response(&mut self, from: &ControllerName, known: &KnownEpoch) {
+    pub fn record_response(&mut self, from: &ControllerName, known: &EpochPollResponse) {
         if known.poll_number != self.poll_number {
             return;
         }
--- a/crates/worksshunt-core/src/epoch_confirmation/tests.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation/tests.rs
@@ -6,8 +6,8 @@
     text.into()
 }
 
-fn known(poll: u64, epoch: u64) -> KnownEpoch {
-    KnownEpoch {
+fn known(poll: u64, epoch: u64) -> EpochPollResponse {
+    EpochPollResponse {
         poll_number: poll,
         epoch: Epoch(epoch),
         is_key_value_store_reachable: false,
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_poll_fails_if_a_peer_knows_a_newer_epoch_or_reaches_the_key_value_store() {
-    let reaches = |number| KnownEpoch {
+    let reaches = |number| EpochPollResponse {
         is_key_value_store_reachable: true,
         ..known(number, 4)
     };
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -1,5 +1,6 @@
-//! The capacity that there is or will be, compared with the demand: what is served, what is not, and what is
-//! reserved for expected demand. Pure functions, used when the fleet plans its requests.
+//! Compares the present and pending capacity with the demand and reserves capacity for expected demand.
+//!
+//! Pure functions, used when the fleet plans its requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,19 +16,19 @@
 
 use super::InstanceOffer;
 
-/// Upper bound of the tasks on a machine, for tasks that need nothing.
+/// Upper bound of the tasks on a machine, for tasks without resource requirements.
 const MAX_TASKS_PER_MACHINE: f64 = 1e6;
 
-/// Free capacity of a machine that takes tasks or is going to.
+/// Free capacity of a machine that is schedulable, booting or requested.
 #[derive(Debug, Clone)]
 pub(super) struct MachineSupply {
     pub(super) offer: InstanceOffer,
     pub(super) free: Resources,
-    /// The machine, if it is up and no task is on it or planned for it.
+    /// Id of the machine while it is idle; `None` if it is booting or requested, or has tasks on it or planned for it.
     pub(super) idle_machine: Option<MachineId>,
 }
 
-/// The supply that a provision request brings if it is granted in full.
+/// Supply from a provision request that is granted in full.
 pub(super) fn supply_from_request(
     request: &ProvisionRequest,
     catalog: &Catalog,
@@ -43,16 +44,16 @@
     vec![machine; request.machine_count as usize]
 }
 
-/// Capacity reserved for demand that is expected.
+/// Capacity reserved for expected demand.
 pub(super) struct Reservation {
-    /// Idle machines that are kept for it.
+    /// Idle machines that must not be released.
     pub(super) idle_machines: BTreeSet<MachineId>,
-    /// What has to be provisioned for it.
+    /// Expected demand for which machines have to be provisioned.
     pub(super) unserved: Vec<Demand>,
 }
 
-/// Reserves capacity for expected demand and takes it out of the supply. The supply with the least free
-/// capacity serves first, so that as few idle machines as possible are kept.
+/// Reserves capacity for expected demand and removes it from the supply. Machines with the fewest free processors are
+/// used first, so that as few idle machines as possible are reserved.
 pub(super) fn reserve_capacity(
     supply: &mut Vec<MachineSupply>,
     forecast: &Forecast,
@@ -66,8 +67,8 @@
     supply.sort_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus));
     let mut idle_machines = idle_machines(supply);
     let unserved = unserved_demand(supply, &expected);
-    for spare in self::idle_machines(supply) {
-        idle_machines.remove(&spare);
+    for unreserved in self::idle_machines(supply) {
+        idle_machines.remove(&unreserved);
     }
     Reservation {
         idle_machines,
@@ -82,8 +83,8 @@
         .collect()
 }
 
-/// Capacity for replicas that are likely to be submitted before a machine provisioned for them would be
-/// up, and for the largest job at any time.
+/// Demand to reserve for a class: replicas that are likely to be submitted before a machine provisioned for them has
+/// booted, and the largest job.
 fn reserved_capacity(expected: &ExpectedDemand, catalog: &Catalog) -> Vec<Demand> {
     let job = &expected.job;
     let offers = catalog.machine_types.iter().flat_map(|machine_type| {
@@ -108,19 +109,19 @@
     }
 }
 
-/// How many tasks of a class to reserve capacity for, where a machine takes `boot_s` seconds to boot.
+/// Number of tasks of a class to reserve capacity for. `boot_s` is the shortest boot time of the allowed machine types.
 fn expected_tasks(expected: &ExpectedDemand, boot_s: f64) -> u32 {
     let jobs = f64::from(expected.recent_jobs);
     let arrivals =
         jobs * 1_000.0 / expected.arrival_window_ms as f64 * boot_s * RESERVED_CAPACITY_BOOT_TIMES;
-    // Jobs arrive at random: occasionally there are more of them, by about the square root of their number.
+    // One standard deviation above the mean of a Poisson process.
     let max_arrivals = arrivals + arrivals.sqrt();
     let tasks_per_job = f64::from(expected.recent_replicas) / jobs.max(1.0);
     expected.max_replicas + (tasks_per_job * max_arrivals).ceil() as u32
 }
 
-/// Spare capacity of so many processors on on-demand machines, in all zones, for demand of which nothing is
-/// known yet. It is expressed as replicas that take a whole machine of the cheapest type.
+/// Spare capacity of `cpus` processors on on-demand machines, spread over all zones, for demand without a forecast. It
+/// is expressed as replicas that each take a whole machine of the type with the lowest price per processor.
 fn spare_capacity(cpus: f64, catalog: &Catalog) -> Vec<Demand> {
     let price_per_cpu =
         |machine_type: &MachineType| machine_type.on_demand_price / machine_type.cpus;
@@ -141,7 +142,7 @@
         .collect()
 }
 
-/// Demand for so many tasks that no user has submitted yet.
+/// Demand for tasks that no user has submitted yet.
 fn reserved_demand(job: &Rc<Job>, zone: Option<String>, tasks: u32) -> Demand {
     Demand {
         job: Rc::clone(job),
@@ -157,16 +158,17 @@
     }
 }
 
-/// The demand that the supply does not serve at once. What it does serve is taken out of the supply.
+/// Allocates the supply to the demand and returns the demand that does not fit. The allocated capacity is removed from
+/// the supply.
 pub(super) fn unserved_demand(supply: &mut Vec<MachineSupply>, demand: &[Demand]) -> Vec<Demand> {
     let mut unserved = Vec::new();
     for demand in demand.iter().filter(|demand| demand.tasks_within_limit > 0) {
-        let need = demand.job.resources();
+        let task_resources = demand.job.resources();
         let mut tasks = demand.tasks_within_limit;
         supply.retain_mut(|machine| {
             let allowed = allows(demand, &machine.offer);
-            while tasks > 0 && allowed && machine.free.fits(&need) {
-                machine.free.allocate(&need);
+            while tasks > 0 && allowed && machine.free.fits(&task_resources) {
+                machine.free.allocate(&task_resources);
                 tasks -= 1;
                 machine.idle_machine = None;
             }
@@ -182,18 +184,17 @@
     unserved
 }
 
-/// Processors of a team's demand.
+/// Processors that a team's demand needs.
 #[derive(Default)]
 struct TeamDemand {
-    /// Processors that run all its tasks at once.
+    /// Processors to run all its tasks at the same time.
     cpus_at_once: f64,
-    /// Processors that complete them in time, one after the other.
+    /// Processors to complete its remaining work within the slack of its tasks.
     cpus_in_time: f64,
 }
 
-/// Processors with which all tasks would be completed in time if each job were served in its turn. They are
-/// computed by team: where a job's last tasks end, the next job of its team takes their place. Replicas
-/// release their processors to no other job.
+/// Processors needed to complete all demand in time. They are computed by team, because jobs of a team reuse the
+/// processors that earlier jobs of the team release. Replicas never release theirs, so all replicas are counted.
 pub(super) fn cpus_needed(demand: &[Demand]) -> f64 {
     let mut teams: BTreeMap<&TeamName, TeamDemand> = BTreeMap::new();
     let mut service_cpus = 0.0;
@@ -215,7 +216,7 @@
         + service_cpus
 }
 
-/// Whether tasks of the demand may run on machines of the offer.
+/// Whether the constraints of the demand allow machines of the offer.
 pub(super) fn allows(demand: &Demand, offer: &InstanceOffer) -> bool {
     let job = &demand.job;
     job.allows_machine(&offer.machine_type, &offer.zone, offer.is_spot)
@@ -224,17 +225,17 @@
         && (offer.is_spot || !demand.spot_only)
 }
 
-/// How many tasks with that need fit an empty machine with so much capacity.
-pub(super) fn tasks_per_machine(capacity: &Resources, need: &Resources) -> f64 {
-    let ratio = |capacity: f64, need: f64| {
-        if need > 0.0 {
-            (capacity / need + ROUNDING_TOLERANCE).floor()
+/// Number of tasks that fit an empty machine, from the machine's capacity and the resources of each task.
+pub(super) fn tasks_per_machine(capacity: &Resources, task_resources: &Resources) -> f64 {
+    let ratio = |capacity: f64, per_task: f64| {
+        if per_task > 0.0 {
+            (capacity / per_task + ROUNDING_TOLERANCE).floor()
         } else {
             f64::INFINITY
         }
     };
-    ratio(capacity.cpus, need.cpus)
-        .min(ratio(capacity.gpus, need.gpus))
-        .min(ratio(capacity.memory_gb, need.memory_gb))
+    ratio(capacity.cpus, task_resources.cpus)
+        .min(ratio(capacity.gpus, task_resources.gpus))
+        .min(ratio(capacity.memory_gb, task_resources.memory_gb))
         .min(MAX_TASKS_PER_MACHINE)
 }
--- a/crates/worksshunt-core/src/fleet/instance_offer.rs
+++ b/crates/worksshunt-core/src/fleet/instance_offer.rs
@@ -1,16 +1,16 @@
-//! The kinds of machines that the cloud offers.
+//! Kinds of machines that the cloud offers.
 
 use worksshunt_wire::cloud::{ListedMachine, ProvisionRequest};
 use worksshunt_wire::peer::MachineStatus;
 
-/// A kind of machine that can be provisioned. The cloud prices and refuses each by itself.
+/// A kind of machine that can be provisioned. The cloud sets the price and the availability of each kind separately.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceOffer {
-    /// Machine type.
+    /// Name of the machine type in the catalog.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine; otherwise on-demand.
+    /// Whether it is a spot machine instead of an on-demand one.
     pub is_spot: bool,
 }
 
--- a/crates/worksshunt-core/src/fleet/listing.rs
+++ b/crates/worksshunt-core/src/fleet/listing.rs
@@ -1,8 +1,8 @@
-//! Which machines the cloud's list shows to be gone.
+//! Detection of terminated machines in the cloud's machine list.
 //!
-//! A listed machine stays listed until it is gone, but a page of the list may describe an earlier
-//! moment than a page read before it. The ages of the machines that are on both pages show which is
-//! later. [`Listings`] belongs to the fleet, which applies each page it reads.
+//! A machine stays listed until it is terminated, but a page may show an earlier state than a page that was read
+//! before. The ages of the machines that two pages have in common tell which page is later. The fleet passes each page
+//! that it reads to its [`Listings`].
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -12,67 +12,68 @@
 
 use crate::constants::fleet::MACHINE_LIST_AGE_MARGIN_S;
 
-/// Identifies a time frame: a set of pages that could be ordered by the machines they share. Times compare
+/// Identifies a time frame: a set of pages that are ordered by the machines they have in common. Times are comparable
 /// only within a frame.
 type FrameId = u64;
 
-/// The moment that a page describes in each time frame that it shares a machine with, seconds.
-type Moments = BTreeMap<FrameId, f64>;
+/// Time of a page in each time frame that it has a machine in common with, seconds.
+type PageTimes = BTreeMap<FrameId, f64>;
 
-/// A machine that was listed, with its times in the cloud's clock.
+/// Times of a listed machine, by the cloud's clock.
 #[derive(Debug, Clone, Copy)]
 struct ListedTimes {
     frame: FrameId,
-    /// When its age was zero, seconds in its frame.
+    /// Time at which its age was zero, seconds in its frame.
     started_s: f64,
-    /// The latest moment at which it is known to have been listed, seconds in its frame.
+    /// Time of the latest page that listed it, seconds in its frame.
     last_listed_s: f64,
 }
 
-/// The machines listed so far.
+/// Machines listed so far that are not terminated.
 #[derive(Debug, Default)]
 pub(super) struct Listings {
     machines: BTreeMap<MachineId, ListedTimes>,
-    last_frame: FrameId,
+    last_frame_id: FrameId,
 }
 
 impl Listings {
-    /// Applies the page that follows the machine `after`. Returns the machines that it proves to be terminated; none
-    /// if the page is not in the order of the protocol, so that nothing can be concluded from what is missing.
+    /// Applies the page that follows the machine `after`, or the first page if `after` is `None`. Returns the machines
+    /// that the page proves to be terminated: none if its machines are not in order, because then a missing machine
+    /// proves nothing.
     pub fn apply_page(&mut self, after: Option<&MachineId>, page: &MachineList) -> Vec<MachineId> {
         let ids = page.machines.iter().map(|machine| &machine.id);
         if !after.into_iter().chain(ids).is_sorted_by(|a, b| a < b) {
             return Vec::new();
         }
-        let moments = self.moments(page);
-        self.record(page, &moments);
-        let terminated = self.terminated_machines(after, page, &moments);
+        let page_times = self.page_times(page);
+        self.record(page, &page_times);
+        let terminated = self.terminated_machines(after, page, &page_times);
         for id in &terminated {
             self.machines.remove(id);
         }
         terminated
     }
 
-    fn moments(&self, page: &MachineList) -> Moments {
-        let mut moments = Moments::new();
+    fn page_times(&self, page: &MachineList) -> PageTimes {
+        let mut page_times = PageTimes::new();
         for machine in &page.machines {
             if let Some(listed) = self.machines.get(&machine.id) {
-                let moment = listed.started_s + machine.age_s;
-                let earliest = moments.entry(listed.frame).or_insert(moment);
-                *earliest = earliest.min(moment);
+                let page_time_s = listed.started_s + machine.age_s;
+                let earliest_s = page_times.entry(listed.frame).or_insert(page_time_s);
+                *earliest_s = earliest_s.min(page_time_s);
             }
         }
-        moments
+        page_times
     }
 
-    /// Records the machines of a page. New ones join the first frame of the page, or a new frame if it shares
-    /// no machine with earlier pages.
-    fn record(&mut self, page: &MachineList, moments: &Moments) {
-        let (frame, moment) = match moments.first_key_value() {
-            Some((frame, moment)) => (*frame, *moment),
+    /// Records the machines of a page. New machines join the first frame of the page, or a new frame if the page has no
+    /// machine in common with earlier pages.
+    fn record(&mut self, page: &MachineList, page_times: &PageTimes) {
+        let (frame, page_time_s) = match page_times.first_key_value() {
+            Some((frame, page_time_s)) => (*frame, *page_time_s),
             None => {
-                self.last_frame += 1;
-                (self.last_frame, 0.0)
+                self.last_frame_id += 1;
+                (self.last_frame_id, 0.0)
             }
         };
         for machine in &page.machines {
@@ -81,21 +82,23 @@
                 .entry(machine.id.clone())
                 .or_insert(ListedTimes {
                     frame,
-                    started_s: moment - machine.age_s,
-                    last_listed_s: moment,
+                    started_s: page_time_s - machine.age_s,
+                    last_listed_s: page_time_s,
                 });
-            let moment = moments.get(&listed.frame).copied().unwrap_or(moment);
-            listed.last_listed_s = listed.last_listed_s.max(moment);
+            let page_time_s = page_times
+                .get(&listed.frame)
+                .copied()
+                .unwrap_or(page_time_s);
+            listed.last_listed_s = listed.last_listed_s.max(page_time_s);
         }
     }
 
-    /// The machines in the page's range that are missing from it though it is later than the last page that
-    /// had them.
+    /// Machines in the page's range that are missing from it although it is later than the last page that listed them.
     fn terminated_machines(
         &self,
         after: Option<&MachineId>,
         page: &MachineList,
-        moments: &Moments,
+        page_times: &PageTimes,
     ) -> Vec<MachineId> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let end = match page.machines.last() {
@@ -109,9 +112,9 @@
             if on_page.next_if_eq(&id).is_some() {
                 continue;
             }
-            let is_later = moments
-                .get(&listed.frame)
-                .is_some_and(|moment| *moment > listed.last_listed_s + MACHINE_LIST_AGE_MARGIN_S);
+            let is_later = page_times.get(&listed.frame).is_some_and(|page_time_s| {
+                *page_time_s > listed.last_listed_s + MACHINE_LIST_AGE_MARGIN_S
+            });
             if is_later {
                 terminated.push(id.clone());
             }
--- a/crates/worksshunt-core/src/fleet/listing/tests.rs
+++ b/crates/worksshunt-core/src/fleet/listing/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `listing`.
+//! Tests of the detection of terminated machines in machine lists.
 
 use super::*;
 
-/// A page of machines with their ages.
+/// A page of the machine list, from names and ages in seconds.
 fn page(machines: &[(&str, f64)], more: bool) -> MachineList {
     let machine = |(id, age_s): &(&str, f64)| {
         serde_json::json!({"Ref": id, "Modelo": "m4", "Patio": "a", "Prestados": true,
@@ -12,10 +12,9 @@
     serde_json::from_value(serde_json::json!({"Estibas": machines, "More": more})).expect("a page")
 }
 
-// Guards against a machine that counts as gone because an older list does not have it yet, or because
-// it is on another page.
+// Guards against treating a machine as terminated because an older list or another page does not list it.
 #[test]
-fn only_a_later_list_shows_that_a_machine_is_gone() {
+fn only_a_later_page_proves_termination() {
     let mut listings = Listings::default();
     let none: Vec<MachineId> = Vec::new();
     let first = page(&[("i-1", 50.0), ("i-2", 50.0), ("i-3", 4.0)], false);
@@ -24,17 +23,17 @@
     assert_eq!(
         listings.apply_page(None, &older),
         none,
-        "it was not provisioned then"
+        "the older page precedes the machine"
     );
-    let cut = page(&[("i-1", 60.0), ("i-2", 60.0)], true);
+    let partial = page(&[("i-1", 60.0), ("i-2", 60.0)], true);
     assert_eq!(
-        listings.apply_page(None, &cut),
+        listings.apply_page(None, &partial),
         none,
-        "it follows on the next page"
+        "the machine may be on the next page"
     );
     let later = page(&[("i-1", 56.0), ("i-4", 2.0)], false);
-    let gone = listings.apply_page(None, &later);
-    assert_eq!(gone, ["i-3".into()], "i-2 was there later than that");
+    let terminated = listings.apply_page(None, &later);
+    assert_eq!(terminated, ["i-3".into()], "i-2 was listed by a later page");
     assert_eq!(listings.apply_page(None, &later), none, "reported once");
     assert_eq!(listings.apply_page(None, &page(&[], false)), none);
     let unordered = page(&[("i-9", 90.0), ("i-4", 90.0)], true);
@@ -46,7 +45,7 @@
     );
 }
 
-// Guards against comparing the times of pages that have no machine in common.
+// Guards against ordering pages that have no machine in common.
 #[test]
 fn pages_without_a_common_machine_are_not_ordered() {
     let mut listings = Listings::default();
@@ -60,7 +59,7 @@
     assert_eq!(
         listings.apply_page(None, &shifted),
         none,
-        "i-3 is younger there"
+        "the age of i-3 shows an earlier page"
     );
     let later = page(&[("i-3", 9.0)], false);
     assert_eq!(
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Scaling the fleet out and in: which machines to provision and which to release.
+//! Scaling out and in: decides which machines to provision and which to release.
 //!
-//! [`Fleet`] owns the leader's view of the provisioned machines, the provision requests without a response
-//! and the offers that the cloud has refused. Only the leader has one. It feeds the fleet with the cloud's
-//! machine list and responses and with what the partitions report, and sends the requests it plans.
+//! [`Fleet`] holds the provisioned machines, the provision requests without a response and the offers that the cloud
+//! refused. Only the leader has one. The leader updates it from the cloud's machine list, the cloud's responses and the
+//! status of the partitions, and sends the requests that it plans.
 
 mod capacity_supply;
 mod instance_offer;
@@ -35,13 +35,13 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
-    /// Provision machines.
+    /// Provisions machines.
     Provision(ProvisionRequest),
-    /// Release machines.
+    /// Releases machines.
     Release(MachineIds),
-    /// Read the whole machine list.
+    /// Reads all pages of the machine list.
     ListMachines,
-    /// Read the catalogue.
+    /// Reads the catalog.
     ReadCatalog,
 }
 
@@ -49,32 +49,33 @@
 #[derive(Debug)]
 pub struct Fleet {
     epoch: Epoch,
-    /// Provision requests made in this epoch, the last of which has this number in its name.
-    provision_requests: u64,
+    /// Number of provision requests created in this epoch. Their names contain it.
+    provision_request_count: u64,
     machines: BTreeMap<MachineId, TrackedMachine>,
-    /// Offers that the cloud has refused, each with the time from which on it may be requested again.
+    /// Offers that the cloud refused, with the time from which each may be requested again.
     refused_until: BTreeMap<InstanceOffer, Time>,
     /// Provision requests without a response.
     pending_provisions: Vec<PendingProvision>,
     max_pending_provisions: usize,
-    release_in_flight: bool,
-    /// Machines known to be terminated, and since when.
-    terminated: BTreeMap<MachineId, Time>,
+    is_release_in_flight: bool,
+    /// Terminated machines, with the time at which the termination was detected.
+    terminated_at: BTreeMap<MachineId, Time>,
     listings: Listings,
-    /// No machine is provisioned earlier: those of a former leader may not be listed yet.
+    /// Earliest time to provision machines: those of the previous leader may not be listed before.
     provision_not_before: Time,
-    /// Milliseconds by which the cloud's machine list may lag.
+    /// Maximum lag of the cloud's machine list, milliseconds.
     list_lag_ms: u64,
-    /// No silent machine with replicas is released earlier.
+    /// Earliest time to release the next silent machine with replicas.
     silent_release_not_before: Time,
-    /// Minimum milliseconds between two such releases.
+    /// Minimum interval of such releases, milliseconds.
     silent_release_interval_ms: u64,
     /// Milliseconds for which a running machine counts as future capacity without a heartbeat.
     first_heartbeat_timeout_ms: u64,
 }
 
 impl Fleet {
-    /// An empty fleet at the start of an epoch, with at most so many provision requests in flight.
+    /// Creates an empty fleet at the start of an epoch. At most `max_pending_provisions` provision requests are pending
+    /// at a time.
     pub fn new(
         epoch: Epoch,
         now: Time,
@@ -83,17 +84,17 @@
         max_pending_provisions: usize,
     ) -> Fleet {
         let list_lag_ms = (cloud.list_lag_s * 1_000.0) as u64;
-        // The first epoch has no former leader.
+        // The first epoch has no previous leader.
         let provision_delay_ms = if epoch.0 <= 1 { 0 } else { list_lag_ms };
         Fleet {
             epoch,
-            provision_requests: 0,
+            provision_request_count: 0,
             machines: BTreeMap::new(),
             refused_until: BTreeMap::new(),
             pending_provisions: Vec::new(),
             max_pending_provisions,
-            release_in_flight: false,
-            terminated: BTreeMap::new(),
+            is_release_in_flight: false,
+            terminated_at: BTreeMap::new(),
             listings: Listings::default(),
             provision_not_before: now + provision_delay_ms,
             list_lag_ms,
@@ -106,30 +107,30 @@
         }
     }
 
-    /// The epoch that it belongs to.
+    /// Epoch of the leader that owns the fleet.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Number of machines it tracks.
+    /// Number of tracked machines. Terminated ones don't count.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// Continues in the next epoch under the same leader, which knows all machines that were provisioned.
+    /// Moves the fleet to the next epoch of the same leader, which knows all provisioned machines.
     pub fn into_next_epoch(mut self, epoch: Epoch) -> Fleet {
         self.epoch = epoch;
-        self.provision_requests = 0;
-        // Responses may have come while there was no leader: all requests are repeated, those to provision
-        // under their names.
+        self.provision_request_count = 0;
+        // Responses may have been dropped between the epochs, so every request is sent again. Provision requests keep
+        // their names, which makes them idempotent.
         for provision in &mut self.pending_provisions {
-            provision.in_flight = false;
+            provision.is_in_flight = false;
         }
-        self.release_in_flight = false;
+        self.is_release_in_flight = false;
         self
     }
 
-    /// Plans which machines to release and which to provision. Returns the requests to send to the cloud.
+    /// Plans releases and provisioning. Returns the requests to send to the cloud.
     pub fn plan_requests<'a>(
         &mut self,
         now: Time,
@@ -162,7 +163,7 @@
         requests
     }
 
-    /// Free capacity of the machines that are schedulable, boot, or have been requested.
+    /// Free capacity of the machines that are schedulable, booting or requested.
     fn supply(
         &self,
         now: Time,
@@ -194,7 +195,7 @@
         schedulable.chain(booting).chain(requested).collect()
     }
 
-    /// Machines that get no new tasks.
+    /// Machines that get no new tasks because they are to be released.
     pub fn draining_machines(&self) -> BTreeSet<MachineId> {
         self.machines
             .iter()
@@ -203,13 +204,13 @@
             .collect()
     }
 
-    /// Machines known to be terminated.
+    /// Machines that the cloud has terminated, until they are forgotten.
     pub fn terminated_machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.terminated.keys()
+        self.terminated_at.keys()
     }
 }
 
-/// Processors of the machines of a supply, free or not, by offer.
+/// Total processors of the machines of a supply, by offer.
 fn cpus_by_offer(supply: &[MachineSupply], catalog: &Catalog) -> BTreeMap<InstanceOffer, f64> {
     let mut cpus_by_offer: BTreeMap<InstanceOffer, f64> = BTreeMap::new();
     for MachineSupply { offer, .. } in supply {
--- a/crates/worksshunt-core/src/fleet/scale_in.rs
+++ b/crates/worksshunt-core/src/fleet/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: which machines to drain, which to release, and the response to a release request.
+//! Scaling in: selects the machines to drain and to release, and applies the responses to release requests.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +12,11 @@
 use super::{Fleet, MachineStage};
 
 impl Fleet {
-    /// Drains a silent machine with replicas on it, one at a time, so that the replicas are replaced.
+    /// Drains the first of the `silent` machines that is up, so that its replicas are replaced. Only one machine is
+    /// empty_unschedulable per release interval.
     pub(super) fn drain_silent_machine(&mut self, now: Time, silent: &[MachineId]) {
-        // Unless it is released in the same step, its partition's next status would mark it as reported again.
-        if now < self.silent_release_not_before || self.release_in_flight {
+        // The release has to be sent in the same step: the partition's next status marks the machine as reported again.
+        if now < self.silent_release_not_before || self.is_release_in_flight {
             return;
         }
         for id in silent {
@@ -24,15 +25,15 @@
             else {
                 continue;
             };
-            tracing::info!(machine = %id, "machine with replicas missed heartbeats, scaled in");
-            tracked.abandon(id);
+            tracing::info!(machine = %id, "machine with replicas missed heartbeats; releasing it");
+            tracked.force_drain(id);
             self.silent_release_not_before = now + self.silent_release_interval_ms;
             return;
         }
     }
 
-    /// The next release request, after draining the machines that are idle or silent. Machines in
-    /// `reserved` stay though they are idle. `None` while a request is in flight.
+    /// Drains idle and silent machines and returns the next release request. Idle machines in `reserved` are not
+    /// drained. Returns `None` while a request is in flight or if no machine can be released.
     pub(super) fn next_release(
         &mut self,
         now: Time,
@@ -42,7 +43,7 @@
     ) -> Option<MachineIds> {
         let mut ids = self.drain_and_select(now, catalog, machines, reserved);
         ids.truncate(MAX_MACHINES_PER_RELEASE_REQUEST);
-        if ids.is_empty() || self.release_in_flight {
+        if ids.is_empty() || self.is_release_in_flight {
             return None;
         }
         for id in &ids {
@@ -53,11 +54,11 @@
                 tracked.set_stage(id, MachineStage::Releasing);
             }
         }
-        self.release_in_flight = true;
+        self.is_release_in_flight = true;
         Some(MachineIds { ids })
     }
 
-    /// Drains the machines that are idle or silent. Returns those that can be released.
+    /// Drains idle and silent machines. Returns the machines that can be released.
     fn drain_and_select(
         &mut self,
         now: Time,
@@ -65,8 +66,8 @@
         machines: &[&MachineView],
         reserved: &BTreeSet<MachineId>,
     ) -> Vec<MachineId> {
-        // Only once it is no longer schedulable does a machine that is reported empty stay so.
-        let drained: BTreeSet<&MachineId> = machines
+        // A machine that is still schedulable may get a task after its partition reported it empty.
+        let empty_unschedulable: BTreeSet<&MachineId> = machines
             .iter()
             .filter(|view| view.idle_since.is_some() && !view.status.is_schedulable)
             .map(|view| &view.status.id)
@@ -82,27 +83,29 @@
                 MachineStage::Booting | MachineStage::Up if tracked.is_silent(now, boot_s) => {
                     tracing::info!(
                         machine = %id, stage = ?tracked.stage(),
-                        "machine missed heartbeats, scaled in"
+                        "machine missed heartbeats; releasing it"
                     );
-                    tracked.abandon(id);
+                    tracked.force_drain(id);
                 }
-                MachineStage::Draining if !tracked.is_reported() || drained.contains(id) => {
+                MachineStage::Draining
+                    if !tracked.is_reported() || empty_unschedulable.contains(id) =>
+                {
                     selected.push(id.clone());
                 }
-                MachineStage::Releasing if !self.release_in_flight => selected.push(id.clone()),
+                MachineStage::Releasing if !self.is_release_in_flight => selected.push(id.clone()),
                 _ => {}
             }
         }
         selected
     }
 
-    /// A release request was answered. `released` are the machines that are terminated by it; `None` if
-    /// it failed, in which case it is repeated.
+    /// Applies the response to a release request. `released` are the terminated machines, or `None` if the request
+    /// failed; it is then sent again.
     pub fn apply_release_response(&mut self, now: Time, released: Option<&MachineIds>) {
-        self.release_in_flight = false;
+        self.is_release_in_flight = false;
         for id in released.iter().flat_map(|released| &released.ids) {
             self.machines.remove(id);
-            self.terminated.insert(id.clone(), now);
+            self.terminated_at.insert(id.clone(), now);
         }
     }
 }
--- a/crates/worksshunt-core/src/fleet/scale_out.rs
+++ b/crates/worksshunt-core/src/fleet/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: which machines to provision next, and the responses to provision requests.
+//! Scaling out: selects the machines to provision, and applies the responses to provision requests.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,27 @@
 use super::capacity_supply::{allows, supply_from_request, tasks_per_machine, unserved_demand};
 use super::{Fleet, InstanceOffer, MachineStage, TrackedMachine};
 
-/// A provision request without a response. It is repeated under its name until it has one.
+/// A provision request without a response. It is sent again with the same name until it has one.
 #[derive(Debug)]
 pub(super) struct PendingProvision {
     pub(super) request: ProvisionRequest,
-    pub(super) in_flight: bool,
+    pub(super) is_in_flight: bool,
 }
 
-/// What the next provision requests are decided by.
+/// Input for the next provision requests.
 pub(super) struct ProvisionPlan<'a> {
     pub(super) now: Time,
     pub(super) catalog: &'a Catalog,
-    /// Processors that all demand needs.
+    /// Processors needed to complete all demand in time.
     pub(super) cpus_needed: f64,
-    /// Processors of the machines that are there or have been requested, by offer.
+    /// Processors of schedulable, booting and requested machines, by offer.
     pub(super) supplied_cpus: BTreeMap<InstanceOffer, f64>,
-    /// Demand that those machines will not serve at once.
+    /// Demand that does not fit the free capacity of those machines.
     pub(super) unserved: Vec<Demand>,
 }
 
 impl ProvisionPlan<'_> {
-    /// Accounts for a request as if it had been granted in full.
+    /// Adds the machines of a request to the supply, as if it were granted in full.
     fn add_request(&mut self, request: &ProvisionRequest) {
         let mut requested = supply_from_request(request, self.catalog);
         let cpus: f64 = requested.iter().map(|supply| supply.free.cpus).sum();
@@ -42,59 +42,62 @@
         self.unserved = unserved_demand(&mut requested, &self.unserved);
     }
 
-    /// How many machines of the best offer for a demand to provision, in addition to those `selected` so far
-    /// for other demands.
-    fn machines_for(
+    /// Number of machines of the best offer to provision for a demand, in addition to those `selected` for other
+    /// demands.
+    fn machines_to_provision(
         &self,
         demand: &Demand,
         best: &RankedOffer,
         selected: &BTreeMap<InstanceOffer, f64>,
     ) -> f64 {
-        let by_tasks = f64::from(demand.tasks_within_limit) / best.tasks_per_machine;
-        // Busy machines do not become free in time for a replica.
+        let machines_for_tasks = f64::from(demand.tasks_within_limit) / best.tasks_per_machine;
+        // A replica cannot wait until a task on a busy machine ends.
         if demand.job.is_service() {
-            return by_tasks;
+            return machines_for_tasks;
         }
         let machine_type = self.catalog.machine_type(&best.offer.machine_type);
-        let cpus_each = machine_type.map_or(0.0, |machine_type| machine_type.cpus);
-        // Machines that are lost, suspected or silent are not in the supply and will not do the work.
+        let cpus_per_machine = machine_type.map_or(0.0, |machine_type| machine_type.cpus);
+        // Lost, unreachable and silent machines are not in the supply.
         let usable_cpus: f64 = self
             .supplied_cpus
             .iter()
             .filter(|(offer, _)| allows(demand, offer))
             .map(|(_, cpus)| cpus)
             .sum();
-        let selected: f64 = selected.values().sum();
-        let missing = ((self.cpus_needed - usable_cpus) / cpus_each.max(1.0) - selected).max(0.0);
-        by_tasks.min(missing)
+        let selected_machines: f64 = selected.values().sum();
+        let missing_machines = ((self.cpus_needed - usable_cpus) / cpus_per_machine.max(1.0)
+            - selected_machines)
+            .max(0.0);
+        machines_for_tasks.min(missing_machines)
     }
 }
 
-/// An offer that suits a demand, with what it is ranked by.
+/// An offer that satisfies a demand, with its ranking criteria.
 struct RankedOffer {
     offer: InstanceOffer,
-    /// Price of a machine for each task it holds.
+    /// Hourly price of a machine divided by the number of tasks that fit it.
     cost_per_task: f64,
-    /// Machines in its zone.
+    /// Number of machines in its zone, with requested ones.
     zone_machines: usize,
-    /// Tasks that a machine holds.
+    /// Number of tasks that fit an empty machine.
     tasks_per_machine: f64,
 }
 
 impl RankedOffer {
-    /// Whether it is cheaper or, at the same cost, in a zone with fewer machines.
+    /// Whether it costs less per task or, at the same cost, is in a zone with fewer machines.
     fn is_better_than(&self, other: &RankedOffer) -> bool {
         (self.cost_per_task, self.zone_machines) < (other.cost_per_task, other.zone_machines)
     }
 }
 
 impl Fleet {
-    /// The provision requests to send: those to be repeated, then new ones as long as more may be pending.
+    /// Returns the provision requests to send: first the pending ones to send again, then new ones up to the limit of
+    /// pending requests.
     pub(super) fn next_provisions(&mut self, mut plan: ProvisionPlan) -> Vec<ProvisionRequest> {
         let mut requests = Vec::new();
         for pending in &mut self.pending_provisions {
-            if !pending.in_flight {
-                pending.in_flight = true;
+            if !pending.is_in_flight {
+                pending.is_in_flight = true;
                 requests.push(pending.request.clone());
             }
         }
@@ -105,17 +108,17 @@
             plan.add_request(&request);
             self.pending_provisions.push(PendingProvision {
                 request: request.clone(),
-                in_flight: true,
+                is_in_flight: true,
             });
             requests.push(request);
         }
         requests
     }
 
-    /// The next provision request, for the offer that most machines are needed of.
+    /// Creates the next provision request, for the offer of which the most machines are missing.
     ///
-    /// A machine is provisioned when the demand would keep all machines busy for longer than its tasks may
-    /// wait, and there are tasks that it could start at once.
+    /// A machine is provisioned when the present machines would need longer for the demand than its tasks may wait, and
+    /// the machine could start tasks at once.
     fn next_provision_request(&mut self, plan: &ProvisionPlan) -> Option<ProvisionRequest> {
         let zone_machines = self.machines_by_zone();
         let mut selected: BTreeMap<InstanceOffer, f64> = BTreeMap::new();
@@ -123,20 +126,20 @@
             let Some(best) = self.best_offer(plan, demand, &zone_machines) else {
                 continue;
             };
-            let count = plan.machines_for(demand, &best, &selected);
+            let count = plan.machines_to_provision(demand, &best, &selected);
             *selected.entry(best.offer).or_default() += count;
         }
         selected.retain(|_, count| *count > ROUNDING_TOLERANCE);
         let (offer, count) = selected
             .into_iter()
             .max_by(|(_, a), (_, b)| a.total_cmp(b))?;
-        Some(self.new_request(offer, count))
+        Some(self.create_provision_request(offer, count))
     }
 
-    fn new_request(&mut self, offer: InstanceOffer, count: f64) -> ProvisionRequest {
-        self.provision_requests += 1;
+    fn create_provision_request(&mut self, offer: InstanceOffer, count: f64) -> ProvisionRequest {
+        self.provision_request_count += 1;
         let request = ProvisionRequest {
-            request_name: format!("e{}-{}", self.epoch, self.provision_requests),
+            request_name: format!("e{}-{}", self.epoch, self.provision_request_count),
             machine_type: offer.machine_type,
             zone: offer.zone,
             is_spot: offer.is_spot,
@@ -153,7 +156,7 @@
         request
     }
 
-    /// Machines by zone, with those requested.
+    /// Number of machines by zone, with requested ones.
     fn machines_by_zone(&self) -> BTreeMap<&str, usize> {
         let mut machines: BTreeMap<&str, usize> = BTreeMap::new();
         for tracked in self.machines.values() {
@@ -165,25 +168,24 @@
         machines
     }
 
-    /// The cheapest offer for a task of the demand that the cloud has not just refused. Among equals, the one
-    /// in the zone with fewer machines.
+    /// The best offer for a task of the demand, without offers that the cloud refused recently.
     fn best_offer(
         &self,
         plan: &ProvisionPlan,
         demand: &Demand,
         zone_machines: &BTreeMap<&str, usize>,
     ) -> Option<RankedOffer> {
-        let need = demand.job.resources();
+        let task_resources = demand.job.resources();
         let mut best: Option<RankedOffer> = None;
         for machine_type in &plan.catalog.machine_types {
             let tasks_per_machine =
-                tasks_per_machine(&Resources::of_machine_type(machine_type), &need);
+                tasks_per_machine(&Resources::of_machine_type(machine_type), &task_resources);
             if tasks_per_machine < 1.0 {
                 continue;
             }
             for (offer, price) in offers_of(machine_type) {
-                let can_wait = !offer.is_spot && can_wait_for_spot(demand, machine_type);
-                if can_wait || self.is_refused(&offer, plan.now) || !allows(demand, &offer) {
+                let waits_for_spot = !offer.is_spot && should_wait_for_spot(demand, machine_type);
+                if waits_for_spot || self.is_refused(&offer, plan.now) || !allows(demand, &offer) {
                     continue;
                 }
                 let candidate = RankedOffer {
@@ -209,9 +211,14 @@
             .is_some_and(|until| now < *until)
     }
 
-    /// A provision request was answered with machines.
-    pub fn apply_provision_response(&mut self, now: Time, request: &str, provisioned: &MachineIds) {
-        let Some(request) = self.take_answered_request(request) else {
+    /// Applies a response with provisioned machines. If there are fewer than requested, the offer counts as refused.
+    pub fn apply_provision_response(
+        &mut self,
+        now: Time,
+        request_name: &str,
+        provisioned: &MachineIds,
+    ) {
+        let Some(request) = self.remove_pending_request(request_name) else {
             return;
         };
         let offer = InstanceOffer::from(&request);
@@ -225,9 +232,9 @@
         }
     }
 
-    /// A provision request was refused because the cloud has no such machines.
-    pub fn apply_provision_refusal(&mut self, now: Time, request: &str) {
-        if let Some(request) = self.take_answered_request(request) {
+    /// Applies a refusal for lack of capacity: the offer is not requested again before a backoff.
+    pub fn apply_provision_refusal(&mut self, now: Time, request_name: &str) {
+        if let Some(request) = self.remove_pending_request(request_name) {
             self.mark_offer_refused(now, InstanceOffer::from(&request));
         }
     }
@@ -237,29 +244,30 @@
             machine_type = offer.machine_type,
             zone = offer.zone,
             spot = offer.is_spot,
-            "no capacity for this offer, not requested for a while"
+            "cloud has no capacity for this offer; retrying after a backoff"
         );
         self.refused_until
             .insert(offer, now + REFUSED_OFFER_BACKOFF_MS);
     }
 
-    /// A provision request got no response; it is repeated under its name.
-    pub fn retry_provision(&mut self, request: &str) {
+    /// Marks an unanswered provision request to be sent again with the same name.
+    pub fn retry_provision(&mut self, request_name: &str) {
         let mut pending = self.pending_provisions.iter_mut();
-        if let Some(pending) = pending.find(|pending| pending.request.request_name == request) {
-            pending.in_flight = false;
+        if let Some(pending) = pending.find(|pending| pending.request.request_name == request_name)
+        {
+            pending.is_in_flight = false;
         }
     }
 
-    /// Removes the pending request of that name; `None` if the response is to a request of a former leader.
-    fn take_answered_request(&mut self, request: &str) -> Option<ProvisionRequest> {
+    /// Removes and returns the pending request of that name. Returns `None` if a previous leader sent it.
+    fn remove_pending_request(&mut self, request_name: &str) -> Option<ProvisionRequest> {
         let mut pending = self.pending_provisions.iter();
-        let index = pending.position(|pending| pending.request.request_name == request)?;
+        let index = pending.position(|pending| pending.request.request_name == request_name)?;
         Some(self.pending_provisions.swap_remove(index).request)
     }
 }
 
-/// The offers of a machine type with their prices, by zone, spot before on-demand.
+/// Offers of a machine type with their hourly prices, by zone, spot before on-demand.
 fn offers_of(machine_type: &MachineType) -> impl Iterator<Item = (InstanceOffer, f64)> + '_ {
     let prices = [
         (true, machine_type.spot_price),
@@ -277,9 +285,9 @@
     })
 }
 
-/// Whether the demand waits for a spot machine of that type. An on-demand machine costs several times as much:
-/// work that may run on a spot machine waits for one, unless it has a deadline or there are none.
-fn can_wait_for_spot(demand: &Demand, machine_type: &MachineType) -> bool {
+/// Whether the demand waits for a spot machine of that type instead of using a more expensive on-demand one. It doesn't
+/// if the job has a deadline or if spot capacity is unavailable.
+fn should_wait_for_spot(demand: &Demand, machine_type: &MachineType) -> bool {
     demand.job.spec.allows_spot
         && demand.job.spec.deadline_s.is_none()
         && demand.has_spot_machines
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fleet`.
+//! Tests of the fleet: provisioning, retries and refusals, and the release of machines that never report.
 
 use std::rc::Rc;
 
@@ -78,10 +78,9 @@
     )
 }
 
-// Guards against machines provisioned over and over where the tasks that wait may not run, while the zone that
-// they need is refused (found by simulated days of mixed faults).
+// Guards against repeated provisioning in a zone that must not get more of the waiting tasks.
 #[test]
-fn no_machine_is_provisioned_in_a_zone_that_may_have_no_more_of_the_tasks() {
+fn full_zones_are_not_provisioned() {
     let zones = |full: &[&str]| -> BTreeSet<String> {
         let mut fleet = fleet(1);
         let mut demand = demand(40, None);
@@ -101,9 +100,9 @@
     assert_eq!(zones(&["a"]), BTreeSet::new());
 }
 
-// Guards against minutes until a large fleet is up again, and against requesting it twice.
+// Guards against slow provisioning of a large fleet, and against requesting machines twice.
 #[test]
-fn a_large_fleet_is_provisioned_by_several_requests_at_once() {
+fn large_fleets_are_provisioned_by_concurrent_requests() {
     let mut fleet = fleet(1);
     let mut requested = 0;
     for now in (0..5_000).step_by(1_000) {
@@ -125,9 +124,9 @@
     assert_eq!(requested, 600, "four tasks on each");
 }
 
-// Guards against a new leader that releases machines because they are old and not reported yet.
+// Guards against a new leader that releases running machines before their partitions have reported them.
 #[test]
-fn a_machine_that_is_up_counts_as_silent_only_from_its_first_sighting() {
+fn silence_of_running_machine_counts_from_first_sighting() {
     let mut fleet = fleet(2);
     fleet.apply_machine_list(Time(500_000), &listed(ListedState::Running, 400.0));
     for now in [501_000, 520_000, 540_000] {
@@ -137,12 +136,12 @@
     let requests = plan(&mut fleet, 561_000, &[]);
     assert!(
         matches!(&requests[..], [CloudRequest::Release(names)] if names.ids.len() == 1),
-        "a machine that is never reported is released in the end: {requests:?}"
+        "an unreported machine is released after the timeout: {requests:?}"
     );
 }
 
 #[test]
-fn a_machine_that_never_boots_is_released() {
+fn machine_that_never_boots_is_released() {
     let mut fleet = fleet(2);
     fleet.apply_machine_list(Time(100_000), &listed(ListedState::Starting, 90.0));
     plan(&mut fleet, 100_000, &[]);
@@ -151,7 +150,7 @@
 }
 
 #[test]
-fn spot_machines_come_first_and_on_demand_ones_when_they_are_refused() {
+fn spot_is_requested_first_and_on_demand_after_refusal() {
     let mut fleet = fleet(1);
     let first = plan(&mut fleet, 0, &demand(8, Some(900.0)));
     let [CloudRequest::Provision(first)] = &first[..] else {
@@ -161,21 +160,21 @@
     assert_eq!(
         plan(&mut fleet, 1_000, &demand(8, Some(900.0))),
         vec![],
-        "what was requested counts"
+        "pending machines count as supply"
     );
     fleet.retry_provision(&first.request_name);
-    let again = plan(&mut fleet, 2_000, &demand(8, Some(900.0)));
+    let resent = plan(&mut fleet, 2_000, &demand(8, Some(900.0)));
     assert_eq!(
-        again,
+        resent,
         vec![CloudRequest::Provision(first.clone())],
-        "same name, same request"
+        "the request is sent again with its name"
     );
     fleet.apply_provision_refusal(Time(3_000), &first.request_name);
-    let patient = plan(&mut fleet, 3_500, &demand(8, None));
+    let without_deadline = plan(&mut fleet, 3_500, &demand(8, None));
     assert_eq!(
-        patient,
+        without_deadline,
         vec![],
-        "without a deadline it waits for a spot machine"
+        "a job without a deadline waits for a spot machine"
     );
     let second = plan(&mut fleet, 4_000, &demand(8, Some(900.0)));
     assert!(
--- a/crates/worksshunt-core/src/fleet/tracked_machine.rs
+++ b/crates/worksshunt-core/src/fleet/tracked_machine.rs
@@ -1,4 +1,4 @@
-//! A provisioned machine as the fleet tracks it.
+//! Life cycle of a provisioned machine, as tracked by the fleet.
 
 use worksshunt_wire::MachineId;
 
@@ -9,16 +9,16 @@
 
 use super::InstanceOffer;
 
-/// The stage of a machine's life cycle.
+/// Stage of a machine's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineStage {
-    /// Provisioned, no partition has reported it yet.
+    /// Provisioned; not yet reported by a partition.
     Booting,
-    /// A partition has reported it.
+    /// Reported by a partition.
     Up,
-    /// Gets no new tasks, to be released when it is empty.
+    /// Gets no new tasks and is released when it is empty.
     Draining,
-    /// A release request has been sent.
+    /// Named in a release request that was sent.
     Releasing,
 }
 
@@ -27,13 +27,14 @@
 pub(super) struct TrackedMachine {
     pub(super) offer: InstanceOffer,
     stage: MachineStage,
-    /// When it was provisioned or first seen.
+    /// Time at which it was provisioned or first seen.
     first_seen_at: Time,
-    /// Since when the cloud lists it as running.
+    /// Time at which the cloud first listed it as running.
     running_since: Option<Time>,
-    /// When a partition last reported it; `None` also once it is released without waiting for a partition's status.
+    /// Time at which a partition last reported it. `None` before the first report, and after a forced drain until the
+    /// next report.
     last_reported_at: Option<Time>,
-    /// Since when it is empty and no dispatched task has resources reserved on it.
+    /// Time since which it has neither tasks nor resources reserved for dispatched tasks.
     idle_since: Option<Time>,
 }
 
@@ -57,7 +58,7 @@
         self.stage
     }
 
-    /// The one place where a machine's stage changes.
+    /// Changes the stage and logs the change.
     pub(super) fn set_stage(&mut self, id: &MachineId, next: MachineStage) {
         if self.stage != next {
             tracing::debug!(machine = %id, from = ?self.stage, to = ?next, "machine stage changed");
@@ -65,12 +66,12 @@
         }
     }
 
-    /// The cloud lists it as running.
+    /// Records that the cloud lists it as running.
     pub(super) fn mark_running(&mut self, now: Time) {
         self.running_since.get_or_insert(now);
     }
 
-    /// A partition reports it.
+    /// Records that a partition reported it.
     pub(super) fn mark_reported(&mut self, id: &MachineId, now: Time) {
         self.last_reported_at = Some(now);
         if self.stage == MachineStage::Booting {
@@ -82,13 +83,13 @@
         self.idle_since = idle_since;
     }
 
-    /// Drains it and has it released without waiting until a partition reports it empty.
-    pub(super) fn abandon(&mut self, id: &MachineId) {
+    /// Drains it so that it is released without waiting for a partition to report it empty.
+    pub(super) fn force_drain(&mut self, id: &MachineId) {
         self.last_reported_at = None;
         self.set_stage(id, MachineStage::Draining);
     }
 
-    /// Whether any partition has reported it, and it has not been abandoned since.
+    /// Whether a partition has reported it since the last forced drain.
     pub(super) fn is_reported(&self) -> bool {
         self.last_reported_at.is_some()
     }
@@ -97,8 +98,8 @@
         matches!(self.stage, MachineStage::Draining | MachineStage::Releasing)
     }
 
-    /// Whether it boots and is likely to come up: not if it has been running for that long without a
-    /// heartbeat.
+    /// Whether it is booting and likely to come up. It is unlikely to if the cloud has listed it as running for
+    /// `first_heartbeat_timeout_ms` without a heartbeat.
     pub(super) fn is_expected_to_boot(&self, now: Time, first_heartbeat_timeout_ms: u64) -> bool {
         self.stage == MachineStage::Booting
             && self
@@ -106,18 +107,18 @@
                 .is_none_or(|since| now.since(since) < first_heartbeat_timeout_ms)
     }
 
-    /// Milliseconds since it was last reported, or first seen if it never was.
+    /// Milliseconds since it was last reported, or since it was first seen if there is no report.
     pub(super) fn unreported_ms(&self, now: Time) -> u64 {
         now.since(self.last_reported_at.unwrap_or(self.first_seen_at))
     }
 
-    /// Whether it has not been reported for longer than a machine of its boot time may take to boot.
+    /// Whether it has gone unreported for longer than the boot timeout of its type.
     pub(super) fn is_silent(&self, now: Time, boot_s: f64) -> bool {
         let timeout_ms = ((boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S) * 1_000.0) as u64;
         self.unreported_ms(now) > timeout_ms
     }
 
-    /// Whether it has been empty long enough to be released.
+    /// Whether it has been idle long enough to be released.
     pub(super) fn is_idle(&self, now: Time, boot_s: f64) -> bool {
         let release_ms = (boot_s * IDLE_RELEASE_BOOT_TIMES * 1_000.0) as u64;
         let release_ms = release_ms.max(MIN_IDLE_RELEASE_MS);
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -43,7 +43,7 @@
                 zone: heartbeat.zone.clone(),
                 spot: heartbeat.is_spot,
                 capacity: Resources::of_machine_type(machine_type),
-                command_address: heartbeat.addr.clone(),
+                command_address: heartbeat.command_address.clone(),
             })
     }
 }
--- a/crates/worksshunt-core/src/metrics.rs
+++ b/crates/worksshunt-core/src/metrics.rs
@@ -1,6 +1,7 @@
-//! Counters and gauges for operators: what controllers concluded about their writes, and from what.
+//! Counters and gauges of a controller: write conflicts, final job states, claim records and leadership.
 //!
-//! The controller owns one [`Metrics`] and answers `GET /metrics` with its text. Counters start at zero with the process.
+//! The controller owns one [`Metrics`] and responds to `GET /metrics` with its encoding. Counters start at zero when
+//! the process starts.
 
 use prometheus_client::encoding::{text, EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -8,37 +9,37 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Content type of the text, which is in the OpenMetrics form of Prometheus' text format.
+/// Content type of the encoded metrics, which are in the OpenMetrics text format.
 pub const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Labels of the write conflicts.
+/// Labels of a write conflict.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ConflictLabels {
-    /// The write queue.
+    /// Queue of the conflicting write.
     pub queue: QueueLabel,
-    /// Whether all keys of the write had changed, as after an earlier copy of it.
+    /// Whether all keys of the write had changed, as they have if an earlier copy of the write was applied.
     pub all_keys_changed: Flag,
 }
 
-/// A write queue.
+/// Write queue as a label value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum QueueLabel {
     /// Attempt records of a partition.
     AttemptRecords,
     /// Pages of the leader.
     LeaderPages,
-    /// Ends of jobs and claims.
+    /// Final job states and claims.
     FinalWrites,
-    /// Keys for jobs of submission batches.
+    /// Splitting of submission batches into job keys.
     SubmissionBatches,
 }
 
-/// Yes or no.
+/// Boolean label value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Flag {
-    /// No.
+    /// `false`.
     No,
-    /// Yes.
+    /// `true`.
     Yes,
 }
 
@@ -51,41 +52,41 @@
     }
 }
 
-/// Labels of the final states learnt and of the claim records learnt.
+/// Labels of final job states and of claim records.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EvidenceLabels {
-    /// What shows it.
+    /// Evidence for the state of the record.
     pub evidence: EvidenceLabel,
 }
 
-/// What shows the state of a record.
+/// Evidence for the state of a record, as a label value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum EvidenceLabel {
-    /// A write was committed.
+    /// The write of the record was committed.
     Committed,
-    /// The key was read.
+    /// The record was read.
     Read,
-    /// A write that expected the key to be missing found it.
+    /// A write that required the key to be missing failed because it exists.
     Exists,
-    /// The deletion was committed.
+    /// The deletion of the record was committed.
     Deleted,
 }
 
-/// The counters and gauges of one controller.
+/// Metrics of one controller.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Writes of the epoch that the key-value store refused.
+    /// Writes that the key-value store refused because a condition did not hold.
     pub write_conflicts: Family<ConflictLabels, Counter>,
-    /// Final states of jobs learnt.
+    /// Final job states that the controller has evidence for.
     pub final_states: Family<EvidenceLabels, Counter>,
-    /// Records of claims learnt.
+    /// Claim records that the controller has evidence for.
     pub claim_records: Family<EvidenceLabels, Counter>,
-    /// Jobs that the scheduler had closed and the store had not.
+    /// Jobs closed in the scheduler but open in the store that were reconciled.
     pub reconciled_jobs: Counter,
-    /// Fencing token that the controller acts under; 0 before any.
+    /// Fencing token of the controller's epoch; 0 before the first epoch.
     pub fencing_token: Gauge,
-    /// 1 if the controller leads.
+    /// 1 while the controller is the leader, else 0.
     pub is_leader: Gauge,
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Creates and registers all metrics with the value 0.
     pub fn new() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix("worksshunt"),
@@ -145,11 +146,11 @@
         );
     }
 
-    /// All of them as text.
+    /// Encodes all metrics as OpenMetrics text.
     ///
     /// # Errors
     ///
-    /// The text could not be written.
+    /// Returns an error if the encoder fails.
     pub fn encode(&self) -> Result<String, std::fmt::Error> {
         let mut encoded = String::new();
         text::encode(&mut encoded, &self.registry)?;
--- a/crates/worksshunt-core/src/pages/page.rs
+++ b/crates/worksshunt-core/src/pages/page.rs
@@ -1,6 +1,4 @@
-//! One page, with what is known of it in the store.
-//!
-//! Owned by [`Pages`](super::Pages), which decides when a page is written.
+//! A page of entries with its state in the store. [`Pages`](super::Pages) decides when it is written.
 
 use std::collections::BTreeMap;
 
@@ -14,11 +12,11 @@
 /// State of a page in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PageState {
-    /// The store has it at this version.
+    /// Stored at this version; zero if it doesn't exist in the store yet.
     Stored(Revision),
-    /// A write is in flight.
+    /// Being written.
     Writing,
-    /// A write was applied, at a version that has to be read.
+    /// Written at a version that has to be read from the store.
     Uncertain,
 }
 
@@ -30,15 +28,15 @@
     entries: BTreeMap<E::Key, E>,
     /// Upper bound of the bytes that its entries take.
     pub size_bytes: usize,
-    /// When the stored page should be rewritten without the entries that are no longer needed.
+    /// Time from which the stored page is rewritten to remove stale entries; `None` if it has none.
     pub rewrite_at: Option<Time>,
-    /// How much a rewrite would clean up: the number of entries that are no longer needed, where one that would
-    /// mislead counts as many.
+    /// Number of stale entries on the stored page, with urgent ones weighted by
+    /// [`URGENT_ENTRY_WEIGHT`](crate::constants::pages::URGENT_ENTRY_WEIGHT).
     pub stale_weight: u32,
 }
 
 impl<E: PageEntry> Page<E> {
-    /// A page that the store has at a version.
+    /// Creates a page that is stored at `version`.
     pub fn new(key: String, version: Revision, entries: BTreeMap<E::Key, E>) -> Page<E> {
         let size_bytes = entries
             .iter()
@@ -62,14 +60,14 @@
         matches!(self.state, PageState::Stored(_))
     }
 
-    /// Whether the page should be rewritten now, even without new entries.
+    /// Whether the page should be rewritten even without new entries.
     pub fn is_rewrite_due(&self, now: Time) -> bool {
         self.rewrite_at.is_some_and(|at| now >= at)
     }
 
-    /// Requests a rewrite at that time, if none is due before.
+    /// Schedules a rewrite at `at`, unless an earlier one is scheduled, and adds to the weight of the stale entries.
     pub fn request_rewrite(&mut self, at: Time, weight: u32) {
-        self.rewrite_at = Some(self.rewrite_at.map_or(at, |before| before.min(at)));
+        self.rewrite_at = Some(self.rewrite_at.map_or(at, |earlier| earlier.min(at)));
         self.stale_weight += weight;
     }
 
@@ -88,7 +86,7 @@
         }
     }
 
-    /// Removes an entry; whether the page had it.
+    /// Removes an entry. Returns whether the page contained it.
     pub fn remove(&mut self, key: &E::Key) -> bool {
         let removed = self.entries.remove(key);
         if let Some(entry) = &removed {
@@ -97,7 +95,7 @@
         removed.is_some()
     }
 
-    /// The write of a stored page, which is in flight from now on.
+    /// Begins a write of the page. Returns `None` unless the page is stored at a known version.
     pub fn begin_write(&mut self) -> Option<PageWrite> {
         let PageState::Stored(version) = self.state else {
             return None;
--- a/crates/worksshunt-core/src/pages/tests.rs
+++ b/crates/worksshunt-core/src/pages/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `pages`: what a write contains, when a page is rewritten, and which numbers new pages get.
+//! Tests of pages: content of writes, rewrites, and numbers of new pages.
 
 use super::*;
 
-/// An entry of a given size.
+/// An entry of that many bytes.
 #[derive(Debug, Clone, PartialEq)]
 struct Entry(usize);
 
@@ -24,8 +24,8 @@
 
 const MAX_BYTES: usize = 100;
 
-/// Pages with entries of 10 bytes, all pending.
-fn pending(entries: u32) -> Pages<Entry> {
+/// Pages with pending entries of 10 bytes each.
+fn pages_with_pending(entries: u32) -> Pages<Entry> {
     let mut pages = Pages::new("p/".to_owned(), MAX_BYTES);
     for key in 0..entries {
         pages.add(key, Entry(10));
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn entries_that_fit_no_page_go_to_the_next_and_one_write_is_in_flight_at_a_time() {
-    let mut pages = pending(25);
+fn full_pages_continue_on_the_next_and_writes_are_sequential() {
+    let mut pages = pages_with_pending(25);
     let writes = pages.begin_writes(Time(0), 2);
     assert_eq!(keys(&writes), ["p/0", "p/1"]);
     assert_eq!(writes[0].change, put(0..10, "p/0"));
@@ -62,15 +62,15 @@
 }
 
 #[test]
-fn an_entry_larger_than_a_page_gets_one_of_its_own() {
-    let mut pages = pending(1);
+fn oversized_entry_gets_its_own_page() {
+    let mut pages = pages_with_pending(1);
     pages.add(1, Entry(MAX_BYTES + 1));
     assert_eq!(keys(&pages.begin_writes(Time(0), 4)), ["p/0", "p/1"]);
 }
 
 #[test]
-fn a_page_is_rewritten_after_a_while_and_at_once_if_an_entry_would_mislead() {
-    let mut pages = pending(3);
+fn stale_page_is_rewritten_after_delay_or_at_once_if_urgent() {
+    let mut pages = pages_with_pending(3);
     pages.begin_writes(Time(0), 1);
     pages.mark_write_applied(Some(Revision(7)));
     pages.remove(&0, Time(0), false);
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn an_empty_page_is_deleted_and_its_number_not_used_again() {
-    let mut pages = pending(1);
+fn empty_page_is_deleted_and_its_number_not_reused() {
+    let mut pages = pages_with_pending(1);
     pages.begin_writes(Time(0), 1);
     pages.mark_write_applied(Some(Revision(7)));
     pages.remove(&0, Time(0), true);
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn a_page_that_lost_its_entries_during_its_write_is_deleted_by_the_next() {
-    let mut pages = pending(1);
+fn page_emptied_during_its_write_is_deleted_by_the_next() {
+    let mut pages = pages_with_pending(1);
     pages.begin_writes(Time(0), 1);
     pages.remove(&0, Time(0), true);
     pages.mark_write_applied(Some(Revision(7)));
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn a_page_of_unknown_version_is_not_written_until_that_is_read() {
-    let mut pages = pending(1);
+fn page_of_unknown_version_is_not_written_before_it_is_read() {
+    let mut pages = pages_with_pending(1);
     pages.begin_writes(Time(0), 1);
     pages.mark_write_applied(None);
     assert_eq!(pages.uncertain_keys().collect::<Vec<_>>(), ["p/0"]);
@@ -123,8 +123,8 @@
 }
 
 #[test]
-fn new_pages_are_numbered_after_those_found_in_the_store() {
-    let mut pages = pending(0);
+fn new_pages_are_numbered_after_stored_ones() {
+    let mut pages = pages_with_pending(0);
     pages.add_stored_page("p/41".to_owned(), Revision(3), BTreeMap::new());
     pages.add_stored_page("p/other".to_owned(), Revision(3), BTreeMap::new());
     for key in 0..25 {
@@ -134,11 +134,11 @@
     assert_eq!(keys(&writes).last(), Some(&"p/42"));
 }
 
-// Guards against a new page under the key of one that was found and is to be removed: the conflict with it would be
-// read as an earlier copy of the write, and its removal would take the new page along.
+// Guards against a new page under the key of a stored page that is to be deleted: the conflict would look like an
+// earlier copy of the write, and the deletion would remove the new page.
 #[test]
-fn the_number_of_a_page_that_is_not_adopted_is_not_used() {
-    let mut pages = pending(1);
+fn reserved_page_numbers_are_not_used() {
+    let mut pages = pages_with_pending(1);
     pages.reserve_page_number("p/0");
     pages.reserve_page_number("p/other");
     assert_eq!(keys(&pages.begin_writes(Time(0), 1)), ["p/1"]);
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -1,9 +1,9 @@
-//! Attempt records in the key-value store: which attempts may be on which machine.
+//! Format of attempt records in the key-value store: which attempts may be on which machine.
 //!
-//! `a/EPOCH.OWNER.N` is a [page](crate::pages) of attempts that an owner wrote in an epoch. Nothing is launched
-//! before it is on a page. Pages of former epochs are kept by the leader, until none of their
-//! attempts can be on a machine. This module has the format; the [partition](crate::machines) and the
-//! [scheduler](crate::scheduler) hold the pages, and the controller reads them when an epoch begins.
+//! `a/EPOCH.OWNER.N` is a [page](crate::pages) of attempts that a partition owner wrote in an epoch. No attempt is
+//! launched before it is on a stored page. The leader deletes pages of earlier epochs once none of their attempts can
+//! be on a machine. The [partition](crate::machines) and the [scheduler](crate::scheduler) hold the pages; the
+//! controller reads them when an epoch begins.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,37 +17,37 @@
 /// Prefix of the keys of attempt records.
 pub const ATTEMPT_RECORDS_PREFIX: &str = "a/";
 
-/// Version of the format of the records.
+/// Version of the page format that is written.
 const RECORD_FORMAT_VERSION: u32 = 2;
 
-/// Upper bound of the bytes of one stored record's punctuation: brackets, commas and the quotes of two texts.
+/// Upper bound of the punctuation bytes of a stored record: brackets, commas and the quotes of two strings.
 const PUNCTUATION_BYTES: usize = 10;
 
-/// Least number of digits in the text of a job's number.
+/// Minimum number of digits in a job id.
 const MIN_JOB_DIGITS: usize = 6;
 
-/// Bytes of a task's text besides the digits of the job and the index.
-const TASK_TEXT_BYTES: usize = 3;
+/// Bytes of a task id besides the digits of the job and the index: `j-` and `/`.
+const TASK_ID_PUNCTUATION_BYTES: usize = 3;
 
-/// Prefix of one owner's pages in an epoch.
+/// Key prefix of the pages that an owner writes in an epoch.
 pub fn page_prefix(epoch: Epoch, owner: &ControllerName) -> String {
     format!("{ATTEMPT_RECORDS_PREFIX}{epoch}.{owner}.")
 }
 
-/// An attempt that may be on a machine.
+/// A durable record that an attempt may be on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptRecord {
-    /// The machine.
+    /// Machine that the attempt may be on.
     pub machine: MachineId,
-    /// The task.
+    /// Task of the attempt.
     pub task: TaskId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// The worker's incarnation that it is meant for.
+    /// Incarnation of the worker that the attempt is launched on.
     pub incarnation: Incarnation,
 }
 
-/// A page as stored.
+/// A page in its stored form.
 #[derive(Serialize, Deserialize)]
 struct StoredPage {
     #[serde(rename = "v")]
@@ -56,13 +56,13 @@
     records: Vec<StoredRecord>,
 }
 
-/// A record as stored on a page.
+/// A record in its stored form.
 #[derive(Serialize, Deserialize)]
 struct StoredRecord(MachineId, TaskId, Attempt, Incarnation);
 
-/// A record of the first release, which kept those of one machine under one key.
+/// A record in format version 1, which has one key per machine.
 #[derive(Deserialize)]
-struct FirstReleaseRecord(TaskId, Attempt, Incarnation);
+struct RecordV1(TaskId, Attempt, Incarnation);
 
 impl From<&AttemptRecord> for StoredRecord {
     fn from(record: &AttemptRecord) -> StoredRecord {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Decimal digits of a number.
+/// Number of decimal digits.
 fn digits(number: u64) -> usize {
     number.checked_ilog10().unwrap_or(0) as usize + 1
 }
@@ -96,7 +96,7 @@
 
     fn size_bytes(&self, _: &Attempt) -> usize {
         let job_digits = digits(self.task.job.0).max(MIN_JOB_DIGITS);
-        let task_bytes = job_digits + digits(self.task.index.into()) + TASK_TEXT_BYTES;
+        let task_bytes = job_digits + digits(self.task.index.into()) + TASK_ID_PUNCTUATION_BYTES;
         let number_bytes = digits(self.attempt.0) + digits(self.incarnation.0);
         self.machine.0.len() + task_bytes + number_bytes + PUNCTUATION_BYTES
     }
@@ -113,63 +113,63 @@
     }
 }
 
-/// A record that this version of the program does not understand.
+/// Error for a stored page in an unknown format, with the key of the page.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("record {0} was written by another version of the program")]
+#[error("record {0} has an unknown format; another version of the program may have written it")]
 pub struct UnknownRecordFormat(pub String);
 
-/// Reads a page. The first release kept one key per machine, which is understood too.
+/// Decodes a stored page of the present format or of format version 1.
 ///
 /// # Errors
 ///
-/// [`UnknownRecordFormat`] with the key, if the key or the value has neither format.
+/// [`UnknownRecordFormat`] if the key or the value has neither format.
 pub fn read(pair: &KeyValue) -> Result<Vec<AttemptRecord>, UnknownRecordFormat> {
-    let unknown = || UnknownRecordFormat(pair.key.clone());
-    let name = pair
+    let unknown_format = || UnknownRecordFormat(pair.key.clone());
+    let key_suffix = pair
         .key
         .strip_prefix(ATTEMPT_RECORDS_PREFIX)
-        .ok_or_else(unknown)?;
-    if let Ok(records) = Vec::<FirstReleaseRecord>::deserialize(&pair.value) {
-        let on_machine =
-            |FirstReleaseRecord(task, attempt, incarnation): FirstReleaseRecord| AttemptRecord {
-                machine: name.into(),
-                task,
-                attempt,
-                incarnation,
-            };
+        .ok_or_else(unknown_format)?;
+    if let Ok(records) = Vec::<RecordV1>::deserialize(&pair.value) {
+        let on_machine = |RecordV1(task, attempt, incarnation): RecordV1| AttemptRecord {
+            machine: key_suffix.into(),
+            task,
+            attempt,
+            incarnation,
+        };
         return Ok(records.into_iter().map(on_machine).collect());
     }
-    let page = StoredPage::deserialize(&pair.value).map_err(|_| unknown())?;
+    let page = StoredPage::deserialize(&pair.value).map_err(|_| unknown_format())?;
     if page.version != RECORD_FORMAT_VERSION {
-        return Err(unknown());
+        return Err(unknown_format());
     }
     Ok(page.records.into_iter().map(AttemptRecord::from).collect())
 }
 
-/// A stored page with the records on it.
+/// A stored page with its decoded records.
 #[derive(Debug)]
 pub struct RecordPage {
-    /// The page's key, version and value as stored.
+    /// Key, version and value in the store.
     pub stored: KeyValue,
-    /// The records on the page.
+    /// Decoded records.
     pub records: Vec<AttemptRecord>,
 }
 
 impl RecordPage {
-    /// Reads a stored page.
+    /// Decodes a stored page.
     ///
     /// # Errors
     ///
-    /// As [`read`].
+    /// Same as [`read`].
     pub fn read(stored: KeyValue) -> Result<RecordPage, UnknownRecordFormat> {
         let records = read(&stored)?;
         Ok(RecordPage { stored, records })
     }
 }
 
-/// Drops all but the latest attempt at each task from the pages, and returns the keys of pages that
-/// had others. An attempt is made only when those before it are certainly gone; until its page is
-/// rewritten one may still be listed, on a machine that will never send another heartbeat.
+/// Removes all but the latest attempt at each task from the pages. Returns the keys of the pages that contained others.
+///
+/// An attempt is made only after all earlier attempts at the task have certainly ended. Their records remain until the
+/// pages are rewritten, and may name machines that no longer exist.
 pub fn retain_latest_attempts(pages: &mut [RecordPage]) -> BTreeSet<String> {
     let mut latest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
     for record in pages.iter().flat_map(|page| &page.records) {
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `records`.
+//! Tests of the format of attempt records.
 
 use worksshunt_wire::{JobId, Revision};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn records_are_read_as_written_and_take_no_more_bytes_than_estimated() {
+fn records_round_trip_within_estimated_size() {
     let entries: BTreeMap<Attempt, AttemptRecord> = (0..300u64)
         .map(|n| {
             let record = AttemptRecord {
@@ -38,10 +38,9 @@
     assert_eq!(read, entries.into_values().collect::<Vec<_>>());
 }
 
-// Guards against attempts that were given up long ago and are counted against their team until the leases
-// of machines that no longer exist have expired.
+// Guards against ended attempts that count against their team's limit until the leases of terminated machines expire.
 #[test]
-fn of_several_attempts_at_a_task_only_the_latest_is_out() {
+fn only_latest_attempt_of_a_task_is_retained() {
     let record = |machine: &str, index, attempt| AttemptRecord {
         machine: machine.into(),
         task: TaskId {
@@ -66,13 +65,13 @@
     assert_eq!(pages[1].records, [record("i-2", 0, 9)]);
 }
 
-// Guards against taking records of another version for empty ones, and running their tasks twice.
+// Guards against treating records of an unknown format as empty, which would run their tasks twice.
 #[test]
-fn records_of_the_first_release_are_understood_and_unknown_ones_named() {
-    let old = serde_json::json!([["j-000412/3", 16777217, 2]]);
-    let read_old = read(&pair(old)).expect("records");
-    assert_eq!(read_old[0].machine, "i-000007".into());
-    assert_eq!(read_old[0].attempt, Attempt(16_777_217));
+fn version_1_records_are_read_and_unknown_formats_rejected() {
+    let version_1 = serde_json::json!([["j-000412/3", 16777217, 2]]);
+    let records = read(&pair(version_1)).expect("records");
+    assert_eq!(records[0].machine, "i-000007".into());
+    assert_eq!(records[0].attempt, Attempt(16_777_217));
     let unknown = [
         serde_json::json!({"v": 3, "on": []}),
         serde_json::json!({"v": 2, "on": [["i-000001"]]}),
--- a/crates/worksshunt-core/src/time.rs
+++ b/crates/worksshunt-core/src/time.rs
@@ -1,15 +1,15 @@
-//! Time as the decisions see it, in milliseconds of the process's steady clock; budgets, rate limits and timers.
+//! Monotonic time in milliseconds, time budgets, token buckets and timers.
 //!
-//! Nothing here reads a clock: the time comes in with each event.
+//! The core does not read the clock itself: each event carries the time.
 
 use std::ops::{Add, Sub};
 
-/// A moment of the steady clock, in milliseconds.
+/// Time of the process's monotonic clock, milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Milliseconds since an earlier moment; 0 if that is later.
+    /// Milliseconds elapsed since `earlier`; 0 if `earlier` is later.
     pub fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -31,90 +31,90 @@
     }
 }
 
-/// A moment by both clocks.
+/// The present time by the monotonic clock and the wall clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Now {
-    /// Steady clock.
+    /// Monotonic clock.
     pub steady: Time,
-    /// Wall clock, milliseconds since 1970.
+    /// Wall clock, milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-/// The time that a round of decisions may take.
+/// Time limit of a round of scheduling or placement.
 pub struct Budget<'a> {
-    /// When it ends.
+    /// Time at which the budget is used up.
     pub deadline: Time,
-    /// Reads the clock again.
+    /// Reads the monotonic clock.
     pub clock: &'a dyn Fn() -> Time,
 }
 
 impl Budget<'_> {
-    /// Whether no time is left.
+    /// Whether the deadline has passed.
     pub fn is_exhausted(&self) -> bool {
         (self.clock)() >= self.deadline
     }
 }
 
-/// A token bucket: limits a rate, with bursts up to the bucket's size.
+/// Token bucket that limits a rate and allows bursts.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate_per_s: f64,
     burst: f64,
-    /// Negative after more was taken than there was.
+    /// Tokens in the bucket; negative after [`TokenBucket::take`] took more than there were.
     tokens: f64,
-    /// Until when the tokens gained are counted.
-    counted_until: Time,
+    /// Time of the last refill.
+    refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// A full bucket of `burst` tokens that gains `rate_per_s` tokens a second.
+    /// Creates a full bucket of `burst` tokens that gains `rate_per_s` tokens per second.
     pub fn new(rate_per_s: f64, burst: f64) -> TokenBucket {
         TokenBucket {
             rate_per_s,
             burst,
             tokens: burst,
-            counted_until: Time::default(),
+            refilled_at: Time::default(),
         }
     }
 
-    /// The whole tokens available now.
+    /// Refills the bucket and returns the number of whole tokens in it.
     pub fn available(&mut self, now: Time) -> usize {
-        let gained = now.since(self.counted_until) as f64 / 1_000.0 * self.rate_per_s;
+        let gained = now.since(self.refilled_at) as f64 / 1_000.0 * self.rate_per_s;
         self.tokens = (self.tokens + gained).min(self.burst);
-        self.counted_until = now;
+        self.refilled_at = now;
         self.tokens.max(0.0) as usize
     }
 
-    /// Takes tokens, also more than there are: the next ones then make up for them.
+    /// Takes `count` tokens. Taking more than there are is allowed; later refills compensate for the deficit.
     pub fn take(&mut self, count: usize) {
         self.tokens -= count as f64;
     }
 }
 
-/// A timer of requests that are sent at intervals, one at a time, and sooner again after a failure.
+/// Timer of a periodic request. At most one request is in flight, and the retry after a failure has its own delay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeriodicTimer {
-    /// The next request is not sent before.
+    /// Earliest time of the next request.
     pub next_at: Time,
-    /// A request is not answered yet.
+    /// Whether a request is in flight, that is neither answered nor timed out.
     pub is_in_flight: bool,
 }
 
 impl PeriodicTimer {
-    /// Whether the next request is due.
+    /// Whether the next request may be sent.
     pub fn is_due(&self, now: Time) -> bool {
         !self.is_in_flight && now >= self.next_at
     }
 
-    /// A request is sent; the next one follows after `interval_ms` at the earliest.
+    /// Records that a request was sent. The next one is due after `interval_ms` at the earliest.
     pub fn mark_sent(&mut self, now: Time, interval_ms: u64) {
         self.is_in_flight = true;
         self.next_at = now + interval_ms;
     }
 
-    /// The request was answered, or given up; the next one follows after `wait_ms`.
-    pub fn schedule_retry(&mut self, now: Time, wait_ms: u64) {
+    /// Records that the request was answered or timed out. The next one is due after `delay_ms`.
+    pub fn schedule_next(&mut self, now: Time, delay_ms: u64) {
         self.is_in_flight = false;
-        self.next_at = now + wait_ms;
+        self.next_at = now + delay_ms;
     }
 }
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -121,7 +121,7 @@
         Heartbeat {
             tasks: state.tasks.statuses(),
             machine: self.id.clone(),
-            addr: self.address.to_string(),
+            command_address: self.address.to_string(),
             machine_type: MACHINE_TYPE.into(),
             zone: self.zone.clone(),
             is_spot: self.spot,
--- a/crates/worksshunt-net/src/peer/tests.rs
+++ b/crates/worksshunt-net/src/peer/tests.rs
@@ -2,7 +2,7 @@
 
 use async_io::block_on;
 use futures_lite::io::Cursor;
-use worksshunt_wire::peer::KnownEpoch;
+use worksshunt_wire::peer::EpochPollResponse;
 use worksshunt_wire::Epoch;
 
 use super::*;
@@ -19,14 +19,14 @@
 
 #[test]
 fn what_is_framed_is_read_again() {
-    let known = KnownEpoch {
+    let known = EpochPollResponse {
         poll_number: 3,
         epoch: Epoch(7),
         is_key_value_store_reachable: true,
     };
-    let answer = PeerResponse::KnownEpoch(known);
+    let answer = PeerResponse::EpochPoll(known);
     assert_eq!(read::<PeerResponse>(framed(&answer)).expect("read"), answer);
-    let request = PeerRequest::KnownEpoch { poll_number: 3 };
+    let request = PeerRequest::EpochPoll { poll_number: 3 };
     assert_eq!(
         read::<PeerRequest>(framed(&request)).expect("read"),
         request
@@ -49,7 +49,7 @@
         .to_le_bytes();
     let refused = read::<PeerRequest>(length.to_vec());
     assert!(matches!(refused, Err(FrameError::TooLong(bytes)) if bytes == MAX_FRAME_BYTES + 1));
-    let mut short = framed(&PeerRequest::KnownEpoch { poll_number: 3 });
+    let mut short = framed(&PeerRequest::EpochPoll { poll_number: 3 });
     short.pop();
     assert!(read::<PeerRequest>(short).is_err());
 }
--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -75,7 +75,7 @@
         };
         let event = match response {
             PeerResponse::KeyValueHealth(healthy) => Event::PeerKeyValueHealth(healthy),
-            PeerResponse::KnownEpoch(known) => {
+            PeerResponse::EpochPoll(known) => {
                 Event::PeerKnownEpoch(format!("n{}", from.index).as_str().into(), known)
             }
             response => Event::PeerResponse(Some(response)),
--- a/crates/worksshunt-simulation/src/worker.rs
+++ b/crates/worksshunt-simulation/src/worker.rs
@@ -88,7 +88,7 @@
         };
         Heartbeat {
             machine: id.clone(),
-            addr: "10.1.0.1:9000".into(),
+            command_address: "10.1.0.1:9000".into(),
             machine_type: "m4".into(),
             zone: self.zone.clone(),
             is_spot: self.spot,
--- a/crates/worksshunt-wire/src/cloud.rs
+++ b/crates/worksshunt-wire/src/cloud.rs
@@ -1,53 +1,51 @@
-//! The cloud's interface: catalogue, provisioning and release of machines, machine list.
-//!
-//! The network client reads and writes these messages; the fleet decides on them.
+//! Cloud interface: catalog, provisioning and release of machines, machine list.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::MachineId;
 
-/// A machine type of the catalogue.
+/// Machine type in the catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "Name")]
     pub name: String,
-    /// Processors.
+    /// Processors per machine.
     #[serde(rename = "Cores")]
     pub cpus: f64,
-    /// Accelerators.
+    /// Accelerators per machine.
     #[serde(rename = "Gpus")]
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory per machine, GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
     /// On-demand price per hour.
     #[serde(rename = "Rate")]
     pub on_demand_price: f64,
-    /// Spot price per hour.
+    /// Spot price per hour; `None` if there are no spot machines of the type.
     #[serde(rename = "LowPrice", default)]
     pub spot_price: Option<f64>,
     /// Nominal boot time, seconds.
     #[serde(rename = "ReadyS")]
     pub boot_s: f64,
-    /// Image fetch rate, GB per second.
+    /// Rate at which a machine fetches images, GB per second.
     #[serde(rename = "PullGbPerS", default)]
     pub image_pull_gb_per_s: f64,
-    /// Zones that offer it.
+    /// Zones in which the type is offered.
     #[serde(rename = "Patios")]
     pub zones: Vec<String>,
 }
 
-/// The catalogue.
+/// Catalog of machine types.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Catalog {
-    /// All machine types.
+    /// Machine types that the cloud offers.
     #[serde(rename = "Modelos")]
     pub machine_types: Vec<MachineType>,
 }
 
 impl Catalog {
-    /// The shortest nominal boot time of all types, seconds.
+    /// Shortest nominal boot time of all types, seconds; 0 for an empty catalog.
     pub fn shortest_boot_s(&self) -> f64 {
         let boots = self
             .machine_types
@@ -56,7 +54,7 @@
         boots.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
-    /// The type of that name.
+    /// Machine type with that name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
         let mut types = self.machine_types.iter();
         types.find(|machine_type| machine_type.name == name)
@@ -66,73 +64,73 @@
 /// Request to provision machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Name of the request, never reused for another: repeating it is idempotent.
+    /// Name of the request, unique for each request. Sending a request again with its name is idempotent.
     #[serde(rename = "Pedido")]
     pub request_name: String,
-    /// Machine type.
+    /// Name of the machine type in the catalog.
     #[serde(rename = "Modelo")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "Patio")]
     pub zone: String,
-    /// Spot or on demand.
+    /// Whether spot machines are requested instead of on-demand ones.
     #[serde(rename = "Prestados")]
     pub is_spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "Number")]
     pub machine_count: u32,
 }
 
-/// Names of machines: the response to provisioning, the body of a release.
+/// Ids of machines: the response to a provision request, and the body of a release request.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct MachineIds {
-    /// The names.
+    /// Ids of the provisioned machines or of the machines to release.
     #[serde(rename = "Estibas")]
     pub ids: Vec<MachineId>,
 }
 
-/// State of a machine in the cloud's list.
+/// State of a machine in the cloud's machine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
     /// Booting.
     Starting,
-    /// Up.
+    /// Booted.
     Running,
-    /// Stopped on its own.
+    /// Stopped without a release request.
     Failed,
 }
 
-/// A machine in the cloud's list.
+/// A machine in the cloud's machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Id of the machine.
     #[serde(rename = "Ref")]
     pub id: MachineId,
-    /// Machine type.
+    /// Name of the machine type in the catalog.
     #[serde(rename = "Modelo")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "Patio")]
     pub zone: String,
-    /// Spot or on demand.
+    /// Whether it is a spot machine instead of an on-demand one.
     #[serde(rename = "Prestados")]
     pub is_spot: bool,
-    /// State.
+    /// State at the time of the list.
     #[serde(rename = "Estado")]
     pub state: ListedState,
-    /// Age since the provisioning request, seconds.
+    /// Time since the provision request, seconds.
     #[serde(rename = "AgeS")]
     pub age_s: f64,
 }
 
-/// One page of the cloud's list.
+/// Page of the cloud's machine list.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines, by name.
+    /// Machines in order of their ids.
     #[serde(rename = "Estibas")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether there are further pages.
     #[serde(rename = "More", default)]
     pub has_more: bool,
 }
--- a/crates/worksshunt-wire/src/ids.rs
+++ b/crates/worksshunt-wire/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for identifiers, fencing tokens and revisions, in all interfaces and stored records.
+//! Newtypes for identifiers, fencing tokens and revisions, used by all interfaces and stored records.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,12 +6,12 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Why an identifier could not be read.
+/// Error for text that is not an identifier, with an example of the expected form.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not an identifier of the form {0}")]
 pub struct IdError(&'static str);
 
-macro_rules! number_type {
+macro_rules! number_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -29,7 +29,7 @@
     };
 }
 
-macro_rules! text_type {
+macro_rules! text_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -53,36 +53,36 @@
     };
 }
 
-number_type!(
-    /// Number of an attempt at a task. Unique over all attempts of all tasks.
+number_newtype!(
+    /// Number of an attempt at a task, unique among the attempts at all tasks.
     Attempt
 );
-number_type!(
-    /// Number of an epoch, which is also the fencing token shown to workers.
+number_newtype!(
+    /// Number of a leadership epoch, which also serves as the fencing token for workers.
     Epoch
 );
-number_type!(
-    /// Revision of the key-value store. Zero stands for "the key does not exist".
+number_newtype!(
+    /// Revision of the key-value store. As the version of a key, zero means that the key does not exist.
     Revision
 );
-number_type!(
-    /// Incarnation of a worker; increases whenever its lease expires.
+number_newtype!(
+    /// Incarnation of a worker, which increases each time its lease expires.
     Incarnation
 );
-text_type!(
-    /// Name of a provisioned machine.
+text_newtype!(
+    /// Id of a provisioned machine, assigned by the cloud.
     MachineId
 );
-text_type!(
+text_newtype!(
     /// Name of a controller.
     ControllerName
 );
-text_type!(
+text_newtype!(
     /// Name of a team.
     TeamName
 );
 
-/// Id of a job, written `j-000412`.
+/// Id of a job. Its text form is `j-000412`.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
@@ -98,29 +98,29 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        const FORM: IdError = IdError("j-000412");
-        let digits = text.strip_prefix("j-").ok_or(FORM)?;
+        const INVALID: IdError = IdError("j-000412");
+        let digits = text.strip_prefix("j-").ok_or(INVALID)?;
         if digits.len() < 6 || !digits.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(FORM);
+            return Err(INVALID);
         }
-        let id = JobId(digits.parse().map_err(|_| FORM)?);
-        // Two spellings of one number would be two jobs to the user and one to us.
+        let id = JobId(digits.parse().map_err(|_| INVALID)?);
+        // Reject redundant leading zeros: ids with different texts must be different jobs.
         if id.to_string() == text {
             Ok(id)
         } else {
-            Err(FORM)
+            Err(INVALID)
         }
     }
 }
 
-/// One task of a job, written `j-000412/3`.
+/// Id of a task. Its text form is `j-000412/3`.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct TaskId {
-    /// The job.
+    /// Job of the task.
     pub job: JobId,
-    /// Number of the task, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -134,11 +134,11 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        const FORM: IdError = IdError("j-000412/3");
-        let (job, index) = text.split_once('/').ok_or(FORM)?;
+        const INVALID: IdError = IdError("j-000412/3");
+        let (job, index) = text.split_once('/').ok_or(INVALID)?;
         Ok(TaskId {
             job: job.parse()?,
-            index: index.parse().map_err(|_| FORM)?,
+            index: index.parse().map_err(|_| INVALID)?,
         })
     }
 }
@@ -146,14 +146,14 @@
 macro_rules! serde_as_text {
     ($name:ident) => {
         impl Serialize for $name {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                to.collect_str(self)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.collect_str(self)
             }
         }
 
         impl<'de> Deserialize<'de> for $name {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                let text = <String as Deserialize>::deserialize(from)?;
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let text = <String as Deserialize>::deserialize(deserializer)?;
                 text.parse().map_err(serde::de::Error::custom)
             }
         }
--- a/crates/worksshunt-wire/src/key_value.rs
+++ b/crates/worksshunt-wire/src/key_value.rs
@@ -1,78 +1,77 @@
-//! The interface of the consensus-backed key-value store, which the protocol calls the state service.
+//! Interface of the consensus-backed key-value store, called the state service in the protocol.
 //!
-//! The network client reads and writes these messages; the controller makes the transactions and caches what it
-//! watches.
+//! Values are JSON. Changes are made by compare-and-swap transactions and observed by watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::ids::Revision;
 
-/// A key with its value.
+/// A key-value pair with its version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Key, with its prefix.
     #[serde(rename = "K")]
     pub key: String,
-    /// The value.
+    /// Value, as JSON.
     #[serde(rename = "V")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Store revision of the last change of the key.
     #[serde(rename = "Sello")]
     pub version: Revision,
 }
 
-/// One page of a listing.
+/// Page of a listing of keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The keys, in order.
+    /// Key-value pairs, in order of their keys.
     #[serde(rename = "Pairs")]
     pub pairs: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether there are further pages.
     #[serde(rename = "More", default)]
     pub has_more: bool,
-    /// The store's revision.
+    /// Store revision of the page.
     #[serde(rename = "Corte")]
     pub revision: Revision,
 }
 
-/// A condition of a transaction: the revision that a key must have.
+/// Condition of a transaction on the version of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedRevision {
-    /// The key.
+    /// Key that is compared.
     #[serde(rename = "K")]
     pub key: String,
-    /// The version it must have; 0: it must not exist.
+    /// Required version of the key; 0 if the key must not exist.
     #[serde(rename = "Sello")]
     pub version: Revision,
 }
 
-/// A change of a transaction.
+/// Change of a key in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Set a key.
+    /// Sets the value of a key.
     Put {
-        /// The key.
+        /// Key to set.
         #[serde(rename = "Set")]
         key: String,
-        /// Its new value.
+        /// New value, as JSON.
         #[serde(rename = "V")]
         value: Value,
-        /// The lease it is attached to.
+        /// Lease that the key is attached to: the key is deleted when the lease expires.
         #[serde(rename = "Permiso", skip_serializing_if = "Option::is_none", default)]
         lease_id: Option<u64>,
     },
-    /// Remove a key.
+    /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         #[serde(rename = "Remove")]
         key: String,
     },
 }
 
 impl Change {
-    /// The key that is changed.
+    /// Key that is set or deleted.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -80,83 +79,83 @@
     }
 }
 
-/// A transaction: its changes are made, all together, if all conditions hold.
+/// Compare-and-swap transaction. All changes are applied atomically if all conditions hold; otherwise none is.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct CompareAndSwap {
-    /// Conditions.
+    /// Conditions, all of which must hold.
     #[serde(rename = "If")]
     pub expected: Vec<ExpectedRevision>,
-    /// Changes.
+    /// Changes, applied atomically.
     #[serde(rename = "Then")]
     pub changes: Vec<Change>,
 }
 
-/// The store's revision after a transaction, or with a missing key.
+/// Response to a committed transaction, and to a read of a missing key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRevision {
-    /// The revision.
+    /// Store revision after the transaction or at the read.
     #[serde(rename = "Corte")]
     pub revision: Revision,
 }
 
-/// A transaction whose conditions did not hold.
+/// Response to a transaction whose conditions did not hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// The keys that differed.
+    /// Keys whose condition did not hold.
     #[serde(rename = "failed")]
     pub failed_keys: Vec<String>,
 }
 
-/// Request for a lease.
+/// Request to create a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time to live, milliseconds.
+    /// Time to live without a renewal, milliseconds.
     #[serde(rename = "TtlMs")]
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// Response to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "Permiso")]
     pub id: u64,
 }
 
-/// One event of a watch.
+/// Change of a key, as observed by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
     /// A key was set.
     Put {
-        /// The key.
+        /// Key that was set.
         #[serde(rename = "Set")]
         key: String,
-        /// Its value.
+        /// New value, as JSON.
         #[serde(rename = "V")]
         value: Value,
-        /// Revision of the change.
+        /// Store revision of the change.
         #[serde(rename = "Sello")]
         version: Revision,
     },
-    /// A key was removed.
+    /// A key was deleted.
     Delete {
-        /// The key.
+        /// Key that was deleted.
         #[serde(rename = "Remove")]
         key: String,
-        /// Revision of the change.
+        /// Store revision of the change.
         #[serde(rename = "Sello")]
         version: Revision,
     },
 }
 
-/// Response of a watch.
+/// Response to a watch request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The store's revision.
+    /// Store revision from which the next watch continues.
     #[serde(rename = "Corte")]
     pub revision: Revision,
-    /// What changed.
+    /// Changes since the revision that the watch continued from; empty if the wait timed out.
     #[serde(rename = "Events", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/worksshunt-wire/src/lib.rs
+++ b/crates/worksshunt-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Message types of worksshunt, for the service itself and for clients of it.
+//! Message types of worksshunt, for the service and its clients.
 //!
-//! One module for each interface, with nothing but data: the network client and the server read and write the messages,
-//! the core decides on them. Rust names are the field's usual terms; the protocol's words appear only in serde
-//! attributes, in the paths of the clients and routes, and in this table:
+//! There is one module per interface. The network package encodes and decodes the messages; the core decides on them.
+//! The Rust names are standard terms. The names of the protocol appear only in serde attributes, in the paths of
+//! clients and routes, and in this table:
 //!
 //! | interface | protocol | Rust |
 //! | --- | --- | --- |
@@ -36,7 +36,7 @@
 //! | workers ([`worker`]) | `/checkin` | [`Heartbeat`](worker::Heartbeat), [`HeartbeatResponse`](worker::HeartbeatResponse) |
 //! | | `/orders` | [`CommandBatch`](worker::CommandBatch) |
 //! | | `Estiba` | `machine` |
-//! | | `Addr` | `addr` |
+//! | | `Addr` | `command_address` |
 //! | | `Modelo` | `machine_type` |
 //! | | `Patio` | `zone` |
 //! | | `Prestados` | `is_spot` |
@@ -115,7 +115,8 @@
 //! | | `next` | `announced` |
 //! | | `mem_mb` | `memory_mb` |
 //!
-//! Other names of the settings are the platform's own. Messages between controllers ([`peer`]) are encoded without names.
+//! All other settings have the same name in the settings file. Messages between controllers ([`peer`]) are encoded
+//! without names.
 
 pub mod cloud;
 pub mod ids;
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -1,61 +1,61 @@
-//! Messages between controllers, in borsh.
+//! Messages between controllers, encoded with borsh.
 //!
-//! The owner of a partition sends the leader what has changed in it; the leader responds with the new directives.
-//! One exchange is in flight at a time. Each side repeats what the other has not acknowledged, and everything
-//! sent is a state and not a step, so a repetition is idempotent. The scheduler and the partitions make these messages.
+//! The owner of a partition sends changes in the partition to the leader; the leader responds with directives. One
+//! request is in flight at a time. Each side sends unacknowledged changes again. Messages contain states instead of
+//! increments, so processing one twice is idempotent.
 //!
-//! Borsh encodes by order: fields and variants must not be moved.
+//! Borsh encodes fields and variants by their order, which must not change.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::ids::{Attempt, ControllerName, Epoch, JobId, MachineId, TaskId};
 
-/// State of an attempt, as the owner of its partition knows it.
+/// State of an attempt, as reported by the owner of its partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum AttemptPhase {
-    /// Assigned to the partition, not on a machine yet.
+    /// Assigned to the partition; not placed on a machine yet.
     Queued,
-    /// On a machine, or on its way there.
+    /// Placed on a machine; not yet reported as running.
     Placed,
-    /// Seen running.
+    /// Reported as running by its worker.
     Running,
-    /// Completed, but not durable yet.
+    /// Completed; the completion is not durable yet.
     Completed,
 }
 
-/// One attempt of a partition.
+/// Status of an attempt in a partition.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct AttemptStatus {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Its machine.
+    /// Machine that the attempt is placed on.
     pub machine: MachineId,
-    /// Its state.
+    /// Present state.
     pub phase: AttemptPhase,
-    /// How long it has run, milliseconds.
+    /// Run time so far, milliseconds.
     pub running_ms: u64,
 }
 
-/// One machine of a partition.
+/// Status of a machine in a partition.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "the encoding of older versions"
+    reason = "the encoding must not change"
 )]
 pub struct MachineStatus {
-    /// Its name.
+    /// Id of the machine.
     pub id: MachineId,
-    /// Its type.
+    /// Name of the machine type in the catalog.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine.
     pub is_spot: bool,
-    /// Whether it may take tasks now.
+    /// Whether it may get new tasks.
     pub is_schedulable: bool,
-    /// For how many milliseconds no task has been, or may have been, on it; none if one may be now.
+    /// Milliseconds for which the machine has certainly had no tasks; `None` if a task may be on it.
     pub idle_ms: Option<u64>,
     /// Free processors.
     pub free_cpus: f64,
@@ -63,143 +63,143 @@
     pub free_gpus: f64,
     /// Free memory, GB.
     pub free_memory_gb: f64,
-    /// Whether the cloud gave notice to reclaim it.
+    /// Whether the cloud announced to reclaim it.
     pub has_reclaim_notice: bool,
-    /// Whether its worker sends heartbeats but has not answered direct commands for long.
+    /// Whether its worker sends heartbeats but has not answered commands for several leases.
     pub is_unreachable: bool,
     /// Whether the lease of its worker has certainly expired.
     pub is_lost: bool,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum AttemptOutcome {
-    /// It failed on its machine.
+    /// Failed on its machine.
     Failed,
-    /// It was stopped, or its worker refused it.
+    /// Stopped, or refused by the worker.
     Stopped,
-    /// Its machine was lost.
+    /// Lost with its machine.
     Lost,
-    /// The partition had no machine for it.
+    /// Returned because the partition had no machine for it.
     Unplaced,
-    /// It completed, which is durable, and its worker no longer lists it.
+    /// Completed durably and removed from the heartbeats of its worker.
     Acknowledged,
 }
 
-/// An attempt that is certainly gone.
+/// An attempt that has certainly ended.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct EndedAttempt {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// The machine it was on, if any.
+    /// Machine that it was placed on; `None` if it was never placed.
     pub machine: Option<MachineId>,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// What has changed in a partition since the leader last acknowledged, from its owner to the leader.
+/// Request of a partition owner to the leader: changes since the last acknowledged message.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PartitionStatus {
-    /// The epoch.
+    /// Epoch of the sender.
     pub epoch: Epoch,
-    /// The owner.
+    /// Owner of the partition.
     pub owner: ControllerName,
-    /// Sequence number; the leader ignores a message that a later one has overtaken.
+    /// Sequence number of this message. The leader ignores messages that arrive after later ones.
     pub sequence: u64,
-    /// Sequence number of the last response that the owner has acted on.
+    /// Sequence number of the last response that the owner has applied.
     pub acknowledged_sequence: u64,
-    /// Machines that changed.
+    /// Machines whose status changed.
     pub machines: Vec<MachineStatus>,
-    /// Machines that no longer belong to it.
+    /// Machines that left the partition.
     pub removed_machines: Vec<MachineId>,
-    /// Attempts that changed.
+    /// Attempts whose status changed.
     pub attempts: Vec<AttemptStatus>,
-    /// Attempts that ended.
+    /// Attempts that have certainly ended.
     pub ended_attempts: Vec<EndedAttempt>,
 }
 
-/// A task assigned to a partition.
+/// Assignment of a task to a partition.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Assignment {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The attempt to make.
+    /// Number of the attempt to launch.
     pub attempt: Attempt,
-    /// The zone it must use, where its job's other tasks determine that.
+    /// Required zone, if the zone constraints of the job determine it.
     pub zone: Option<String>,
-    /// The machine it must use, where the leader has reserved one.
+    /// Required machine, if the leader has claimed one for the task.
     pub claimed_machine: Option<MachineId>,
 }
 
-/// What the leader wants of a partition's machines; always complete.
+/// Directives of the leader for the machines of a partition. Each message contains the complete sets.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct MachineDirectives {
-    /// Machines that take no new tasks: they are to be released.
+    /// Machines that get no new tasks because they are to be released.
     pub draining: Vec<MachineId>,
-    /// Machines reserved for a task that fits no partition: they take nothing else.
+    /// Machines claimed for a task that fits in no partition. They get no other tasks.
     pub claimed: Vec<MachineId>,
-    /// Machines that the cloud has confirmed to be gone.
+    /// Machines that the cloud has terminated.
     pub terminated: Vec<MachineId>,
 }
 
-/// The leader's response.
+/// Response of the leader to a [`PartitionStatus`].
 #[derive(Debug, Clone, PartialEq, Default, BorshSerialize, BorshDeserialize)]
 pub struct LeaderDirectives {
-    /// The epoch.
+    /// Epoch of the leader.
     pub epoch: Epoch,
-    /// Sequence number of the message this answers.
+    /// Sequence number of the message that this responds to.
     pub request_sequence: u64,
     /// Sequence number of this response.
     pub sequence: u64,
-    /// New tasks.
+    /// New assignments that the owner has not acknowledged.
     pub assignments: Vec<Assignment>,
-    /// Attempts to stop.
+    /// Attempts that the owner has to stop.
     pub stop_attempts: Vec<Attempt>,
     /// Attempts whose completion is durable.
     pub durable_attempts: Vec<Attempt>,
-    /// What is wanted of the machines, if the owner has not acknowledged it yet.
+    /// Directives for the machines; `None` if the owner has acknowledged the present ones.
     pub machine_directives: Option<MachineDirectives>,
-    /// Progress of open jobs, done and running tasks, for display; from time to time.
+    /// Completed and running tasks of open jobs, for status responses; `None` in most messages.
     pub progress: Option<Vec<(JobId, u32, u32)>>,
 }
 
-/// A request on the peer link.
+/// Request to another controller.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// A partition's changes.
+    /// Synchronizes a partition with the leader.
     Sync(PartitionStatus),
-    /// Whether the peer reaches the key-value store.
+    /// Asks whether the peer reaches the key-value store.
     KeyValueHealth,
-    /// Which epoch the peer knows. Sent only while the key-value store answers no controller; a version that does
-    /// not know the message drops the connection, which counts as no response.
-    KnownEpoch {
-        /// Number of the poll, by which the sender tells its responses apart.
+    /// Asks for the newest epoch that the peer has seen. Sent only while no controller reaches the key-value store. A
+    /// version without this request closes the connection, which counts as no response.
+    EpochPoll {
+        /// Number of the poll, which matches responses to polls.
         poll_number: u64,
     },
 }
 
-/// What a controller knows about the epoch.
+/// Response to [`PeerRequest::EpochPoll`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct KnownEpoch {
-    /// Number of the poll that this answers.
+pub struct EpochPollResponse {
+    /// Number of the poll that this responds to.
     pub poll_number: u64,
-    /// The newest epoch it has learnt of since it started; 0 for none.
+    /// Newest epoch that the controller has seen since it started; 0 if it has seen none.
     pub epoch: Epoch,
-    /// Whether the key-value store answered it lately.
+    /// Whether the controller reached the key-value store recently.
     pub is_key_value_store_reachable: bool,
 }
 
-/// A response on the peer link.
+/// Response of another controller.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerResponse {
-    /// The leader's response.
+    /// Directives of the leader.
     Sync(LeaderDirectives),
-    /// Not the leader of that epoch.
+    /// The peer is not the leader of that epoch.
     NotLeader,
-    /// Whether the key-value store answered the peer lately.
+    /// Whether the peer reached the key-value store recently.
     KeyValueHealth(bool),
-    /// What the peer knows about the epoch.
-    KnownEpoch(KnownEpoch),
+    /// Newest epoch that the peer has seen.
+    EpochPoll(EpochPollResponse),
 }
--- a/crates/worksshunt-wire/src/settings.rs
+++ b/crates/worksshunt-wire/src/settings.rs
@@ -1,7 +1,6 @@
-//! The settings file that the platform passes to a controller.
+//! Settings file of a controller, written by the deployment platform.
 //!
-//! The command line reads and checks it; the controller's parts take their limits and intervals from it. Field names are
-//! the platform's unless the table of the [crate documentation](crate) has another.
+//! The table of the [crate documentation](crate) lists the settings whose name in the file differs from the field name.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,55 +9,55 @@
 /// Settings of one controller. Unknown fields are ignored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// This controller's name.
+    /// Name of this controller.
     pub host_name: ControllerName,
-    /// Its zone.
+    /// Zone of this controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Address and port for users, workers and health checks.
+    /// Address and port that users, workers and health checks connect to.
     pub client_listen: String,
-    /// Address and port for the other controllers.
+    /// Address and port that the other controllers connect to.
     pub internal_addr: String,
-    /// The other controllers.
+    /// All other controllers.
     #[serde(rename = "known")]
     pub peers: Vec<Peer>,
-    /// Addresses of cloud and key-value store.
+    /// Addresses of the cloud and the key-value store.
     pub services: Services,
-    /// Facts of the deployment.
+    /// Teams, objectives, intervals and limits of the deployment.
     pub facts: Facts,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     pub host_name: ControllerName,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its internal address and port.
+    /// Address and port for other controllers.
     pub endpoint: String,
 }
 
-/// Addresses of the external services, with ports.
+/// Addresses of the external services.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Services {
-    /// The cloud.
+    /// Address and port of the cloud.
     pub cloud: String,
-    /// The key-value store.
+    /// Address and port of the key-value store.
     #[serde(rename = "state")]
     pub key_value_store: String,
 }
 
-/// Facts of the deployment.
+/// Teams, objectives, intervals and limits of the deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
-    /// Teams.
+    /// Teams with their quotas.
     pub teams: Vec<Team>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Intervals and deadlines of the workers.
+    /// Intervals and time limits of the workers.
     pub workers: Workers,
     /// Limits of the key-value store.
     #[serde(rename = "state")]
@@ -72,51 +71,57 @@
 /// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Objective {
-    /// `deadline`, `finished`, `wait`, `guarantee`; others are ignored.
+    /// Kind of objective: `deadline`, `finished`, `wait` or `guarantee`. Others are ignored.
     pub kind: String,
-    /// The class; none where it holds for all.
+    /// Job class that it applies to; `None` for all.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds within which jobs should start or finish.
+    /// Time within which jobs should start or finish, seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of the job's deadline.
+    /// Factor on the job's deadline within which the job should complete.
     #[serde(rename = "times", default)]
     pub deadline_factor: Option<f64>,
 }
 
-/// A team's guarantee and limit (its quota).
+/// Quota of a team: guarantee and limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: TeamName,
     /// Guaranteed processors.
     #[serde(rename = "cpus")]
     pub guaranteed_cpus: f64,
-    /// Limit of processors; 0: no limit.
+    /// Limit of processors; 0 for no limit.
     #[serde(rename = "cpus_max")]
     pub max_cpus: f64,
     /// Guaranteed accelerators.
     #[serde(rename = "gpus")]
     pub guaranteed_gpus: f64,
-    /// Limit of accelerators; 0: no limit.
+    /// Limit of accelerators; 0 for no limit.
     #[serde(rename = "gpus_max")]
     pub max_gpus: f64,
 }
 
-/// Limits of what a team's tasks use at a time; infinite where there is none.
+/// Limits of the resources that the tasks of a team use at a time; infinite without a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamLimits {
-    /// Processors.
+    /// Limit of processors.
     pub cpus: f64,
-    /// Accelerators.
+    /// Limit of accelerators.
     pub gpus: f64,
 }
 
 impl Team {
-    /// What its tasks may use at a time.
+    /// Limits of the resources that its tasks use at a time.
     pub fn limits(&self) -> TeamLimits {
-        let limit = |stated: f64| if stated > 0.0 { stated } else { f64::INFINITY };
+        let limit = |setting: f64| {
+            if setting > 0.0 {
+                setting
+            } else {
+                f64::INFINITY
+            }
+        };
         TeamLimits {
             cpus: limit(self.max_cpus),
             gpus: limit(self.max_gpus),
@@ -124,15 +129,16 @@
     }
 }
 
-/// Intervals and deadlines of the workers.
+/// Intervals and time limits of the workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workers {
-    /// Interval of heartbeats, seconds.
+    /// Heartbeat interval, seconds.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Time from the sending of a worker's last answered heartbeat until its lease expires and it ends its tasks, seconds.
+    /// Duration of a worker's lease, seconds. It starts when the worker sends a heartbeat that is answered. A worker
+    /// whose lease expires ends its tasks.
     pub lease_s: f64,
-    /// Time within which a cancelled job's tasks must have ended, seconds.
+    /// Time within which the tasks of a cancelled job must end, seconds.
     pub cancel_s: f64,
 }
 
@@ -142,22 +148,22 @@
     /// Requests per second.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// Changes per second.
+    /// Changed keys per second.
     #[serde(rename = "write_rps")]
     pub changes_per_s: f64,
-    /// Largest value, KiB.
+    /// Size of a value, KiB.
     #[serde(rename = "value_kb")]
     pub max_value_kib: f64,
     /// Changes per transaction.
     #[serde(rename = "txn_ops")]
     pub max_transaction_changes: usize,
-    /// Limits that come into force later, without notice.
+    /// Announced limits, which come into force later without notice; `None` if there are none.
     #[serde(rename = "next", default)]
     pub announced: Option<NextKeyValueLimits>,
 }
 
 impl KeyValueLimits {
-    /// The lower of each limit in force and the one announced, so that both are kept.
+    /// The minimum of each present limit and the announced one, so that both are respected.
     pub fn lowest(&self) -> KeyValueLimits {
         let announced = self.announced.clone().unwrap_or_default();
         KeyValueLimits {
@@ -180,16 +186,16 @@
     }
 }
 
-/// Limits of the key-value store announced for later; any of them may be missing.
+/// Announced limits of the key-value store; `None` for limits that don't change.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct NextKeyValueLimits {
     /// Requests per second.
     #[serde(rename = "rps", default)]
     pub requests_per_s: Option<f64>,
-    /// Changes per second.
+    /// Changed keys per second.
     #[serde(rename = "write_rps", default)]
     pub changes_per_s: Option<f64>,
-    /// Largest value, KiB.
+    /// Size of a value, KiB.
     #[serde(rename = "value_kb", default)]
     pub max_value_kib: Option<f64>,
     /// Changes per transaction.
@@ -203,16 +209,16 @@
     /// Requests per second.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// How far the machine list lags behind, seconds.
+    /// Maximum lag of the machine list, seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of the process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProcessLimits {
-    /// Sockets it may have open.
+    /// Open sockets.
     pub sockets: usize,
-    /// Memory it may use, MB, where the platform limits it.
+    /// Memory, MB; `None` without a limit.
     #[serde(rename = "mem_mb", default)]
     pub memory_mb: Option<f64>,
 }
--- a/crates/worksshunt-wire/src/user.rs
+++ b/crates/worksshunt-wire/src/user.rs
@@ -1,12 +1,10 @@
-//! The users' interface: submit a job, read its status, cancel it.
-//!
-//! The controller reads the specifications and writes the statuses.
+//! User interface: submission, status and cancellation of jobs.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{JobId, TeamName};
 
-/// Priority of a job, lowest first.
+/// Priority of a job, from lowest to highest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -16,116 +14,116 @@
     Normal,
     /// Urgent work.
     Urgent,
-    /// Production.
+    /// Production work.
     Prod,
 }
 
-/// Kind of a job.
+/// Kind of a job: how its tasks end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
-    /// Independent tasks, each of which runs to completion.
+    /// Job array: independent tasks, each of which runs to completion.
     Array,
-    /// Replicas of a service, which run until the job is cancelled.
+    /// Service: replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
 
-/// A submitted job, as the user describes it.
+/// Specification of a job, as submitted by the user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by the user.
+    /// Id of the job, chosen by the user. Submitting a job again with its id is idempotent.
     #[serde(rename = "Ref")]
     pub id: JobId,
-    /// Class of jobs for the objectives.
+    /// Job class, which determines the service-level objectives.
     #[serde(rename = "Carril")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose quota applies.
     #[serde(rename = "Cuadrilla")]
     pub team: TeamName,
-    /// Kind of job.
+    /// Job array or service.
     #[serde(rename = "Oficio")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority over other jobs.
     #[serde(rename = "Turno")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, or of replicas of a service.
     #[serde(rename = "Piezas")]
     pub task_count: u32,
-    /// Processors each task takes.
+    /// Processors per task.
     #[serde(rename = "Cores")]
     pub cpus: f64,
-    /// Accelerators each task takes.
+    /// Accelerators per task.
     #[serde(rename = "Gpus")]
     pub gpus: f64,
-    /// Memory each task takes, GB.
+    /// Memory per task, GB.
     #[serde(rename = "RamGb")]
     pub memory_gb: f64,
-    /// Image a machine has to fetch first.
+    /// Image that a machine fetches before it runs a task.
     #[serde(rename = "Molde")]
     pub image: String,
-    /// Size of the image, GB.
+    /// Image size, GB.
     #[serde(rename = "SizeGb")]
     pub image_gb: f64,
-    /// Allowed machine types; none given means any.
+    /// Allowed machine types; `None` allows all.
     #[serde(rename = "Modelos", default)]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Allowed zone; `None` allows all.
     #[serde(rename = "Patio", default)]
     pub zone: Option<String>,
-    /// All tasks must be in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "SamePlace")]
     pub needs_single_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "Spread")]
     pub needs_zone_spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "Prestados")]
     pub allows_spot: bool,
-    /// Owner's estimate of a task's run time, seconds.
+    /// User's estimate of the run time of a task, seconds.
     #[serde(rename = "CalculoS")]
     pub estimated_runtime_s: f64,
-    /// Checkpoint interval, seconds; 0 means the task makes no checkpoints.
+    /// Checkpoint interval, seconds; 0 if tasks save no checkpoints.
     #[serde(rename = "RespaldoS")]
     pub checkpoint_interval_s: f64,
-    /// Time a task needs for a checkpoint when it is stopped, seconds.
+    /// Time in which a task saves a checkpoint when it is stopped, seconds.
     #[serde(rename = "GuardadoS")]
     pub checkpoint_duration_s: f64,
-    /// When the job should be complete, seconds from submission.
+    /// Deadline for completion, seconds after submission. `None` if there is none.
     #[serde(rename = "EntregaS", default)]
     pub deadline_s: Option<f64>,
 }
 
-/// State of a job as its user sees it.
+/// State of a job in status responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task runs.
+    /// Open, with no task running.
     #[serde(rename = "pending")]
     Pending,
-    /// Some task runs.
+    /// Open, with at least one task running.
     #[serde(rename = "running")]
     Running,
-    /// All tasks are done.
+    /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by the user.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// Response about a job.
+/// Status of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "Ref")]
     pub id: JobId,
-    /// Its state.
+    /// Present state.
     #[serde(rename = "Estado")]
     pub state: JobState,
-    /// Tasks done, for display.
+    /// Number of completed tasks, for display; `None` unless the job is open.
     #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
     pub done_tasks: Option<u32>,
-    /// Tasks running, for display.
+    /// Number of running tasks, for display; `None` unless the job is open.
     #[serde(rename = "running", default, skip_serializing_if = "Option::is_none")]
     pub running_tasks: Option<u32>,
 }
--- a/crates/worksshunt-wire/src/worker.rs
+++ b/crates/worksshunt-wire/src/worker.rs
@@ -1,7 +1,7 @@
-//! The workers' interface: heartbeats and commands.
+//! Worker interface: heartbeats and commands.
 //!
-//! A worker sends heartbeats and gets commands in the responses, or directly. The partition of its machine reads and
-//! writes these messages.
+//! A worker sends heartbeats to the controller that owns its machine. Commands are in the heartbeat responses or are
+//! sent directly to the worker.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,23 +11,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// Waiting for the image.
     Fetching,
     /// Running.
     Running,
-    /// Stopping, making a checkpoint.
+    /// Stopping; the task saves a checkpoint.
     Saving,
-    /// Over; see [`ExitReason`].
+    /// Ended or refused; see [`ExitReason`].
     Ended,
 }
 
-/// Why a task ended.
+/// Reason why an attempt ended or was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
     /// Failed.
@@ -36,106 +36,106 @@
     /// Refused: not enough free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Refused: the task is there with another attempt.
+    /// Refused: another attempt at the task is on the machine.
     #[serde(rename = "busy")]
     Busy,
-    /// Refused: no such job or task.
+    /// Refused: the job or task is unknown.
     #[serde(rename = "no_such")]
     Unknown,
 }
 
-/// One task in a worker's heartbeat.
+/// Status of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Id of the task.
     #[serde(rename = "Pieza")]
     pub task: TaskId,
-    /// Its attempt.
+    /// Number of the attempt.
     #[serde(rename = "Intento")]
     pub attempt: Attempt,
-    /// Its state.
+    /// Present state.
     #[serde(rename = "Estado")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Reason why it ended; `None` before that.
     #[serde(rename = "Motivo", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a checkpoint was made when it was stopped.
+    /// Whether a checkpoint was saved when the task was stopped; `None` if the worker does not tell.
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
     pub is_checkpoint_saved: Option<bool>,
 }
 
-/// A worker's heartbeat, with the status of all its tasks.
+/// Heartbeat of a worker, with the status of all tasks on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Machine of the worker.
     #[serde(rename = "Estiba")]
     pub machine: MachineId,
-    /// Address and port on which the worker takes direct commands.
+    /// Address and port on which the worker accepts direct commands.
     #[serde(rename = "Addr")]
-    pub addr: String,
-    /// Machine type.
+    pub command_address: String,
+    /// Name of the machine type in the catalog.
     #[serde(rename = "Modelo")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "Patio")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "Prestados")]
     pub is_spot: bool,
-    /// Incarnation.
+    /// Incarnation of the worker.
     #[serde(rename = "Jornada")]
     pub incarnation: Incarnation,
-    /// Sequence number within the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "Folio")]
     pub sequence: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "Vara")]
     pub fencing_token: Epoch,
-    /// Seconds until the cloud reclaims the machine.
+    /// Seconds until the cloud reclaims the machine; `None` without a reclaim notice.
     #[serde(rename = "AvisoS", default)]
     pub reclaim_notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// Status of all tasks on the machine.
     #[serde(rename = "Piezas")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Orden", rename_all = "lowercase")]
 pub enum Command {
-    /// Start an attempt.
+    /// Starts an attempt.
     Launch {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "Pieza")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "Intento")]
         attempt: Attempt,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     Halt {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "Pieza")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "Intento")]
         attempt: Attempt,
-        /// Time allowed for a checkpoint, seconds.
+        /// Time allowed to save a checkpoint, seconds.
         #[serde(rename = "GraciaS")]
         grace_s: f64,
     },
-    /// Remove an ended attempt from the heartbeats.
+    /// Removes an ended attempt from the heartbeats.
     Reap {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "Pieza")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "Intento")]
         attempt: Attempt,
     },
 }
 
-/// The form used in logs.
+/// Format for log lines.
 impl std::fmt::Display for Command {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -150,35 +150,35 @@
     }
 }
 
-/// Response to a heartbeat.
+/// Response to an accepted heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token.
+    /// Fencing token of the controller. Workers ignore commands with a lower token than the highest they have seen.
     #[serde(rename = "Vara")]
     pub fencing_token: Epoch,
-    /// Commands, executed in order.
+    /// Commands in order of execution.
     #[serde(rename = "Ordenes")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent directly to a worker.
+/// Commands that a controller sends directly to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// Fencing token.
+    /// Fencing token of the controller.
     #[serde(rename = "Vara")]
     pub fencing_token: Epoch,
-    /// The incarnation they are for.
+    /// Incarnation of the worker that the commands are for.
     #[serde(rename = "Jornada")]
     pub incarnation: Incarnation,
-    /// Commands, executed in order.
+    /// Commands in order of execution.
     #[serde(rename = "Ordenes")]
     pub commands: Vec<Command>,
 }
 
-/// Refers a worker to the controller that owns its machine.
+/// Redirect of a worker to the controller that owns its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller, if known.
+    /// Controller to send heartbeats to; `None` if the owner is unknown.
     #[serde(rename = "Capataz", skip_serializing_if = "Option::is_none")]
     pub controller: Option<ControllerName>,
 }
--- a/crates/worksshunt-wire/tests/protocol_words.rs
+++ b/crates/worksshunt-wire/tests/protocol_words.rs
@@ -1,14 +1,16 @@
-//! The table of protocol words in the crate's documentation, against the serde attributes of each interface.
+//! Compares the table of protocol names in the crate documentation with the serde attributes of each interface.
 
 use std::collections::BTreeMap;
 
-const CRATE: &str = include_str!("../src/lib.rs");
+const CRATE_ROOT: &str = include_str!("../src/lib.rs");
 
-/// The Rust side of each protocol word, by interface.
+/// The Rust column of the table for each protocol name, by interface.
 fn table() -> BTreeMap<&'static str, BTreeMap<&'static str, &'static str>> {
     let mut interface = "";
     let mut words: BTreeMap<&str, BTreeMap<&str, &str>> = BTreeMap::new();
-    let rows = CRATE.lines().filter_map(|line| line.strip_prefix("//! | "));
+    let rows = CRATE_ROOT
+        .lines()
+        .filter_map(|line| line.strip_prefix("//! | "));
     for row in rows.skip(2) {
         let row = row.strip_suffix(" |").expect("the end of a row");
         let cells: Vec<&str> = row.split(" | ").collect();
@@ -31,7 +33,8 @@
     words
 }
 
-/// Protocol words of a module that differ from the Rust name by more than their case, with that name.
+/// Protocol names in the serde attributes of a module, each with the Rust name. Names that differ only in the case of
+/// an enum variant are omitted.
 fn renames(source: &'static str) -> Vec<(&'static str, &'static str)> {
     let mut renames = Vec::new();
     let mut word = None;
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn every_renamed_field_and_variant_is_in_the_table() {
+fn renamed_fields_and_variants_are_in_the_table() {
     let table = table();
     for (interface, source) in [
         ("user", include_str!("../src/user.rs")),
--- a/crates/worksshunt-wire/tests/wire_format/cloud.rs
+++ b/crates/worksshunt-wire/tests/wire_format/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud.
+//! Encoding of messages of the cloud interface.
 
 use worksshunt_wire::cloud::{
     Catalog, ListedMachine, ListedState, MachineIds, MachineList, MachineType, ProvisionRequest,
@@ -21,31 +21,31 @@
             zones: vec!["a".into(), "b".into()],
         }],
     };
-    fixtures.same("catalog", catalog(Some(1.25), 0.75));
-    fixtures.same("catalog, no spot price", catalog(None, 0.75));
-    fixtures.reads("catalog, fields absent", catalog(None, 0.0));
+    fixtures.assert_round_trip("catalog", catalog(Some(1.25), 0.75));
+    fixtures.assert_round_trip("catalog, no spot price", catalog(None, 0.75));
+    fixtures.assert_decodes("catalog, fields absent", catalog(None, 0.0));
 }
 
 fn compare_provisioning(fixtures: &mut Fixtures) {
-    let provision = |spot| ProvisionRequest {
+    let provision = |is_spot| ProvisionRequest {
         request_name: "n0.7.12".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
-        is_spot: spot,
+        is_spot,
         machine_count: 3,
     };
-    fixtures.same("rental of spot machines", provision(true));
-    fixtures.same("rental of ordinary machines", provision(false));
+    fixtures.assert_round_trip("rental of spot machines", provision(true));
+    fixtures.assert_round_trip("rental of ordinary machines", provision(false));
     let names = machines(&["i-000041", "i-000042"]);
-    fixtures.same("machine names", MachineIds { ids: names });
+    fixtures.assert_round_trip("machine names", MachineIds { ids: names });
 }
 
 fn compare_machine_lists(fixtures: &mut Fixtures) {
-    let listed = |id: &str, state, spot| ListedMachine {
+    let listed = |id: &str, state, is_spot| ListedMachine {
         id: id.into(),
         machine_type: "m8".into(),
         zone: "a".into(),
-        is_spot: spot,
+        is_spot,
         state,
         age_s: 12.5,
     };
@@ -57,15 +57,15 @@
         ],
         has_more: true,
     };
-    fixtures.same("machine list", machine_list);
-    fixtures.reads("machine list, fields absent", MachineList::default());
+    fixtures.assert_round_trip("machine list", machine_list);
+    fixtures.assert_decodes("machine list, fields absent", MachineList::default());
 }
 
 #[test]
-fn cloud_messages_keep_their_bytes() {
+fn cloud_messages_match_fixtures() {
     let mut fixtures = Fixtures::json(include_str!("../fixtures/cloud.json"));
     compare_catalogs(&mut fixtures);
     compare_provisioning(&mut fixtures);
     compare_machine_lists(&mut fixtures);
-    fixtures.all_compared();
+    fixtures.assert_all_compared();
 }
--- a/crates/worksshunt-wire/tests/wire_format/fixtures.rs
+++ b/crates/worksshunt-wire/tests/wire_format/fixtures.rs
@@ -1,4 +1,4 @@
-//! The files of messages, and the comparison with them.
+//! Reads fixture files and compares messages with them.
 
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -7,14 +7,14 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The messages of one file, and those of them that a test has compared.
+/// Messages of a fixture file, and the names of those that a test has compared.
 pub struct Fixtures {
     messages: Vec<(&'static str, &'static str)>,
     compared: BTreeSet<&'static str>,
 }
 
 impl Fixtures {
-    /// A file of JSON messages.
+    /// Reads a file of JSON messages.
     pub fn json(text: &'static str) -> Fixtures {
         let message = |line: &'static str| {
             let line = line.strip_suffix(',').unwrap_or(line);
@@ -22,16 +22,16 @@
             (name.strip_prefix('"').expect("a name in quotes"), message)
         };
         let lines = text.lines().filter(|line| !matches!(*line, "{" | "}"));
-        Fixtures::of(lines.map(message).collect())
+        Fixtures::new(lines.map(message).collect())
     }
 
-    /// A file of messages in hex.
+    /// Reads a file of messages in hex.
     pub fn hex(text: &'static str) -> Fixtures {
         let message = |line: &'static str| line.split_once(' ').expect("a name and a message");
-        Fixtures::of(text.lines().map(message).collect())
+        Fixtures::new(text.lines().map(message).collect())
     }
 
-    fn of(messages: Vec<(&'static str, &'static str)>) -> Fixtures {
+    fn new(messages: Vec<(&'static str, &'static str)>) -> Fixtures {
         let names: BTreeSet<&str> = messages.iter().map(|(name, _)| *name).collect();
         assert_eq!(names.len(), messages.len(), "every name is used once");
         Fixtures {
@@ -40,61 +40,61 @@
         }
     }
 
-    fn message(&mut self, name: &str, written: &str) -> &'static str {
+    fn message(&mut self, name: &str, encoded: &str) -> &'static str {
         let found = self.messages.iter().find(|message| message.0 == name);
-        let (name, message) = found.unwrap_or_else(|| panic!("no fixture: \"{name}\": {written}"));
+        let (name, message) = found.unwrap_or_else(|| panic!("no fixture: \"{name}\": {encoded}"));
         assert!(self.compared.insert(name), "{name} is compared twice");
         message
     }
 
-    /// The value is written as this message, and the message is read as this value.
-    pub fn same<T>(&mut self, name: &str, value: T)
+    /// Checks that the value is encoded as this message and that the message is decoded as this value.
+    pub fn assert_round_trip<T>(&mut self, name: &str, value: T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        let written = serde_json::to_string(&value).expect("JSON");
-        let message = self.message(name, &written);
-        assert_eq!(written, message, "{name} as written");
-        let read: T = serde_json::from_str(message).expect(name);
-        assert_eq!(read, value, "{name} as read");
+        let encoded = serde_json::to_string(&value).expect("JSON");
+        let message = self.message(name, &encoded);
+        assert_eq!(encoded, message, "encoding of {name}");
+        let decoded: T = serde_json::from_str(message).expect(name);
+        assert_eq!(decoded, value, "decoding of {name}");
     }
 
-    /// The message is read as this value, which is written in another form.
-    pub fn reads<T>(&mut self, name: &str, value: T)
+    /// Checks that the message is decoded as this value, and that the value is encoded differently.
+    pub fn assert_decodes<T>(&mut self, name: &str, value: T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        let written = serde_json::to_string(&value).expect("JSON");
-        let message = self.message(name, &written);
-        assert_ne!(written, message, "{name} is written in the same form");
-        let read: T = serde_json::from_str(message).expect(name);
-        assert_eq!(read, value, "{name} as read");
+        let encoded = serde_json::to_string(&value).expect("JSON");
+        let message = self.message(name, &encoded);
+        assert_ne!(encoded, message, "{name} is encoded the same");
+        let decoded: T = serde_json::from_str(message).expect(name);
+        assert_eq!(decoded, value, "decoding of {name}");
     }
 
-    /// Like [`Fixtures::same`], for a message between controllers.
-    pub fn same_frame<T>(&mut self, name: &str, value: T)
+    /// Same as [`Fixtures::assert_round_trip`], for a message between controllers.
+    pub fn assert_frame_round_trip<T>(&mut self, name: &str, value: T)
     where
         T: BorshSerialize + BorshDeserialize + PartialEq + Debug,
     {
-        let written = hex(&borsh::to_vec(&value).expect("bytes"));
-        let message = self.message(name, &written);
-        assert_eq!(written, message, "{name} as written");
-        let read: T = borsh::from_slice(&bytes(message)).expect(name);
-        assert_eq!(read, value, "{name} as read");
+        let encoded = to_hex(&borsh::to_vec(&value).expect("bytes"));
+        let message = self.message(name, &encoded);
+        assert_eq!(encoded, message, "encoding of {name}");
+        let decoded: T = borsh::from_slice(&from_hex(message)).expect(name);
+        assert_eq!(decoded, value, "decoding of {name}");
     }
 
-    /// No message of the file was left out.
-    pub fn all_compared(&self) {
+    /// Checks that every message of the file was compared.
+    pub fn assert_all_compared(&self) {
         let names: BTreeSet<&str> = self.messages.iter().map(|(name, _)| *name).collect();
         assert_eq!(self.compared, names, "messages compared");
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn from_hex(hex: &str) -> Vec<u8> {
     let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
--- a/crates/worksshunt-wire/tests/wire_format/key_value.rs
+++ b/crates/worksshunt-wire/tests/wire_format/key_value.rs
@@ -1,4 +1,4 @@
-//! Messages of the key-value store.
+//! Encoding of messages of the key-value store.
 
 use serde_json::json;
 use worksshunt_wire::key_value::{
@@ -10,10 +10,10 @@
 use crate::fixtures::Fixtures;
 
 fn transaction() -> CompareAndSwap {
-    let put = |lease| Change::Put {
+    let put = |lease_id| Change::Put {
         key: "c/n/n0".into(),
         value: json!([1, "x"]),
-        lease_id: lease,
+        lease_id,
     };
     CompareAndSwap {
         expected: vec![ExpectedRevision {
@@ -45,41 +45,36 @@
             },
         ],
     };
-    fixtures.same("changes", changes);
+    fixtures.assert_round_trip("changes", changes);
     let nothing = WatchResponse {
         revision: Revision(78),
         events: Vec::new(),
     };
-    fixtures.reads("changes, fields absent", nothing);
+    fixtures.assert_decodes("changes, fields absent", nothing);
 }
 
 #[test]
-fn key_value_messages_keep_their_bytes() {
+fn key_value_messages_match_fixtures() {
     let mut fixtures = Fixtures::json(include_str!("../fixtures/key_value.json"));
-    let listing = |more| Listing {
+    let listing = |has_more| Listing {
         pairs: vec![KeyValue {
             key: "j/j-000412".into(),
             value: json!({ "at": 5 }),
             version: Revision(31),
         }],
-        has_more: more,
+        has_more,
         revision: Revision(77),
     };
-    fixtures.same("pair", listing(true).pairs.remove(0));
-    fixtures.same("listing", listing(true));
-    fixtures.reads("listing, fields absent", listing(false));
-    fixtures.same("transaction", transaction());
+    fixtures.assert_round_trip("pair", listing(true).pairs.remove(0));
+    fixtures.assert_round_trip("listing", listing(true));
+    fixtures.assert_decodes("listing, fields absent", listing(false));
+    fixtures.assert_round_trip("transaction", transaction());
     let revision = Revision(78);
-    fixtures.same("at revision", StoreRevision { revision });
-    let failed = vec!["c/epoch".into(), "d/4".into()];
-    fixtures.same(
-        "conflict",
-        Conflict {
-            failed_keys: failed,
-        },
-    );
-    fixtures.same("lease request", LeaseRequest { ttl_ms: 6_000 });
-    fixtures.same("lease", Lease { id: 19 });
+    fixtures.assert_round_trip("at revision", StoreRevision { revision });
+    let failed_keys = vec!["c/epoch".into(), "d/4".into()];
+    fixtures.assert_round_trip("conflict", Conflict { failed_keys });
+    fixtures.assert_round_trip("lease request", LeaseRequest { ttl_ms: 6_000 });
+    fixtures.assert_round_trip("lease", Lease { id: 19 });
     compare_watch_responses(&mut fixtures);
-    fixtures.all_compared();
+    fixtures.assert_all_compared();
 }
--- a/crates/worksshunt-wire/tests/wire_format/main.rs
+++ b/crates/worksshunt-wire/tests/wire_format/main.rs
@@ -1,8 +1,8 @@
-//! The exact bytes of every message, against files in `fixtures/`.
+//! Compares the encoding of every message with the files in `fixtures/`, byte by byte.
 //!
-//! A file of JSON messages is an object with one message per line, as `"name": message`; the messages
-//! between controllers are in hex, one `name hex` per line. A difference means that other programs, or a
-//! controller of another version, no longer understand this one: the code is wrong, not the file.
+//! A file of JSON messages is an object with one `"name": message` per line. Messages between controllers are in hex,
+//! one `name hex` per line. A difference means that other programs or other versions of the controller cannot decode
+//! the message: the code has to be corrected, not the file.
 
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
--- a/crates/worksshunt-wire/tests/wire_format/peer.rs
+++ b/crates/worksshunt-wire/tests/wire_format/peer.rs
@@ -1,7 +1,7 @@
-//! Messages between controllers.
+//! Encoding of messages between controllers.
 
 use worksshunt_wire::peer::{
-    Assignment, AttemptOutcome, AttemptPhase, AttemptStatus, EndedAttempt, KnownEpoch,
+    Assignment, AttemptOutcome, AttemptPhase, AttemptStatus, EndedAttempt, EpochPollResponse,
     LeaderDirectives, MachineDirectives, MachineStatus, PartitionStatus, PeerRequest, PeerResponse,
 };
 use worksshunt_wire::{Attempt, ControllerName, Epoch, JobId, MachineId};
@@ -26,9 +26,9 @@
     }
 }
 
-/// A machine without a flag, and one with each.
+/// One machine without flags and one for each flag.
 fn machine_statuses() -> Vec<MachineStatus> {
-    // Every flag is set on a machine of its own, so that none can take another's place.
+    // Each machine has a single flag set, so that swapped flags are detected.
     let flags: [fn(&mut MachineStatus); 5] = [
         |machine| machine.is_spot = true,
         |machine| machine.is_schedulable = true,
@@ -85,11 +85,11 @@
 }
 
 fn leader_directives() -> LeaderDirectives {
-    let assignment = |index, zone: Option<&str>, claimed: Option<&str>| Assignment {
+    let assignment = |index, zone: Option<&str>, claimed_machine: Option<&str>| Assignment {
         task: task(412, index),
         attempt: Attempt(500 + u64::from(index)),
         zone: zone.map(str::to_owned),
-        claimed_machine: claimed.map(MachineId::from),
+        claimed_machine: claimed_machine.map(MachineId::from),
     };
     LeaderDirectives {
         epoch: Epoch(5),
@@ -111,46 +111,46 @@
 }
 
 #[test]
-fn peer_messages_keep_their_bytes() {
+fn peer_messages_match_fixtures() {
     let mut fixtures = Fixtures::hex(include_str!("../fixtures/peer.txt"));
-    fixtures.same_frame("request-sync", PeerRequest::Sync(partition_status()));
-    fixtures.same_frame("request-store-health", PeerRequest::KeyValueHealth);
-    fixtures.same_frame(
+    fixtures.assert_frame_round_trip("request-sync", PeerRequest::Sync(partition_status()));
+    fixtures.assert_frame_round_trip("request-store-health", PeerRequest::KeyValueHealth);
+    fixtures.assert_frame_round_trip(
         "request-known-epoch",
-        PeerRequest::KnownEpoch { poll_number: 21 },
+        PeerRequest::EpochPoll { poll_number: 21 },
     );
-    fixtures.same_frame("answer-sync", PeerResponse::Sync(leader_directives()));
+    fixtures.assert_frame_round_trip("answer-sync", PeerResponse::Sync(leader_directives()));
     let without_options = LeaderDirectives {
         machine_directives: None,
         progress: None,
         ..leader_directives()
     };
-    fixtures.same_frame(
+    fixtures.assert_frame_round_trip(
         "answer-sync-fields-absent",
         PeerResponse::Sync(without_options),
     );
-    fixtures.same_frame("answer-not-leader", PeerResponse::NotLeader);
-    fixtures.same_frame("answer-store-up", PeerResponse::KeyValueHealth(true));
-    fixtures.same_frame("answer-store-down", PeerResponse::KeyValueHealth(false));
-    let known = |store_is_reachable| {
-        PeerResponse::KnownEpoch(KnownEpoch {
+    fixtures.assert_frame_round_trip("answer-not-leader", PeerResponse::NotLeader);
+    fixtures.assert_frame_round_trip("answer-store-up", PeerResponse::KeyValueHealth(true));
+    fixtures.assert_frame_round_trip("answer-store-down", PeerResponse::KeyValueHealth(false));
+    let epoch_poll = |is_key_value_store_reachable| {
+        PeerResponse::EpochPoll(EpochPollResponse {
             poll_number: 21,
             epoch: Epoch(5),
-            is_key_value_store_reachable: store_is_reachable,
+            is_key_value_store_reachable,
         })
     };
-    fixtures.same_frame("answer-known-epoch-store-up", known(true));
-    fixtures.same_frame("answer-known-epoch-store-down", known(false));
-    // One byte each, so that a difference names the variant.
-    fixtures.same_frame("phase-queued", AttemptPhase::Queued);
-    fixtures.same_frame("phase-placed", AttemptPhase::Placed);
-    fixtures.same_frame("phase-running", AttemptPhase::Running);
-    fixtures.same_frame("phase-completed", AttemptPhase::Completed);
-    fixtures.same_frame("end-error", AttemptOutcome::Failed);
-    fixtures.same_frame("end-stopped", AttemptOutcome::Stopped);
-    fixtures.same_frame("end-lost", AttemptOutcome::Lost);
-    fixtures.same_frame("end-handed-back", AttemptOutcome::Unplaced);
-    fixtures.same_frame("end-settled", AttemptOutcome::Acknowledged);
-    fixtures.same_frame("node-name", ControllerName::from("n1"));
-    fixtures.all_compared();
+    fixtures.assert_frame_round_trip("answer-known-epoch-store-up", epoch_poll(true));
+    fixtures.assert_frame_round_trip("answer-known-epoch-store-down", epoch_poll(false));
+    // Each variant is compared separately, so that a difference names the variant.
+    fixtures.assert_frame_round_trip("phase-queued", AttemptPhase::Queued);
+    fixtures.assert_frame_round_trip("phase-placed", AttemptPhase::Placed);
+    fixtures.assert_frame_round_trip("phase-running", AttemptPhase::Running);
+    fixtures.assert_frame_round_trip("phase-completed", AttemptPhase::Completed);
+    fixtures.assert_frame_round_trip("end-error", AttemptOutcome::Failed);
+    fixtures.assert_frame_round_trip("end-stopped", AttemptOutcome::Stopped);
+    fixtures.assert_frame_round_trip("end-lost", AttemptOutcome::Lost);
+    fixtures.assert_frame_round_trip("end-handed-back", AttemptOutcome::Unplaced);
+    fixtures.assert_frame_round_trip("end-settled", AttemptOutcome::Acknowledged);
+    fixtures.assert_frame_round_trip("node-name", ControllerName::from("n1"));
+    fixtures.assert_all_compared();
 }
--- a/crates/worksshunt-wire/tests/wire_format/settings.rs
+++ b/crates/worksshunt-wire/tests/wire_format/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file.
+//! Encoding of the settings file.
 
 use worksshunt_wire::settings::{
     CloudLimits, Facts, KeyValueLimits, NextKeyValueLimits, Objective, Peer, ProcessLimits,
@@ -7,17 +7,17 @@
 
 use crate::fixtures::Fixtures;
 
-fn team(name: &str, first: f64) -> Team {
+fn team(name: &str, guaranteed_cpus: f64) -> Team {
     Team {
         name: name.into(),
-        guaranteed_cpus: first,
-        max_cpus: first + 1.0,
-        guaranteed_gpus: first + 2.0,
-        max_gpus: first + 3.0,
+        guaranteed_cpus,
+        max_cpus: guaranteed_cpus + 1.0,
+        guaranteed_gpus: guaranteed_cpus + 2.0,
+        max_gpus: guaranteed_cpus + 3.0,
     }
 }
 
-fn facts(objectives: Vec<Objective>, next: Option<NextKeyValueLimits>) -> Facts {
+fn facts(objectives: Vec<Objective>, announced: Option<NextKeyValueLimits>) -> Facts {
     Facts {
         teams: vec![team("red", 10.5), team("blue", 20.5)],
         objectives,
@@ -31,7 +31,7 @@
             changes_per_s: 60.5,
             max_value_kib: 64.5,
             max_transaction_changes: 20,
-            announced: next,
+            announced,
         },
         cloud: CloudLimits {
             requests_per_s: 5.5,
@@ -44,10 +44,10 @@
     }
 }
 
-fn settings(objectives: Vec<Objective>, next: Option<NextKeyValueLimits>) -> Settings {
-    let peer = |name: &str, site: &str, endpoint: &str| Peer {
+fn settings(objectives: Vec<Objective>, announced: Option<NextKeyValueLimits>) -> Settings {
+    let peer = |name: &str, zone: &str, endpoint: &str| Peer {
         host_name: name.into(),
-        zone: site.into(),
+        zone: zone.into(),
         endpoint: endpoint.into(),
     };
     Settings {
@@ -63,18 +63,18 @@
             cloud: "10.2.0.1:1".into(),
             key_value_store: "10.2.0.2:1".into(),
         },
-        facts: facts(objectives, next),
+        facts: facts(objectives, announced),
     }
 }
 
 #[test]
-fn settings_keep_their_bytes() {
+fn settings_match_fixtures() {
     let mut fixtures = Fixtures::json(include_str!("../fixtures/settings.json"));
-    let objective = |kind: &str, class: Option<&str>, within_s, times| Objective {
+    let objective = |kind: &str, class: Option<&str>, within_s, deadline_factor| Objective {
         kind: kind.into(),
         class: class.map(str::to_owned),
         within_s,
-        deadline_factor: times,
+        deadline_factor,
     };
     let objectives = || {
         vec![
@@ -82,23 +82,23 @@
             objective("wait", None, None, None),
         ]
     };
-    let next = NextKeyValueLimits {
+    let announced = NextKeyValueLimits {
         requests_per_s: Some(400.5),
         changes_per_s: Some(50.5),
         max_value_kib: Some(32.5),
         max_transaction_changes: Some(10),
     };
-    let mut full = settings(objectives(), Some(next));
+    let mut full = settings(objectives(), Some(announced));
     full.facts.limits.memory_mb = Some(512.5);
-    fixtures.same("settings", full);
+    fixtures.assert_round_trip("settings", full);
     let empty = Some(NextKeyValueLimits::default());
-    fixtures.same(
+    fixtures.assert_round_trip(
         "settings, fields null",
         settings(objectives(), empty.clone()),
     );
-    fixtures.reads("settings, fields absent", settings(Vec::new(), None));
+    fixtures.assert_decodes("settings, fields absent", settings(Vec::new(), None));
     let objectives = vec![objective("wait", None, None, None)];
-    fixtures.reads("settings, inner fields absent", settings(objectives, empty));
-    fixtures.reads("settings, unknown fields", settings(Vec::new(), None));
-    fixtures.all_compared();
+    fixtures.assert_decodes("settings, inner fields absent", settings(objectives, empty));
+    fixtures.assert_decodes("settings, unknown fields", settings(Vec::new(), None));
+    fixtures.assert_all_compared();
 }
--- a/crates/worksshunt-wire/tests/wire_format/user.rs
+++ b/crates/worksshunt-wire/tests/wire_format/user.rs
@@ -1,4 +1,4 @@
-//! Messages of users.
+//! Encoding of messages of the user interface.
 
 use worksshunt_wire::user::{JobKind, JobSpec, JobState, JobStatus, Priority};
 use worksshunt_wire::JobId;
@@ -31,36 +31,36 @@
 }
 
 #[test]
-fn user_messages_keep_their_bytes() {
+fn user_messages_match_fixtures() {
     let mut fixtures = Fixtures::json(include_str!("../fixtures/user.json"));
-    fixtures.same("array, low", spec(JobKind::Array, Priority::Low));
-    fixtures.same("array, normal", spec(JobKind::Array, Priority::Normal));
-    fixtures.same("array, urgent", spec(JobKind::Array, Priority::Urgent));
-    // No two of the three flags are alike in both, so that none can take another's place.
+    fixtures.assert_round_trip("array, low", spec(JobKind::Array, Priority::Low));
+    fixtures.assert_round_trip("array, normal", spec(JobKind::Array, Priority::Normal));
+    fixtures.assert_round_trip("array, urgent", spec(JobKind::Array, Priority::Urgent));
+    // No two flags are equal in both kinds of job, so that swapped flags are detected.
     let service = JobSpec {
         needs_single_zone: false,
         needs_zone_spread: true,
         ..spec(JobKind::Service, Priority::Prod)
     };
-    fixtures.same("service, prod", service);
-    let bare = JobSpec {
+    fixtures.assert_round_trip("service, prod", service);
+    let minimal = JobSpec {
         machine_types: None,
         zone: None,
         allows_spot: false,
         deadline_s: None,
         ..spec(JobKind::Array, Priority::Low)
     };
-    fixtures.same("array, fields null", bare.clone());
-    fixtures.reads("array, fields absent", bare);
-    let status = |state, done, running| JobStatus {
+    fixtures.assert_round_trip("array, fields null", minimal.clone());
+    fixtures.assert_decodes("array, fields absent", minimal);
+    let status = |state, done_tasks, running_tasks| JobStatus {
         id: JobId(412),
         state,
-        done_tasks: done,
-        running_tasks: running,
+        done_tasks,
+        running_tasks,
     };
-    fixtures.same("pending", status(JobState::Pending, None, None));
-    fixtures.same("running", status(JobState::Running, Some(7), Some(5)));
-    fixtures.same("done", status(JobState::Done, Some(40), None));
-    fixtures.same("cancelled", status(JobState::Cancelled, None, Some(2)));
-    fixtures.all_compared();
+    fixtures.assert_round_trip("pending", status(JobState::Pending, None, None));
+    fixtures.assert_round_trip("running", status(JobState::Running, Some(7), Some(5)));
+    fixtures.assert_round_trip("done", status(JobState::Done, Some(40), None));
+    fixtures.assert_round_trip("cancelled", status(JobState::Cancelled, None, Some(2)));
+    fixtures.assert_all_compared();
 }
--- a/crates/worksshunt-wire/tests/wire_format/worker.rs
+++ b/crates/worksshunt-wire/tests/wire_format/worker.rs
@@ -1,4 +1,4 @@
-//! Messages of workers.
+//! Encoding of messages of the worker interface.
 
 use worksshunt_wire::worker::{
     Command, CommandBatch, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState,
@@ -9,25 +9,32 @@
 use crate::fixtures::Fixtures;
 use crate::task;
 
-fn heartbeat(spot: bool, notice_s: Option<f64>) -> Heartbeat {
-    let task_status = |index, state, reason, saved| TaskStatus {
+fn heartbeat(is_spot: bool, reclaim_notice_s: Option<f64>) -> Heartbeat {
+    let task_status = |index, state, exit_reason, is_checkpoint_saved| TaskStatus {
         task: task(412, index),
         attempt: Attempt(300 + u64::from(index)),
         state,
-        exit_reason: reason,
-        is_checkpoint_saved: saved,
+        exit_reason,
+        is_checkpoint_saved,
+    };
+    let ended = |index, exit_reason, is_checkpoint_saved| {
+        task_status(
+            index,
+            TaskState::Ended,
+            Some(exit_reason),
+            is_checkpoint_saved,
+        )
     };
-    let ended = |index, reason, saved| task_status(index, TaskState::Ended, Some(reason), saved);
     Heartbeat {
         machine: "i-000041".into(),
-        addr: "10.1.0.1:9000".into(),
+        command_address: "10.1.0.1:9000".into(),
         machine_type: "m8".into(),
         zone: "b".into(),
-        is_spot: spot,
+        is_spot,
         incarnation: Incarnation(3),
         sequence: 17,
         fencing_token: Epoch(5),
-        reclaim_notice_s: notice_s,
+        reclaim_notice_s,
         tasks: vec![
             task_status(0, TaskState::Fetching, None, None),
             task_status(1, TaskState::Running, None, None),
@@ -60,26 +67,24 @@
 }
 
 #[test]
-fn worker_messages_keep_their_bytes() {
+fn worker_messages_match_fixtures() {
     let mut fixtures = Fixtures::json(include_str!("../fixtures/worker.json"));
-    fixtures.same("report with notice", heartbeat(true, Some(30.5)));
-    fixtures.same("report", heartbeat(false, None));
-    fixtures.reads("report, fields absent", heartbeat(false, None));
+    fixtures.assert_round_trip("report with notice", heartbeat(true, Some(30.5)));
+    fixtures.assert_round_trip("report", heartbeat(false, None));
+    fixtures.assert_decodes("report, fields absent", heartbeat(false, None));
     let response = HeartbeatResponse {
         fencing_token: Epoch(5),
         commands: commands(),
     };
-    fixtures.same("answer to a report", response);
+    fixtures.assert_round_trip("answer to a report", response);
     let batch = CommandBatch {
         fencing_token: Epoch(5),
         incarnation: Incarnation(3),
         commands: commands(),
     };
-    fixtures.same("orders", batch);
-    let redirect = |report_to| Redirect {
-        controller: report_to,
-    };
-    fixtures.same("redirect", redirect(Some("n2".into())));
-    fixtures.same("redirect to nobody", redirect(None));
-    fixtures.all_compared();
+    fixtures.assert_round_trip("orders", batch);
+    let redirect = |controller| Redirect { controller };
+    fixtures.assert_round_trip("redirect", redirect(Some("n2".into())));
+    fixtures.assert_round_trip("redirect to nobody", redirect(None));
+    fixtures.assert_all_compared();
 }
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -287,9 +287,9 @@
         (PeerRequest::KeyValueHealth, Some(PeerResponse::KeyValueHealth(is_healthy))) => {
             Some(Event::PeerKeyValueHealth(is_healthy))
         }
-        (PeerRequest::KnownEpoch { .. }, Some(PeerResponse::KnownEpoch(known))) => {
+        (PeerRequest::EpochPoll { .. }, Some(PeerResponse::EpochPoll(known))) => {
             Some(Event::PeerKnownEpoch(peer, known))
         }
-        (PeerRequest::KeyValueHealth | PeerRequest::KnownEpoch { .. }, _) => None,
+        (PeerRequest::KeyValueHealth | PeerRequest::EpochPoll { .. }, _) => None,
     }
 }
