--- a/crates/worksshunt-wire/src/worker.rs
+++ b/crates/worksshunt-wire/src/worker.rs
@@ -59,7 +59,7 @@
     /// Reason why it ended; `None` before that.
     #[serde(rename = "Motivo", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a checkpoint was saved when the task was stopped; `None` if the worker does not tell.
+    /// Whether a checkpoint was saved when the task was stopped; `None` if the worker does not report it.
     #[serde(rename = "Saved", default, skip_serializing_if = "Option::is_none")]
     pub is_checkpoint_saved: Option<bool>,
 }
