--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -63,7 +63,7 @@
         } else {
             KV_RETRY_DELAY_MS
         };
-        self.membership_timers.lease.schedule_retry(now, wait_ms);
+        self.membership_timers.lease.schedule_next(now, wait_ms);
         if let KvResponse::LeaseGranted(lease) = response {
             self.membership.lease_granted(lease);
             self.read_control_keys_at(now);
@@ -74,20 +74,20 @@
         let lease_timer = &mut self.membership_timers.lease;
         match response {
             KvResponse::Committed(version) => {
-                lease_timer.schedule_retry(now, 0);
+                lease_timer.schedule_next(now, 0);
                 self.read_control_keys_at(now);
                 self.membership.member_key_written(version);
             }
             KvResponse::Conflict(_) => {
-                lease_timer.schedule_retry(now, KV_RETRY_DELAY_MS);
+                lease_timer.schedule_next(now, KV_RETRY_DELAY_MS);
                 self.read_control_keys_at(now);
                 self.membership.member_key_conflict();
             }
             KvResponse::NoSuchLease => {
-                lease_timer.schedule_retry(now, 0);
+                lease_timer.schedule_next(now, 0);
                 self.membership.lease_lost();
             }
-            _ => lease_timer.schedule_retry(now, KV_RETRY_DELAY_MS),
+            _ => lease_timer.schedule_next(now, KV_RETRY_DELAY_MS),
         }
     }
 
@@ -129,7 +129,7 @@
     /// Processes the response to the write of the next epoch: reads the control keys, which show whether it was
     /// applied.
     pub(super) fn process_proposal_response(&mut self, now: Time) {
-        self.membership_timers.proposal.schedule_retry(now, 0);
+        self.membership_timers.proposal.schedule_next(now, 0);
         self.read_control_keys_at(now);
     }
 
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -97,7 +97,8 @@
     }
 
     /// Whether a job within its team's guarantee has at most [`GUARANTEE_AT_RISK_S`] left to start, or is past that
-    /// time; always true without an objective for guarantees. `wall_ms` is the wall-clock time, milliseconds since 1970.
+    /// time; always true without an objective for guarantees. `wall_ms` is the wall-clock time in milliseconds since
+    /// 1970.
     pub fn is_guarantee_at_risk(&self, job: &Job, wall_ms: u64) -> bool {
         let age_s = age_s(job, wall_ms);
         self.guarantee_within_s
