--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -1,19 +1,20 @@
-//! Users' submissions: checked, and queued for the write that accepts them or for a read if the job may be known.
+//! Submissions of jobs: validates them, and queues new jobs for the write that accepts them. A submission whose job
+//! ID may already exist waits for a read of the open jobs instead.
 
 use worksshunt_wire::user::JobSpec;
 
 use crate::constants::job_api::STORED_JOB_OVERHEAD_BYTES;
 use crate::job_api::{final_state_response, HttpResponse, JobOperation, JobRequest, RequestId};
 use crate::jobs::Job;
-use crate::submissions::{check_possible, parse, Malformed, RefusedSubmission};
+use crate::submissions::{check_schedulable, parse_submission, Malformed, RefusedSubmission};
 use crate::time::{Now, Time};
 
-use super::store_outage::STORE_SILENT;
+use super::store_outage::STORE_UNRESPONSIVE;
 use super::{Action, Controller};
 
 impl Controller {
-    /// A user submits a job.
-    pub(super) fn submit(
+    /// Processes a submission.
+    pub(super) fn handle_submission(
         &mut self,
         now: Now,
         request_id: RequestId,
@@ -31,8 +32,8 @@
                 let job_request = JobRequest {
                     request_id,
                     id,
-                    operation: JobOperation::Unacceptable(refusal),
-                    seen_in_batch: false,
+                    operation: JobOperation::SubmitInvalid(refusal),
+                    was_in_batch: false,
                 };
                 self.queue_job_request(now.steady, job_request).err()
             }
@@ -42,30 +43,30 @@
         }
     }
 
-    /// The job that a submission describes; none while there is no catalogue to check it by.
+    /// Parses and validates a submission. Returns `None` while there is no catalog to validate it against.
     ///
     /// # Errors
     ///
-    /// Why it is refused, with the job's id if that can be read: under a known id it is answered with the job's
-    /// state.
+    /// The reason for the refusal, and the job's ID if it is readable: if a job with that ID exists, the response is
+    /// its state.
     fn check_submission(&self, body: &[u8]) -> Result<Option<JobSpec>, RefusedSubmission> {
-        let spec = parse(body)?;
+        let spec = parse_submission(body)?;
         let id = Some(spec.id);
         let max_bytes = (self.settings.facts.key_value_store.max_value_kib * 1_024.0) as usize;
         let spec_bytes = serde_json::to_string(&spec).map_or(usize::MAX, |text| text.len());
         if spec_bytes.saturating_add(STORED_JOB_OVERHEAD_BYTES) > max_bytes {
-            let refusal = Malformed::TooLong.into();
+            let refusal = Malformed::TooLarge.into();
             return Err(RefusedSubmission { id, refusal });
         }
         let Some(catalog) = &self.catalog.current else {
             return Ok(None);
         };
-        check_possible(&spec, catalog, &self.quota)
+        check_schedulable(&spec, catalog, &self.quota)
             .map_err(|refusal| RefusedSubmission { id, refusal })?;
         Ok(Some(spec))
     }
 
-    /// Queues an acceptable job. The response, if it can be given at once.
+    /// Queues a valid job. Returns the response if it does not have to wait for the key-value store.
     fn submit_job(
         &mut self,
         now: Now,
@@ -78,7 +79,8 @@
             accepted_ms: now.wall_ms,
         });
         let final_state = self.job_cache.final_state(id);
-        let is_known = self.job_cache.get(id).is_some() || self.job_cache.is_in_batch(id);
+        let is_known =
+            self.job_cache.get(id).is_some() || self.job_cache.is_in_submission_batch(id);
         if final_state.is_none() && !is_known {
             let refusal = self.refuse_new_job(now.steady, job.is_service());
             if refusal.is_none() {
@@ -91,7 +93,7 @@
             request_id,
             id,
             operation: JobOperation::Submit(job),
-            seen_in_batch: false,
+            was_in_batch: false,
         };
         match final_state {
             Some(state) => Some(final_state_response(&job_request, state)),
@@ -99,13 +101,13 @@
         }
     }
 
-    /// Why a job that is not known cannot be queued now, if it cannot.
+    /// The response that rejects a new job, if it cannot be queued now.
     fn refuse_new_job(&mut self, now: Time, is_service: bool) -> Option<HttpResponse> {
         let reason = if is_service && !self.membership.accepts_services() {
-            // A controller that does not understand it would call it unknown.
+            // A controller of a release without services would report the job as unknown.
             "controllers that do not know services may be left"
-        } else if !self.job_cache.is_loaded() || self.store_health.is_silent(now) {
-            STORE_SILENT
+        } else if !self.job_cache.is_loaded() || self.store_health.is_unresponsive(now) {
+            STORE_UNRESPONSIVE
         } else if self.is_job_api_full() {
             "too many requests wait"
         } else {
--- a/crates/worksshunt-core/src/machines/fixtures.rs
+++ b/crates/worksshunt-core/src/machines/fixtures.rs
@@ -1,17 +1,16 @@
-//! Partitions for the tests of this module.
+//! Fixtures for the tests of this module.
 
 use serde_json::json;
 use worksshunt_wire::settings::Workers;
 use worksshunt_wire::MachineId;
 
-use crate::placement::Parameters;
+use crate::placement::PlacementParameters;
 use crate::time::Time;
 
 use super::machine::Machine;
 use super::partition::Partition;
 use super::sequence_number::SequenceNumber;
 
-/// The settings of the workers in these tests.
 pub(super) fn workers() -> Workers {
     Workers {
         heartbeat_interval_s: 5.0,
@@ -20,11 +19,11 @@
     }
 }
 
-/// A partition with so many machines that never sent a heartbeat.
+/// A partition with this number of machines, none of which has sent a heartbeat.
 pub(super) fn partition(machines: usize) -> Partition {
     let limits = json!({"rps": 500.0, "write_rps": 60.0, "value_kb": 8.0, "txn_ops": 20});
     let limits = serde_json::from_value(limits).expect("limits");
-    let mut partition = Partition::new(Parameters::default(), &workers(), &limits);
+    let mut partition = Partition::new(PlacementParameters::default(), &workers(), &limits);
     for n in 0..machines {
         let machine = Machine::new(SequenceNumber::NONE, Time(0), Time(0));
         partition.machines.insert(machine_id(n), machine);
@@ -32,7 +31,7 @@
     partition
 }
 
-/// The name of the n-th machine.
+/// Name of machine `n`.
 pub(super) fn machine_id(n: usize) -> MachineId {
     MachineId(format!("i-{n:06}"))
 }
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -30,7 +30,7 @@
     };
     result.unwrap_or_else(|error| {
         error.log(SERVICE_NAME);
-        CloudResponse::NoAnswer
+        CloudResponse::Failed
     })
 }
 
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -30,8 +30,8 @@
         read(200, r#"{"Modelos":[]}"#),
         CloudResponse::Catalog(Catalog::default())
     );
-    assert_eq!(read(200, "{}"), CloudResponse::NoAnswer);
-    assert_eq!(read(503, "{}"), CloudResponse::NoAnswer);
+    assert_eq!(read(200, "{}"), CloudResponse::Failed);
+    assert_eq!(read(503, "{}"), CloudResponse::Failed);
 }
 
 #[test]
@@ -62,8 +62,8 @@
         provision(503, r#"{"error":"no capacity"}"#),
         CloudResponse::NoCapacity
     );
-    assert_eq!(provision(503, "{}"), CloudResponse::NoAnswer);
-    assert_eq!(provision(400, "no capacity"), CloudResponse::NoAnswer);
+    assert_eq!(provision(503, "{}"), CloudResponse::Failed);
+    assert_eq!(provision(400, "no capacity"), CloudResponse::Failed);
 }
 
 #[test]
@@ -78,7 +78,7 @@
     assert_eq!(release(200, ""), released);
     assert_eq!(release(200, r#"{"Estibas":["i-1"]}"#), released);
     assert_eq!(release(503, "no capacity"), CloudResponse::NoCapacity);
-    assert_eq!(release(500, "{}"), CloudResponse::NoAnswer);
+    assert_eq!(release(500, "{}"), CloudResponse::Failed);
 }
 
 #[test]
@@ -101,8 +101,8 @@
     };
     let lengths: Vec<usize> = pages.iter().map(|page| page.machines.len()).collect();
     assert_eq!(lengths, [1, 0]);
-    assert_eq!(list((500, "{}")), CloudResponse::NoAnswer);
-    assert_eq!(list((200, "[]")), CloudResponse::NoAnswer);
+    assert_eq!(list((500, "{}")), CloudResponse::Failed);
+    assert_eq!(list((200, "[]")), CloudResponse::Failed);
 }
 
 fn page(machines: usize) -> MachineList {
@@ -136,6 +136,6 @@
     assert_eq!(pages[0].machines.len(), MACHINE_LIST_PAGE_SIZE);
     assert_eq!(
         list_single_page(MACHINE_LIST_PAGE_SIZE + 1),
-        CloudResponse::NoAnswer
+        CloudResponse::Failed
     );
 }
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -46,7 +46,7 @@
             match error {
                 // The request was not sent, so it was not executed.
                 RequestError::Call(CallError::Connect(_)) => KvResponse::Refused,
-                _ => KvResponse::NoAnswer,
+                _ => KvResponse::OutcomeUnknown,
             }
         }
     })
--- a/crates/worksshunt-net/src/peer/tests.rs
+++ b/crates/worksshunt-net/src/peer/tests.rs
@@ -2,7 +2,7 @@
 
 use async_io::block_on;
 use futures_lite::io::Cursor;
-use worksshunt_wire::peer::KnownEpoch;
+use worksshunt_wire::peer::EpochPollResponse;
 use worksshunt_wire::Epoch;
 
 use super::*;
@@ -19,17 +19,17 @@
 
 #[test]
 fn frames_round_trip() {
-    let epoch_poll_response = KnownEpoch {
+    let epoch_poll_response = EpochPollResponse {
         poll_number: 3,
         epoch: Epoch(7),
         is_key_value_store_reachable: true,
     };
-    let response = PeerResponse::KnownEpoch(epoch_poll_response);
+    let response = PeerResponse::EpochPoll(epoch_poll_response);
     assert_eq!(
         decode_frame::<PeerResponse>(encode_frame(&response)).expect("read"),
         response
     );
-    let request = PeerRequest::KnownEpoch { poll_number: 3 };
+    let request = PeerRequest::EpochPoll { poll_number: 3 };
     assert_eq!(
         decode_frame::<PeerRequest>(encode_frame(&request)).expect("read"),
         request
@@ -52,7 +52,7 @@
         .to_le_bytes();
     let oversized = decode_frame::<PeerRequest>(length.to_vec());
     assert!(matches!(oversized, Err(FrameError::TooLong(bytes)) if bytes == MAX_FRAME_BYTES + 1));
-    let mut truncated = encode_frame(&PeerRequest::KnownEpoch { poll_number: 3 });
+    let mut truncated = encode_frame(&PeerRequest::EpochPoll { poll_number: 3 });
     truncated.pop();
     assert!(decode_frame::<PeerRequest>(truncated).is_err());
 }
--- a/crates/worksshunt/src/options/tests.rs
+++ b/crates/worksshunt/src/options/tests.rs
@@ -86,7 +86,10 @@
 fn options_with_unknown_keys_or_invalid_values_are_rejected() {
     let parameters = parse_parameters("[placement]\nwindow_s = 60.0\n").expect("valid");
     assert_eq!(parameters.window_s, 60.0);
-    assert_eq!(parameters.start_speed, Parameters::default().start_speed);
+    assert_eq!(
+        parameters.start_speed,
+        PlacementParameters::default().start_speed
+    );
     for invalid in [
         "windows = 1",
         "[placement]\nwindow = 1.0",
