--- a/crates/worksshunt-core/tests/scale/fixtures.rs
+++ b/crates/worksshunt-core/tests/scale/fixtures.rs
@@ -91,7 +91,7 @@
     fn check_responses(&mut self, cluster: &Cluster) {
         let (served, refused) = (&mut self.served, &mut self.refused);
         self.open.retain(|query| {
-            if let Some(reply) = cluster.reply(query.slot) {
+            if let Some(reply) = cluster.response(query.slot) {
                 match reply.status {
                     200 => *served += 1,
                     503 => {
--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,7 +1,7 @@
 //! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
 
 use worksshunt_core::time::TokenBucket;
-use worksshunt_simulation::{Cluster, DelayRange, KeyValueRates, LateWrites};
+use worksshunt_simulation::{Cluster, DelayRange, DelayedWrites, KeyValueRates};
 
 use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
 
@@ -9,7 +9,7 @@
 fn an_outage_longer_than_a_lease_then_slow_and_lost_responses() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     users.query_for(&mut cluster, 20);
     let lost = |cluster: &Cluster| {
         cluster
@@ -19,9 +19,9 @@
             .count()
     };
     assert_eq!(lost(&cluster), 0, "leases outlive the outage");
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.faults.key_value.slow_responses_ms = 600;
-    cluster.faults.key_value.late_writes = Some(LateWrites {
+    cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
         share: 0.2,
         delay: DelayRange {
             min_ms: 0,
@@ -31,8 +31,11 @@
     });
     users.query_for(&mut cluster, 20);
     cluster.faults.key_value.slow_responses_ms = 0;
-    cluster.faults.key_value.late_writes = None;
-    assert!(cluster.effects("late write") > 5, "answers were lost");
+    cluster.faults.key_value.delayed_writes = None;
+    assert!(
+        cluster.effects("delayed write applied") > 5,
+        "answers were lost"
+    );
     assert!(users.served > 0 && users.refused > 0);
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
 }
@@ -49,9 +52,9 @@
     });
     users.query_for(&mut cluster, 45);
     assert!(
-        cluster.usage.refused > 100,
+        cluster.usage.refused_requests > 100,
         "{} refused",
-        cluster.usage.refused
+        cluster.usage.refused_requests
     );
     cluster.key_value_rates = full;
     finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -23,7 +23,7 @@
         .for_each(|controller| cluster.crash(*controller));
     users.query_for(&mut cluster, 15);
     assert!(
-        cluster.reporting_to(remaining) >= MACHINES * 9 / 10,
+        cluster.workers_reporting_to(remaining) >= MACHINES * 9 / 10,
         "all send their heartbeats to it"
     );
     others
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -31,7 +31,11 @@
 
 /// What it took to run so many tasks stays within the limits.
 fn check_usage(usage: &ResourceUsage, tasks: u64) {
-    assert!(usage.changes <= tasks / 20, "{} changes", usage.changes);
+    assert!(
+        usage.changed_keys <= tasks / 20,
+        "{} changes",
+        usage.changed_keys
+    );
     assert!(
         usage.sync_bytes <= tasks * 200,
         "{} bytes",
@@ -43,7 +47,7 @@
         usage.cloud_calls
     );
     assert_eq!(
-        usage.refused, 0,
+        usage.refused_requests, 0,
         "within the rates of the key-value store and the cloud"
     );
 }
--- a/crates/worksshunt-core/tests/scenarios/claims.rs
+++ b/crates/worksshunt-core/tests/scenarios/claims.rs
@@ -18,7 +18,7 @@
 use worksshunt_core::controller::Event;
 
 use crate::ready;
-use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, DelayedWrites};
 
 /// Machines of the cluster, each of four processors.
 const MACHINES: usize = 2;
@@ -49,7 +49,7 @@
     cluster.capacity = MACHINES;
     cluster.task_run_ms = 4_000;
     cluster.run_spread_ms = 300;
-    cluster.faults.rapid_status_queries = true;
+    cluster.faults.has_rapid_status_queries = true;
     for id in SMALL_JOBS {
         cluster.send_submit(id as usize % 3, &job(id, 1));
     }
@@ -62,9 +62,9 @@
 /// The wide job of that number gets a machine by a claim and is done. The first copy of the claim's write is carried out
 /// only after [`LATE`], when the claim has been released.
 fn claim_with_a_late_copy(cluster: &mut Cluster, id: u64) {
-    let arrived = cluster.effects("late write");
-    let put_off = cluster.effects("write put off");
-    cluster.faults.key_value.late_writes = Some(LateWrites {
+    let arrived = cluster.effects("delayed write applied");
+    let put_off = cluster.effects("write delayed");
+    cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
         share: 1.0,
         delay: LATE,
         key_prefix: Some("k/"),
@@ -72,19 +72,19 @@
     let controller = cluster.leader();
     cluster.submit(controller, &wide(id));
     cluster.until("the claim's write", 60_000, |cluster| {
-        cluster.effects("write put off") > put_off
+        cluster.effects("write delayed") > put_off
     });
-    cluster.faults.key_value.late_writes = None;
+    cluster.faults.key_value.delayed_writes = None;
     cluster.until("the wide task", 300_000, |cluster| cluster.all_done(id, 1));
     cluster.until("the late copy", 20_000, |cluster| {
-        cluster.effects("late write") > arrived
+        cluster.effects("delayed write applied") > arrived
     });
 }
 
 /// The wide job of that number gets a machine by a claim and is done, while most answers to writes of jobs' ends are lost,
 /// so that claims and ends wait for the same write.
 fn claim_beside_ends(cluster: &mut Cluster, id: u64) {
-    cluster.faults.key_value.late_writes = Some(LateWrites {
+    cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
         share: 0.4,
         delay: DelayRange::NONE,
         key_prefix: Some("f/"),
@@ -92,7 +92,7 @@
     let controller = cluster.leader();
     cluster.submit(controller, &wide(id));
     cluster.until("the wide task", 300_000, |cluster| cluster.all_done(id, 1));
-    cluster.faults.key_value.late_writes = None;
+    cluster.faults.key_value.delayed_writes = None;
 }
 
 // Guards against a job that is called done although its end was never written.
@@ -112,7 +112,7 @@
 
 /// The value of a counter or gauge in a controller's metrics; 0 where it is not listed.
 fn metric(cluster: &mut Cluster, controller: usize, name: &str) -> u64 {
-    let response = cluster.ask(controller, Event::Metrics);
+    let response = cluster.send_and_wait(controller, Event::Metrics);
     assert_eq!(response.status, 200);
     let line = response.body.lines().find_map(|line| {
         let value = line.strip_prefix(name)?;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -69,21 +69,21 @@
         let leader = cluster.leader();
         let controller = others(leader)[step as usize % 2];
         cluster.schedule(300, move |cluster| {
-            cluster.faults.key_value.refuses.insert(leader);
+            cluster.faults.key_value.refused_controllers.insert(leader);
         });
         cluster.schedule(cancel_ms, move |cluster| {
             for id in 1..=4 {
                 cluster.send_cancel(controller, JobId(id));
             }
         });
-        cluster.schedule(1_300, |cluster| cluster.faults.key_value.down = true);
+        cluster.schedule(1_300, |cluster| cluster.faults.key_value.is_down = true);
         cluster.run(33_000 + 1_300);
         assert!(
             cluster.invariants.any_cancelled() && cluster.effects("refused") > 0,
             "{moment}"
         );
-        cluster.faults.key_value.down = false;
-        cluster.faults.key_value.refuses.clear();
+        cluster.faults.key_value.is_down = false;
+        cluster.faults.key_value.refused_controllers.clear();
         cluster.run(35_000);
         settle(&mut cluster, &moment);
     }
@@ -132,7 +132,7 @@
         let mut cluster = ready();
         cluster.task_run_ms = 3_000;
         cluster.run_spread_ms = 6_000;
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         for id in 1..=6 {
             cluster.send_submit(id as usize % 3, &job(id, 2 + id as u32 % 2));
         }
@@ -162,9 +162,9 @@
                 let leader = cluster.leader();
                 cluster.restart(leader, 200 + 450 * (change % 4));
                 if outage_ms > 0 && change % 3 == 1 {
-                    cluster.schedule(600, |cluster| cluster.faults.key_value.down = true);
+                    cluster.schedule(600, |cluster| cluster.faults.key_value.is_down = true);
                     cluster.schedule(600 + outage_ms, |cluster| {
-                        cluster.faults.key_value.down = false
+                        cluster.faults.key_value.is_down = false
                     });
                 }
                 let controller = others(leader)[0];
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -85,10 +85,10 @@
         let mut cluster = ready_with_boots_of(50.0);
         cluster.task_run_ms = 25_000;
         for _ in 0..5 {
-            cluster.machine("a", true, 0);
+            cluster.create_machine("a", true, 0);
         }
         cluster.run(9_000);
-        cluster.faults.hold_commands = true;
+        cluster.faults.are_commands_held = true;
         cluster.submit(0, &long_job(1, 12));
         cluster.submit(1, &red(2, 8));
         cluster.run(2_000);
@@ -100,7 +100,7 @@
             cluster.run(1_500);
         }
         assert!(cluster.release_commands() > 0, "{moment}");
-        cluster.faults.hold_commands = false;
+        cluster.faults.are_commands_held = false;
         cluster.run(35_000);
         settle(&mut cluster, &moment);
     }
@@ -146,15 +146,15 @@
     let mut cluster = ready();
     cluster.task_run_ms = 3_000;
     cluster.capacity = 1;
-    cluster.faults.cloud.down = true;
-    cluster.machine("a", true, 0);
+    cluster.faults.cloud.is_down = true;
+    cluster.create_machine("a", true, 0);
     let mut spread = long_job(1, 6);
     spread["Spread"] = json!(true);
     cluster.submit(0, &spread);
     cluster.until("the first half", 30_000, |cluster| {
         cluster.task_starts.len() >= 3
     });
-    cluster.faults.cloud.down = false;
+    cluster.faults.cloud.is_down = false;
     cluster.until("all tasks", 90_000, |cluster| cluster.all_done(1, 6));
     settle(&mut cluster, "spread");
 }
@@ -186,9 +186,9 @@
         let moment = format!("a heartbeat arrives after {release_ms}");
         let mut cluster = ready_with_boots_of(50.0);
         cluster.task_run_ms = 30_000;
-        let id = cluster.machine("a", true, 0);
+        let id = cluster.create_machine("a", true, 0);
         cluster.run(6_000);
-        cluster.faults.cloud.down = true;
+        cluster.faults.cloud.is_down = true;
         cluster.faults.heartbeats.held_from.insert(id.clone());
         cluster.run(release_ms);
         assert!(cluster.release_heartbeats(&[0, 1, 2]) > 0, "{moment}");
@@ -197,7 +197,7 @@
             cluster.run(1_300);
         }
         // By the time at which the lease is taken to be over there is another machine.
-        cluster.faults.cloud.down = false;
+        cluster.faults.cloud.is_down = false;
         cluster.run(22_000);
         incarnations += cluster.worker_incarnation(&id);
         cluster.faults.heartbeats.held_from.clear();
@@ -216,7 +216,7 @@
             let mut cluster = ready_with_boots_of(50.0);
             cluster.task_run_ms = 60_000;
             for zone in ["a", "b", "a", "b", "a", "b"] {
-                cluster.machine(zone, true, 0);
+                cluster.create_machine(zone, true, 0);
             }
             cluster.run(9_000);
             cluster.submit(0, &long_job(1, 12));
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -4,7 +4,7 @@
 
 use super::{busy, machines_of, others, red, settle};
 use crate::{long_job, ready, ready_with_boots_of};
-use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, DelayedWrites};
 
 // Guards against a leader that goes on renewing leases of tasks whose cancellation it cannot know.
 #[test]
@@ -14,21 +14,23 @@
             let moment = format!("outage {outage_ms}, cancelled after {cancel_ms}");
             let mut cluster = busy(6, 120_000);
             let leader = cluster.leader();
-            cluster.faults.key_value.refuses.insert(leader);
+            cluster.faults.key_value.refused_controllers.insert(leader);
             cluster.run(cancel_ms);
             for id in 1..=4 {
                 cluster.send_cancel(others(leader)[id as usize % 2], JobId(id));
             }
             cluster.run(2_400 - cancel_ms);
-            cluster.faults.key_value.down = true;
-            cluster.schedule(12_000, |cluster| cluster.faults.key_value.refuses.clear());
+            cluster.faults.key_value.is_down = true;
+            cluster.schedule(12_000, |cluster| {
+                cluster.faults.key_value.refused_controllers.clear()
+            });
             cluster.run(outage_ms);
             assert!(
                 cluster.invariants.any_cancelled(),
                 "{moment}: none was confirmed"
             );
             assert!(cluster.effects("refused") > 0, "{moment}");
-            cluster.faults.key_value.down = false;
+            cluster.faults.key_value.is_down = false;
             cluster.run(40_000);
             settle(&mut cluster, &moment);
         }
@@ -41,7 +43,7 @@
 fn a_controller_whose_watch_is_never_answered_stops_renewing_leases() {
     for after_ms in [0, 700, 5_000] {
         let mut cluster = busy(6, 200_000);
-        cluster.faults.key_value.no_watch_responses = (0..3).collect();
+        cluster.faults.key_value.unanswered_watches_of = (0..3).collect();
         cluster.run(after_ms);
         let second = others(cluster.leader())[0];
         for id in 1..=4 {
@@ -61,7 +63,7 @@
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.5;
         for id in 1..=18 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
@@ -93,9 +95,9 @@
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.3;
-        cluster.faults.key_value.late_writes = Some(LateWrites {
+        cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
             share: 0.35,
             delay: DelayRange::NONE,
             key_prefix: None,
@@ -116,7 +118,7 @@
         cluster.run(6_000);
         cluster.start(leader);
         cluster.run(20_000);
-        assert!(cluster.effects("late write") > 10, "seed {seed}");
+        assert!(cluster.effects("delayed write applied") > 10, "seed {seed}");
         settle(&mut cluster, &format!("seed {seed}"));
     }
 }
@@ -197,7 +199,7 @@
         cluster.submit(2, &red(9, 8));
         // Capacity for what waits at the limit.
         for _ in 0..3 {
-            cluster.machine("a", true, 0);
+            cluster.create_machine("a", true, 0);
         }
         cluster.run(4_000);
         let leader = cluster.leader();
@@ -234,7 +236,7 @@
             let mut cluster = busy(6, 120_000);
             let leader = cluster.leader();
             let gone = if leads { leader } else { others(leader)[0] };
-            let owned = cluster.reporting_to(gone);
+            let owned = cluster.workers_reporting_to(gone);
             cluster.restart(gone, 2_000);
             cluster.run(cancel_ms);
             for id in 1..=6 {
@@ -266,7 +268,7 @@
             cluster.list_lag_ms = 6_000;
             cluster.task_run_ms = 20_000;
             cluster.submit(0, &long_job(1, 16));
-            cluster.faults.key_value.late_writes = Some(LateWrites {
+            cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
                 share: 0.4,
                 delay: DelayRange {
                     min_ms: 2_000,
@@ -280,7 +282,7 @@
             cluster.run(3_000);
             cluster.start(leader);
             cluster.run(20_000);
-            assert!(cluster.effects("late write") > 0, "{moment}");
+            assert!(cluster.effects("delayed write applied") > 0, "{moment}");
             settle(&mut cluster, &moment);
         }
     }
@@ -294,7 +296,7 @@
             let moment = format!("hung {hung}, the leader crashes after {crash_ms}");
             let mut cluster = busy(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
-            cluster.faults.heartbeats.copies_for_next_leader = true;
+            cluster.faults.heartbeats.is_copied_for_next_leader = true;
             cluster.run(2_500);
             if hung {
                 let id = cluster.task_starts[0].machine.clone();
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
@@ -6,7 +6,7 @@
 
 use super::{busy, red, settle};
 use crate::ready;
-use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, DelayedWrites};
 
 // Guards against answers that come after their sender has timed out, taken for none.
 #[test]
@@ -15,7 +15,7 @@
         for cancel_ms in [0, 450, 2_000] {
             let moment = format!("{slow_ms} slower, cancelled after {cancel_ms}");
             let mut cluster = busy(5, 40_000);
-            cluster.faults.rapid_status_queries = true;
+            cluster.faults.has_rapid_status_queries = true;
             cluster.faults.key_value.slow_responses_ms = slow_ms;
             cluster.run(cancel_ms);
             for id in 1..=3 {
@@ -43,7 +43,7 @@
         cluster.seed(seed);
         cluster.task_run_ms = 2_000;
         cluster.faults.cancel_at_completion = 1.0;
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         for id in 1..=12 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 4));
             cluster.run(17 * seed);
@@ -61,9 +61,9 @@
         let mut cluster = ready();
         cluster.seed(seed);
         cluster.task_run_ms = 6_000;
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.3;
-        cluster.faults.key_value.late_writes = Some(LateWrites {
+        cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
             share: 0.3,
             delay: DelayRange {
                 min_ms: 2_000,
@@ -84,7 +84,7 @@
         let leader = cluster.leader();
         cluster.restart(leader, 700);
         cluster.run(20_000);
-        assert!(cluster.effects("late write") > 20, "seed {seed}");
+        assert!(cluster.effects("delayed write applied") > 20, "seed {seed}");
         settle(&mut cluster, &format!("seed {seed}"));
         cluster.run(13_000);
         cluster.check();
@@ -154,7 +154,7 @@
 fn rejected_as_expected(cluster: &Cluster, replies: Vec<(u16, usize)>) -> usize {
     let mut refused = 0;
     for (expected, slot) in replies {
-        let Some(reply) = cluster.reply(slot) else {
+        let Some(reply) = cluster.response(slot) else {
             continue;
         };
         assert!(
@@ -174,12 +174,12 @@
     for seed in 1..=6 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         cluster.submit(0, &job(1, 3));
         cluster.submit(1, &red(2, 8));
         let leader = cluster.leader();
         cluster.restart(leader, 150 * seed);
-        cluster.faults.key_value.late_writes = Some(LateWrites {
+        cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
             share: 0.3,
             delay: DelayRange {
                 min_ms: 0,
--- a/crates/worksshunt-core/tests/scenarios/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -40,13 +40,13 @@
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
     cluster.until("machines", 30_000, |cluster| !cluster.workers.is_empty());
-    cluster.faults.key_value.hold_writes.insert(leader);
+    cluster.faults.key_value.writes_held_from.insert(leader);
     cluster.run(8_000);
     cluster.crash(leader);
     cluster.until("another leader", 20_000, |cluster| {
         cluster.leader() != leader
     });
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     let replies = cluster.release_writes();
     assert!(!replies.is_empty(), "something was held back");
     for reply in replies {
@@ -86,7 +86,10 @@
     cluster.faults.key_value.unreachable_from.insert(leader);
     cluster.faults.cut_from_peers.insert(leader);
     cluster.run(7_000);
-    assert!(!cluster.healthy(leader), "users should not be sent there");
+    assert!(
+        !cluster.is_healthy(leader),
+        "users should not be sent there"
+    );
     cluster.until("another leader", 10_000, |cluster| {
         cluster.leader() != leader
     });
@@ -127,7 +130,7 @@
     let mut cluster = ready_with_boots_of(50.0);
     cluster.task_run_ms = 30_000;
     for _ in 0..9 {
-        cluster.machine("a", true, 0);
+        cluster.create_machine("a", true, 0);
     }
     cluster.run(10_000);
     let leader = cluster.leader();
@@ -206,11 +209,11 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 16);
     for round in 0..4 {
         let leader = cluster.leader();
-        cluster.faults.key_value.hold_writes.insert(leader);
+        cluster.faults.key_value.writes_held_from.insert(leader);
         cluster.run(300);
         cluster.crash(leader);
         cluster.run(200);
-        cluster.faults.key_value.hold_writes.clear();
+        cluster.faults.key_value.writes_held_from.clear();
         cluster.start(leader);
         cluster.run(400);
         // In the middle of the election that follows, another crashes, or all; and late copies of what
@@ -242,11 +245,11 @@
     let other = (cluster.leader() + 1) % 3;
     cluster.crash(other);
     cluster.run(8_000);
-    cluster.faults.key_value.hold_writes.insert(other);
+    cluster.faults.key_value.writes_held_from.insert(other);
     cluster.start(other);
     cluster.run(400);
     cluster.crash(other);
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     cluster.start(other);
     cluster.until("its epoch", 3_000, |cluster| {
         let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -7,7 +7,7 @@
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
 use crate::{long_job, ready};
-use worksshunt_simulation::invariants::{Invariants, JobQuery};
+use worksshunt_simulation::invariants::{Invariants, UserRequest};
 use worksshunt_simulation::{job, settings, Cluster};
 
 fn rules() -> Invariants {
@@ -16,25 +16,25 @@
     rules
 }
 
-fn submission(rules: &mut Invariants, id: u64) -> JobQuery {
+fn submission(rules: &mut Invariants, id: u64) -> UserRequest {
     let body = job(id, 1).to_string().into_bytes();
-    rules.request_sent(&Event::Submit {
+    rules.record_request(&Event::Submit {
         request_id: RequestId(1),
         body,
     })
 }
 
-fn status(rules: &mut Invariants, id: u64) -> JobQuery {
+fn status(rules: &mut Invariants, id: u64) -> UserRequest {
     let id = JobId(id).to_string();
-    rules.request_sent(&Event::Status {
+    rules.record_request(&Event::Status {
         request_id: RequestId(1),
         job_id: id,
     })
 }
 
-fn withdrawal(rules: &mut Invariants, id: u64) -> JobQuery {
+fn withdrawal(rules: &mut Invariants, id: u64) -> UserRequest {
     let id = JobId(id).to_string();
-    rules.request_sent(&Event::Cancel {
+    rules.record_request(&Event::Cancel {
         request_id: RequestId(1),
         job_id: id,
     })
@@ -57,7 +57,7 @@
 fn accepted() -> Invariants {
     let mut rules = rules();
     let query = submission(&mut rules, 1);
-    rules.response_received(0, &query, &job_response("pending"));
+    rules.record_response(0, &query, &job_response("pending"));
     rules
 }
 
@@ -70,16 +70,16 @@
     let mut rules = accepted();
     let before = status(&mut rules, 1);
     let query = status(&mut rules, 1);
-    rules.response_received(1, &query, &HttpResponse::retry_later("busy"));
-    rules.response_received(2, &before, &job_response("pending"));
+    rules.record_response(1, &query, &HttpResponse::retry_later("busy"));
+    rules.record_response(2, &before, &job_response("pending"));
     assert!(rules.violations.is_empty());
     let query = status(&mut rules, 1);
-    rules.response_received(3, &query, &not_found());
+    rules.record_response(3, &query, &not_found());
     assert!(is_violated(&rules, "forgotten"));
     for status in [400, 422] {
         let mut rules = accepted();
         let query = submission(&mut rules, 1);
-        rules.response_received(1, &query, &HttpResponse::error(status, "no"));
+        rules.record_response(1, &query, &HttpResponse::error(status, "no"));
         assert!(is_violated(&rules, "forgotten"), "{status}");
     }
 }
@@ -89,8 +89,8 @@
     let mut rules = rules();
     let early = status(&mut rules, 1);
     let query = submission(&mut rules, 1);
-    rules.response_received(1, &query, &job_response("pending"));
-    rules.response_received(2, &early, &not_found());
+    rules.record_response(1, &query, &job_response("pending"));
+    rules.record_response(2, &early, &not_found());
     assert!(
         rules.violations.is_empty(),
         "queried before it was accepted"
@@ -101,10 +101,10 @@
 fn a_job_that_nobody_submitted_must_be_unknown() {
     let mut rules = rules();
     let query = status(&mut rules, 2);
-    rules.response_received(0, &query, &not_found());
+    rules.record_response(0, &query, &not_found());
     assert!(rules.violations.is_empty());
     let query = status(&mut rules, 2);
-    rules.response_received(1, &query, &job_response("pending"));
+    rules.record_response(1, &query, &job_response("pending"));
     assert!(is_violated(&rules, "invented"));
 }
 
@@ -112,12 +112,12 @@
 fn a_job_is_done_only_after_its_last_task() {
     let mut rules = accepted();
     let query = status(&mut rules, 1);
-    rules.response_received(1, &query, &job_response("done"));
+    rules.record_response(1, &query, &job_response("done"));
     assert!(is_violated(&rules, "not_done"));
     let mut rules = accepted();
-    rules.completed(task(1, 0));
+    rules.record_completion(task(1, 0));
     let query = status(&mut rules, 1);
-    rules.response_received(1, &query, &job_response("done"));
+    rules.record_response(1, &query, &job_response("done"));
     assert!(rules.violations.is_empty());
 }
 
@@ -125,25 +125,25 @@
 fn the_reported_end_of_a_job_must_not_change() {
     let done = || {
         let mut rules = accepted();
-        rules.completed(task(1, 0));
+        rules.record_completion(task(1, 0));
         let early = status(&mut rules, 1);
         let query = status(&mut rules, 1);
-        rules.response_received(1, &query, &job_response("done"));
-        rules.response_received(2, &early, &job_response("running"));
+        rules.record_response(1, &query, &job_response("done"));
+        rules.record_response(2, &early, &job_response("running"));
         assert!(rules.violations.is_empty(), "queried before it was done");
         rules
     };
     let mut rules = done();
     let query = status(&mut rules, 1);
-    rules.response_received(3, &query, &job_response("running"));
+    rules.record_response(3, &query, &job_response("running"));
     assert!(is_violated(&rules, "went_back"));
     let mut rules = done();
     let query = withdrawal(&mut rules, 1);
-    rules.response_received(3, &query, &job_response("aborted"));
+    rules.record_response(3, &query, &job_response("aborted"));
     assert!(is_violated(&rules, "went_back"));
     let mut rules = accepted();
     let query = status(&mut rules, 1);
-    rules.response_received(3, &query, &job_response("aborted"));
+    rules.record_response(3, &query, &job_response("aborted"));
     assert!(
         is_violated(&rules, "went_back"),
         "its user did not cancel it"
@@ -153,7 +153,9 @@
 /// A cluster with machines that controllers' commands do not reach; tests inject tasks into them.
 fn with_machines(count: usize, zone: &str, spot: bool) -> (Cluster, Vec<MachineId>) {
     let mut cluster = ready();
-    let ids: Vec<MachineId> = (0..count).map(|_| cluster.machine(zone, spot, 0)).collect();
+    let ids: Vec<MachineId> = (0..count)
+        .map(|_| cluster.create_machine(zone, spot, 0))
+        .collect();
     cluster.faults.unreachable_machines = ids.iter().cloned().collect();
     (cluster, ids)
 }
@@ -161,7 +163,7 @@
 #[test]
 fn a_task_on_two_machines_is_found_also_when_one_hangs() {
     let (mut cluster, ids) = with_machines(2, "a", true);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     cluster.submit(0, &long_job(1, 1));
     cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
@@ -175,7 +177,7 @@
 #[test]
 fn a_team_over_its_limit_is_found_also_on_hung_machines() {
     let (mut cluster, ids) = with_machines(3, "a", true);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     let mut red = long_job(1, 9);
     red["Cuadrilla"] = json!("red");
     cluster.submit(0, &red);
@@ -195,7 +197,7 @@
 fn a_task_in_the_wrong_place_is_found() {
     let is_wrong_place_found = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
         let (mut cluster, ids) = with_machines(2, zone, spot);
-        cluster.faults.cloud.down = true;
+        cluster.faults.cloud.is_down = true;
         let mut restricted = long_job(1, 4);
         restricted[field] = value;
         cluster.submit(0, &restricted);
@@ -216,7 +218,7 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_found_once_its_time_is_over_and_its_start_at_once() {
     let (mut cluster, ids) = with_machines(1, "a", true);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 2));
     cluster.inject_task(&ids[0], task(1, 0), 7);
@@ -243,14 +245,14 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let spot = cluster.task_starts[0].machine.clone();
     let unknown_job = job(9, 1).to_string().into_bytes();
-    let query = cluster.invariants.request_sent(&Event::Submit {
+    let query = cluster.invariants.record_request(&Event::Submit {
         request_id: RequestId(0),
         body: unknown_job,
     });
     let now = cluster.now;
     cluster
         .invariants
-        .response_received(now, &query, &job_response("pending"));
+        .record_response(now, &query, &job_response("pending"));
     // Accepted according to the checker, unknown to the controllers; there is always a machine for it.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
--- a/crates/worksshunt-core/tests/scenarios/jobs.rs
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -49,7 +49,7 @@
 #[test]
 fn a_cancellation_that_races_the_launch_wins() {
     let mut cluster = ready();
-    cluster.machine("a", true, 0);
+    cluster.create_machine("a", true, 0);
     cluster.run(4_000);
     cluster.submit(0, &job(1, 4));
     cluster.cancel(2, 1);
@@ -65,13 +65,13 @@
     cluster.submit(0, &job(1, 2));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 2);
     cluster.run(6_000);
-    cluster.faults.key_value.hold_writes = (0..3).collect();
+    cluster.faults.key_value.writes_held_from = (0..3).collect();
     cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 2));
     cluster.run(2_000);
     for controller in 0..3 {
         assert_ne!(cluster.state(controller, 1).1, "done");
     }
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     cluster.run(4_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     cluster.check();
@@ -84,11 +84,11 @@
     cluster.submit(0, &job(1, 3));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 3);
     cluster.run(6_000);
-    cluster.faults.key_value.hold_writes = (0..3).collect();
+    cluster.faults.key_value.writes_held_from = (0..3).collect();
     cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 3));
     cluster.run(4_000);
     (0..3).for_each(|controller| cluster.crash(controller));
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     cluster.run(5_000);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(20_000);
@@ -205,7 +205,7 @@
     for job in &malformed {
         assert_eq!(cluster.submit(0, job).status, 400, "{job}");
     }
-    let reply = cluster.ask(0, |request_id| Event::Submit {
+    let reply = cluster.send_and_wait(0, |request_id| Event::Submit {
         request_id,
         body: b"{not json".to_vec(),
     });
@@ -238,14 +238,14 @@
 #[test]
 fn a_job_that_the_leader_has_closed_and_the_store_has_not_is_served_again() {
     let mut cluster = ready();
-    cluster.faults.key_value.forgets = Some("f/");
+    cluster.faults.key_value.dropped_write_prefix = Some("f/");
     cluster.submit(0, &job(1, 3));
     cluster.until("a false end", 60_000, |cluster| {
-        cluster.effects("write forgotten") > 0
+        cluster.effects("write dropped") > 0
     });
     assert!(cluster.stored("f/j-000001").is_none());
     let leader = cluster.leader();
-    cluster.faults.key_value.forgets = None;
+    cluster.faults.key_value.dropped_write_prefix = None;
     let epoch = cluster.epoch();
     cluster.until("its end", 30_000, |cluster| {
         cluster.stored("f/j-000001").is_some()
--- a/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -32,9 +32,9 @@
 }
 
 fn outage(cluster: &mut Cluster, ms: u64) {
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.run(ms);
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
 }
 
 fn starts(cluster: &Cluster) -> usize {
@@ -61,13 +61,13 @@
 #[test]
 fn tasks_outlive_an_outage_that_ends_with_a_restart_of_all_controllers() {
     let mut cluster = busy();
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.run(LONG_OUTAGE_MS - 6_000);
     for controller in 0..3 {
         cluster.restart(controller, 3_000);
     }
     cluster.run(6_000);
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.run(10_000);
     assert_eq!(starts(&cluster), 8, "none started a second time");
     settle(&mut cluster, "after the outage");
@@ -88,9 +88,9 @@
 fn a_controller_that_alone_is_refused_releases_its_workers() {
     let mut cluster = busy();
     let alone = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    cluster.faults.key_value.refuses.insert(alone);
+    cluster.faults.key_value.refused_controllers.insert(alone);
     cluster.run(WORKER_AND_LEADER_LEASE_MS);
-    assert_eq!(cluster.reporting_to(alone), 0);
+    assert_eq!(cluster.workers_reporting_to(alone), 0);
     assert_eq!(starts(&cluster), 8, "none started a second time");
     settle(&mut cluster, "after the refusals");
 }
@@ -102,12 +102,12 @@
     let mut cluster = busy();
     let former = (0..3).find(|n| *n != cluster.leader()).expect("another");
     let others: Vec<usize> = (0..3).filter(|n| *n != former).collect();
-    cluster.faults.key_value.refuses.insert(former);
+    cluster.faults.key_value.refused_controllers.insert(former);
     cluster.faults.cut_from_peers.insert(former);
     // Its workers send heartbeats to nobody else.
     cluster.faults.cut_from_workers.extend(&others);
     cluster.run(5_000 + moment);
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.faults.cut_from_peers.clear();
     if peers_restart {
         for controller in others {
@@ -115,7 +115,7 @@
         }
     }
     cluster.run(WORKER_AND_LEADER_LEASE_MS);
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.run(3_000);
     let what = format!("asked after {moment} ms, peers restart: {peers_restart}");
     settle(&mut cluster, &what);
--- a/crates/worksshunt-core/tests/scenarios/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_store.rs
@@ -22,7 +22,8 @@
         let mut heartbeat = heartbeat.clone();
         heartbeat["Estiba"] = json!(format!("i-{machine:06}"));
         let body = heartbeat.to_string().into_bytes();
-        let reply = cluster.ask(leader, |request_id| Event::Heartbeat { request_id, body });
+        let reply =
+            cluster.send_and_wait(leader, |request_id| Event::Heartbeat { request_id, body });
         assert_ne!(reply.status, 200, "it answered a worker without authority");
     }
     let reply = cluster.submit(leader, &job(2, 1));
@@ -39,13 +40,16 @@
     let mut cluster = ready();
     cluster.faults.key_value.unreachable_from.insert(1);
     cluster.run(4_500);
-    assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true, false, true]);
+    assert_eq!(
+        [0, 1, 2].map(|n| cluster.is_healthy(n)),
+        [true, false, true]
+    );
     cluster.faults.key_value.unreachable_from.clear();
     cluster.run(5_000);
-    assert!(cluster.healthy(1));
-    cluster.faults.key_value.down = true;
+    assert!(cluster.is_healthy(1));
+    cluster.faults.key_value.is_down = true;
     cluster.run(40_000);
-    assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true; 3]);
+    assert_eq!([0, 1, 2].map(|n| cluster.is_healthy(n)), [true; 3]);
 }
 
 #[test]
@@ -54,11 +58,11 @@
     cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.run(15_000);
     let reply = cluster.submit(1, &job(2, 1));
     assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     assert_eq!(cluster.task_starts.len(), 8, "no lease ran out");
     cluster.check();
@@ -70,7 +74,7 @@
 fn slow_responses_of_the_key_value_store_block_nobody() {
     let mut cluster = ready_with_boots_of(50.0);
     for _ in 0..9 {
-        cluster.machine("a", true, 0);
+        cluster.create_machine("a", true, 0);
     }
     cluster.run(10_000);
     cluster.faults.key_value.slow_writes_ms = 1_200;
@@ -95,7 +99,7 @@
 fn queries_about_every_old_job_are_answered_although_they_exceed_the_share() {
     let mut cluster = ready();
     let ids: Vec<u64> = (1..=900).collect();
-    ids.iter().for_each(|id| cluster.put_final(*id));
+    ids.iter().for_each(|id| cluster.put_final_state(*id));
     (0..3).for_each(|controller| cluster.crash(controller));
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(5_000);
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -25,7 +25,7 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let machine = cluster.task_starts[0].machine.clone();
     let hung_at = cluster.now;
-    cluster.workers.get_mut(&machine).expect("a worker").hung = true;
+    cluster.workers.get_mut(&machine).expect("a worker").is_hung = true;
     cluster.until("a second start", 90_000, |cluster| {
         cluster.task_starts.len() > 4
     });
@@ -34,7 +34,7 @@
         "started before the lease was over"
     );
     if let Some(worker) = cluster.workers.get_mut(&machine) {
-        worker.hung = false;
+        worker.is_hung = false;
     }
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 4));
     cluster.check();
@@ -62,7 +62,7 @@
         .find(|id| [&names, &rest].map(|n| owner(id, n)) == [Some(&names[leader]); 2])
         .cloned()
         .expect("the leader owns one of six");
-    cluster.workers.get_mut(&dead).expect("a worker").hung = true;
+    cluster.workers.get_mut(&dead).expect("a worker").is_hung = true;
     for _ in 0..4 {
         cluster.crash(other);
         cluster.run(6_000);
@@ -81,8 +81,8 @@
 fn a_faulty_machine_gets_no_more_tasks_and_is_released() {
     let mut cluster = ready_with_boots_of(50.0);
     cluster.task_run_ms = 2_000;
-    let faulty = cluster.machine("a", true, 0);
-    cluster.machine("a", true, 0);
+    let faulty = cluster.create_machine("a", true, 0);
+    cluster.create_machine("a", true, 0);
     cluster.faults.faulty_machines.insert(faulty.clone());
     cluster.run(4_000);
     for id in 1..=20 {
@@ -146,7 +146,7 @@
 #[test]
 fn an_idle_machine_whose_incarnations_rise_gets_no_tasks() {
     let mut cluster = ready_with_boots_of(50.0);
-    let unreachable = cluster.machine("a", true, 0);
+    let unreachable = cluster.create_machine("a", true, 0);
     cluster.run(4_000);
     cluster
         .faults
@@ -187,10 +187,10 @@
 #[test]
 fn a_machine_is_released_although_a_command_to_it_was_never_answered() {
     let mut cluster = ready();
-    cluster.faults.hold_commands = true;
+    cluster.faults.are_commands_held = true;
     cluster.submit(0, &job(1, 8));
     cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 8));
-    cluster.faults.hold_commands = false;
+    cluster.faults.are_commands_held = false;
     cluster.until("an empty fleet", 60_000, |cluster| {
         cluster.workers.is_empty()
     });
@@ -234,7 +234,7 @@
     cluster.task_run_ms = 12_000;
     cluster.nominal_boot_s = 50.0;
     let ids: Vec<MachineId> = (0..machines)
-        .map(|n| cluster.machine(if n % 2 == 0 { "a" } else { "b" }, true, 0))
+        .map(|n| cluster.create_machine(if n % 2 == 0 { "a" } else { "b" }, true, 0))
         .collect();
     cluster.run(9_000);
     for id in 1..=20 {
@@ -255,7 +255,7 @@
     let hang = |cluster: &mut Cluster, hung: bool| {
         for id in ids.iter().step_by(3) {
             if let Some(worker) = cluster.workers.get_mut(id) {
-                worker.hung = hung;
+                worker.is_hung = hung;
             }
         }
     };
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -10,7 +10,7 @@
 #[test]
 fn late_direct_commands_start_nothing_a_second_time() {
     let mut cluster = ready();
-    cluster.faults.hold_commands = true;
+    cluster.faults.are_commands_held = true;
     cluster.submit(0, &job(1, 8));
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     cluster.run(5_000);
@@ -32,14 +32,14 @@
     cluster.submit(0, &job(1, 40));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() > 8);
     let hung = cluster.task_starts[0].machine.clone();
-    cluster.workers.get_mut(&hung).expect("a worker").hung = true;
+    cluster.workers.get_mut(&hung).expect("a worker").is_hung = true;
     cluster.run(8_000);
     (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(3_000);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(30_000);
     if let Some(worker) = cluster.workers.get_mut(&hung) {
-        worker.hung = false;
+        worker.is_hung = false;
     }
     let leader = cluster.leader();
     cluster.crash(leader);
@@ -65,7 +65,7 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
     let dead = cluster.task_starts[0].machine.clone();
     cluster.run(25_000);
-    cluster.workers.get_mut(&dead).expect("a worker").hung = true;
+    cluster.workers.get_mut(&dead).expect("a worker").is_hung = true;
     cluster.until("other starts", 30_000, |cluster| {
         cluster.task_starts.len() > 8
     });
@@ -81,7 +81,7 @@
     cluster.until("tasks", 30_000, |cluster| !cluster.running().is_empty());
     let id = cluster.task_starts[0].machine.clone();
     cluster.run(3_000);
-    let mut copy = cluster.heartbeat_of(&id);
+    let mut copy = cluster.next_heartbeat_of(&id);
     // The last one it sent, which never arrived itself.
     copy.sequence += 1_000;
     copy.tasks.clear();
@@ -92,7 +92,7 @@
     let before = cluster.commands_sent_count(&id);
     for round in 0..2 {
         for controller in 0..3 {
-            cluster.deliver_copy(controller, copy.clone());
+            cluster.deliver_heartbeat_copy(controller, copy.clone());
         }
         cluster.run(500);
         let job_id = 2 + round;
@@ -148,7 +148,7 @@
     ];
     for body in malformed {
         let bytes = body.clone().into_bytes();
-        let reply = cluster.ask(0, |request_id| Event::Heartbeat {
+        let reply = cluster.send_and_wait(0, |request_id| Event::Heartbeat {
             request_id,
             body: bytes,
         });
@@ -160,7 +160,7 @@
     unknown_type["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
     for controller in 0..3 {
         let bytes = unknown_type.to_string().into_bytes();
-        let reply = cluster.ask(controller, |request_id| Event::Heartbeat {
+        let reply = cluster.send_and_wait(controller, |request_id| Event::Heartbeat {
             request_id,
             body: bytes,
         });
--- a/crates/worksshunt-core/tests/scenarios/mixed.rs
+++ b/crates/worksshunt-core/tests/scenarios/mixed.rs
@@ -4,14 +4,14 @@
 
 use std::ops::Range;
 
-use worksshunt_simulation::random_day;
+use worksshunt_simulation::random_run;
 
 /// Seeds played in every run. Seed 1,000,031 violates `ran_twice` with the fix of December 2026 taken out.
 const CI_SEEDS: Range<u64> = 1_000_001..1_000_161;
 
 /// Plays the day of a seed, and fails the test if an invariant was violated or jobs did not end.
 fn play(seed: u64) {
-    let (_, ended) = random_day::play(seed, None);
+    let (_, ended) = random_run::simulate(seed, None);
     ended.unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
 }
 
--- a/crates/worksshunt-core/tests/scenarios/placement.rs
+++ b/crates/worksshunt-core/tests/scenarios/placement.rs
@@ -47,7 +47,7 @@
 fn zones_of_dependent_tasks_are_kept() {
     let mut cluster = ready();
     for zone in ["a", "b", "a", "b"] {
-        cluster.machine(zone, true, 0);
+        cluster.create_machine(zone, true, 0);
     }
     cluster.run(4_000);
     let mut together = job(1, 8);
@@ -70,9 +70,9 @@
 #[test]
 fn tasks_on_machines_decide_the_zone_before_tasks_that_are_done() {
     let mut cluster = ready_with_boots_of(50.0);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     cluster.task_run_ms = 20_000;
-    cluster.machine("b", true, 0);
+    cluster.create_machine("b", true, 0);
     let mut bound = long_job(1, 6);
     bound["SamePlace"] = json!(true);
     cluster.submit(0, &bound);
@@ -82,18 +82,18 @@
     (0..3).for_each(|controller| cluster.crash(controller));
     let done = json!([["j-000001", [[5, 5]], { "a": 1 }]]);
     cluster.put("d/900", json!({ "v": 2, "done": done }));
-    let other = cluster.machine("a", true, 0);
+    let other = cluster.create_machine("a", true, 0);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(12_000);
     assert_eq!(cluster.launches_on(&other), 0);
     cluster.until("the fifth task", 40_000, |cluster| {
         cluster.task_starts.len() == 5
     });
-    cluster.invariants.completed(TaskId {
+    cluster.invariants.record_completion(TaskId {
         job: JobId(1),
         index: 5,
     });
-    cluster.faults.cloud.down = false;
+    cluster.faults.cloud.is_down = false;
     cluster.until("its end", 60_000, |cluster| cluster.keys("j/").is_empty());
     cluster.check();
 }
@@ -105,7 +105,7 @@
     let leader = cluster.leader();
     cluster.task_run_ms = 2_000;
     for _ in 0..9 {
-        cluster.machine("a", true, 0);
+        cluster.create_machine("a", true, 0);
     }
     cluster.run(10_000);
     cluster.faults.cut_from_peers = (0..3).filter(|controller| *controller != leader).collect();
--- a/crates/worksshunt-core/tests/scenarios/service_capacity.rs
+++ b/crates/worksshunt-core/tests/scenarios/service_capacity.rs
@@ -43,7 +43,7 @@
     cluster.submit(1, &long_job(2, 12));
     cluster.run(60_000);
     let ordinary = |cluster: &Cluster| -> BTreeSet<MachineId> {
-        let ordinary = cluster.workers.iter().filter(|(_, worker)| !worker.spot);
+        let ordinary = cluster.workers.iter().filter(|(_, worker)| !worker.is_spot);
         ordinary.map(|(id, _)| id.clone()).collect()
     };
     for TaskStart { task, machine, .. } in &cluster.task_starts {
@@ -66,7 +66,7 @@
 #[test]
 fn jobs_are_done_in_time_where_there_are_no_spot_machines() {
     let mut cluster = ready();
-    cluster.faults.cloud.no_spot = true;
+    cluster.faults.cloud.has_no_spot_capacity = true;
     cluster.submit(0, &service(1, 4));
     cluster.until("the service", 30_000, |cluster| {
         cluster.running().len() == 4
@@ -101,7 +101,7 @@
         cluster.start(controller);
     }
     cluster.until("machines", 20_000, |cluster| cluster.workers.len() >= 2);
-    assert!(cluster.workers.values().all(|worker| !worker.spot));
+    assert!(cluster.workers.values().all(|worker| !worker.is_spot));
     cluster.run(60_000);
     let mut array = job(1, 1);
     array["Carril"] = json!("till");
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -167,7 +167,7 @@
         .iter()
         .find(|start| start.task.job == JobId(1));
     let dead = dead.expect("a replica").machine.clone();
-    cluster.workers.get_mut(&dead).expect("a worker").hung = true;
+    cluster.workers.get_mut(&dead).expect("a worker").is_hung = true;
     cluster.until("its release", 13_000, |cluster| {
         cluster.released_machines.contains(&dead)
     });
@@ -183,14 +183,14 @@
 fn machines_whose_heartbeats_stop_together_are_not_counted_as_lost() {
     let mut cluster = service_in_a_crowd();
     let busy = |cluster: &Cluster| -> Vec<MachineId> {
-        let all = cluster.workers.keys().filter(|id| cluster.busy(id));
+        let all = cluster.workers.keys().filter(|id| cluster.is_busy(id));
         all.cloned().collect()
     };
     let mut zone = busy(&cluster);
     zone.retain(|id| cluster.workers[id].zone == "a");
     let hang = |cluster: &mut Cluster, hung| {
         for id in &zone {
-            cluster.workers.get_mut(id).expect("a worker").hung = hung;
+            cluster.workers.get_mut(id).expect("a worker").is_hung = hung;
         }
     };
     let any_released = |cluster: &Cluster, of: &[MachineId]| {
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -307,7 +307,7 @@
         assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
     }
     assert_eq!(
-        cluster.too_large, 0,
+        cluster.too_large_writes, 0,
         "nothing was tried that the limits do not admit"
     );
     cluster.check();
@@ -323,11 +323,11 @@
     cluster.submit_at_once(&[1], &more);
     cluster.submit(2, &long_job(200, 110));
     cluster.until("all jobs over", 240_000, all_over);
-    assert!(cluster.too_large > 0, "the limits were exceeded");
+    assert!(cluster.too_large_writes > 0, "the limits were exceeded");
     assert!(
-        cluster.too_large < 40,
+        cluster.too_large_writes < 40,
         "{} tries in vain",
-        cluster.too_large
+        cluster.too_large_writes
     );
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -154,7 +154,7 @@
         cluster.put(key, stored);
     }
     for index in [0, 4, 5, 6] {
-        cluster.invariants.completed(task(1, index));
+        cluster.invariants.record_completion(task(1, index));
     }
     // What users know of the jobs that are over: the first is done, the others they cancelled.
     let cancelled = read_cancelled(&stored("f/j-000007")).expect("a job");
@@ -163,16 +163,16 @@
         spec.id = JobId(id);
         cluster.invariants.assume_accepted(spec);
     }
-    (0..7).for_each(|index| cluster.invariants.completed(task(5, index)));
+    (0..7).for_each(|index| cluster.invariants.record_completion(task(5, index)));
     for id in [6, 7] {
         let withdrawal = Event::Cancel {
             request_id: RequestId(0),
             job_id: JobId(id).to_string(),
         };
-        cluster.invariants.request_sent(&withdrawal);
+        cluster.invariants.record_request(&withdrawal);
     }
-    let first = cluster.machine("a", true, 0);
-    let second = cluster.machine("a", true, 0);
+    let first = cluster.create_machine("a", true, 0);
+    let second = cluster.create_machine("a", true, 0);
     cluster.inject_task(&first, task(1, 1), 67_108_865);
     cluster.inject_task(&first, task(7, 1), 67_108_868);
     cluster.inject_task(&second, task(1, 2), 67_108_866);
@@ -243,7 +243,7 @@
 fn the_stored_catalogue_serves_while_the_cloud_is_down() {
     for known in [true, false] {
         let mut cluster = Cluster::new();
-        cluster.faults.cloud.down = true;
+        cluster.faults.cloud.is_down = true;
         if known {
             cluster.put("t/catalog", stored("t/catalog"));
         }
--- a/crates/worksshunt-measure/src/workload.rs
+++ b/crates/worksshunt-measure/src/workload.rs
@@ -101,12 +101,12 @@
 
 /// Ends the measurement of times; the processor time of each event, by kind.
 fn take_times(cluster: &mut Cluster) -> BTreeMap<&'static str, Vec<Duration>> {
-    cluster.usage.took.take().unwrap_or_default()
+    cluster.usage.handling_times.take().unwrap_or_default()
 }
 
 fn start_measuring(cluster: &mut Cluster) {
-    cluster.usage.bytes = true;
-    cluster.usage.took = Some(BTreeMap::new());
+    cluster.usage.counts_bytes = true;
+    cluster.usage.handling_times = Some(BTreeMap::new());
     cluster.usage.reset();
 }
 
@@ -126,8 +126,8 @@
     }
     let usage = &cluster.usage;
     for (name, count) in [
-        ("state service: requests a second", usage.requests),
-        ("state service: changes a second", usage.changes),
+        ("state service: requests a second", usage.key_value_requests),
+        ("state service: changes a second", usage.changed_keys),
         ("state service: bytes a second", usage.value_bytes),
         ("exchanges: bytes a second", usage.sync_bytes),
         ("direct orders a second", usage.command_requests),
@@ -159,7 +159,7 @@
     run.record("memory of the leader, MB", memory_mb);
     cluster.crash((remaining + 1) % CONTROLLERS);
     jobs.run_until(cluster, |cluster| {
-        cluster.workers.keys().count() * 9 / 10 <= cluster.reporting_to(remaining)
+        cluster.workers.keys().count() * 9 / 10 <= cluster.workers_reporting_to(remaining)
     });
     start_measuring(cluster);
     jobs.run(cluster, ALONE_MS);
@@ -180,7 +180,7 @@
     let former_epoch = cluster.epoch();
     (0..CONTROLLERS).for_each(|node| cluster.start(node));
     let deadline = restarted_at + PHASE_TIMEOUT_MS;
-    while cluster.answered_in(former_epoch + 1) == 0 && cluster.now < deadline {
+    while cluster.workers_with_epoch(former_epoch + 1) == 0 && cluster.now < deadline {
         cluster.run(STEP_MS);
     }
     let all: Duration = take_times(cluster).values().flatten().sum();
--- a/crates/worksshunt-search/src/digest.rs
+++ b/crates/worksshunt-search/src/digest.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Mutex;
 
-use worksshunt_simulation::{random_day, DayDigest};
+use worksshunt_simulation::{random_run, RunDigest};
 
 use crate::seeds::SeedRange;
 
 /// Plays the days of all seeds on every processor and returns their digests, by seed.
-pub fn of_days(seeds: &SeedRange) -> Vec<(u64, DayDigest)> {
+pub fn of_days(seeds: &SeedRange) -> Vec<(u64, RunDigest)> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let next = Mutex::new(seeds.from..seeds.to);
     let digests = Mutex::new(Vec::new());
@@ -15,7 +15,7 @@
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some(seed) = next_seed(&next) {
-                    let digest = random_day::digest(seed);
+                    let digest = random_run::digest(seed);
                     lock(&digests).push((seed, digest));
                 }
             });
--- a/crates/worksshunt-search/src/main.rs
+++ b/crates/worksshunt-search/src/main.rs
@@ -2,7 +2,7 @@
 //! mutations. Also prints digests of random days, by which two versions of the program are compared.
 //!
 //! A mutation replaces a few lines of the sources in a scratch copy. The days are those of
-//! `worksshunt_simulation::random_day`. This file has the arguments and the exit codes.
+//! `worksshunt_simulation::random_run`. This file has the arguments and the exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/worksshunt-simulation/src/cloud.rs
+++ b/crates/worksshunt-simulation/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud of the cluster: its rate, its machines and the responses to controllers' requests.
+//! The simulated cloud: its rate limit, its machines and the responses to controllers' requests.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,33 @@
 };
 use worksshunt_wire::MachineId;
 
-use crate::events::{ControllerRun, SimulationEvent};
+use crate::events::{ControllerInstance, SimulationEvent};
 use crate::fixtures::catalog;
 use crate::links::Link;
 use crate::worker::Worker;
 use crate::Cluster;
 
-/// What the cloud remembers beside the machines themselves.
+/// State of the cloud except for the machines, which are in [`Cluster::workers`].
 #[derive(Default)]
 pub(crate) struct CloudRecords {
-    /// Machines provisioned by each request, by its name; a repeated request gets the same ones.
+    /// Machines provisioned by each request, by request name: requests are idempotent.
     provisioned: BTreeMap<String, MachineIds>,
     machines_created: u64,
 }
 
 impl Cluster {
-    pub(crate) fn cloud_request_arrives(&mut self, from: ControllerRun, request: CloudRequest) {
+    pub(crate) fn cloud_request_arrives(
+        &mut self,
+        from: ControllerInstance,
+        request: CloudRequest,
+    ) {
         let response = self.cloud_response(&request);
         let arrives_at = self.arrival_time(Link::Other);
         self.deliver_at(arrives_at, from, Event::CloudResponse(request, response));
     }
 
     fn cloud_response(&mut self, request: &CloudRequest) -> CloudResponse {
-        if self.faults.cloud.down || !self.cloud_rate_allows(request) {
+        if self.faults.cloud.is_down || !self.cloud_rate_allows(request) {
             return CloudResponse::NoAnswer;
         }
         match request {
@@ -48,16 +52,16 @@
         if let Some(provisioned) = self.cloud.provisioned.get(&request.request_name) {
             return CloudResponse::Machines(provisioned.clone());
         }
-        if request.is_spot && self.faults.cloud.no_spot {
+        if request.is_spot && self.faults.cloud.has_no_spot_capacity {
             return CloudResponse::NoCapacity;
         }
-        let free = self.capacity.saturating_sub(self.workers.len());
-        let count = free.min(request.machine_count as usize);
+        let available = self.capacity.saturating_sub(self.workers.len());
+        let count = available.min(request.machine_count as usize);
         if count == 0 {
             return CloudResponse::NoCapacity;
         }
         let machines = (0..count)
-            .map(|_| self.machine(&request.zone, request.is_spot, self.boot_ms))
+            .map(|_| self.create_machine(&request.zone, request.is_spot, self.boot_ms))
             .collect();
         let provisioned = MachineIds { ids: machines };
         self.cloud
@@ -75,7 +79,7 @@
         CloudResponse::Machines(released.clone())
     }
 
-    /// Whether the cloud's rate admits a request. A list is as many calls as it has pages.
+    /// Returns whether the cloud's rate limit admits a request. Each page of a list counts as one call.
     fn cloud_rate_allows(&mut self, request: &CloudRequest) -> bool {
         let calls = match request {
             CloudRequest::ListMachines => self.workers.len() / MACHINE_LIST_PAGE_SIZE + 1,
@@ -89,12 +93,12 @@
         if is_admitted {
             rate.take(calls);
         } else {
-            self.usage.refused += 1;
+            self.usage.refused_requests += 1;
         }
         is_admitted
     }
 
-    /// The pages of the list of machines. Machines are missing from it for a while after they were provisioned.
+    /// Returns the pages of the machine list, which omits machines provisioned less than `list_lag_ms` ago.
     fn machine_list(&self) -> Vec<MachineList> {
         let workers = self.workers.iter();
         let machines: Vec<ListedMachine> = workers
@@ -108,7 +112,7 @@
         let mut pages: Vec<MachineList> =
             machines.chunks(MACHINE_LIST_PAGE_SIZE).map(page).collect();
         match pages.last_mut() {
-            Some(last) => last.has_more = false,
+            Some(last_page) => last_page.has_more = false,
             None => pages.push(MachineList {
                 machines: Vec::new(),
                 has_more: false,
@@ -122,8 +126,8 @@
             id: id.clone(),
             machine_type: "m4".into(),
             zone: worker.zone.clone(),
-            is_spot: worker.spot,
-            state: if self.now >= worker.up_at {
+            is_spot: worker.is_spot,
+            state: if self.now >= worker.booted_at {
                 ListedState::Running
             } else {
                 ListedState::Starting
@@ -132,14 +136,14 @@
         }
     }
 
-    /// Creates a machine that has booted after so long.
-    pub fn machine(&mut self, zone: &str, spot: bool, boot_ms: u64) -> MachineId {
+    /// Creates a machine that takes `boot_ms` to boot.
+    pub fn create_machine(&mut self, zone: &str, is_spot: bool, boot_ms: u64) -> MachineId {
         let id = MachineId(format!("i-{:06}", self.cloud.machines_created));
         self.cloud.machines_created += 1;
-        let up_at = (self.now + boot_ms).next_multiple_of(self.worker_step_ms);
-        let worker = Worker::new(zone, spot, self.now, up_at);
+        let booted_at = (self.now + boot_ms).next_multiple_of(self.boot_granularity_ms);
+        let worker = Worker::new(zone, is_spot, self.now, booted_at);
         self.workers.insert(id.clone(), worker);
-        self.schedule_at(up_at, SimulationEvent::WorkerStep(id.clone()));
+        self.schedule_at(booted_at, SimulationEvent::WorkerStep(id.clone()));
         id
     }
 }
--- a/crates/worksshunt-simulation/src/commands.rs
+++ b/crates/worksshunt-simulation/src/commands.rs
@@ -1,16 +1,16 @@
-//! Direct commands on their way to workers, and their responses.
+//! Delivery of direct commands to workers and of the responses to controllers.
 
 use worksshunt_core::controller::Event;
 use worksshunt_core::machines::{DirectCommands, DirectCommandsOutcome};
 
-use crate::events::ControllerRun;
+use crate::events::ControllerInstance;
 use crate::links::Link;
 use crate::Cluster;
 
 impl Cluster {
     pub(crate) fn commands_arrive(
         &mut self,
-        from: ControllerRun,
+        from: ControllerInstance,
         commands: DirectCommands,
         deadline_at: u64,
     ) {
@@ -33,7 +33,7 @@
         if self.faults.cut_from_workers.contains(&from) || !is_linked {
             return DirectCommandsOutcome::NoAnswer;
         }
-        if self.faults.hold_commands {
+        if self.faults.are_commands_held {
             self.held_commands.push(commands.clone());
             return DirectCommandsOutcome::NoAnswer;
         }
@@ -43,19 +43,23 @@
         }
     }
 
-    /// Commands reach a worker after their sender has given up on them.
-    pub(crate) fn late_commands_arrive(&mut self, from: usize, commands: &DirectCommands) {
+    /// Executes commands that arrive after the sender's deadline.
+    pub(crate) fn commands_arrive_after_deadline(
+        &mut self,
+        from: usize,
+        commands: &DirectCommands,
+    ) {
         let is_reached = !self.faults.cut_from_workers.contains(&from);
         if is_reached && self.is_linked(&commands.machine, from) {
-            self.record_effect("late commands");
+            self.record_effect("commands after deadline");
             self.execute_commands(commands);
         }
     }
 
-    /// The sender learns at its deadline that the commands were not answered.
+    /// Notifies the sender at the deadline that no response arrived.
     pub(crate) fn commands_timed_out(
         &mut self,
-        from: ControllerRun,
+        from: ControllerInstance,
         commands: DirectCommands,
         deadline_at: u64,
     ) {
@@ -67,7 +71,7 @@
         );
     }
 
-    /// The commands held back are executed now, long after they were sent. Returns how many there were.
+    /// Executes the held-back commands and returns the number of requests.
     pub fn release_commands(&mut self) -> usize {
         let held = std::mem::take(&mut self.held_commands);
         for commands in &held {
--- a/crates/worksshunt-simulation/src/controllers.rs
+++ b/crates/worksshunt-simulation/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers of the cluster: their starts, crashes and pauses, and the events dispatched to them.
+//! The controllers of the cluster: start, crash, pause and event dispatch.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -8,55 +8,57 @@
 use worksshunt_core::placement::Parameters;
 use worksshunt_core::time::{Now, Time};
 
-use crate::events::{ControllerRun, SimulationEvent};
+use crate::events::{ControllerInstance, SimulationEvent};
 use crate::resource_usage::ResourceUsage;
-use crate::{Cluster, CONTROLLERS};
+use crate::{Cluster, CONTROLLER_COUNT};
 
-/// 1 January 2026, at which a cluster starts, ms since 1970.
+/// Wall-clock time at which a cluster is created: 1 January 2026, ms since the Unix epoch.
 const WALL_CLOCK_START_MS: u64 = 1_767_225_600_000;
 
-/// A controller that is up.
+/// A running controller instance.
 struct RunningController {
     controller: Controller,
     incarnation: u64,
     started_at: u64,
 }
 
-/// What a controller had decided when it was paused.
-struct Decision {
-    by: ControllerRun,
-    /// Its own time at that moment.
+/// Actions that a controller returned while paused; performed on resume.
+struct DeferredActions {
+    from: ControllerInstance,
+    /// The controller's clock when it returned the actions.
     clock: Time,
     actions: Vec<Action>,
 }
 
-/// An event that reached a paused controller.
+/// An event that arrived while its controller was paused.
 struct HeldEvent {
-    to: ControllerRun,
+    to: ControllerInstance,
     event: Event,
 }
 
-/// A paused controller, with what it was doing and what has arrived meanwhile.
+/// A paused controller, which handles one more event and performs its actions on resume.
 #[derive(Default)]
 struct PausedController {
-    /// Performed when it goes on.
-    decided: Option<Decision>,
-    arrived: Vec<HeldEvent>,
+    /// `None` until the controller has handled an event since the pause began.
+    deferred_actions: Option<DeferredActions>,
+    /// Events that arrived after that one, in order of arrival.
+    held_events: Vec<HeldEvent>,
 }
 
-/// The controllers, each up or down, and those of them that are paused.
+/// The state of all controllers.
 pub(crate) struct Controllers {
+    /// By controller index; `None` for a controller that is down.
     running: Vec<Option<RunningController>>,
     last_incarnation: u64,
     paused: BTreeMap<usize, PausedController>,
-    /// Attempts per epoch, if fewer than there are numbers.
+    /// Overrides the maximum number of attempts in an epoch.
     max_attempts: Option<u64>,
 }
 
 impl Default for Controllers {
     fn default() -> Controllers {
         Controllers {
-            running: (0..CONTROLLERS).map(|_| None).collect(),
+            running: (0..CONTROLLER_COUNT).map(|_| None).collect(),
             last_incarnation: 0,
             paused: BTreeMap::new(),
             max_attempts: None,
@@ -65,37 +67,37 @@
 }
 
 impl Controllers {
-    /// Whether all are up and none is paused.
+    /// Returns whether every controller is up and not paused.
     pub(crate) fn are_all_active(&self) -> bool {
         self.running.iter().all(Option::is_some) && self.paused.is_empty()
     }
 }
 
 impl Cluster {
-    /// Starts a controller, ending its former run if there is one.
+    /// Starts a controller. Replaces the running instance, if any.
     pub fn start(&mut self, controller: usize) {
         let settings = &self.settings[controller];
         self.invariants.set_limits(settings);
-        let mut started = Controller::new(settings.clone(), Parameters::default());
+        let mut new_controller = Controller::new(settings.clone(), Parameters::default());
         let controllers = &mut self.controllers;
         controllers.last_incarnation += 1;
         controllers.paused.remove(&controller);
         if let Some(max_attempts) = controllers.max_attempts {
-            started.limit_attempts(max_attempts);
+            new_controller.limit_attempts(max_attempts);
         }
-        let run = ControllerRun {
+        let instance = ControllerInstance {
             index: controller,
             incarnation: controllers.last_incarnation,
         };
         controllers.running[controller] = Some(RunningController {
-            controller: started,
-            incarnation: run.incarnation,
+            controller: new_controller,
+            incarnation: instance.incarnation,
             started_at: self.now,
         });
-        self.schedule_at(self.now, SimulationEvent::Tick(run));
+        self.schedule_at(self.now, SimulationEvent::Tick(instance));
     }
 
-    /// Has leaders begin a new epoch after so many attempts.
+    /// Limits the number of attempts in an epoch; a leader that reaches the limit begins a new epoch.
     pub fn limit_attempts(&mut self, max_attempts: u64) {
         self.controllers.max_attempts = Some(max_attempts);
         for running in self.controllers.running.iter_mut().flatten() {
@@ -103,22 +105,23 @@
         }
     }
 
-    /// Ends a controller without notice.
+    /// Crashes a controller.
     pub fn crash(&mut self, controller: usize) {
         self.controllers.running[controller] = None;
         self.controllers.paused.remove(&controller);
     }
 
-    /// Ends a controller and starts it again after so long.
-    pub fn restart(&mut self, controller: usize, ms: u64) {
+    /// Crashes a controller and starts it again after a delay, ms.
+    pub fn restart(&mut self, controller: usize, delay_ms: u64) {
         self.crash(controller);
-        self.schedule(ms, move |cluster| cluster.start(controller));
+        self.schedule(delay_ms, move |cluster| cluster.start(controller));
     }
 
-    /// Pauses a controller for so long, in the middle of what it does next.
-    pub fn pause(&mut self, controller: usize, ms: u64) {
+    /// Pauses a controller for a duration, ms. It still handles its next event, but performs the resulting actions only
+    /// on resume, as after a stall of the process between a decision and its messages.
+    pub fn pause(&mut self, controller: usize, duration_ms: u64) {
         self.controllers.paused.entry(controller).or_default();
-        self.schedule(ms, move |cluster| cluster.resume(controller));
+        self.schedule(duration_ms, move |cluster| cluster.resume(controller));
     }
 
     fn resume(&mut self, controller: usize) {
@@ -126,43 +129,44 @@
             return;
         };
         self.record_effect("pause");
-        if let Some(decision) = paused.decided {
-            for action in decision.actions {
-                self.perform(decision.by, decision.clock, action);
+        if let Some(deferred) = paused.deferred_actions {
+            for action in deferred.actions {
+                self.perform(deferred.from, deferred.clock, action);
             }
         }
-        for held in paused.arrived {
+        for held in paused.held_events {
             self.dispatch(held.to, held.event);
         }
     }
 
-    /// Whether a controller is up.
+    /// Returns whether a controller is up; a paused one is.
     pub fn is_up(&self, controller: usize) -> bool {
         self.controllers.running[controller].is_some()
     }
 
-    /// Number of the run that a controller is in; none if it is down.
+    /// Returns the incarnation of a controller's running instance; `None` if it is down.
     pub fn controller_incarnation(&self, controller: usize) -> Option<u64> {
-        self.current_run(controller).map(|run| run.incarnation)
+        self.current_instance(controller)
+            .map(|instance| instance.incarnation)
     }
 
-    pub(crate) fn current_run(&self, controller: usize) -> Option<ControllerRun> {
+    pub(crate) fn current_instance(&self, controller: usize) -> Option<ControllerInstance> {
         let running = self.controllers.running[controller].as_ref()?;
-        Some(ControllerRun {
+        Some(ControllerInstance {
             index: controller,
             incarnation: running.incarnation,
         })
     }
 
-    /// How many machines report to a controller.
-    pub fn reporting_to(&self, controller: usize) -> usize {
+    /// Returns the number of workers that send their heartbeats to a controller.
+    pub fn workers_reporting_to(&self, controller: usize) -> usize {
         self.workers
             .values()
             .filter(|worker| worker.controller == controller)
             .count()
     }
 
-    /// The leader according to the key-value store.
+    /// Returns the index of the leader according to the key-value store.
     ///
     /// # Panics
     ///
@@ -173,23 +177,24 @@
         name[1..].parse().expect("a number")
     }
 
-    pub(crate) fn tick(&mut self, run: ControllerRun) {
-        if self.current_run(run.index) == Some(run) {
-            self.dispatch(run, Event::Tick);
-            self.schedule_at(self.now + TICK_MS, SimulationEvent::Tick(run));
+    pub(crate) fn tick(&mut self, instance: ControllerInstance) {
+        if self.current_instance(instance.index) == Some(instance) {
+            self.dispatch(instance, Event::Tick);
+            self.schedule_at(self.now + TICK_MS, SimulationEvent::Tick(instance));
         }
     }
 
-    /// Has a controller handle an event and performs what it decides, unless that run of it is over or it is paused.
-    pub(crate) fn dispatch(&mut self, to: ControllerRun, event: Event) {
+    /// Dispatches an event to a controller instance and performs the resulting actions. Drops the event if the instance
+    /// has ended; defers events or actions while it is paused.
+    pub(crate) fn dispatch(&mut self, to: ControllerInstance, event: Event) {
         let now = self.now;
         let running = self.controllers.running[to.index].as_mut();
         let Some(running) = running.filter(|running| running.incarnation == to.incarnation) else {
             return;
         };
         let paused = self.controllers.paused.get_mut(&to.index);
-        if let Some(paused) = paused.filter(|paused| paused.decided.is_some()) {
-            paused.arrived.push(HeldEvent { to, event });
+        if let Some(paused) = paused.filter(|paused| paused.deferred_actions.is_some()) {
+            paused.held_events.push(HeldEvent { to, event });
             return;
         }
         let clock = Time(now - running.started_at);
@@ -198,18 +203,18 @@
             wall_ms: WALL_CLOCK_START_MS + now,
         };
         if let Some(digest) = &mut self.digest {
-            digest.received(now, to.index, &event);
+            digest.add_received(now, to.index, &event);
         }
-        let kind = ResourceUsage::kind(&event);
-        let handling_began = Instant::now();
+        let event_kind = ResourceUsage::event_kind(&event);
+        let handling_start = Instant::now();
         let actions = running.controller.handle(times, event, &|| clock);
-        if let Some(took) = &mut self.usage.took {
-            let durations = took.entry(kind).or_default();
-            durations.push(handling_began.elapsed());
+        if let Some(handling_times) = &mut self.usage.handling_times {
+            let durations = handling_times.entry(event_kind).or_default();
+            durations.push(handling_start.elapsed());
         }
         if let Some(paused) = self.controllers.paused.get_mut(&to.index) {
-            paused.decided = Some(Decision {
-                by: to,
+            paused.deferred_actions = Some(DeferredActions {
+                from: to,
                 clock,
                 actions,
             });
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -1,9 +1,8 @@
-//! A digest of everything that controllers send and receive, and of the verdict on the day. The cluster feeds it
-//! while it runs.
+//! A digest of all messages that controllers send and receive, and of the verdict on the run.
 //!
-//! Two versions of the program that behave alike and write the same bytes have the same digests for the same
-//! seeds. The digest covers, for each message, the time, the controller, the direction, the kind of the message and
-//! its bytes as the protocol or the peer link has them. No Rust name is part of it.
+//! Two versions of the program with the same behavior and wire formats have the same digests for the same seeds. For
+//! each message the digest covers the time, the controller, the kind of message, which implies the direction, and the
+//! bytes on the wire. No Rust identifier is part of it.
 
 use borsh::BorshSerialize;
 use serde::Serialize;
@@ -17,30 +16,31 @@
 
 use crate::Failure;
 
-/// The finished digest of a day.
+/// The digest of a finished run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DayDigest {
-    /// How many messages it covers.
+pub struct RunDigest {
+    /// Number of messages covered.
     pub messages: u64,
-    /// The hash, in hexadecimal digits.
+    /// The SHA-256 hash in lowercase hexadecimal digits.
     pub hash: String,
 }
 
-impl std::fmt::Display for DayDigest {
+impl std::fmt::Display for RunDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} {}", self.hash, self.messages)
     }
 }
 
-/// A digest under way.
+/// A digest in progress.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficDigest {
     hash: Sha256,
     messages: u64,
 }
 
-/// One message as it crosses a connection: its kind, and its bytes.
+/// A message with its wire bytes.
 struct Message {
+    /// Part of the digest: changing a kind's text changes digests.
     kind: &'static str,
     bytes: Vec<u8>,
 }
@@ -67,45 +67,45 @@
 }
 
 impl TrafficDigest {
-    /// Adds a length and the bytes, so that no two sequences of fields give the same input.
-    fn field(&mut self, bytes: &[u8]) {
+    /// Adds a field prefixed with its length, so that different sequences of fields have different inputs.
+    fn add_field(&mut self, bytes: &[u8]) {
         self.hash.update((bytes.len() as u64).to_le_bytes());
         self.hash.update(bytes);
     }
 
-    fn message(&mut self, at_ms: u64, controller: usize, message: &Message) {
+    fn add_message(&mut self, at_ms: u64, controller: usize, message: &Message) {
         self.messages += 1;
         self.hash.update(at_ms.to_le_bytes());
         self.hash.update((controller as u64).to_le_bytes());
-        self.field(message.kind.as_bytes());
-        self.field(&message.bytes);
+        self.add_field(message.kind.as_bytes());
+        self.add_field(&message.bytes);
     }
 
-    /// Adds what a controller sends.
-    pub(crate) fn sent(&mut self, at_ms: u64, controller: usize, action: &Action) {
-        self.message(at_ms, controller, &action_message(action));
+    /// Adds a message that a controller sends.
+    pub(crate) fn add_sent(&mut self, at_ms: u64, controller: usize, action: &Action) {
+        self.add_message(at_ms, controller, &action_message(action));
     }
 
-    /// Adds what reaches a controller. The passing of time is no message.
-    pub(crate) fn received(&mut self, at_ms: u64, controller: usize, event: &Event) {
+    /// Adds a message that a controller receives. Ticks are not messages.
+    pub(crate) fn add_received(&mut self, at_ms: u64, controller: usize, event: &Event) {
         if let Some(message) = event_message(event) {
-            self.message(at_ms, controller, &message);
+            self.add_message(at_ms, controller, &message);
         }
     }
 
-    /// Adds the verdict on the day and ends the digest.
-    pub fn finish(mut self, verdict: &Result<(), Failure>) -> DayDigest {
+    /// Adds the verdict on the run and finishes the digest.
+    pub fn finish(mut self, verdict: &Result<(), Failure>) -> RunDigest {
         match verdict {
-            Ok(()) => self.field(b"passed"),
+            Ok(()) => self.add_field(b"passed"),
             Err(failure) => {
-                self.field(b"failed");
+                self.add_field(b"failed");
                 failure
                     .invariants()
-                    .for_each(|rule| self.field(rule.as_bytes()));
+                    .for_each(|rule| self.add_field(rule.as_bytes()));
             }
         }
         let hash = self.hash.finalize();
-        DayDigest {
+        RunDigest {
             messages: self.messages,
             hash: hash.iter().map(|byte| format!("{byte:02x}")).collect(),
         }
@@ -114,14 +114,14 @@
 
 fn action_message(action: &Action) -> Message {
     match action {
-        Action::Respond(_, reply) => client_reply(reply),
-        Action::CallKeyValueStore { request, .. } => key_value_request(request),
+        Action::Respond(_, response) => client_response(response),
+        Action::CallKeyValueStore { request, .. } => key_value_request_arrives(request),
         Action::CallCloud(request) => cloud_request(request),
-        Action::SendCommands(orders) => {
-            Message::json("command request", &(&orders.machine, &orders.batch))
+        Action::SendCommands(commands) => {
+            Message::json("command request", &(&commands.machine, &commands.batch))
         }
         Action::SendToPeer(to, request) => Message::borsh("peer request", &(to, request)),
-        Action::RespondToPeer(_, answer) => Message::borsh("peer response sent", answer),
+        Action::RespondToPeer(_, response) => Message::borsh("peer response sent", response),
     }
 }
 
@@ -135,29 +135,31 @@
         Event::Health(_) => Message::empty("health check"),
         Event::Heartbeat { body, .. } => Message::bytes("heartbeat", body.as_slice()),
         Event::KeyValueResponse { response, .. } => key_value_response(response),
-        Event::CloudResponse(_, reply) => cloud_response(reply),
-        Event::CommandsAnswered(orders, reply) => match reply {
+        Event::CloudResponse(_, response) => cloud_response(response),
+        Event::CommandsAnswered(commands, outcome) => match outcome {
             DirectCommandsOutcome::Answered(heartbeat) => {
                 Message::json("command response", heartbeat)
             }
-            DirectCommandsOutcome::NotSent => Message::json("command not sent", &orders.machine),
-            DirectCommandsOutcome::NoAnswer => Message::json("command unanswered", &orders.machine),
+            DirectCommandsOutcome::NotSent => Message::json("command not sent", &commands.machine),
+            DirectCommandsOutcome::NoAnswer => {
+                Message::json("command unanswered", &commands.machine)
+            }
         },
         Event::PeerRequest(_, request) => Message::borsh("peer request received", request),
-        Event::PeerResponse(answer) => Message::borsh("peer response", answer),
+        Event::PeerResponse(response) => Message::borsh("peer response", response),
         Event::PeerKeyValueHealth(healthy) => Message::borsh("peer health", healthy),
         Event::PeerKnownEpoch(from, known) => Message::borsh("peer epoch", &(from, known)),
     })
 }
 
-fn client_reply(reply: &HttpResponse) -> Message {
+fn client_response(response: &HttpResponse) -> Message {
     Message::json(
         "client response",
-        &(reply.status, &reply.body, reply.retry_after_s),
+        &(response.status, &response.body, response.retry_after_s),
     )
 }
 
-fn key_value_request(request: &KvRequest) -> Message {
+fn key_value_request_arrives(request: &KvRequest) -> Message {
     match request {
         KvRequest::GrantLease => Message::empty("lease grant"),
         KvRequest::RenewLease(lease) => Message::json("lease renewal", lease),
@@ -172,26 +174,21 @@
     }
 }
 
-fn key_value_response(reply: &KvResponse) -> Message {
-    let at = |revision: &Revision| StoreRevision {
+fn key_value_response(response: &KvResponse) -> Message {
+    let store_revision = |revision: &Revision| StoreRevision {
         revision: *revision,
     };
-    match reply {
+    match response {
         KvResponse::LeaseGranted(lease) => Message::json("lease granted", &Lease { id: *lease }),
         KvResponse::LeaseRenewed => Message::empty("lease renewed"),
         KvResponse::NoSuchLease => Message::empty("no such lease"),
         KvResponse::Found(pair) => Message::json("found", pair),
         KvResponse::Missing => Message::empty("missing"),
         KvResponse::Listing(listing) => Message::json("listing", listing),
-        KvResponse::Committed(revision) => Message::json("committed", &at(revision)),
+        KvResponse::Committed(revision) => Message::json("committed", &store_revision(revision)),
         KvResponse::Conflict(keys) => {
-            let failed = keys.clone();
-            Message::json(
-                "conflict",
-                &Conflict {
-                    failed_keys: failed,
-                },
-            )
+            let failed_keys = keys.clone();
+            Message::json("conflict", &Conflict { failed_keys })
         }
         KvResponse::WatchResponse(changes) => Message::json("changes", changes),
         KvResponse::RevisionCompacted => Message::empty("revision compacted"),
@@ -204,15 +201,15 @@
 fn cloud_request(request: &CloudRequest) -> Message {
     match request {
         CloudRequest::Provision(request) => Message::json("rent", request),
-        CloudRequest::Release(names) => Message::json("return", names),
+        CloudRequest::Release(machines) => Message::json("return", machines),
         CloudRequest::ListMachines => Message::empty("machine list"),
         CloudRequest::ReadCatalog => Message::empty("catalogue"),
     }
 }
 
-fn cloud_response(reply: &CloudResponse) -> Message {
-    match reply {
-        CloudResponse::Machines(names) => Message::json("machines", names),
+fn cloud_response(response: &CloudResponse) -> Message {
+    match response {
+        CloudResponse::Machines(machines) => Message::json("machines", machines),
         CloudResponse::NoCapacity => Message::empty("no capacity"),
         CloudResponse::List(pages) => Message::json("machine list received", pages),
         CloudResponse::Catalog(catalog) => Message::json("catalogue received", catalog),
--- a/crates/worksshunt-simulation/src/events.rs
+++ b/crates/worksshunt-simulation/src/events.rs
@@ -1,7 +1,7 @@
-//! Everything that the simulation schedules, and the queue that keeps it in order of time.
+//! The simulation's events and the queue that orders them by time.
 //!
-//! The [`Cluster`] owns one queue. Events due at the same millisecond are applied in the order in which they were
-//! scheduled, so a run depends on nothing but its seed.
+//! The [`Cluster`] owns one queue. Events due in the same millisecond are applied in the order in which they were
+//! scheduled, which keeps a run deterministic.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -18,27 +18,27 @@
 
 use crate::Cluster;
 
-/// One run of a controller, from its start to its crash. What is addressed to an earlier run is dropped.
+/// One instance of a controller, from its start to its crash. Events addressed to an earlier instance are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ControllerRun {
-    /// Which of the controllers it is.
+pub(crate) struct ControllerInstance {
+    /// Index of the controller.
     pub(crate) index: usize,
-    /// The number of the run; no two runs of the cluster share one.
+    /// Unique among all instances in the cluster.
     pub(crate) incarnation: u64,
 }
 
-/// Who sent a request to the key-value store, and how long it waits for the response.
+/// The sender of a request to the key-value store, with the request's deadline.
 #[derive(Debug)]
 pub(crate) struct KeyValueCaller {
-    pub(crate) run: ControllerRun,
+    pub(crate) instance: ControllerInstance,
     pub(crate) purpose: KvPurpose,
-    /// When it was sent, on the caller's clock.
+    /// When the request was sent, on the caller's clock.
     pub(crate) sent_at: Time,
-    /// When the caller gives up, ms.
+    /// When the caller stops waiting for the response, ms.
     pub(crate) deadline_at: u64,
 }
 
-/// A heartbeat that a worker sent, as its response and its deadline refer to it.
+/// Identifies a heartbeat that a worker sent, for its response and its deadline.
 #[derive(Debug, Clone)]
 pub(crate) struct SentHeartbeat {
     pub(crate) machine: MachineId,
@@ -47,14 +47,14 @@
     pub(crate) sent_at: u64,
 }
 
-/// Something that a scenario schedules for later.
+/// A closure scheduled to run on the cluster.
 pub(crate) type ScheduledAction = Box<dyn FnOnce(&mut Cluster)>;
 
-/// What happens at a moment. Points of time are ms since the cluster's start.
+/// A scheduled event. Times are ms since the cluster was created.
 pub(crate) enum SimulationEvent {
-    Tick(ControllerRun),
+    Tick(ControllerInstance),
     Dispatch {
-        to: ControllerRun,
+        to: ControllerInstance,
         event: Box<Event>,
     },
     KeyValueRequestArrives {
@@ -62,26 +62,26 @@
         request: KvRequest,
     },
     CloudRequestArrives {
-        from: ControllerRun,
+        from: ControllerInstance,
         request: CloudRequest,
     },
     PeerRequestArrives {
-        from: ControllerRun,
+        from: ControllerInstance,
         to: usize,
         id: RequestId,
         request: PeerRequest,
     },
     PeerDeadline {
-        from: ControllerRun,
+        from: ControllerInstance,
         id: RequestId,
     },
     CommandsArrive {
-        from: ControllerRun,
+        from: ControllerInstance,
         commands: DirectCommands,
         deadline_at: u64,
     },
-    /// Commands reach a worker after their sender has given up on them.
-    LateCommandsArrive {
+    /// Commands arrive at a worker after the sender's deadline.
+    CommandsArriveAfterDeadline {
         from: usize,
         commands: DirectCommands,
     },
@@ -100,23 +100,23 @@
         response: HttpResponse,
     },
     HeartbeatDeadline(SentHeartbeat),
-    LateWriteArrives(CompareAndSwap),
+    DelayedWriteArrives(CompareAndSwap),
     Inspect,
     RunAction(ScheduledAction),
 }
 
 /// An event with the time at which it is due.
 pub(crate) struct ScheduledEvent {
-    /// Milliseconds since the start of the cluster.
+    /// Milliseconds since the cluster was created.
     pub(crate) due_at: u64,
-    /// Events due at the same time are applied in this order.
-    order: u64,
+    /// Orders events that are due at the same time.
+    sequence: u64,
     pub(crate) event: SimulationEvent,
 }
 
 impl ScheduledEvent {
     fn key(&self) -> (u64, u64) {
-        (self.due_at, self.order)
+        (self.due_at, self.sequence)
     }
 }
 
@@ -132,33 +132,33 @@
     }
 }
 impl Ord for ScheduledEvent {
-    /// Reversed: the heap's greatest element is the event due first.
+    /// Reversed, so that the max-heap yields the earliest event first.
     fn cmp(&self, other: &ScheduledEvent) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// Scheduled events, the earliest first.
+/// A priority queue of scheduled events, earliest first.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<ScheduledEvent>,
-    last_order: u64,
+    last_sequence: u64,
 }
 
 impl EventQueue {
-    /// Schedules an event for a point of time, ms.
+    /// Schedules an event at a time, ms.
     pub(crate) fn push(&mut self, due_at: u64, event: SimulationEvent) {
-        self.last_order += 1;
+        self.last_sequence += 1;
         self.heap.push(ScheduledEvent {
             due_at,
-            order: self.last_order,
+            sequence: self.last_sequence,
             event,
         });
     }
 
-    /// Takes the next event that is due at a point of time or before.
-    pub(crate) fn pop_due(&mut self, until: u64) -> Option<ScheduledEvent> {
-        self.heap.peek().filter(|next| next.due_at <= until)?;
+    /// Removes and returns the next event that is due at or before a time.
+    pub(crate) fn pop_due(&mut self, time: u64) -> Option<ScheduledEvent> {
+        self.heap.peek().filter(|next| next.due_at <= time)?;
         self.heap.pop()
     }
 }
@@ -168,18 +168,18 @@
         self.event_queue.push(due_at, event);
     }
 
-    /// Schedules an event for a controller, which is dropped if that run of it has ended by then.
-    pub(crate) fn deliver_at(&mut self, due_at: u64, to: ControllerRun, event: Event) {
+    /// Schedules an event for a controller instance. It is dropped if the instance has ended by then.
+    pub(crate) fn deliver_at(&mut self, due_at: u64, to: ControllerInstance, event: Event) {
         let event = Box::new(event);
         self.schedule_at(due_at, SimulationEvent::Dispatch { to, event });
     }
 
     pub(crate) fn apply_event(&mut self, event: SimulationEvent) {
         match event {
-            SimulationEvent::Tick(run) => self.tick(run),
+            SimulationEvent::Tick(instance) => self.tick(instance),
             SimulationEvent::Dispatch { to, event } => self.dispatch(to, *event),
             SimulationEvent::KeyValueRequestArrives { caller, request } => {
-                self.key_value_request(caller, request);
+                self.key_value_request_arrives(caller, request);
             }
             SimulationEvent::CloudRequestArrives { from, request } => {
                 self.cloud_request_arrives(from, request);
@@ -196,8 +196,8 @@
                 commands,
                 deadline_at,
             } => self.commands_arrive(from, commands, deadline_at),
-            SimulationEvent::LateCommandsArrive { from, commands } => {
-                self.late_commands_arrive(from, &commands);
+            SimulationEvent::CommandsArriveAfterDeadline { from, commands } => {
+                self.commands_arrive_after_deadline(from, &commands);
             }
             SimulationEvent::WorkerStep(id) => self.step_worker(&id),
             SimulationEvent::HeartbeatArrives {
@@ -212,7 +212,7 @@
                 self.heartbeat_response_arrives(&to, &response);
             }
             SimulationEvent::HeartbeatDeadline(sent) => self.heartbeat_deadline(sent),
-            SimulationEvent::LateWriteArrives(write) => self.late_write_arrives(write),
+            SimulationEvent::DelayedWriteArrives(write) => self.delayed_write_arrives(write),
             SimulationEvent::Inspect => self.inspect(),
             SimulationEvent::RunAction(action) => action(self),
         }
--- a/crates/worksshunt-simulation/src/failure.rs
+++ b/crates/worksshunt-simulation/src/failure.rs
@@ -1,24 +1,26 @@
-//! Why a simulated day failed; returned by the verdict and by waits for a condition.
+//! The reasons for which a simulated run fails; returned by the verdict and by waits for a condition.
 
-/// Why a simulated day failed.
+/// The reason for which a simulated run failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// Invariants were violated, each with what was seen.
+    /// Invariants were violated: one text `RULE: DETAILS` for each violation.
     #[error("{0:?}")]
     InvariantsViolated(Vec<String>),
-    /// Something that the day waited for did not come.
-    #[error("not in time: {0}")]
-    NotInTime(String),
+    /// A condition, described by the text, did not hold before its timeout.
+    #[error("timed out waiting for {0}")]
+    TimedOut(String),
 }
 
 impl Failure {
-    /// Names of the rules that were violated, in the order of the violations.
+    /// Returns the names of the violated rules, in order of the violations.
     pub fn invariants(&self) -> impl Iterator<Item = &str> {
         let violations: &[String] = match self {
             Failure::InvariantsViolated(violations) => violations,
-            Failure::NotInTime(_) => &[],
+            Failure::TimedOut(_) => &[],
         };
-        let rule = |text: &'_ String| -> usize { text.find(':').unwrap_or(text.len()) };
-        violations.iter().map(move |text| &text[..rule(text)])
+        let rule_length = |text: &'_ String| -> usize { text.find(':').unwrap_or(text.len()) };
+        violations
+            .iter()
+            .map(move |text| &text[..rule_length(text)])
     }
 }
--- a/crates/worksshunt-simulation/src/faults.rs
+++ b/crates/worksshunt-simulation/src/faults.rs
@@ -1,7 +1,7 @@
-//! Faults: how the cluster departs from a quiet day.
+//! Fault injection.
 //!
-//! Scenarios and random days set and clear the fields of [`Faults`]; the files of the network, the services and the
-//! workers look them up whenever a message or a request passes.
+//! Scenarios and random runs set and clear the fields of [`Faults`]. The simulated network, services and workers check
+//! them for each message and request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,12 @@
 
 use crate::links::SlowLinks;
 
-/// Bounds of a delay that is drawn for each message, both included.
+/// Range of a random delay, bounds included.
 #[derive(Debug, Clone, Copy)]
 pub struct DelayRange {
-    /// The shortest delay, ms.
+    /// Minimum delay, ms.
     pub min_ms: u64,
-    /// The longest delay, ms.
+    /// Maximum delay, ms.
     pub max_ms: u64,
 }
 
@@ -27,86 +27,86 @@
     };
 }
 
-/// Transactions that get no response and are carried out late, or at once.
+/// Transactions that get no response and are applied after a delay, which may be zero.
 #[derive(Debug, Clone, Copy)]
-pub struct LateWrites {
-    /// The share of all transactions.
+pub struct DelayedWrites {
+    /// Share of the matching transactions that are delayed, 0 to 1.
     pub share: f64,
-    /// How long after they were sent they are carried out.
+    /// Delay between the arrival of a transaction and its application.
     pub delay: DelayRange,
-    /// Only transactions that change a key with this prefix; none: all.
+    /// Restricts the fault to transactions that change a key with this prefix; `None` matches all.
     pub key_prefix: Option<&'static str>,
 }
 
-impl LateWrites {
-    /// Whether a transaction may be one of them.
+impl DelayedWrites {
+    /// Returns whether a transaction matches `key_prefix`.
     pub(crate) fn applies_to(&self, write: &CompareAndSwap) -> bool {
         self.key_prefix
             .is_none_or(|prefix| changes_key(write, prefix))
     }
 }
 
-/// Whether a transaction changes a key with the prefix.
+/// Returns whether a transaction changes a key with a prefix.
 pub(crate) fn changes_key(write: &CompareAndSwap, prefix: &str) -> bool {
     let mut changes = write.changes.iter();
     changes.any(|change| change.key().starts_with(prefix))
 }
 
-/// Limits of the key-value store on transactions.
+/// Limits on the size of transactions.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyValueLimits {
-    /// Largest value, bytes.
+    /// Maximum size of a value, bytes.
     pub value_bytes: usize,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub changes: usize,
 }
 
-/// A zone that is cut off from the rest of the network.
+/// A network partition that isolates a zone.
 #[derive(Debug, Clone)]
 pub struct ZonePartition {
-    /// The zone.
+    /// The isolated zone.
     pub zone: String,
-    /// The controllers inside.
+    /// Controllers inside the zone; they cannot reach the key-value store either.
     pub controllers: BTreeSet<usize>,
 }
 
-/// Faults of the key-value store and of controllers' connections to it.
+/// Faults of the key-value store and of its connections to controllers.
 #[derive(Debug, Default)]
 pub struct KeyValueFaults {
-    /// It is down for all.
-    pub down: bool,
-    /// Controllers whose requests never reach it.
+    /// Whether the store refuses all requests.
+    pub is_down: bool,
+    /// Controllers whose requests do not reach the store.
     pub unreachable_from: BTreeSet<usize>,
-    /// Controllers whose requests it refuses, while their watches wait.
-    pub refuses: BTreeSet<usize>,
-    /// Controllers whose watches are never answered while everything else is.
-    pub no_watch_responses: BTreeSet<usize>,
-    /// Controllers whose transactions are held back until released.
-    pub hold_writes: BTreeSet<usize>,
-    /// Every second transaction takes so long to be carried out.
+    /// Controllers whose requests are refused and whose pending watches stay unanswered.
+    pub refused_controllers: BTreeSet<usize>,
+    /// Controllers whose watches stay unanswered while all other requests are answered.
+    pub unanswered_watches_of: BTreeSet<usize>,
+    /// Controllers whose transactions are held back until [`Cluster::release_writes`](crate::Cluster::release_writes).
+    pub writes_held_from: BTreeSet<usize>,
+    /// Delay of every second transaction, ms; 0 for none.
     pub slow_writes_ms: u64,
-    /// Transactions without a response.
-    pub late_writes: Option<LateWrites>,
-    /// Transactions that change a key with this prefix are answered as committed and not applied: a fault that no
-    /// key-value store should have.
-    pub forgets: Option<&'static str>,
-    /// Every response takes so much longer.
+    /// Transactions that get no response and are applied later.
+    pub delayed_writes: Option<DelayedWrites>,
+    /// Transactions that change a key with this prefix are acknowledged as committed and not applied: a violation of
+    /// the store's contract.
+    pub dropped_write_prefix: Option<&'static str>,
+    /// Additional delay of every response, ms.
     pub slow_responses_ms: u64,
-    /// Limits on transactions; none: unlimited.
+    /// Limits on transactions; `None` if unlimited.
     pub limits: Option<KeyValueLimits>,
 }
 
 impl KeyValueFaults {
-    /// Whether there is no fault that would excuse a job that waits.
-    fn none(&self) -> bool {
-        !self.down
+    /// Returns whether no fault may delay a waiting job.
+    fn allow_progress(&self) -> bool {
+        !self.is_down
             && self.unreachable_from.is_empty()
-            && self.refuses.is_empty()
-            && self.no_watch_responses.is_empty()
-            && self.hold_writes.is_empty()
+            && self.refused_controllers.is_empty()
+            && self.unanswered_watches_of.is_empty()
+            && self.writes_held_from.is_empty()
             && self.slow_writes_ms == 0
-            && self.late_writes.is_none()
-            && self.forgets.is_none()
+            && self.delayed_writes.is_none()
+            && self.dropped_write_prefix.is_none()
             && self.slow_responses_ms == 0
             && self.limits.is_none()
     }
@@ -115,28 +115,29 @@
 /// Faults of the cloud.
 #[derive(Debug, Default)]
 pub struct CloudFaults {
-    /// It does not respond.
-    pub down: bool,
-    /// It has no spot machines.
-    pub no_spot: bool,
+    /// Whether the cloud leaves all requests unanswered.
+    pub is_down: bool,
+    /// Whether the cloud has no capacity for spot instances.
+    pub has_no_spot_capacity: bool,
 }
 
-/// Faults of workers' heartbeats. Everything else from and to the machines is as it was.
+/// Faults of workers' heartbeats. Other messages from and to the machines are not affected.
 #[derive(Debug, Default)]
 pub struct HeartbeatFaults {
-    /// Machines whose heartbeats take so much longer to arrive, ms.
+    /// Additional delay of heartbeats by machine, ms.
     pub slow_ms: BTreeMap<MachineId, u64>,
-    /// Machines whose heartbeats reach no controller, while direct commands reach the machines.
+    /// Machines whose heartbeats are lost; direct commands still reach them.
     pub lost_from: BTreeSet<MachineId>,
-    /// Machines whose heartbeats are held back until released.
+    /// Machines whose heartbeats are held back until
+    /// [`Cluster::release_heartbeats`](crate::Cluster::release_heartbeats).
     pub held_from: BTreeSet<MachineId>,
-    /// Every heartbeat is delivered once more after each of these times, to every controller.
+    /// Every heartbeat is duplicated to every controller after each of these delays, ms.
     pub copies_after_ms: Vec<u64>,
-    /// Copies of all heartbeats are kept, and reach every controller when the next leader begins.
-    pub copies_for_next_leader: bool,
+    /// Whether copies of all heartbeats are collected, and delivered to every controller when the next epoch begins.
+    pub is_copied_for_next_leader: bool,
 }
 
-/// How the cluster departs from a quiet day.
+/// The faults in effect. The default is none.
 #[derive(Debug, Default)]
 pub struct Faults {
     /// Faults of the key-value store.
@@ -145,46 +146,47 @@
     pub cloud: CloudFaults,
     /// Faults of heartbeats.
     pub heartbeats: HeartbeatFaults,
-    /// Controllers that no worker reaches, nor they any worker.
+    /// Controllers that are cut off from all workers, in both directions.
     pub cut_from_workers: BTreeSet<usize>,
-    /// Controllers that no other controller reaches, nor they any.
+    /// Controllers that are cut off from all other controllers, in both directions.
     pub cut_from_peers: BTreeSet<usize>,
-    /// A zone cut off from the rest.
+    /// A network partition that isolates a zone.
     pub partitioned_zone: Option<ZonePartition>,
-    /// Messages between controllers and machines that take much longer than others.
+    /// Additional delays of messages between controllers and machines.
     pub slow_links: Option<SlowLinks>,
-    /// Controllers whose messages from and to machines are held back, and until when. They arrive then, in any
-    /// order, whether or not their senders have given up on them.
-    pub held_until: BTreeMap<usize, u64>,
-    /// Machines whose heartbeats arrive while responses and commands do not reach them.
+    /// Time until which messages between a controller and machines are held back, ms, by controller. They then arrive
+    /// in random order, also after the timeout of their senders.
+    pub messages_held_until: BTreeMap<usize, u64>,
+    /// Machines that responses and commands do not reach; their heartbeats still arrive.
     pub unreachable_machines: BTreeSet<MachineId>,
-    /// Direct commands are held back until released, and time out.
-    pub hold_commands: bool,
+    /// Whether direct commands time out and are held back until
+    /// [`Cluster::release_commands`](crate::Cluster::release_commands).
+    pub are_commands_held: bool,
     /// Jobs whose tasks fail on every machine.
     pub failing_jobs: BTreeSet<JobId>,
     /// Machines on which every task fails.
     pub faulty_machines: BTreeSet<MachineId>,
-    /// Services whose replicas end by themselves, as other tasks do.
+    /// Services whose replicas complete after the run time, as tasks of other jobs do.
     pub ending_services: BTreeSet<JobId>,
-    /// Users ask all controllers within milliseconds after a job was accepted or is over, and repeat its
-    /// submission.
-    pub rapid_status_queries: bool,
-    /// Share of the jobs that are cancelled at the moment their last task ends.
+    /// Whether users query all controllers, and repeat the submission, within milliseconds after a job was accepted or
+    /// has ended.
+    pub has_rapid_status_queries: bool,
+    /// Share of the jobs that are cancelled when their last task completes, 0 to 1.
     pub cancel_at_completion: f64,
 }
 
 impl Faults {
-    /// Whether there is no fault that would excuse a job that waits.
-    pub(crate) fn none(&self) -> bool {
-        self.key_value.none()
-            && !self.cloud.down
-            && !self.cloud.no_spot
+    /// Returns whether no fault may delay a waiting job.
+    pub(crate) fn allow_progress(&self) -> bool {
+        self.key_value.allow_progress()
+            && !self.cloud.is_down
+            && !self.cloud.has_no_spot_capacity
             && self.heartbeats.slow_ms.is_empty()
             && self.cut_from_workers.is_empty()
             && self.cut_from_peers.is_empty()
             && self.partitioned_zone.is_none()
             && self.slow_links.is_none()
-            && self.held_until.is_empty()
-            && !self.hold_commands
+            && self.messages_held_until.is_empty()
+            && !self.are_commands_held
     }
 }
--- a/crates/worksshunt-simulation/src/fixtures.rs
+++ b/crates/worksshunt-simulation/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, catalogue and jobs of the scenarios.
+//! Settings, machine catalog and jobs for simulations.
 
 use serde_json::{json, Value};
 use worksshunt_wire::cloud::Catalog;
@@ -7,13 +7,13 @@
 
 use crate::MACHINE_CPUS;
 
-/// Settings of one of three controllers of a small deployment.
-pub fn settings(name: usize) -> Settings {
+/// Returns the settings of one of the three controllers of a small deployment.
+pub fn settings(controller: usize) -> Settings {
     let peer = |n: usize| json!({"host_name": format!("n{n}"), "site": "a", "endpoint": format!("10.0.0.{n}:1")});
-    let known: Vec<Value> = (0..3).filter(|n| *n != name).map(peer).collect();
+    let peers: Vec<Value> = (0..3).filter(|n| *n != controller).map(peer).collect();
     serde_json::from_value(json!({
-        "host_name": format!("n{name}"), "site": "a",
-        "client_listen": "10.0.0.9:1", "internal_addr": "10.0.0.9:2", "known": known,
+        "host_name": format!("n{controller}"), "site": "a",
+        "client_listen": "10.0.0.9:1", "internal_addr": "10.0.0.9:2", "known": peers,
         "services": {"cloud": "10.2.0.1:1", "state": "10.2.0.2:1"},
         "facts": {
             "teams": [
@@ -30,10 +30,10 @@
     .expect("settings")
 }
 
-/// Settings of one of three controllers of a deployment of so many machines. Teams and sockets grow with it;
-/// the limits of the key-value store and the cloud are those of the users' deployments of 1,200 machines.
-pub fn large_settings(name: usize, machines: usize) -> Settings {
-    let mut settings = settings(name);
+/// Returns the settings of one of the three controllers of a large deployment. Team quotas and the socket limit are
+/// proportional to the number of machines; the rate limits of the key-value store and the cloud do not depend on it.
+pub fn large_settings(controller: usize, machines: usize) -> Settings {
+    let mut settings = settings(controller);
     let cpus = machines as f64 * MACHINE_CPUS;
     for team in &mut settings.facts.teams {
         let share = if team.name.0 == "red" { 0.25 } else { 0.5 };
@@ -51,15 +51,16 @@
     settings
 }
 
-pub(crate) fn catalog(ready_s: f64) -> Catalog {
+/// Returns a catalog with one machine type that boots in `boot_s` seconds.
+pub(crate) fn catalog(boot_s: f64) -> Catalog {
     serde_json::from_value(json!({"Modelos": [
         {"Name": "m4", "Cores": 4, "Gpus": 0, "RamGb": 16, "Rate": 1.0, "LowPrice": 0.4,
-         "ReadyS": ready_s, "PullGbPerS": 1.0, "Patios": ["a", "b"]}
+         "ReadyS": boot_s, "PullGbPerS": 1.0, "Patios": ["a", "b"]}
     ]}))
     .expect("catalog")
 }
 
-/// A service of team blue with replicas of one processor.
+/// Returns a service of team blue whose replicas need one CPU each.
 pub fn service(id: u64, replicas: u32) -> Value {
     let mut job = job(id, replicas);
     job["Oficio"] = json!("standing");
@@ -69,7 +70,7 @@
     job
 }
 
-/// A job of team blue with tasks of one processor.
+/// Returns a job of team blue whose tasks need one CPU each and have an estimated run time of 10 s.
 pub fn job(id: u64, tasks: u32) -> Value {
     json!({"Ref": JobId(id), "Carril": "c", "Cuadrilla": "blue", "Oficio": "array",
         "Turno": "normal", "Piezas": tasks, "Cores": 1.0, "Gpus": 0.0, "RamGb": 1.0,
@@ -78,7 +79,7 @@
         "EntregaS": null})
 }
 
-/// A job of long tasks, for which enough machines for all of them are provisioned.
+/// Returns a job with an estimated run time of 60 s per task, long enough for machines to be provisioned for all tasks.
 pub fn long_job(id: u64, tasks: u32) -> Value {
     let mut job = job(id, tasks);
     job["CalculoS"] = json!(60.0);
--- a/crates/worksshunt-simulation/src/heartbeats.rs
+++ b/crates/worksshunt-simulation/src/heartbeats.rs
@@ -1,29 +1,28 @@
-//! Heartbeats on their way from workers to controllers, their copies, and the responses to them.
+//! Delivery of heartbeats and their duplicates to controllers, and of the responses to workers.
 
 use worksshunt_core::controller::Event;
 use worksshunt_core::job_api::HttpResponse;
 use worksshunt_wire::worker::{Heartbeat, HeartbeatResponse, Redirect};
 use worksshunt_wire::MachineId;
 
-use crate::events::{ControllerRun, SentHeartbeat, SimulationEvent};
+use crate::events::{ControllerInstance, SentHeartbeat, SimulationEvent};
 use crate::links::Link;
 use crate::network::PendingRequest;
 use crate::worker::Worker;
-use crate::{Cluster, CONTROLLERS, HEARTBEAT_TIMEOUT_MS, INSPECTION_INTERVAL_MS};
+use crate::{Cluster, CONTROLLER_COUNT, HEARTBEAT_TIMEOUT_MS, INSPECTION_INTERVAL_MS};
 
-/// When a worker whose leader has changed sends its next heartbeat, ms.
-const NEW_EPOCH_HEARTBEAT_MS: u64 = 500;
-/// How long a worker waits before it tries another controller, ms.
-const NEXT_CONTROLLER_WAIT_MS: u64 = 1_000;
+/// Delay of a worker's next heartbeat after it has seen a new epoch, ms.
+const NEW_EPOCH_HEARTBEAT_DELAY_MS: u64 = 500;
+/// Delay before a worker tries the next controller, ms.
+const NEXT_CONTROLLER_DELAY_MS: u64 = 1_000;
 
-/// HTTP status of a response to a heartbeat.
+/// HTTP status of a heartbeat response with commands.
 const STATUS_OK: u16 = 200;
-/// HTTP status of a response that names another controller to report to.
+/// HTTP status of a redirect to another controller.
 const STATUS_MISDIRECTED: u16 = 421;
 
 impl Cluster {
-    /// Puts a heartbeat on its way to the controller to which its worker reports, with the copies that the faults ask
-    /// for.
+    /// Sends a heartbeat to a controller, and schedules its duplicates according to the faults.
     pub(crate) fn send_heartbeat(&mut self, controller: usize, heartbeat: Heartbeat) {
         let now = self.now;
         let sent = SentHeartbeat {
@@ -35,7 +34,7 @@
         let slow_ms = self.faults.heartbeats.slow_ms.get(&sent.machine).copied();
         let deadline = SimulationEvent::HeartbeatDeadline(sent);
         self.schedule_at(now + HEARTBEAT_TIMEOUT_MS, deadline);
-        if self.faults.heartbeats.copies_for_next_leader {
+        if self.faults.heartbeats.is_copied_for_next_leader {
             self.copies_for_next_leader.push(heartbeat.clone());
         }
         for after_ms in self.faults.heartbeats.copies_after_ms.clone() {
@@ -50,9 +49,9 @@
         self.schedule_at(arrives_at, arrival);
     }
 
-    /// Schedules a copy of a heartbeat for each controller.
+    /// Schedules the delivery of a duplicate of a heartbeat to each controller.
     fn schedule_copies(&mut self, due_at: u64, heartbeat: &Heartbeat) {
-        for to in 0..CONTROLLERS {
+        for to in 0..CONTROLLER_COUNT {
             let heartbeat = heartbeat.clone();
             self.schedule_at(
                 due_at,
@@ -61,7 +60,7 @@
         }
     }
 
-    /// Once a new epoch has begun, the copies kept for its leader reach all controllers.
+    /// Delivers the copies for the next leader to all controllers once a new epoch has begun.
     pub(crate) fn deliver_copies_to_next_leader(&mut self) {
         let epoch = self.epoch();
         if epoch == self.copies_epoch {
@@ -69,7 +68,7 @@
         }
         self.copies_epoch = epoch;
         for heartbeat in std::mem::take(&mut self.copies_for_next_leader) {
-            for _ in 0..CONTROLLERS {
+            for _ in 0..CONTROLLER_COUNT {
                 self.record_effect("copy for the next leader");
             }
             self.schedule_copies(self.now, &heartbeat);
@@ -92,8 +91,8 @@
             sequence: heartbeat.sequence,
             sent_at,
         };
-        let is_reached = !self.faults.cut_from_workers.contains(&to);
-        let Some(receiver) = self.current_run(to).filter(|_| is_reached) else {
+        let is_reachable = !self.faults.cut_from_workers.contains(&to);
+        let Some(receiver) = self.current_instance(to).filter(|_| is_reachable) else {
             if self.awaits_response(&sent) {
                 self.try_next_controller(&sent.machine);
             }
@@ -102,9 +101,9 @@
         self.dispatch_heartbeat(receiver, &heartbeat, Some(PendingRequest::Heartbeat(sent)));
     }
 
-    /// A copy of a heartbeat reaches a controller. Nobody waits for the response.
+    /// Delivers a duplicate of a heartbeat, whose response is discarded.
     pub(crate) fn heartbeat_copy_arrives(&mut self, to: usize, heartbeat: &Heartbeat) {
-        if let Some(receiver) = self.current_run(to) {
+        if let Some(receiver) = self.current_instance(to) {
             self.record_effect("heartbeat copy");
             self.dispatch_heartbeat(receiver, heartbeat, None);
         }
@@ -112,7 +111,7 @@
 
     fn dispatch_heartbeat(
         &mut self,
-        to: ControllerRun,
+        to: ControllerInstance,
         heartbeat: &Heartbeat,
         pending: Option<PendingRequest>,
     ) {
@@ -130,9 +129,9 @@
         );
     }
 
-    /// The time of a worker's heartbeat is over. A worker that hangs notices when it goes on.
+    /// Handles the timeout of a worker's heartbeat. A worker that hangs handles it after it resumes.
     pub(crate) fn heartbeat_deadline(&mut self, sent: SentHeartbeat) {
-        let is_hung = self.workers.get(&sent.machine).map(|worker| worker.hung);
+        let is_hung = self.workers.get(&sent.machine).map(|worker| worker.is_hung);
         match is_hung.filter(|_| self.awaits_response(&sent)) {
             Some(true) => {
                 let check_at = self.now + INSPECTION_INTERVAL_MS;
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Whether a worker still waits for the response to that heartbeat.
+    /// Returns whether a worker still awaits the response to a heartbeat.
     fn awaits_response(&self, sent: &SentHeartbeat) -> bool {
         let awaits = |worker: &Worker| {
             worker.incarnation == sent.incarnation
@@ -155,9 +154,9 @@
     fn try_next_controller(&mut self, id: &MachineId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.controller = (worker.controller + 1) % CONTROLLERS;
+            worker.controller = (worker.controller + 1) % CONTROLLER_COUNT;
             worker.heartbeat_in_flight = None;
-            worker.next_heartbeat_at = now + NEXT_CONTROLLER_WAIT_MS;
+            worker.next_heartbeat_at = now + NEXT_CONTROLLER_DELAY_MS;
         }
     }
 
@@ -174,12 +173,12 @@
         if !self.awaits_response(sent) {
             return;
         }
-        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.hung) else {
+        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.is_hung) else {
             return;
         };
         worker.heartbeat_in_flight = None;
         if self.faults.unreachable_machines.contains(id) {
-            // The worker gives up on the lost response after a while.
+            // The worker sends its next heartbeat at the regular interval.
             self.record_effect("lost response");
             return;
         }
@@ -198,28 +197,28 @@
         }
     }
 
-    /// Delivers a heartbeat to a controller once more.
-    pub fn deliver_copy(&mut self, controller: usize, heartbeat: Heartbeat) {
+    /// Delivers a duplicate of a heartbeat to a controller.
+    pub fn deliver_heartbeat_copy(&mut self, controller: usize, heartbeat: Heartbeat) {
         let to = controller;
         let arrival = SimulationEvent::HeartbeatCopyArrives { to, heartbeat };
         self.schedule_at(self.now, arrival);
         self.run(10);
     }
 
-    /// A machine's heartbeat as it would be now.
+    /// Creates a machine's next heartbeat without sending it.
     ///
     /// # Panics
     ///
-    /// There is no such machine.
-    pub fn heartbeat_of(&mut self, id: &MachineId) -> Heartbeat {
+    /// The machine does not exist.
+    pub fn next_heartbeat_of(&mut self, id: &MachineId) -> Heartbeat {
         let worker = self.workers.get_mut(id).expect("a worker");
         worker.next_heartbeat(id)
     }
 
-    /// The heartbeats held back reach these controllers now. Returns how many there were.
+    /// Delivers the held-back heartbeats to the given controllers and returns their number.
     pub fn release_heartbeats(&mut self, controllers: &[usize]) -> usize {
-        let held = std::mem::take(&mut self.held_heartbeats);
-        for heartbeat in &held {
+        let held_heartbeats = std::mem::take(&mut self.held_heartbeats);
+        for heartbeat in &held_heartbeats {
             for to in controllers {
                 self.record_effect("held heartbeat");
                 let arrival = SimulationEvent::HeartbeatCopyArrives {
@@ -229,21 +228,21 @@
                 self.schedule_at(self.now, arrival);
             }
         }
-        held.len()
+        held_heartbeats.len()
     }
 }
 
 impl Worker {
-    /// Renews the lease and executes the commands, unless the response is of an earlier epoch.
+    /// Renews the lease and executes the commands, unless the fencing token is stale.
     fn accept_response(&mut self, now: u64, sent_at: u64, response: &HeartbeatResponse) {
         if response.fencing_token < self.fencing_token {
             return;
         }
         if response.fencing_token > self.fencing_token {
             self.fencing_token = response.fencing_token;
-            self.next_heartbeat_at = now + NEW_EPOCH_HEARTBEAT_MS;
+            self.next_heartbeat_at = now + NEW_EPOCH_HEARTBEAT_DELAY_MS;
         }
-        self.last_answered_at = self.last_answered_at.max(sent_at);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         for command in &response.commands {
             self.execute(command);
         }
--- a/crates/worksshunt-simulation/src/inspection.rs
+++ b/crates/worksshunt-simulation/src/inspection.rs
@@ -1,4 +1,4 @@
-//! What scenarios and the inspections look up in the cluster, and what scenarios write to its key-value store.
+//! Queries of the cluster's state, and direct writes to its key-value store.
 
 use std::collections::BTreeSet;
 
@@ -7,12 +7,12 @@
 use worksshunt_wire::worker::TaskState;
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
-use crate::job_audit::ObservedTask;
+use crate::task_snapshot::ObservedTask;
 use crate::worker::{Task, Worker};
 use crate::{Cluster, LEASE_MS};
 
 impl Cluster {
-    /// A key's value in the store.
+    /// Returns a key's value in the store.
     pub fn stored(&self, key: &str) -> Option<&Value> {
         self.key_value
             .store
@@ -21,7 +21,7 @@
             .map(|stored| &stored.value)
     }
 
-    /// Writes a value to the store, as another client would.
+    /// Writes a value to the store as an external client.
     pub fn put(&mut self, key: &str, value: Value) {
         let change = Change::Put {
             key: key.to_owned(),
@@ -35,7 +35,7 @@
         self.write_to_store(write);
     }
 
-    /// Removes a key from the store.
+    /// Deletes a key from the store as an external client.
     pub fn remove(&mut self, key: &str) {
         let key = key.to_owned();
         let write = CompareAndSwap {
@@ -45,45 +45,48 @@
         self.write_to_store(write);
     }
 
-    /// Writes a final state to the store, as of a job that ended long ago.
-    pub fn put_final(&mut self, id: u64) {
+    /// Stores the final state of a job that completed earlier.
+    pub fn put_final_state(&mut self, id: u64) {
         self.put(&format!("f/{}", JobId(id)), json!({ "state": "done" }));
     }
 
-    /// The epoch's number according to the store; 0 before the first.
+    /// Returns the epoch number according to the store; 0 before the first epoch.
     pub fn epoch(&self) -> u64 {
         self.stored("c/epoch")
             .and_then(|epoch| epoch["number"].as_u64())
             .unwrap_or(0)
     }
 
-    /// How many attempts were launched on a machine, whether or not the commands reached it.
+    /// Returns the number of attempts launched on a machine, whether or not the commands reached it.
     pub fn launches_on(&self, id: &MachineId) -> usize {
-        self.launched
+        self.launches_by_attempt
             .values()
             .filter(|launch| launch.machine == *id)
             .count()
     }
 
-    /// How many workers have been answered in this epoch or a later one.
-    pub fn answered_in(&self, epoch: u64) -> usize {
+    /// Returns the number of workers whose fencing token is of this epoch or a later one.
+    pub fn workers_with_epoch(&self, epoch: u64) -> usize {
         let workers = self.workers.values();
         workers
             .filter(|worker| worker.fencing_token.0 >= epoch)
             .count()
     }
 
-    /// How many requests with direct commands were sent to a machine.
+    /// Returns the number of direct command requests sent to a machine.
     pub fn commands_sent_count(&self, id: &MachineId) -> usize {
-        self.commands_sent_to.iter().filter(|to| *to == id).count()
+        self.commands_sent_to
+            .iter()
+            .filter(|sent_to| *sent_to == id)
+            .count()
     }
 
-    /// The store's revision.
+    /// Returns the store's revision.
     pub fn revision(&self) -> u64 {
         self.key_value.store.revision()
     }
 
-    /// The store's keys with a prefix.
+    /// Returns the store's keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let keys = self.key_value.store.keys.keys();
         keys.filter(|key| key.starts_with(prefix))
@@ -91,7 +94,7 @@
             .collect()
     }
 
-    /// Whether all tasks of the job have completed.
+    /// Returns whether all tasks of a job have completed.
     pub fn all_done(&self, id: u64, tasks: u32) -> bool {
         (0..tasks).all(|index| {
             let job = JobId(id);
@@ -99,62 +102,63 @@
         })
     }
 
-    /// Tasks on machines now.
+    /// Returns the running tasks, ordered by machine and attempt.
     pub fn running(&self) -> Vec<TaskId> {
-        self.on_machines().map(|(_, task)| task.task).collect()
+        self.running_tasks().map(|(_, task)| task.id).collect()
     }
 
-    /// How many tasks of a job are on machines now.
+    /// Returns the number of a job's tasks that are running.
     pub fn running_tasks_of(&self, id: u64) -> usize {
-        let tasks = self.on_machines().map(|(_, task)| task.task);
+        let tasks = self.running_tasks().map(|(_, task)| task.id);
         tasks.filter(|task| task.job == JobId(id)).count()
     }
 
-    /// Whether tasks are on a machine.
-    pub fn busy(&self, id: &MachineId) -> bool {
-        self.on_machines().any(|(machine, _)| machine == id)
+    /// Returns whether a machine has running tasks.
+    pub fn is_busy(&self, id: &MachineId) -> bool {
+        self.running_tasks().any(|(machine, _)| machine == id)
     }
 
-    /// The incarnation of a machine's worker; 0 if it is gone.
+    /// Returns the incarnation of a machine's worker; 0 if the machine does not exist.
     pub fn worker_incarnation(&self, id: &MachineId) -> u64 {
         self.workers.get(id).map_or(0, |worker| worker.incarnation)
     }
 
-    /// Whether a machine's worker waits for the response to a heartbeat.
+    /// Returns whether a machine's worker awaits the response to a heartbeat.
     pub fn awaits_heartbeat_response(&self, id: &MachineId) -> bool {
         self.workers
             .get(id)
             .is_some_and(|worker| worker.heartbeat_in_flight.is_some())
     }
 
-    /// Jobs with tasks on a machine.
+    /// Returns the jobs with running tasks on a machine.
     pub fn jobs_on(&self, id: &MachineId) -> BTreeSet<JobId> {
-        let here = self.on_machines().filter(|(machine, _)| *machine == id);
-        here.map(|(_, task)| task.task.job).collect()
+        let on_machine = self.running_tasks().filter(|(machine, _)| *machine == id);
+        on_machine.map(|(_, task)| task.id.job).collect()
     }
 
-    /// Tasks on machines; those of a worker whose lease has expired are dead, hung or not.
-    pub(crate) fn on_machines(&self) -> impl Iterator<Item = (&MachineId, &Task)> {
-        let leased = |worker: &Worker| self.now <= worker.last_answered_at + LEASE_MS;
+    /// Returns the running tasks with their machines. Excludes tasks of workers whose lease has expired: the worker
+    /// ends them before its next step.
+    pub(crate) fn running_tasks(&self) -> impl Iterator<Item = (&MachineId, &Task)> {
+        let has_lease = |worker: &Worker| self.now <= worker.lease_renewed_at + LEASE_MS;
         self.workers.iter().flat_map(move |(id, worker)| {
-            let tasks = worker.tasks.values().filter(move |_| leased(worker));
+            let tasks = worker.tasks.values().filter(move |_| has_lease(worker));
             tasks
                 .filter(|task| matches!(task.state, TaskState::Running | TaskState::Saving))
                 .map(move |task| (id, task))
         })
     }
 
-    /// What is on machines, as the invariants see it.
+    /// Returns the running tasks in the form in which the invariants check them.
     pub(crate) fn observed_tasks(&self) -> Vec<ObservedTask<'_>> {
         let observed = |(machine, task): (_, &Task)| {
             let worker: &Worker = &self.workers[machine];
             ObservedTask {
-                task: task.task,
+                task: task.id,
                 machine,
                 zone: &worker.zone,
-                spot: worker.spot,
+                is_spot: worker.is_spot,
             }
         };
-        self.on_machines().map(observed).collect()
+        self.running_tasks().map(observed).collect()
     }
 }
--- a/crates/worksshunt-simulation/src/invariants/mod.rs
+++ b/crates/worksshunt-simulation/src/invariants/mod.rs
@@ -1,7 +1,7 @@
-//! The protocol's rules, checked all the time: what runs where, and what users are told.
+//! The protocol's invariants on running tasks and on responses to users.
 //!
-//! The checker knows nothing of the controllers. The cluster reports requests and responses to it, and shows it the
-//! machines as they are, whether or not any controller can reach them. [`Cluster`](crate::Cluster) owns one.
+//! The checker is independent of the controllers' state. [`Cluster`](crate::Cluster) owns one, and passes it the users'
+//! requests and responses and the actual state of the machines, including those that no controller can reach.
 
 mod tasks;
 mod users;
@@ -13,80 +13,83 @@
 use worksshunt_wire::{JobId, TaskId};
 
 pub use tasks::{FreeCapacity, WaitingCheck};
-pub use users::JobQuery;
+pub use users::UserRequest;
 
-use users::{FinalState, ReportedEnd};
+use users::{FinalState, ReportedFinalState};
 
-/// How long a job may wait beside a machine with free capacity, ms.
+/// Maximum time that a job may wait despite free capacity, ms.
 pub const MAX_WAIT_MS: u64 = 90_000;
-/// How long queries about an accepted job may go unanswered once faults are over, ms.
-pub const MAX_SILENCE_MS: u64 = 75_000;
+/// Maximum time that queries about an accepted job may stay unanswered without faults, ms.
+pub const MAX_UNANSWERED_MS: u64 = 75_000;
 
-/// Since when a job waits beside a machine with free capacity.
+/// A period in which a job waits despite free capacity and none of its tasks starts.
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct WaitingPeriod {
+    /// Start of the period, ms.
     since: u64,
-    /// Starts of its tasks until then.
-    starts: usize,
+    /// Number of starts of the job's tasks before the period; it ends when this changes.
+    start_count: usize,
 }
 
-/// What is known of a job from what users sent and received, and from its tasks.
+/// A job's history according to users' requests and responses and to its tasks.
 #[derive(Debug, Default)]
 struct History {
     is_submitted: bool,
-    /// A user has asked for its cancellation.
-    is_withdrawn: bool,
-    /// Number of the first response that said it is accepted, or over.
-    known_since: Option<u64>,
-    /// How it ended, by the first response that said so.
-    ended: Option<ReportedEnd>,
-    waiting: Option<Waiting>,
+    /// Whether a user has requested its cancellation.
+    is_cancel_requested: bool,
+    /// Sequence number of the first response that reported the job as accepted or ended.
+    accepted_sequence: Option<u64>,
+    /// The final state according to the first response that reported one.
+    reported_final_state: Option<ReportedFinalState>,
+    waiting_period: Option<WaitingPeriod>,
 }
 
 impl History {
-    /// When a user was first told that the job is cancelled, ms.
+    /// Returns when a response first reported the job as cancelled, ms.
     fn cancelled_at(&self) -> Option<u64> {
-        let cancelled = self.ended.filter(|end| end.state == FinalState::Cancelled);
-        cancelled.map(|end| end.at)
+        let reported = self.reported_final_state;
+        let cancelled = reported.filter(|reported| reported.state == FinalState::Cancelled);
+        cancelled.map(|reported| reported.received_at)
     }
 }
 
-/// The checker of the protocol's rules.
+/// Checker of the protocol's invariants.
 #[derive(Debug, Default)]
 pub struct Invariants {
-    /// How long tasks of a cancelled job may stay on machines, ms.
-    cancel_ms: u64,
-    /// Processors that a team may use at most.
+    /// Time within which the tasks of a cancelled job have to end, ms.
+    cancel_timeout_ms: u64,
+    /// Maximum CPUs by team; teams without a limit are absent.
     team_limits: BTreeMap<String, f64>,
-    /// Jobs as first submitted.
+    /// Specs of all submitted jobs, according to the first submission of each.
     pub jobs: BTreeMap<JobId, JobSpec>,
     histories: BTreeMap<JobId, History>,
     completed: BTreeSet<TaskId>,
-    starts: BTreeMap<JobId, usize>,
-    /// Number of the last request or response; they are numbered in one order.
-    last_order: u64,
-    /// Violations of rules, each with what was seen.
+    /// Number of starts of tasks by job.
+    start_counts: BTreeMap<JobId, usize>,
+    /// Sequence number of the last request or response; both share one sequence.
+    last_sequence: u64,
+    /// Violations as `RULE: DETAILS`, each text once.
     pub violations: Vec<String>,
-    /// Starts of tasks after their user was told that the job is cancelled.
+    /// Number of starts of tasks after a response had reported their job as cancelled.
     pub starts_after_cancel: usize,
-    /// Responses that named a job's state.
-    pub answers: usize,
+    /// Number of responses that reported a job's state or that it does not exist.
+    pub state_responses: usize,
 }
 
 impl Invariants {
-    /// Takes the limits to check from these settings.
+    /// Sets the team limits and the cancellation timeout from a controller's settings.
     pub fn set_limits(&mut self, settings: &Settings) {
         let facts = &settings.facts;
-        self.cancel_ms = (facts.workers.cancel_s * 1_000.0) as u64;
-        // 0 means none.
+        self.cancel_timeout_ms = (facts.workers.cancel_s * 1_000.0) as u64;
+        // A maximum of 0 means no limit.
         let limited = facts.teams.iter().filter(|team| team.max_cpus > 0.0);
         let limit = |team: &Team| (team.name.0.clone(), team.max_cpus);
         self.team_limits = limited.map(limit).collect();
     }
 
-    /// Notes that a rule was violated, once for each text.
-    pub fn record_violation(&mut self, rule: &str, what: &str) {
-        let text = format!("{rule}: {what}");
+    /// Records a violation of a rule, unless the same text is recorded already.
+    pub fn record_violation(&mut self, rule: &str, details: &str) {
+        let text = format!("{rule}: {details}");
         if !self.violations.contains(&text) {
             self.violations.push(text);
         }
@@ -96,26 +99,28 @@
         self.histories.entry(id).or_default()
     }
 
-    /// Jobs that were accepted, and are not over by what users know.
+    /// Returns the jobs that were reported as accepted and not as ended.
     pub fn open_jobs(&self) -> Vec<JobId> {
-        let is_open = |history: &History| history.known_since.is_some() && history.ended.is_none();
+        let is_open = |history: &History| {
+            history.accepted_sequence.is_some() && history.reported_final_state.is_none()
+        };
         self.jobs_where(is_open)
     }
 
-    /// All jobs that were accepted.
+    /// Returns all jobs that were reported as accepted, ended ones included.
     pub fn accepted_jobs(&self) -> Vec<JobId> {
-        self.jobs_where(|history| history.known_since.is_some())
+        self.jobs_where(|history| history.accepted_sequence.is_some())
     }
 
-    fn jobs_where(&self, holds: impl Fn(&History) -> bool) -> Vec<JobId> {
+    fn jobs_where(&self, predicate: impl Fn(&History) -> bool) -> Vec<JobId> {
         let histories = self.histories.iter();
         histories
-            .filter(|(_, history)| holds(history))
+            .filter(|(_, history)| predicate(history))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Whether any user was told that a job is cancelled.
+    /// Returns whether any response reported a job as cancelled.
     pub fn any_cancelled(&self) -> bool {
         let mut histories = self.histories.values();
         histories.any(|history| history.cancelled_at().is_some())
--- a/crates/worksshunt-simulation/src/invariants/tasks.rs
+++ b/crates/worksshunt-simulation/src/invariants/tasks.rs
@@ -1,51 +1,51 @@
-//! Rules about tasks on machines: where they start, team limits, cancelled jobs and jobs that wait for no reason.
+//! Invariants on running tasks: placement, team limits, cancelled jobs, and jobs that wait despite free capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use worksshunt_wire::user::JobSpec;
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
-use super::{Invariants, Waiting, MAX_WAIT_MS};
-use crate::job_audit::{AuditedTask, JobAudit, ObservedTask};
+use super::{Invariants, WaitingPeriod, MAX_WAIT_MS};
+use crate::task_snapshot::{ObservedTask, SnapshotTask, TaskSnapshot};
 
-/// Free capacity of a machine that could take a task.
+/// Free capacity of a machine.
 #[derive(Debug)]
 pub struct FreeCapacity<'a> {
     /// The machine's zone.
     pub zone: &'a str,
-    /// Whether it is a spot machine.
-    pub spot: bool,
-    /// Free processors.
+    /// Whether the machine is a spot instance.
+    pub is_spot: bool,
+    /// Free CPUs.
     pub cpus: f64,
 }
 
-/// The input of a check for waiting jobs.
+/// Input of the check for waiting jobs.
 #[derive(Debug)]
 pub struct WaitingCheck<'a> {
     /// The time of the check, ms.
     pub now: u64,
-    /// Whether there is no fault that would excuse a job that waits.
-    pub is_undisturbed: bool,
-    /// What is on machines.
-    pub audit: &'a JobAudit,
-    /// Free capacity of machines that no fault concerns.
+    /// Whether no fault in effect may delay a waiting job.
+    pub is_progress_expected: bool,
+    /// The running tasks.
+    pub snapshot: &'a TaskSnapshot,
+    /// Free capacity of the machines without faults.
     pub free_capacity: &'a [FreeCapacity<'a>],
-    /// Jobs whose tasks the scenario lets fail.
+    /// Jobs whose tasks fail because of an injected fault.
     pub failing_jobs: &'a BTreeSet<JobId>,
 }
 
 impl Invariants {
-    /// A task has completed.
-    pub fn completed(&mut self, task: TaskId) {
+    /// Records the completion of a task.
+    pub fn record_completion(&mut self, task: TaskId) {
         self.completed.insert(task);
     }
 
-    /// Whether a task has completed.
+    /// Returns whether a task has completed.
     pub fn has_completed(&self, task: TaskId) -> bool {
         self.completed.contains(&task)
     }
 
-    /// Whether all tasks of the job have completed.
+    /// Returns whether the job was submitted and all its tasks have completed.
     pub fn all_done(&self, id: JobId) -> bool {
         let Some(spec) = self.jobs.get(&id) else {
             return false;
@@ -57,12 +57,18 @@
         self.histories.get(&id)?.cancelled_at()
     }
 
-    /// A task starts; `audit` is all that is on machines, itself included.
-    pub fn task_started(&mut self, now: u64, task: TaskId, machine: &MachineId, audit: &JobAudit) {
-        *self.starts.entry(task.job).or_default() += 1;
-        let on_machines = audit.of_job(task.job);
-        let runs_elsewhere = |other: &AuditedTask| other.machine != *machine && other.task == task;
-        if on_machines.iter().any(runs_elsewhere) {
+    /// Records the start of a task and checks its placement and the team limits. The snapshot includes the task.
+    pub fn record_task_start(
+        &mut self,
+        now: u64,
+        task: TaskId,
+        machine: &MachineId,
+        snapshot: &TaskSnapshot,
+    ) {
+        *self.start_counts.entry(task.job).or_default() += 1;
+        let running_tasks = snapshot.tasks_of(task.job);
+        let runs_elsewhere = |other: &SnapshotTask| other.machine != *machine && other.task == task;
+        if running_tasks.iter().any(runs_elsewhere) {
             self.record_violation("ran_twice", &format!("{task}"));
         }
         let Some(spec) = self.jobs.get(&task.job).cloned() else {
@@ -72,132 +78,149 @@
         if self.cancelled_at(task.job).is_some_and(|at| now > at) {
             self.starts_after_cancel += 1;
         }
-        self.check_place(task, machine, &spec, on_machines);
-        self.check_team_limits(now, audit);
+        self.check_placement(task, machine, &spec, running_tasks);
+        self.check_team_limits(now, snapshot);
     }
 
-    /// Checks the zones of a job's tasks, and the zone and the kind of the machine on which one has started.
-    fn check_place(
+    /// Checks the zones of a job's running tasks, and the zone and the kind of the machine on which one has started.
+    fn check_placement(
         &mut self,
         task: TaskId,
         machine: &MachineId,
         spec: &JobSpec,
-        on_machines: &[AuditedTask],
+        running_tasks: &[SnapshotTask],
     ) {
-        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for other in on_machines {
-            *zones.entry(&other.zone).or_default() += 1;
+        let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+        for other in running_tasks {
+            *tasks_by_zone.entry(&other.zone).or_default() += 1;
             let is_wrong_zone = spec.zone.as_ref().is_some_and(|zone| *zone != other.zone);
-            if other.machine == *machine && (is_wrong_zone || (other.spot && !spec.allows_spot)) {
+            if other.machine == *machine && (is_wrong_zone || (other.is_spot && !spec.allows_spot))
+            {
                 self.record_violation("wrong_place", &format!("{task}"));
             }
         }
         let max_per_zone = spec.task_count.div_ceil(2);
-        let is_crowded =
-            spec.needs_zone_spread && zones.values().any(|tasks| *tasks > max_per_zone);
-        if is_crowded || (spec.needs_single_zone && zones.len() > 1) {
-            self.record_violation("wrong_place", &format!("{task}: zones {zones:?}"));
+        let exceeds_zone_limit =
+            spec.needs_zone_spread && tasks_by_zone.values().any(|tasks| *tasks > max_per_zone);
+        if exceeds_zone_limit || (spec.needs_single_zone && tasks_by_zone.len() > 1) {
+            self.record_violation("wrong_place", &format!("{task}: zones {tasks_by_zone:?}"));
         }
     }
 
-    fn check_team_limits(&mut self, now: u64, audit: &JobAudit) {
-        for (team, used) in self.used_cpus(audit) {
+    fn check_team_limits(&mut self, now: u64, snapshot: &TaskSnapshot) {
+        for (team, used_cpus) in self.used_cpus(snapshot) {
             let limit = self.team_limits.get(&team);
-            if limit.is_some_and(|limit| used > *limit) {
-                self.record_violation("quota", &format!("{team} uses {used} at {now}"));
+            if limit.is_some_and(|limit| used_cpus > *limit) {
+                self.record_violation(
+                    "quota",
+                    &format!("{team} uses {used_cpus} CPUs at {now} ms"),
+                );
             }
         }
     }
 
-    /// Processors that each team uses.
-    fn used_cpus(&self, audit: &JobAudit) -> BTreeMap<String, f64> {
-        let mut used: BTreeMap<String, f64> = BTreeMap::new();
-        for (job, tasks) in audit.jobs() {
+    /// Returns the CPUs used by each team.
+    fn used_cpus(&self, snapshot: &TaskSnapshot) -> BTreeMap<String, f64> {
+        let mut used_cpus: BTreeMap<String, f64> = BTreeMap::new();
+        for (job, tasks) in snapshot.task_counts() {
             if let Some(spec) = self.jobs.get(job) {
-                *used.entry(spec.team.0.clone()).or_default() += spec.cpus * tasks as f64;
+                *used_cpus.entry(spec.team.0.clone()).or_default() += spec.cpus * tasks as f64;
             }
         }
-        used
+        used_cpus
     }
 
-    /// Checks that no task of a cancelled job is on a machine once the time for its end is over.
-    pub fn check_cancelled(&mut self, now: u64, on_machines: &[ObservedTask]) {
-        for on_machine in on_machines {
-            let task = on_machine.task;
+    /// Checks that the tasks of cancelled jobs have ended within the cancellation timeout.
+    pub fn check_cancelled(&mut self, now: u64, running_tasks: &[ObservedTask]) {
+        for running_task in running_tasks {
+            let task = running_task.task;
             let Some(cancelled_at) = self.cancelled_at(task.job) else {
                 continue;
             };
-            if now > cancelled_at + self.cancel_ms {
+            if now > cancelled_at + self.cancel_timeout_ms {
                 let after_ms = now - cancelled_at;
-                let text = format!("{task} is on a machine {after_ms} ms after");
+                let text = format!("{task} still runs {after_ms} ms after its cancellation");
                 self.record_violation("ran_cancelled", &text);
             }
         }
     }
 
-    /// Checks that no job waits for long beside a machine with free capacity while nothing excuses it.
+    /// Checks that no job waits for longer than [`MAX_WAIT_MS`] despite free capacity while progress is expected.
     pub fn check_waiting(&mut self, check: &WaitingCheck) {
-        let used_cpus = self.used_cpus(check.audit);
-        let mut too_long = Vec::new();
+        let used_cpus = self.used_cpus(check.snapshot);
+        let mut overdue_jobs = Vec::new();
         for id in self.open_jobs() {
             let Some(spec) = self.jobs.get(&id) else {
                 continue;
             };
             let team_cpus = used_cpus.get(&spec.team.0).copied().unwrap_or_default();
-            let is_stuck = check.is_undisturbed
-                && self.has_waiting_task(id, spec, check.audit)
+            let waits_despite_capacity = check.is_progress_expected
+                && self.has_waiting_task(id, spec, check.snapshot)
                 && self.is_within_limit(spec, team_cpus)
                 && fits(spec, check.free_capacity)
-                && self.has_to_progress(id, spec, check.failing_jobs);
-            if self.waits_since(id, is_stuck, check.now) + MAX_WAIT_MS <= check.now {
-                too_long.push(id);
+                && self.must_start_where_it_fits(id, spec, check.failing_jobs);
+            let waiting_since = self.update_waiting_period(id, waits_despite_capacity, check.now);
+            if waiting_since + MAX_WAIT_MS <= check.now {
+                overdue_jobs.push(id);
             }
         }
-        for id in too_long {
-            let text = format!("{id} beside a machine with room");
+        for id in overdue_jobs {
+            let text = format!("{id} waits despite free capacity");
             self.record_violation("waits", &text);
         }
     }
 
-    fn has_waiting_task(&self, id: JobId, spec: &JobSpec, audit: &JobAudit) -> bool {
-        let on_machines = audit.of_job(id).iter();
-        let on_machines: BTreeSet<u32> = on_machines.map(|on| on.task.index).collect();
+    fn has_waiting_task(&self, id: JobId, spec: &JobSpec, snapshot: &TaskSnapshot) -> bool {
+        let running_tasks = snapshot.tasks_of(id).iter();
+        let running_indexes: BTreeSet<u32> =
+            running_tasks.map(|running| running.task.index).collect();
         (0..spec.task_count).any(|index| {
-            !on_machines.contains(&index) && !self.has_completed(TaskId { job: id, index })
+            !running_indexes.contains(&index) && !self.has_completed(TaskId { job: id, index })
         })
     }
 
-    /// Whether the limit of the job's team allows one more task.
+    /// Returns whether the limit of the job's team allows one more task.
     fn is_within_limit(&self, spec: &JobSpec, team_cpus: f64) -> bool {
         let limit = self.team_limits.get(&spec.team.0);
         limit.is_none_or(|limit| team_cpus + spec.cpus <= *limit)
     }
 
-    /// Whether the job's tasks have to start wherever they fit: their zones are free, no user has cancelled them and
-    /// the scenario does not let them fail.
-    fn has_to_progress(&self, id: JobId, spec: &JobSpec, failing_jobs: &BTreeSet<JobId>) -> bool {
-        let zones_matter = spec.needs_single_zone || spec.needs_zone_spread;
+    /// Returns whether the job's tasks have to start on any machine with enough free capacity: the job has no
+    /// constraint on zones that depends on other tasks, no user has cancelled it, and no injected fault lets its tasks
+    /// fail.
+    fn must_start_where_it_fits(
+        &self,
+        id: JobId,
+        spec: &JobSpec,
+        failing_jobs: &BTreeSet<JobId>,
+    ) -> bool {
+        let has_zone_constraint = spec.needs_single_zone || spec.needs_zone_spread;
         let history = self.histories.get(&id);
-        let is_withdrawn = history.is_some_and(|history| history.is_withdrawn);
-        !zones_matter && !is_withdrawn && !failing_jobs.contains(&id)
+        let is_cancel_requested = history.is_some_and(|history| history.is_cancel_requested);
+        !has_zone_constraint && !is_cancel_requested && !failing_jobs.contains(&id)
     }
 
-    /// Since when a job waits beside free capacity without a start of its tasks; now, if it does not.
-    fn waits_since(&mut self, id: JobId, is_stuck: bool, now: u64) -> u64 {
-        let starts = self.starts.get(&id).copied().unwrap_or_default();
+    /// Updates a job's waiting period, which ends when a task starts. Returns its start; `now` if there is none.
+    fn update_waiting_period(&mut self, id: JobId, waits_despite_capacity: bool, now: u64) -> u64 {
+        let start_count = self.start_counts.get(&id).copied().unwrap_or_default();
         let history = self.history(id);
-        let unchanged = history.waiting.filter(|waiting| waiting.starts == starts);
-        let waiting = unchanged.unwrap_or(Waiting { since: now, starts });
-        history.waiting = is_stuck.then_some(waiting);
-        history.waiting.map_or(now, |waiting| waiting.since)
+        let continued = history
+            .waiting_period
+            .filter(|period| period.start_count == start_count);
+        let period = continued.unwrap_or(WaitingPeriod {
+            since: now,
+            start_count,
+        });
+        history.waiting_period = waits_despite_capacity.then_some(period);
+        history.waiting_period.map_or(now, |period| period.since)
     }
 }
 
-/// Whether a task of the job fits any free capacity.
+/// Returns whether a task of the job fits on any of the machines.
 fn fits(spec: &JobSpec, free_capacity: &[FreeCapacity]) -> bool {
     free_capacity.iter().any(|free| {
         free.cpus >= spec.cpus
-            && (spec.allows_spot || !free.spot)
+            && (spec.allows_spot || !free.is_spot)
             && spec.zone.as_ref().is_none_or(|zone| zone == free.zone)
     })
 }
--- a/crates/worksshunt-simulation/src/key_value_store.rs
+++ b/crates/worksshunt-simulation/src/key_value_store.rs
@@ -1,7 +1,7 @@
-//! What the key-value store holds: keys, leases and the log of changes that watches read.
+//! An in-memory key-value store: keys, leases and the change log that watches read.
 //!
-//! A [`Store`] only applies requests. How the cluster's network and faults treat them is in `key_value_service.rs`;
-//! the loopback measurements serve a store over HTTP.
+//! A [`Store`] only applies requests. `key_value_service.rs` adds the simulated network and faults; the loopback
+//! measurements serve a store over HTTP.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 };
 use worksshunt_wire::Revision;
 
-/// A key's value, the revision that wrote it, and the lease with which it ends.
+/// A key's value and the revision that wrote it. The key is deleted when its lease, if it has one, expires.
 #[derive(Debug, Clone)]
 pub(crate) struct StoredValue {
     pub(crate) value: Value,
@@ -22,7 +22,7 @@
 }
 
 impl StoredValue {
-    fn with_key(&self, key: &str) -> KeyValue {
+    fn to_key_value(&self, key: &str) -> KeyValue {
         KeyValue {
             key: key.to_owned(),
             value: self.value.clone(),
@@ -31,27 +31,27 @@
     }
 }
 
-/// A change, as watches see it.
+/// A change in the form in which watches return it.
 #[derive(Debug, Clone)]
 struct LoggedChange {
     revision: u64,
     event: WatchEvent,
 }
 
-/// What the key-value store holds.
+/// An in-memory key-value store with compare-and-swap, leases and watches.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
     pub(crate) keys: BTreeMap<String, StoredValue>,
     revision: u64,
-    /// All changes, in the order of their revisions.
-    log: Vec<LoggedChange>,
-    /// When each lease expires, ms.
+    /// All changes, ordered by revision.
+    change_log: Vec<LoggedChange>,
+    /// Expiry time of each lease, ms.
     leases: BTreeMap<u64, u64>,
     last_lease: u64,
 }
 
 impl Store {
-    /// Removes the leases that have expired, and their keys.
+    /// Removes expired leases and deletes their keys.
     fn expire_leases(&mut self, now: u64) {
         let leases = self.leases.iter();
         let expired: Vec<u64> = leases
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Gives every lease its full time again, as after an outage.
+    /// Renews every lease, as after an outage of the store.
     pub(crate) fn renew_all_leases(&mut self, now: u64) {
         for expires_at in self.leases.values_mut() {
             *expires_at = now + MEMBER_LEASE_TTL_MS;
@@ -90,7 +90,7 @@
 
     fn log_change(&mut self, event: WatchEvent) {
         let revision = self.revision;
-        self.log.push(LoggedChange { revision, event });
+        self.change_log.push(LoggedChange { revision, event });
     }
 
     fn put(&mut self, key: &str, value: &Value, lease: Option<u64>) {
@@ -108,7 +108,7 @@
         });
     }
 
-    /// The revision that wrote a key; 0 if there is no such key.
+    /// Returns the revision that wrote a key; 0 if the key does not exist.
     fn key_revision(&self, key: &str) -> Revision {
         self.keys
             .get(key)
@@ -121,8 +121,8 @@
             .filter(|expected| self.key_revision(&expected.key) != expected.version)
             .map(|expected| expected.key.clone())
             .collect();
-        let has_no_lease = |change: &Change| matches!(change, Change::Put { lease_id: Some(lease), .. } if !self.leases.contains_key(lease));
-        if write.changes.iter().any(has_no_lease) {
+        let has_unknown_lease = |change: &Change| matches!(change, Change::Put { lease_id: Some(lease), .. } if !self.leases.contains_key(lease));
+        if write.changes.iter().any(has_unknown_lease) {
             return KvResponse::NoSuchLease;
         }
         if !conflicts.is_empty() {
@@ -142,27 +142,27 @@
         KvResponse::Committed(Revision(self.revision))
     }
 
-    /// Changes of keys with a prefix after a revision.
+    /// Returns the changes of keys with a prefix since a revision, which is excluded.
     pub(crate) fn changes(&self, prefix: &str, since: Revision) -> WatchResponse {
         let has_prefix = |event: &WatchEvent| match event {
             WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key.starts_with(prefix),
         };
         let first = self
-            .log
+            .change_log
             .partition_point(|change| change.revision <= since.0);
-        let events = self.log[first..].iter().map(|change| &change.event);
+        let events = self.change_log[first..].iter().map(|change| &change.event);
         WatchResponse {
             revision: Revision(self.revision),
             events: events.filter(|event| has_prefix(event)).cloned().collect(),
         }
     }
 
-    /// The revision of the last change.
+    /// Returns the revision of the last change; 0 if there was none.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Carries out a request at a time, ms. A watch is answered at once.
+    /// Applies a request at a time, ms. A watch returns immediately, also without changes.
     pub fn apply(&mut self, now: u64, request: &KvRequest) -> KvResponse {
         self.expire_leases(now);
         match request {
@@ -196,7 +196,7 @@
 
     fn get(&self, key: &str) -> KvResponse {
         match self.keys.get(key) {
-            Some(stored) => KvResponse::Found(stored.with_key(key)),
+            Some(stored) => KvResponse::Found(stored.to_key_value(key)),
             None => KvResponse::Missing,
         }
     }
@@ -206,7 +206,7 @@
         Listing {
             pairs: keys
                 .filter(|(key, _)| key.starts_with(prefix))
-                .map(|(key, stored)| stored.with_key(key))
+                .map(|(key, stored)| stored.to_key_value(key))
                 .collect(),
             has_more: false,
             revision: Revision(self.revision),
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -1,8 +1,8 @@
 //! An in-memory deployment on virtual time: key-value store, cloud, workers, network and controllers.
 //!
-//! Scenarios, random days and measurements create a [`Cluster`], set and clear its [`Faults`], which combine in any
-//! way, and let time pass. The cluster checks the [`invariants`] all the time. A run is deterministic: all random
-//! numbers come from the cluster's seed.
+//! Scenarios, random runs and measurements create a [`Cluster`], inject and clear [`Faults`] in any combination, and
+//! advance the virtual clock. The cluster checks the [`invariants`] throughout. A run is deterministic: all random
+//! numbers come from seeded generators.
 
 mod cloud;
 mod commands;
@@ -15,14 +15,14 @@
 mod heartbeats;
 mod inspection;
 pub mod invariants;
-mod job_audit;
 mod key_value_service;
 mod key_value_store;
 mod links;
 mod network;
 mod peers;
-pub mod random_day;
+pub mod random_run;
 mod resource_usage;
+mod task_snapshot;
 mod users;
 mod verdict;
 mod worker;
@@ -36,11 +36,11 @@
 use worksshunt_wire::worker::Heartbeat;
 use worksshunt_wire::{Attempt, MachineId};
 
-pub use digest::{DayDigest, TrafficDigest};
+pub use digest::{RunDigest, TrafficDigest};
 pub use failure::Failure;
 pub use faults::{
-    CloudFaults, DelayRange, Faults, HeartbeatFaults, KeyValueFaults, KeyValueLimits, LateWrites,
-    ZonePartition,
+    CloudFaults, DelayRange, DelayedWrites, Faults, HeartbeatFaults, KeyValueFaults,
+    KeyValueLimits, ZonePartition,
 };
 pub use fixtures::{job, large_settings, long_job, service, settings};
 pub use key_value_service::KeyValueRates;
@@ -54,95 +54,95 @@
 use controllers::Controllers;
 use events::{EventQueue, SimulationEvent};
 use invariants::Invariants;
-use job_audit::JobAudit;
 use key_value_service::KeyValueService;
 use network::PendingRequests;
+use task_snapshot::TaskSnapshot;
 use users::Users;
 use workers::Launch;
 
-/// Controllers of a cluster.
-const CONTROLLERS: usize = 3;
-/// Workers' lease, ms; as in the settings of the scenarios.
+/// Number of controllers in a cluster.
+const CONTROLLER_COUNT: usize = 3;
+/// Duration of a worker's lease, ms; equals `lease_s` of [`settings`].
 const LEASE_MS: u64 = 16_000;
-/// Interval of heartbeats, ms.
+/// Interval between a worker's heartbeats, ms; equals `report_s` of [`settings`].
 const HEARTBEAT_INTERVAL_MS: u64 = 2_500;
-/// How long a worker waits for the response to a heartbeat, ms.
+/// Timeout of a worker's heartbeat, ms.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
-/// Processors of a machine.
+/// CPUs of a machine; equals the catalog's offer.
 const MACHINE_CPUS: f64 = 4.0;
-/// Interval at which the cluster inspects itself, ms.
+/// Interval between inspections of the whole cluster, ms.
 const INSPECTION_INTERVAL_MS: u64 = 100;
 
-/// A deployment on virtual time.
+/// A simulated deployment with its virtual clock and fault injection.
 pub struct Cluster {
-    /// Milliseconds since its start.
+    /// The virtual clock, ms since the cluster was created.
     pub now: u64,
     event_queue: EventQueue,
     rng: fastrand::Rng,
 
-    /// Settings of its controllers.
+    /// Settings by controller index.
     pub settings: Vec<Settings>,
     controllers: Controllers,
     pending_requests: PendingRequests,
     users: Users,
     key_value: KeyValueService,
     cloud: CloudRecords,
-    /// Machines provisioned, booted or not.
+    /// Machines that exist, booting ones included.
     pub workers: BTreeMap<MachineId, Worker>,
 
-    /// Rates of the key-value store; none: unlimited.
+    /// Rate limits of the key-value store; `None` if unlimited.
     pub key_value_rates: Option<KeyValueRates>,
-    /// Rate of the cloud, calls a second; none: unlimited.
+    /// Rate limit of the cloud in calls per second; `None` if unlimited.
     pub cloud_rate: Option<TokenBucket>,
-    /// Machines boot at multiples of so many ms, so that thousands of workers act at few moments.
-    pub worker_step_ms: u64,
-    /// Machines that the cloud has.
+    /// Boot times are rounded up to a multiple of this, ms: fewer distinct event times make large clusters faster.
+    pub boot_granularity_ms: u64,
+    /// Maximum number of machines that the cloud provisions.
     pub capacity: usize,
-    /// How long a task runs, ms.
+    /// Run time of the first task of each group of eight, ms; see [`Cluster::run_spread_ms`].
     pub task_run_ms: u64,
-    /// How much longer each task runs than the one before it, in groups of eight, ms.
+    /// Additional run time per task index within a group of eight, ms.
     pub run_spread_ms: u64,
-    /// The boot time in the catalogue, seconds. Machines take five.
+    /// Boot time according to the catalog, seconds; the actual one is [`Cluster::boot_ms`].
     pub nominal_boot_s: f64,
-    /// One way over the network, ms.
+    /// One-way network delay, ms.
     pub link_delay_ms: u64,
-    /// The most that a message takes longer, drawn for each, ms.
+    /// Maximum additional delay, drawn for each message, ms.
     pub jitter_ms: u64,
-    /// How long machines take to boot, ms.
+    /// Actual boot time of a machine, ms.
     pub boot_ms: u64,
-    /// How long a new machine is missing from the list, ms.
+    /// Delay until a new machine appears in the cloud's machine list, ms.
     pub list_lag_ms: u64,
 
-    /// How it departs from a quiet day.
+    /// Faults in effect.
     pub faults: Faults,
-    /// How often each fault took effect, by its name.
+    /// How often each fault took effect, by effect name.
     pub fault_effects: BTreeMap<&'static str, usize>,
     /// Direct commands held back until released.
     held_commands: Vec<DirectCommands>,
     /// Heartbeats held back until released.
     held_heartbeats: Vec<Heartbeat>,
-    /// Copies of heartbeats kept for the next leader.
+    /// Heartbeat copies to deliver when the next epoch begins.
     copies_for_next_leader: Vec<Heartbeat>,
-    /// The epoch in which they are kept.
+    /// The epoch in which these copies were collected.
     copies_epoch: u64,
 
-    /// The checker of the protocol's rules.
+    /// Checker of the protocol's invariants.
     pub invariants: Invariants,
-    /// What is on machines, as of the starts at this moment.
-    job_audit: Option<JobAudit>,
-    /// Counts of the traffic between its members.
+    /// Cached snapshot of the running tasks, valid for the time at which it was taken.
+    task_snapshot: Option<TaskSnapshot>,
+    /// Traffic counts and event handling times.
     pub usage: ResourceUsage,
-    /// Transactions that the key-value store found too large.
-    pub too_large: usize,
-    /// Every start of a task.
+    /// Number of transactions that the key-value store rejected as too large.
+    pub too_large_writes: usize,
+    /// Starts of tasks, in order of time.
     pub task_starts: Vec<TaskStart>,
-    /// Machines returned to the cloud.
+    /// Machines that controllers released, in order of time.
     pub released_machines: Vec<MachineId>,
-    /// Every attempt launched.
-    launched: BTreeMap<Attempt, Launch>,
-    /// The receiver of each direct command request.
+    /// Launch commands sent, by attempt.
+    launches_by_attempt: BTreeMap<Attempt, Launch>,
+    /// Target machine of each direct command request, in order of arrival.
     commands_sent_to: Vec<MachineId>,
-    /// A digest of all messages that controllers send and receive, if it is wanted.
+    /// Digest of all messages that controllers send and receive; `None` if not requested.
     pub digest: Option<TrafficDigest>,
 }
 
@@ -153,15 +153,16 @@
 }
 
 impl Cluster {
-    /// Three controllers with the settings of the scenarios and nothing else yet.
+    /// Creates a cluster of three controllers with [`settings`] and no machines.
     pub fn new() -> Cluster {
         Cluster::with_settings(settings)
     }
 
-    /// Three controllers with these settings and nothing else yet.
+    /// Creates a cluster of three controllers, with settings by controller index, and no machines.
     pub fn with_settings(settings: impl Fn(usize) -> Settings) -> Cluster {
-        let mut cluster = Cluster::without_controllers((0..CONTROLLERS).map(settings).collect());
-        for controller in 0..CONTROLLERS {
+        let mut cluster =
+            Cluster::without_controllers((0..CONTROLLER_COUNT).map(settings).collect());
+        for controller in 0..CONTROLLER_COUNT {
             cluster.start(controller);
         }
         cluster.schedule_at(0, SimulationEvent::Inspect);
@@ -182,7 +183,7 @@
             workers: BTreeMap::new(),
             key_value_rates: None,
             cloud_rate: None,
-            worker_step_ms: 1,
+            boot_granularity_ms: 1,
             capacity: 10,
             task_run_ms: 8_000,
             run_spread_ms: 0,
@@ -198,32 +199,32 @@
             copies_for_next_leader: Vec::new(),
             copies_epoch: 0,
             invariants: Invariants::default(),
-            job_audit: None,
+            task_snapshot: None,
             usage: ResourceUsage::default(),
-            too_large: 0,
+            too_large_writes: 0,
             task_starts: Vec::new(),
             released_machines: Vec::new(),
-            launched: BTreeMap::new(),
+            launches_by_attempt: BTreeMap::new(),
             commands_sent_to: Vec::new(),
             digest: None,
         }
     }
 
-    /// A deployment of so many machines with the rates of the key-value store and the cloud that its settings
-    /// name. Machines boot in 20 s and tasks run for as long.
+    /// Creates a cluster with a capacity of `machines` that enforces the rate limits of [`large_settings`]. Machines
+    /// boot within 20 s and tasks run for 20 s.
     pub fn large(machines: usize) -> Cluster {
-        let mut cluster = Cluster::with_settings(|name| large_settings(name, machines));
+        let mut cluster = Cluster::with_settings(|controller| large_settings(controller, machines));
         let facts = &cluster.settings[0].facts;
-        let bucket = |rate: f64| TokenBucket::new(rate, rate);
+        let one_second_bucket = |rate: f64| TokenBucket::new(rate, rate);
         cluster.key_value_rates = Some(KeyValueRates {
-            requests: bucket(facts.key_value_store.requests_per_s),
-            changes: bucket(facts.key_value_store.changes_per_s),
+            requests: one_second_bucket(facts.key_value_store.requests_per_s),
+            changes: one_second_bucket(facts.key_value_store.changes_per_s),
         });
         cluster.cloud_rate = Some(TokenBucket::new(
             facts.cloud.requests_per_s,
             facts.cloud.requests_per_s * 2.0,
         ));
-        cluster.worker_step_ms = 250;
+        cluster.boot_granularity_ms = 250;
         cluster.capacity = machines;
         cluster.nominal_boot_s = 25.0;
         cluster.boot_ms = 20_000;
@@ -232,62 +233,62 @@
         cluster
     }
 
-    /// Restarts the random numbers from this seed.
+    /// Reseeds the cluster's random number generator.
     pub fn seed(&mut self, seed: u64) {
         self.rng = fastrand::Rng::with_seed(seed);
     }
 
-    /// Runs an action later, ms from now.
-    pub fn schedule(&mut self, ms: u64, action: impl FnOnce(&mut Cluster) + 'static) {
+    /// Schedules an action to run after a delay, ms.
+    pub fn schedule(&mut self, delay_ms: u64, action: impl FnOnce(&mut Cluster) + 'static) {
         let action = SimulationEvent::RunAction(Box::new(action));
-        self.schedule_at(self.now + ms, action);
+        self.schedule_at(self.now + delay_ms, action);
     }
 
-    /// Notes that a fault took effect.
-    fn record_effect(&mut self, fault: &'static str) {
-        *self.fault_effects.entry(fault).or_default() += 1;
+    /// Counts that a fault took effect.
+    fn record_effect(&mut self, effect: &'static str) {
+        *self.fault_effects.entry(effect).or_default() += 1;
     }
 
-    /// How often a fault took effect.
-    pub fn effects(&self, fault: &str) -> usize {
-        self.fault_effects.get(fault).copied().unwrap_or_default()
+    /// Returns how often a fault took effect, by effect name.
+    pub fn effects(&self, effect: &str) -> usize {
+        self.fault_effects.get(effect).copied().unwrap_or_default()
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, ms: u64) {
-        let until = self.now + ms;
-        while let Some(scheduled) = self.event_queue.pop_due(until) {
+    /// Advances the virtual clock and applies the events that fall due.
+    pub fn run(&mut self, duration_ms: u64) {
+        let ends_at = self.now + duration_ms;
+        while let Some(scheduled) = self.event_queue.pop_due(ends_at) {
             self.now = scheduled.due_at;
             self.apply_event(scheduled.event);
         }
-        self.now = until;
+        self.now = ends_at;
     }
 
-    /// Lets time pass until a condition holds, which is checked every 100 ms, or fails the test.
+    /// Runs until the condition holds, which is checked every 100 ms, and panics after the timeout.
     ///
     /// # Panics
     ///
-    /// It did not hold within `limit_ms` milliseconds.
-    pub fn until(&mut self, what: &str, limit_ms: u64, holds: impl Fn(&Cluster) -> bool) {
-        let outcome = self.wait_until(what, limit_ms, holds);
+    /// The condition did not hold within `timeout_ms`.
+    pub fn until(&mut self, description: &str, timeout_ms: u64, holds: impl Fn(&Cluster) -> bool) {
+        let outcome = self.wait_until(description, timeout_ms, holds);
         outcome.unwrap_or_else(|failure| panic!("{failure}"));
     }
 
-    /// Lets time pass until a condition holds, which is checked every 100 ms.
+    /// Runs until the condition holds, which is checked every 100 ms.
     ///
     /// # Errors
     ///
-    /// It did not hold within `limit_ms` milliseconds.
+    /// The condition did not hold within `timeout_ms`.
     pub fn wait_until(
         &mut self,
-        what: &str,
-        limit_ms: u64,
+        description: &str,
+        timeout_ms: u64,
         holds: impl Fn(&Cluster) -> bool,
     ) -> Result<(), Failure> {
-        let end = self.now + limit_ms;
+        let deadline = self.now + timeout_ms;
         while !holds(self) {
-            if self.now >= end {
-                return Err(Failure::NotInTime(what.to_owned()));
+            if self.now >= deadline {
+                return Err(Failure::TimedOut(description.to_owned()));
             }
             self.run(100);
         }
--- a/crates/worksshunt-simulation/src/links.rs
+++ b/crates/worksshunt-simulation/src/links.rs
@@ -1,34 +1,33 @@
-//! How long messages take; called for each message that is sent.
+//! Network delays of messages.
 //!
-//! The delay of every message is drawn independently. A connection carries one request at a time and is closed when
-//! the request is given up, so messages of one connection need no other ordering. Messages on different connections
-//! overtake each other.
+//! The delay of every message is drawn independently, so messages may be reordered. Within a connection no order has to
+//! be enforced: it carries one request at a time and is closed when the request times out.
 
 use crate::Cluster;
 
-/// The ends of a connection.
+/// The endpoints of a connection.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Link {
-    /// A controller and a machine, in either direction.
+    /// Between the controller with this index and a machine, in either direction.
     Worker(usize),
-    /// Anything else.
+    /// Between any other endpoints.
     Other,
 }
 
-/// Messages between controllers and machines that take much longer than others.
+/// Additional delay of a share of the messages between controllers and machines.
 #[derive(Debug, Clone, Copy)]
 pub struct SlowLinks {
-    /// The share of these messages.
+    /// Share of delayed messages, 0 to 1.
     pub share: f64,
-    /// The most that they take longer, ms.
+    /// Maximum additional delay, drawn for each of them, ms.
     pub max_extra_ms: u64,
 }
 
-/// Spread of the arrivals of messages that were held back, ms.
+/// Maximum delay of a held-back message after its release, ms; reorders such messages.
 const RELEASE_SPREAD_MS: u64 = 20;
 
 impl Cluster {
-    /// When a message that is sent now arrives.
+    /// Draws the time at which a message sent now arrives, ms.
     pub(crate) fn arrival_time(&mut self, link: Link) -> u64 {
         let mut arrives_at = self.now + self.link_delay_ms;
         if self.jitter_ms > 0 {
@@ -37,16 +36,16 @@
         let Link::Worker(controller) = link else {
             return arrives_at;
         };
-        if let Some(slow) = self.faults.slow_links {
-            if self.rng.f64() < slow.share {
+        if let Some(slow_links) = self.faults.slow_links {
+            if self.rng.f64() < slow_links.share {
                 self.record_effect("slow message");
-                arrives_at += self.rng.u64(0..=slow.max_extra_ms);
+                arrives_at += self.rng.u64(0..=slow_links.max_extra_ms);
             }
         }
-        let held_until = self.faults.held_until.get(&controller).copied();
-        if let Some(until) = held_until.filter(|until| arrives_at < *until) {
+        let held_until = self.faults.messages_held_until.get(&controller).copied();
+        if let Some(released_at) = held_until.filter(|released_at| arrives_at < *released_at) {
             self.record_effect("held message");
-            arrives_at = until + self.rng.u64(0..=RELEASE_SPREAD_MS);
+            arrives_at = released_at + self.rng.u64(0..=RELEASE_SPREAD_MS);
         }
         arrives_at
     }
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -1,8 +1,7 @@
-//! Messages that controllers send: what each of their actions puts on its way, and the requests that wait for a
-//! response of a controller.
+//! Execution of controllers' actions, and the requests that await a controller's response.
 //!
-//! [`Cluster::dispatch`] calls [`Cluster::perform`] for each action. How long a message takes is in `links.rs`; what
-//! happens on its arrival is in the file of its receiver.
+//! [`Cluster::dispatch`] calls [`Cluster::perform`] for each action. `links.rs` determines a message's delay; its
+//! arrival is handled in the file of the receiver.
 
 use std::collections::BTreeMap;
 
@@ -13,68 +12,78 @@
 use worksshunt_core::time::Time;
 use worksshunt_wire::MachineId;
 
-use crate::events::{ControllerRun, KeyValueCaller, SentHeartbeat, SimulationEvent};
-use crate::invariants::JobQuery;
+use crate::events::{ControllerInstance, KeyValueCaller, SentHeartbeat, SimulationEvent};
+use crate::invariants::UserRequest;
 use crate::links::Link;
 use crate::Cluster;
 
-/// How long the cloud takes beside the time on the network, ms.
+/// Processing time of a cloud request, ms, in addition to the network delay.
 const CLOUD_PROCESSING_MS: u64 = 100;
 
-/// Who waits for a controller's response to a request.
+/// The origin of a request to a controller, to which the response is delivered.
 pub(crate) enum PendingRequest {
-    /// A user; the response goes to this slot.
-    User { slot: usize, query: JobQuery },
-    /// A worker.
+    /// A user's request; `slot` is the index of its response.
+    User { slot: usize, request: UserRequest },
+    /// A worker's heartbeat.
     Heartbeat(SentHeartbeat),
-    /// Another controller.
-    Peer(ControllerRun),
+    /// A request from another controller.
+    Peer(ControllerInstance),
 }
 
-/// A request that a controller has received.
+/// Identifies a request by its receiver and number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReceivedRequest {
-    pub(crate) by: ControllerRun,
+    pub(crate) receiver: ControllerInstance,
     pub(crate) id: RequestId,
 }
 
-/// Requests that controllers have received and not responded to.
+/// Requests that controllers have received and not responded to yet.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     last_id: u64,
-    waiting: BTreeMap<ReceivedRequest, PendingRequest>,
+    requests: BTreeMap<ReceivedRequest, PendingRequest>,
 }
 
 impl PendingRequests {
-    /// An identifier that no other request of the cluster has.
+    /// Returns a request id that is unique in the cluster.
     pub(crate) fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
-    pub(crate) fn insert(&mut self, by: ControllerRun, id: RequestId, request: PendingRequest) {
-        self.waiting.insert(ReceivedRequest { by, id }, request);
+    pub(crate) fn insert(
+        &mut self,
+        receiver: ControllerInstance,
+        id: RequestId,
+        request: PendingRequest,
+    ) {
+        self.requests
+            .insert(ReceivedRequest { receiver, id }, request);
     }
 
-    pub(crate) fn remove(&mut self, by: ControllerRun, id: RequestId) -> Option<PendingRequest> {
-        self.waiting.remove(&ReceivedRequest { by, id })
+    pub(crate) fn remove(
+        &mut self,
+        receiver: ControllerInstance,
+        id: RequestId,
+    ) -> Option<PendingRequest> {
+        self.requests.remove(&ReceivedRequest { receiver, id })
     }
 
-    /// Removes the request with that identifier that a peer sent; whether it was there.
-    pub(crate) fn remove_peer_request(&mut self, from: ControllerRun, id: RequestId) -> bool {
-        let sent_by_peer = |(key, request): &(&ReceivedRequest, &PendingRequest)| {
+    /// Removes a peer's request and returns whether it was pending.
+    pub(crate) fn remove_peer_request(&mut self, from: ControllerInstance, id: RequestId) -> bool {
+        let is_request = |(key, request): &(&ReceivedRequest, &PendingRequest)| {
             key.id == id && matches!(request, PendingRequest::Peer(sender) if *sender == from)
         };
-        let found = self.waiting.iter().find(sent_by_peer).map(|(key, _)| *key);
-        found.is_some_and(|key| self.waiting.remove(&key).is_some())
+        let key = self.requests.iter().find(is_request).map(|(key, _)| *key);
+        key.is_some_and(|key| self.requests.remove(&key).is_some())
     }
 }
 
 impl Cluster {
-    /// Carries out what a controller has decided. `clock` is its own time when it did.
-    pub(crate) fn perform(&mut self, from: ControllerRun, clock: Time, action: Action) {
+    /// Performs an action that a controller returned. `clock` is the controller's clock at that time.
+    pub(crate) fn perform(&mut self, from: ControllerInstance, clock: Time, action: Action) {
         if let Some(digest) = &mut self.digest {
-            digest.sent(self.now, from.index, &action);
+            digest.add_sent(self.now, from.index, &action);
         }
         match action {
             Action::CallKeyValueStore {
@@ -83,7 +92,7 @@
                 deadline_ms,
             } => {
                 let caller = KeyValueCaller {
-                    run: from,
+                    instance: from,
                     purpose,
                     sent_at: clock,
                     deadline_at: self.now + deadline_ms,
@@ -99,19 +108,21 @@
             }
             Action::SendCommands(commands) => self.send_commands(from, commands),
             Action::SendToPeer(to, request) => self.send_to_peer(from, &to, request),
-            Action::RespondToPeer(request, answer) => self.respond_to_peer(from, request, answer),
+            Action::RespondToPeer(request, response) => {
+                self.respond_to_peer(from, request, response);
+            }
             Action::Respond(request, response) => self.respond(from, request, response),
         }
     }
 
-    fn send_commands(&mut self, from: ControllerRun, commands: DirectCommands) {
+    fn send_commands(&mut self, from: ControllerInstance, commands: DirectCommands) {
         self.usage.command_requests += 1;
         let deadline_at = self.now + DIRECT_COMMAND_TIMEOUT_MS;
         let arrives_at = self.arrival_time(Link::Worker(from.index));
         if arrives_at > deadline_at {
             self.commands_timed_out(from, commands.clone(), deadline_at);
             let from = from.index;
-            let arrival = SimulationEvent::LateCommandsArrive { from, commands };
+            let arrival = SimulationEvent::CommandsArriveAfterDeadline { from, commands };
             self.schedule_at(arrives_at, arrival);
         } else {
             let arrival = SimulationEvent::CommandsArrive {
@@ -123,11 +134,11 @@
         }
     }
 
-    /// A response to a user or to a worker's heartbeat.
-    fn respond(&mut self, from: ControllerRun, request: RequestId, response: HttpResponse) {
+    /// Sends a response to a user's request or to a worker's heartbeat.
+    fn respond(&mut self, from: ControllerInstance, request: RequestId, response: HttpResponse) {
         match self.pending_requests.remove(from, request) {
-            Some(PendingRequest::User { slot, query }) => {
-                self.user_answered(slot, &query, response);
+            Some(PendingRequest::User { slot, request }) => {
+                self.user_response_arrives(slot, &request, response);
             }
             Some(PendingRequest::Heartbeat(to)) => {
                 let arrives_at = self.arrival_time(Link::Worker(from.index));
@@ -138,13 +149,13 @@
         }
     }
 
-    /// Whether a controller is inside a zone that is partitioned from the rest.
+    /// Returns whether a controller is inside the zone that is cut off from the rest of the network.
     pub(crate) fn is_in_partitioned_zone(&self, controller: usize) -> bool {
         let partition = self.faults.partitioned_zone.as_ref();
         partition.is_some_and(|partition| partition.controllers.contains(&controller))
     }
 
-    /// Whether a partition of a zone lets packets pass between a machine and a controller.
+    /// Returns whether a machine and a controller are on the same side of a zone partition, if there is one.
     pub(crate) fn is_linked(&self, id: &MachineId, controller: usize) -> bool {
         let Some(partition) = &self.faults.partitioned_zone else {
             return true;
--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -1,4 +1,4 @@
-//! Requests between controllers and their responses.
+//! Delivery of requests and responses between controllers.
 
 use worksshunt_core::constants::partition_sync::{MAX_FRAME_BYTES, SYNC_TIMEOUT_MS};
 use worksshunt_core::controller::Event;
@@ -6,7 +6,7 @@
 use worksshunt_wire::peer::{PeerRequest, PeerResponse};
 use worksshunt_wire::ControllerName;
 
-use crate::events::{ControllerRun, SimulationEvent};
+use crate::events::{ControllerInstance, SimulationEvent};
 use crate::links::Link;
 use crate::network::PendingRequest;
 use crate::Cluster;
@@ -14,7 +14,7 @@
 impl Cluster {
     pub(crate) fn send_to_peer(
         &mut self,
-        from: ControllerRun,
+        from: ControllerInstance,
         to: &ControllerName,
         request: PeerRequest,
     ) {
@@ -23,8 +23,8 @@
         if let PeerRequest::Sync(_) = request {
             let deadline_at = self.now + SYNC_TIMEOUT_MS;
             self.schedule_at(deadline_at, SimulationEvent::PeerDeadline { from, id });
-            if self.usage.sync(&request) > MAX_FRAME_BYTES {
-                // The receiver refuses the frame and does not respond.
+            if self.usage.count_sync(&request) > MAX_FRAME_BYTES {
+                // The receiver rejects an oversized frame without a response.
                 self.usage.frames_dropped += 1;
                 self.deliver_at(deadline_at, from, Event::PeerResponse(None));
                 return;
@@ -42,16 +42,16 @@
 
     pub(crate) fn peer_request_arrives(
         &mut self,
-        from: ControllerRun,
+        from: ControllerInstance,
         to: usize,
         id: RequestId,
         request: PeerRequest,
     ) {
-        let cut = &self.faults.cut_from_peers;
-        let is_reached = !cut.contains(&from.index)
-            && !cut.contains(&to)
+        let cut_off = &self.faults.cut_from_peers;
+        let is_reachable = !cut_off.contains(&from.index)
+            && !cut_off.contains(&to)
             && self.is_in_partitioned_zone(from.index) == self.is_in_partitioned_zone(to);
-        let Some(receiver) = self.current_run(to).filter(|_| is_reached) else {
+        let Some(receiver) = self.current_instance(to).filter(|_| is_reachable) else {
             if let PeerRequest::Sync(_) = request {
                 let deadline_at = self.now + SYNC_TIMEOUT_MS;
                 self.deliver_at(deadline_at, from, Event::PeerResponse(None));
@@ -65,7 +65,7 @@
 
     pub(crate) fn respond_to_peer(
         &mut self,
-        from: ControllerRun,
+        from: ControllerInstance,
         request: RequestId,
         response: PeerResponse,
     ) {
@@ -84,8 +84,8 @@
         self.deliver_at(arrives_at, to, event);
     }
 
-    /// The sender of a sync request gives up on the response.
-    pub(crate) fn peer_deadline(&mut self, from: ControllerRun, id: RequestId) {
+    /// Notifies the sender of a sync request that no response arrived in time.
+    pub(crate) fn peer_deadline(&mut self, from: ControllerInstance, id: RequestId) {
         if self.pending_requests.remove_peer_request(from, id) {
             self.dispatch(from, Event::PeerResponse(None));
         }
--- a/crates/worksshunt-simulation/src/resource_usage.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -1,5 +1,4 @@
-//! Counts of the traffic between the members of a cluster, and how long controllers took to handle events. The cluster
-//! counts; measurements and the scale scenarios read and reset.
+//! Traffic counts and event handling times of a cluster. Measurements and the scale scenarios read and reset them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,51 +8,51 @@
 use worksshunt_wire::peer::PeerRequest;
 use worksshunt_wire::worker::Command;
 
-/// Counts since the last reset, and what controllers took for each kind of event.
+/// Traffic counts and event handling times since the last reset.
 #[derive(Debug, Default)]
 pub struct ResourceUsage {
-    /// Whether bytes are counted too, which costs as much as sending them.
-    pub bytes: bool,
-    /// Requests to the key-value store.
-    pub requests: u64,
-    /// Keys changed by transactions that were sent.
-    pub changes: u64,
-    /// Bytes of values in them.
+    /// Whether `value_bytes` is counted; requires serializing every value.
+    pub counts_bytes: bool,
+    /// Requests that arrived at the key-value store.
+    pub key_value_requests: u64,
+    /// Keys changed by these requests, whether or not they were applied.
+    pub changed_keys: u64,
+    /// Bytes of the values written by these requests.
     pub value_bytes: u64,
-    /// Requests that the key-value store or the cloud refused for their rate.
-    pub refused: u64,
+    /// Requests refused by the rate limits of the key-value store or the cloud.
+    pub refused_requests: u64,
     /// Sync requests of partition owners to the leader.
-    pub syncs: u64,
-    /// Bytes of them.
+    pub sync_requests: u64,
+    /// Total size of the sync requests, bytes.
     pub sync_bytes: u64,
-    /// Bytes of the largest of them.
+    /// Size of the largest sync request, bytes.
     pub max_sync_bytes: usize,
-    /// Frames that were too large for the link.
+    /// Sync requests above the maximum frame size, which the receiver rejects.
     pub frames_dropped: u64,
-    /// Calls of the cloud, each page of a list counted.
+    /// Calls to the cloud; each page of a list counts as one.
     pub cloud_calls: u64,
-    /// Requests with direct commands to workers.
+    /// Direct command requests to workers.
     pub command_requests: u64,
     /// Launch commands, sent directly and in responses to heartbeats.
     pub launches: u64,
     /// Halt commands, sent directly and in responses to heartbeats.
     pub halts: u64,
-    /// Time taken by kind of event, if it is measured.
-    pub took: Option<BTreeMap<&'static str, Vec<Duration>>>,
+    /// Handling time of each event, by kind of event; `None` if not measured.
+    pub handling_times: Option<BTreeMap<&'static str, Vec<Duration>>>,
 }
 
 impl ResourceUsage {
-    /// Sets all counts to zero.
+    /// Resets all counts and times. Keeps which of them are recorded.
     pub fn reset(&mut self) {
         *self = ResourceUsage {
-            bytes: self.bytes,
-            took: self.took.as_ref().map(|_| BTreeMap::new()),
+            counts_bytes: self.counts_bytes,
+            handling_times: self.handling_times.as_ref().map(|_| BTreeMap::new()),
             ..ResourceUsage::default()
         };
     }
 
-    /// The kind of an event, by which [`ResourceUsage::took`] is sorted.
-    pub(crate) fn kind(event: &Event) -> &'static str {
+    /// Returns the kind of an event, the key of [`ResourceUsage::handling_times`].
+    pub(crate) fn event_kind(event: &Event) -> &'static str {
         match event {
             Event::Tick => "tick",
             Event::Heartbeat { .. } => "report",
@@ -66,9 +65,9 @@
         }
     }
 
-    pub(crate) fn write(&mut self, write: &CompareAndSwap) {
-        self.changes += write.changes.len() as u64;
-        if !self.bytes {
+    pub(crate) fn count_write(&mut self, write: &CompareAndSwap) {
+        self.changed_keys += write.changes.len() as u64;
+        if !self.counts_bytes {
             return;
         }
         for change in &write.changes {
@@ -79,15 +78,15 @@
     }
 
     /// Counts a sync request and returns its size, bytes.
-    pub(crate) fn sync(&mut self, request: &PeerRequest) -> usize {
-        self.syncs += 1;
+    pub(crate) fn count_sync(&mut self, request: &PeerRequest) -> usize {
+        self.sync_requests += 1;
         let bytes = borsh::to_vec(request).map_or(usize::MAX, |frame| frame.len());
         self.sync_bytes += bytes as u64;
         self.max_sync_bytes = self.max_sync_bytes.max(bytes);
         bytes
     }
 
-    pub(crate) fn commands(&mut self, commands: &[Command]) {
+    pub(crate) fn count_commands(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Launch { .. } => self.launches += 1,
