--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -1,4 +1,4 @@
-//! Users of the cluster: the requests they send, and the responses they receive.
+//! Simulated users: the requests they send and the responses they receive.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,30 +7,31 @@
 use worksshunt_core::job_api::{HttpResponse, RequestId};
 use worksshunt_wire::JobId;
 
-use crate::invariants::{JobQuery, MAX_SILENCE_MS};
+use crate::invariants::{UserRequest, MAX_UNANSWERED_MS};
 use crate::network::PendingRequest;
-use crate::{Cluster, CONTROLLERS};
+use crate::{Cluster, CONTROLLER_COUNT};
 
-/// When users query all controllers after something new is known of a job, ms, see [`crate::Faults`].
-const RAPID_QUERY_TIMES_MS: [u64; 7] = [0, 1, 4, 9, 25, 70, 300];
-/// How long users wait for a response, ms (protocol).
-const RESPONSE_DEADLINE_MS: u64 = 2_000;
-/// How long users wait before they repeat queries that were not answered, ms.
-const RETRY_WAIT_MS: u64 = 3_000;
+/// Delays of the status queries after a job was reported as accepted or ended, ms; see
+/// [`crate::Faults::has_rapid_status_queries`].
+const RAPID_QUERY_DELAYS_MS: [u64; 7] = [0, 1, 4, 9, 25, 70, 300];
+/// Timeout of a user's request according to the protocol, ms.
+const RESPONSE_TIMEOUT_MS: u64 = 2_000;
+/// Delay before users repeat unanswered queries, ms.
+const RETRY_DELAY_MS: u64 = 3_000;
 
-/// A query about an accepted job that a controller has not answered yet.
+/// A status query about an accepted job that a controller has not answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct UnansweredQuery {
     job: JobId,
     controller: usize,
 }
 
-/// Responses to users, and what they submitted.
+/// Requests and responses of all users.
 #[derive(Default)]
 pub(crate) struct Users {
-    /// Responses by slot, in the order of the requests.
+    /// Responses in the order of the requests; a slot is an index into this. `None` until the response arrives.
     responses: Vec<Option<HttpResponse>>,
-    /// Submissions as first sent, for repetitions.
+    /// The first submission of each job, for repetition.
     submissions: BTreeMap<JobId, Vec<u8>>,
 }
 
@@ -45,8 +46,7 @@
 }
 
 impl Cluster {
-    /// Sends a user's request. Its response will be in the slot returned; a request to a controller that is down
-    /// gets none.
+    /// Sends a user's request and returns the slot of its response. A controller that is down does not respond.
     pub fn send(&mut self, controller: usize, event: impl FnOnce(RequestId) -> Event) -> usize {
         let slot = self.users.responses.len();
         self.users.responses.push(None);
@@ -55,18 +55,21 @@
         if let Event::Submit { body, .. } = &event {
             self.users.record_submission(body);
         }
-        let query = self.invariants.request_sent(&event);
-        let Some(receiver) = self.current_run(controller) else {
+        let user_request = self.invariants.record_request(&event);
+        let Some(receiver) = self.current_instance(controller) else {
             return slot;
         };
-        self.pending_requests
-            .insert(receiver, request, PendingRequest::User { slot, query });
+        let pending = PendingRequest::User {
+            slot,
+            request: user_request,
+        };
+        self.pending_requests.insert(receiver, request, pending);
         self.dispatch(receiver, event);
         slot
     }
 
-    /// The response in a slot, if there is one yet.
-    pub fn reply(&self, slot: usize) -> Option<&HttpResponse> {
+    /// Returns the response in a slot; `None` until it arrives.
+    pub fn response(&self, slot: usize) -> Option<&HttpResponse> {
         self.users.responses[slot].as_ref()
     }
 
@@ -75,18 +78,20 @@
     /// # Panics
     ///
     /// The controller is down, or did not respond within 3 s.
-    pub fn ask(
+    pub fn send_and_wait(
         &mut self,
         controller: usize,
         event: impl FnOnce(RequestId) -> Event,
     ) -> HttpResponse {
-        assert!(self.is_up(controller), "node {controller} is down");
+        assert!(self.is_up(controller), "controller {controller} is down");
         let slot = self.send(controller, event);
-        self.until("an answer", 3_000, |cluster| cluster.reply(slot).is_some());
-        self.reply(slot).cloned().expect("an answer")
+        self.until("a response", 3_000, |cluster| {
+            cluster.response(slot).is_some()
+        });
+        self.response(slot).cloned().expect("a response")
     }
 
-    /// Asks for a job's state without waiting.
+    /// Sends a status query without waiting; returns the response's slot.
     pub fn send_status(&mut self, controller: usize, id: JobId) -> usize {
         let text = id.to_string();
         self.send(controller, |request_id| Event::Status {
@@ -95,7 +100,7 @@
         })
     }
 
-    /// Cancels a job without waiting.
+    /// Sends a cancellation without waiting; returns the response's slot.
     pub fn send_cancel(&mut self, controller: usize, id: JobId) -> usize {
         let text = id.to_string();
         self.send(controller, |request_id| Event::Cancel {
@@ -104,19 +109,19 @@
         })
     }
 
-    /// Submits a job without waiting.
+    /// Sends a submission without waiting; returns the response's slot.
     pub fn send_submit(&mut self, controller: usize, job: &Value) -> usize {
         let body = job.to_string().into_bytes();
         self.send(controller, |request_id| Event::Submit { request_id, body })
     }
 
-    /// Submits a job.
+    /// Submits a job and waits for the response.
     pub fn submit(&mut self, controller: usize, job: &Value) -> HttpResponse {
         let body = job.to_string().into_bytes();
-        self.ask(controller, |request_id| Event::Submit { request_id, body })
+        self.send_and_wait(controller, |request_id| Event::Submit { request_id, body })
     }
 
-    /// Submits all these jobs to each of these controllers at one moment.
+    /// Submits each job to each of the controllers at the same time and waits for all responses.
     pub fn submit_at_once(&mut self, controllers: &[usize], jobs: &[Value]) -> Vec<HttpResponse> {
         let first = self.users.responses.len();
         for job in jobs {
@@ -124,7 +129,7 @@
                 self.send_submit(*controller, job);
             }
         }
-        self.until("answers", 5_000, |cluster| {
+        self.until("responses", 5_000, |cluster| {
             let mut responses = cluster.users.responses[first..].iter();
             responses.all(Option::is_some)
         });
@@ -132,35 +137,35 @@
         responses.flatten().cloned().collect()
     }
 
-    /// Queries jobs at a controller at one moment and returns those it answers with 200 within 2 s.
+    /// Queries jobs at a controller at the same time and returns those answered with status 200 within 2 s.
     pub fn answered_queries(&mut self, controller: usize, ids: &[u64]) -> BTreeSet<u64> {
         let first = self.users.responses.len();
         for id in ids {
             self.send_status(controller, JobId(*id));
         }
-        self.run(RESPONSE_DEADLINE_MS);
+        self.run(RESPONSE_TIMEOUT_MS);
         let slots = first..first + ids.len();
         slots
             .zip(ids)
-            .filter(|(slot, _)| self.is_served(*slot))
+            .filter(|(slot, _)| self.is_answered_ok(*slot))
             .map(|(_, id)| *id)
             .collect()
     }
 
-    /// Whether the response in a slot has the status 200.
-    fn is_served(&self, slot: usize) -> bool {
-        self.reply(slot)
+    /// Returns whether the response in a slot has status 200.
+    fn is_answered_ok(&self, slot: usize) -> bool {
+        self.response(slot)
             .is_some_and(|response| response.status == 200)
     }
 
-    /// A job's state according to a controller, with the response's status.
+    /// Queries a job's state at a controller; returns the HTTP status and the state.
     ///
     /// # Panics
     ///
     /// The controller does not respond.
     pub fn state(&mut self, controller: usize, id: u64) -> (u16, String) {
         let text = JobId(id).to_string();
-        let response = self.ask(controller, |request_id| Event::Status {
+        let response = self.send_and_wait(controller, |request_id| Event::Status {
             request_id,
             job_id: text,
         });
@@ -169,35 +174,44 @@
         (response.status, state)
     }
 
-    /// Whether a controller calls itself healthy.
-    pub fn healthy(&mut self, controller: usize) -> bool {
-        self.ask(controller, Event::Health).status == 200
+    /// Sends a health check and returns whether the controller reports itself as healthy.
+    pub fn is_healthy(&mut self, controller: usize) -> bool {
+        self.send_and_wait(controller, Event::Health).status == 200
     }
 
-    /// Cancels a job.
+    /// Cancels a job and waits for the response.
     pub fn cancel(&mut self, controller: usize, id: u64) -> HttpResponse {
         let text = JobId(id).to_string();
-        self.ask(controller, |request_id| Event::Cancel {
+        self.send_and_wait(controller, |request_id| Event::Cancel {
             request_id,
             job_id: text,
         })
     }
 
-    pub(crate) fn user_answered(&mut self, slot: usize, query: &JobQuery, response: HttpResponse) {
-        let is_news = self
+    pub(crate) fn user_response_arrives(
+        &mut self,
+        slot: usize,
+        request: &UserRequest,
+        response: HttpResponse,
+    ) {
+        let has_new_state = self
             .invariants
-            .response_received(self.now, query, &response);
+            .record_response(self.now, request, &response);
         self.users.responses[slot] = Some(response);
-        if let (true, true, Some(id)) = (is_news, self.faults.rapid_status_queries, query.id) {
-            for ms in RAPID_QUERY_TIMES_MS {
-                self.schedule(ms, move |cluster| cluster.query_rapidly(id));
+        if let (true, true, Some(id)) = (
+            has_new_state,
+            self.faults.has_rapid_status_queries,
+            request.id,
+        ) {
+            for delay_ms in RAPID_QUERY_DELAYS_MS {
+                self.schedule(delay_ms, move |cluster| cluster.query_rapidly(id));
             }
         }
     }
 
-    /// Users ask all controllers about a job, and repeat its submission.
+    /// Queries a job at all controllers and repeats its submission to each.
     fn query_rapidly(&mut self, id: JobId) {
-        for controller in 0..CONTROLLERS {
+        for controller in 0..CONTROLLER_COUNT {
             self.record_effect("rapid status query");
             self.send_status(controller, id);
             if let Some(body) = self.users.submissions.get(&id).cloned() {
@@ -206,20 +220,20 @@
         }
     }
 
-    /// Queries all accepted jobs at all controllers until every query is answered, or finds the invariant violated
-    /// that accepted jobs are known.
+    /// Queries every accepted job at every controller until all queries are answered with status 200. Records a
+    /// violation after [`MAX_UNANSWERED_MS`].
     pub(crate) fn query_all_accepted(&mut self) {
-        let began_at = self.now;
+        let started_at = self.now;
         let mut unanswered: BTreeSet<UnansweredQuery> = BTreeSet::new();
         for id in self.invariants.accepted_jobs() {
             let query = |controller| UnansweredQuery {
                 job: id,
                 controller,
             };
-            unanswered.extend((0..CONTROLLERS).map(query));
+            unanswered.extend((0..CONTROLLER_COUNT).map(query));
         }
         while !unanswered.is_empty() {
-            if self.now >= began_at + MAX_SILENCE_MS {
+            if self.now >= started_at + MAX_UNANSWERED_MS {
                 let text = format!("no answer: {unanswered:?}");
                 self.invariants.record_violation("forgotten", &text);
                 return;
@@ -228,11 +242,11 @@
                 .iter()
                 .map(|query| self.send_status(query.controller, query.job))
                 .collect();
-            self.run(RESPONSE_DEADLINE_MS);
+            self.run(RESPONSE_TIMEOUT_MS);
             let mut slots = slots.into_iter();
-            unanswered.retain(|_| slots.next().is_some_and(|slot| !self.is_served(slot)));
+            unanswered.retain(|_| slots.next().is_some_and(|slot| !self.is_answered_ok(slot)));
             if !unanswered.is_empty() {
-                self.run(RETRY_WAIT_MS);
+                self.run(RETRY_DELAY_MS);
             }
         }
     }
--- a/crates/worksshunt-simulation/src/verdict.rs
+++ b/crates/worksshunt-simulation/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The cluster's regular inspections of itself, and the verdict at the end of a simulated day.
+//! Periodic checks of the invariants, and the verdict at the end of a simulated run.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 
 use crate::events::SimulationEvent;
 use crate::invariants::{FreeCapacity, WaitingCheck};
-use crate::job_audit::JobAudit;
+use crate::task_snapshot::TaskSnapshot;
 use crate::worker::{Task, Worker};
-use crate::{Cluster, Failure, Faults, CONTROLLERS, INSPECTION_INTERVAL_MS, MACHINE_CPUS};
+use crate::{Cluster, Failure, Faults, CONTROLLER_COUNT, INSPECTION_INTERVAL_MS, MACHINE_CPUS};
 
-/// Interval of the checks for jobs that wait beside free capacity, ms.
+/// Interval between the checks for jobs that wait despite free capacity, ms.
 const WAITING_CHECK_INTERVAL_MS: u64 = 1_000;
-/// How long tasks run once the faults of a day are over, ms.
+/// Run time of tasks after the faults of a run have been cleared, ms.
 const SETTLING_TASK_RUN_MS: u64 = 5_000;
-/// Within what time all jobs of a day are done once its faults are over, ms.
-const SETTLING_LIMIT_MS: u64 = 300_000;
+/// Time within which all jobs have to end after the faults of a run have been cleared, ms.
+const SETTLING_TIMEOUT_MS: u64 = 300_000;
 
 impl Cluster {
-    /// Judges what is on machines, wakes watches, and delivers what was kept for a new leader.
+    /// Checks the invariants on running and waiting tasks, wakes watches, and delivers the copies for the next leader.
     pub(crate) fn inspect(&mut self) {
         let next_at = self.now + INSPECTION_INTERVAL_MS;
         self.schedule_at(next_at, SimulationEvent::Inspect);
@@ -35,8 +35,9 @@
             let free_capacity = self.free_capacity(&invariants.jobs);
             invariants.check_waiting(&WaitingCheck {
                 now: self.now,
-                is_undisturbed: self.faults.none() && self.controllers.are_all_active(),
-                audit: &JobAudit::new(self.now, &self.observed_tasks()),
+                is_progress_expected: self.faults.allow_progress()
+                    && self.controllers.are_all_active(),
+                snapshot: &TaskSnapshot::new(self.now, &self.observed_tasks()),
                 free_capacity: &free_capacity,
                 failing_jobs: &self.faults.failing_jobs,
             });
@@ -44,62 +45,63 @@
         self.invariants = invariants;
     }
 
-    /// Free capacity of machines that no fault concerns, given the specs of all jobs.
+    /// Returns the free capacity of the machines without faults. `jobs` are the specs of all jobs.
     fn free_capacity(&self, jobs: &BTreeMap<JobId, JobSpec>) -> Vec<FreeCapacity<'_>> {
         let is_service = |spec: &JobSpec| spec.kind == JobKind::Service;
         let any_service = jobs.values().any(is_service);
         let workers = self.workers.iter();
         workers
-            .filter(|(id, worker)| self.is_undisturbed(id, worker))
-            // On-demand machines may be kept for services.
-            .filter(|(_, worker)| worker.spot || !any_service)
+            .filter(|(id, worker)| self.is_available(id, worker))
+            // On-demand machines may be reserved for services.
+            .filter(|(_, worker)| worker.is_spot || !any_service)
             .map(|(_, worker)| FreeCapacity {
                 zone: &worker.zone,
-                spot: worker.spot,
+                is_spot: worker.is_spot,
                 cpus: free_cpus(worker, jobs),
             })
             .collect()
     }
 
-    /// Whether a machine has booted and no fault concerns it.
-    fn is_undisturbed(&self, id: &MachineId, worker: &Worker) -> bool {
+    /// Returns whether a machine has booted and is not affected by a fault.
+    fn is_available(&self, id: &MachineId, worker: &Worker) -> bool {
         let faults = &self.faults;
-        let disturbed = [
+        let affected = [
             &faults.unreachable_machines,
             &faults.heartbeats.lost_from,
             &faults.heartbeats.held_from,
             &faults.faulty_machines,
         ];
-        self.now >= worker.up_at
-            && !worker.hung
-            && !disturbed.iter().any(|machines| machines.contains(id))
+        self.now >= worker.booted_at
+            && !worker.is_hung
+            && !affected.iter().any(|machines| machines.contains(id))
     }
 
-    /// Ends the day and fails the test if an invariant was violated. If no fault is left, requests about all
-    /// accepted jobs are answered by every controller.
+    /// Ends the run and panics if an invariant was violated. Without remaining faults, also checks that every
+    /// controller answers queries about all accepted jobs.
     ///
     /// # Panics
     ///
     /// An invariant was violated.
     pub fn check(&mut self) {
-        let verdict = self.judge();
+        let verdict = self.try_check();
         verdict.unwrap_or_else(|failure| panic!("{failure}"));
     }
 
-    /// Ends the day and judges it. If no fault is left, requests about all accepted jobs are answered by every
-    /// controller.
+    /// Ends the run and checks the invariants. Without remaining faults, also checks that every controller answers
+    /// queries about all accepted jobs.
     ///
     /// # Errors
     ///
     /// An invariant was violated.
-    pub fn judge(&mut self) -> Result<(), Failure> {
-        if self.faults.none() && self.controllers.are_all_active() {
+    pub fn try_check(&mut self) -> Result<(), Failure> {
+        if self.faults.allow_progress() && self.controllers.are_all_active() {
             self.query_all_accepted();
         }
-        self.violations_so_far()
+        self.check_violations()
     }
 
-    fn violations_so_far(&self) -> Result<(), Failure> {
+    /// Returns the violations recorded up to now, if any, as an error.
+    fn check_violations(&self) -> Result<(), Failure> {
         let violations = &self.invariants.violations;
         match violations.is_empty() {
             true => Ok(()),
@@ -107,31 +109,32 @@
         }
     }
 
-    /// Ends all faults and starts all controllers, waits until all accepted jobs are done, and judges the day.
+    /// Clears all faults, starts the controllers that are down, waits until all jobs have ended, and checks the
+    /// invariants.
     ///
     /// # Errors
     ///
-    /// An invariant was violated, or jobs were not done in time.
+    /// An invariant was violated, or jobs did not end in time.
     pub fn settle(&mut self) -> Result<(), Failure> {
         self.faults = Faults::default();
-        for controller in 0..CONTROLLERS {
+        for controller in 0..CONTROLLER_COUNT {
             if !self.is_up(controller) {
                 self.start(controller);
             }
         }
-        self.violations_so_far()?;
+        self.check_violations()?;
         self.task_run_ms = SETTLING_TASK_RUN_MS;
         let is_settled = |cluster: &Cluster| cluster.keys("j/").is_empty();
-        self.wait_until("an end of all jobs", SETTLING_LIMIT_MS, is_settled)?;
-        self.judge()
+        self.wait_until("the end of all jobs", SETTLING_TIMEOUT_MS, is_settled)?;
+        self.try_check()
     }
 }
 
-/// Processors of a machine that its tasks leave free.
+/// Returns the free CPUs of a machine.
 fn free_cpus(worker: &Worker, jobs: &BTreeMap<JobId, JobSpec>) -> f64 {
-    let spec = |task: &Task| jobs.get(&task.task.job);
+    let spec = |task: &Task| jobs.get(&task.id.job);
     let cpus = |task: &Task| spec(task).map_or(1.0, |spec| spec.cpus);
     let tasks = worker.tasks.values();
-    let on_machine = tasks.filter(|task| task.state != TaskState::Ended);
-    (MACHINE_CPUS - on_machine.map(cpus).sum::<f64>()).max(0.0)
+    let active_tasks = tasks.filter(|task| task.state != TaskState::Ended);
+    (MACHINE_CPUS - active_tasks.map(cpus).sum::<f64>()).max(0.0)
 }
--- a/crates/worksshunt-simulation/src/worker.rs
+++ b/crates/worksshunt-simulation/src/worker.rs
@@ -1,6 +1,6 @@
-//! A machine and its worker: the lease, the tasks and the commands that it executes.
+//! A simulated machine with its worker: lease, tasks and execution of commands.
 //!
-//! The cluster owns one for each machine and steps it (`workers.rs`).
+//! The cluster owns one for each machine and steps it in `workers.rs`.
 
 use std::collections::BTreeMap;
 
@@ -9,81 +9,83 @@
 
 use crate::LEASE_MS;
 
-/// Tasks that a machine runs at a time.
-const TASKS_PER_MACHINE: usize = 4;
+/// Maximum number of tasks that a machine runs at the same time.
+const MAX_TASKS_PER_MACHINE: usize = 4;
 
 /// A task on a machine.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
-    pub(crate) task: TaskId,
+    pub(crate) id: TaskId,
     pub(crate) state: TaskState,
-    pub(crate) reason: Option<ExitReason>,
+    pub(crate) exit_reason: Option<ExitReason>,
+    /// When the task completes, ms; 0 before it runs.
     pub(crate) ends_at: u64,
 }
 
-/// A machine and its worker.
+/// A machine with its worker.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// Its machine's zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Whether its machine is a spot one.
-    pub spot: bool,
+    /// Whether the machine is a spot instance.
+    pub is_spot: bool,
     pub(crate) incarnation: u64,
     pub(crate) sequence: u64,
     pub(crate) fencing_token: Epoch,
     pub(crate) tasks: BTreeMap<Attempt, Task>,
+    /// Index of the controller that receives the next heartbeat.
     pub(crate) controller: usize,
-    /// When the last heartbeat was sent that got a response, ms.
-    pub(crate) last_answered_at: u64,
-    /// Sequence number of the heartbeat that waits for its response.
+    /// When the last acknowledged heartbeat was sent, ms; the lease runs from then.
+    pub(crate) lease_renewed_at: u64,
+    /// Sequence number of the heartbeat that awaits its response.
     pub(crate) heartbeat_in_flight: Option<u64>,
     pub(crate) next_heartbeat_at: u64,
-    /// Whether it hangs.
-    pub hung: bool,
-    /// When the machine has booted, ms.
-    pub(crate) up_at: u64,
+    /// Whether the machine hangs: it takes no steps and handles no messages.
+    pub is_hung: bool,
+    /// When the machine finishes booting, ms.
+    pub(crate) booted_at: u64,
     pub(crate) provisioned_at: u64,
 }
 
 impl Worker {
-    /// A worker that has not sent anything, on a machine that boots until `up_at`.
-    pub(crate) fn new(zone: &str, spot: bool, provisioned_at: u64, up_at: u64) -> Worker {
+    /// Creates a worker that sends its first heartbeat at `booted_at`.
+    pub(crate) fn new(zone: &str, is_spot: bool, provisioned_at: u64, booted_at: u64) -> Worker {
         Worker {
             zone: zone.to_owned(),
-            spot,
+            is_spot,
             incarnation: 1,
             sequence: 0,
             fencing_token: Epoch(0),
             tasks: BTreeMap::new(),
             controller: 0,
-            last_answered_at: up_at,
+            lease_renewed_at: booted_at,
             heartbeat_in_flight: None,
-            next_heartbeat_at: up_at,
-            hung: false,
-            up_at,
+            next_heartbeat_at: booted_at,
+            is_hung: false,
+            booted_at,
             provisioned_at,
         }
     }
 
-    /// Ends all tasks and begins a new incarnation if the lease has expired.
+    /// If the lease has expired, removes all tasks and begins a new incarnation.
     pub(crate) fn expire_lease(&mut self, now: u64) {
-        if now > self.last_answered_at + LEASE_MS {
+        if now > self.lease_renewed_at + LEASE_MS {
             self.tasks.clear();
             self.incarnation += 1;
             self.sequence = 0;
-            self.last_answered_at = now;
+            self.lease_renewed_at = now;
             self.heartbeat_in_flight = None;
         }
     }
 
-    /// Its next heartbeat, with the next sequence number.
+    /// Creates the next heartbeat; increments the sequence number.
     pub(crate) fn next_heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.sequence += 1;
         let status = |(attempt, task): (&Attempt, &Task)| TaskStatus {
-            task: task.task,
+            task: task.id,
             attempt: *attempt,
             state: task.state,
-            exit_reason: task.reason,
+            exit_reason: task.exit_reason,
             is_checkpoint_saved: None,
         };
         Heartbeat {
@@ -91,7 +93,7 @@
             addr: "10.1.0.1:9000".into(),
             machine_type: "m4".into(),
             zone: self.zone.clone(),
-            is_spot: self.spot,
+            is_spot: self.is_spot,
             incarnation: Incarnation(self.incarnation),
             sequence: self.sequence,
             fencing_token: self.fencing_token,
@@ -108,19 +110,20 @@
         }
     }
 
+    /// Adds a task; on a full machine it ends at once. A repeated launch of an attempt has no effect.
     pub(crate) fn launch(&mut self, task: TaskId, attempt: Attempt) {
         let tasks = self.tasks.values();
-        let on_machine = tasks.filter(|task| task.state != TaskState::Ended).count();
-        let is_full = on_machine >= TASKS_PER_MACHINE;
+        let active_tasks = tasks.filter(|task| task.state != TaskState::Ended).count();
+        let is_full = active_tasks >= MAX_TASKS_PER_MACHINE;
         let state = if is_full {
             TaskState::Ended
         } else {
             TaskState::Fetching
         };
         self.tasks.entry(attempt).or_insert(Task {
-            task,
+            id: task,
             state,
-            reason: is_full.then_some(ExitReason::InsufficientResources),
+            exit_reason: is_full.then_some(ExitReason::InsufficientResources),
             ends_at: 0,
         });
     }
@@ -129,7 +132,7 @@
         let task = self.tasks.get_mut(&attempt);
         if let Some(task) = task.filter(|task| task.state != TaskState::Ended) {
             task.state = TaskState::Ended;
-            task.reason = Some(ExitReason::Stopped);
+            task.exit_reason = Some(ExitReason::Stopped);
         }
     }
 
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -1,6 +1,6 @@
-//! The steps of the workers: tasks start and end, heartbeats are sent and commands executed.
+//! Periodic steps of the workers: starting and ending tasks, sending heartbeats; and the execution of commands.
 //!
-//! Each worker takes a step every [`WORKER_STEP_MS`] ms. The cluster owns them in `workers`, by machine.
+//! Each worker takes a step every [`WORKER_STEP_MS`] ms.
 
 use worksshunt_core::machines::DirectCommands;
 use worksshunt_wire::user::JobKind;
@@ -8,41 +8,42 @@
 use worksshunt_wire::{Attempt, MachineId, TaskId};
 
 use crate::events::SimulationEvent;
-use crate::job_audit::{JobAudit, ObservedTask};
-use crate::{Cluster, CONTROLLERS, HEARTBEAT_INTERVAL_MS};
+use crate::task_snapshot::{ObservedTask, TaskSnapshot};
+use crate::{Cluster, CONTROLLER_COUNT, HEARTBEAT_INTERVAL_MS};
 
-/// Interval of a worker's steps, ms.
+/// Interval between a worker's steps, ms.
 const WORKER_STEP_MS: u64 = 250;
-/// Run times of tasks differ by their index modulo this, see [`Cluster::run_spread_ms`].
-const RUN_SPREAD_GROUP: u32 = 8;
-/// A user who cancels at the moment a job ends does so within so many ms: the heartbeat that reports the end takes a
-/// few ms to become known.
-const CANCEL_AT_COMPLETION_MS: u64 = 30;
+/// Run times of tasks depend on the task index modulo this; see [`Cluster::run_spread_ms`].
+const RUN_SPREAD_GROUP_SIZE: u32 = 8;
+/// Maximum delay of a cancellation that races with the job's completion, ms; covers the time until the heartbeat that
+/// reports the completion is processed.
+const CANCEL_AT_COMPLETION_MAX_MS: u64 = 30;
 
-/// A start of a task on a machine.
+/// The start of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct TaskStart {
-    /// When, ms since the cluster's start.
+    /// Time of the start, ms since the cluster was created.
     pub at: u64,
-    /// The task.
+    /// The task that started.
     pub task: TaskId,
-    /// Its machine.
+    /// The machine on which it started.
     pub machine: MachineId,
 }
 
-/// What an attempt is launched for, and where.
+/// The task and the machine of a launch command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Launch {
     task: TaskId,
     pub(crate) machine: MachineId,
 }
 
-/// What one step changed on a machine.
+/// State changes of a machine's tasks during one step.
 #[derive(Default)]
 struct TaskChanges {
     started: Vec<TaskId>,
     completed: Vec<TaskId>,
-    any: bool,
+    /// Whether any task changed its state, failures included.
+    has_any: bool,
 }
 
 impl Cluster {
@@ -52,19 +53,19 @@
             now + WORKER_STEP_MS,
             SimulationEvent::WorkerStep(id.clone()),
         );
-        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.hung) else {
+        let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.is_hung) else {
             return;
         };
         worker.expire_lease(now);
         let changes = self.advance_tasks(id);
-        self.heartbeat_if_due(id, changes.any);
+        self.heartbeat_if_due(id, changes.has_any);
         self.record_starts(id, changes.started);
         for task in changes.completed {
             self.record_completion(task);
         }
     }
 
-    /// Starts tasks that have been fetched and ends those whose time is over.
+    /// Starts the tasks that are being fetched and ends those that have run for their run time.
     fn advance_tasks(&mut self, id: &MachineId) -> TaskChanges {
         let mut changes = TaskChanges::default();
         let now = self.now;
@@ -74,13 +75,14 @@
             return changes;
         };
         for task in worker.tasks.values_mut() {
-            let job = task.task.job;
+            let job = task.id.job;
             if task.state == TaskState::Fetching {
                 task.state = TaskState::Running;
-                let spread_ms = u64::from(task.task.index % RUN_SPREAD_GROUP) * self.run_spread_ms;
+                let spread_ms =
+                    u64::from(task.id.index % RUN_SPREAD_GROUP_SIZE) * self.run_spread_ms;
                 task.ends_at = now + self.task_run_ms + spread_ms;
-                changes.started.push(task.task);
-                changes.any = true;
+                changes.started.push(task.id);
+                changes.has_any = true;
             } else if task.state == TaskState::Running && now >= task.ends_at {
                 let spec = jobs.get(&job);
                 let is_service = spec.is_some_and(|spec| spec.kind == JobKind::Service);
@@ -89,21 +91,21 @@
                 }
                 let has_failed = is_faulty || faults.failing_jobs.contains(&job);
                 task.state = TaskState::Ended;
-                task.reason = Some(if has_failed {
+                task.exit_reason = Some(if has_failed {
                     ExitReason::Error
                 } else {
                     ExitReason::Done
                 });
                 if !has_failed {
-                    changes.completed.push(task.task);
+                    changes.completed.push(task.id);
                 }
-                changes.any = true;
+                changes.has_any = true;
             }
         }
         changes
     }
 
-    /// Sends a heartbeat if it is time, or at once after a change.
+    /// Sends a heartbeat if one is due or a task has changed, unless another awaits its response.
     fn heartbeat_if_due(&mut self, id: &MachineId, has_changed: bool) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -121,16 +123,16 @@
         }
     }
 
-    /// Has the invariants judge the starts of tasks on a machine.
+    /// Records starts of tasks on a machine and checks the invariants for them.
     fn record_starts(&mut self, id: &MachineId, started: Vec<TaskId>) {
         let now = self.now;
         if !started.is_empty() {
             let mut invariants = std::mem::take(&mut self.invariants);
-            let audit = self.job_audit_with(id, &started);
+            let snapshot = self.snapshot_including(id, &started);
             for task in &started {
-                invariants.task_started(now, *task, id, &audit);
+                invariants.record_task_start(now, *task, id, &snapshot);
             }
-            self.job_audit = Some(audit);
+            self.task_snapshot = Some(snapshot);
             self.invariants = invariants;
         }
         self.task_starts
@@ -141,41 +143,41 @@
             }));
     }
 
-    /// Notes that a task has completed. Users may cancel its job at that moment.
+    /// Records the completion of a task. With `cancel_at_completion`, a user may cancel the job at the same time.
     fn record_completion(&mut self, task: TaskId) {
-        self.invariants.completed(task);
+        self.invariants.record_completion(task);
         if self.invariants.all_done(task.job) && self.rng.f64() < self.faults.cancel_at_completion {
             self.record_effect("cancel at completion");
-            let controller = self.rng.usize(0..CONTROLLERS);
-            let wait_ms = self.rng.u64(0..CANCEL_AT_COMPLETION_MS);
-            self.schedule(wait_ms, move |cluster| {
+            let controller = self.rng.usize(0..CONTROLLER_COUNT);
+            let delay_ms = self.rng.u64(0..CANCEL_AT_COMPLETION_MAX_MS);
+            self.schedule(delay_ms, move |cluster| {
                 cluster.send_cancel(controller, task.job);
             });
         }
     }
 
-    /// All that is on machines now, with what has just started on one of them.
-    fn job_audit_with(&mut self, id: &MachineId, started: &[TaskId]) -> JobAudit {
-        match self.job_audit.take() {
-            Some(mut audit) if audit.is_of(self.now) => {
+    /// Returns the snapshot of this time, including tasks that have just started on a machine.
+    fn snapshot_including(&mut self, id: &MachineId, started: &[TaskId]) -> TaskSnapshot {
+        match self.task_snapshot.take() {
+            Some(mut snapshot) if snapshot.is_taken_at(self.now) => {
                 let worker = &self.workers[id];
                 for task in started {
-                    audit.add(&ObservedTask {
+                    snapshot.add(&ObservedTask {
                         task: *task,
                         machine: id,
                         zone: &worker.zone,
-                        spot: worker.spot,
+                        is_spot: worker.is_spot,
                     });
                 }
-                audit
+                snapshot
             }
-            _ => JobAudit::new(self.now, &self.observed_tasks()),
+            _ => TaskSnapshot::new(self.now, &self.observed_tasks()),
         }
     }
 
-    /// Checks that no attempt's number is used for another task or on another machine.
+    /// Records launch commands and checks that no attempt is reused for another task or machine.
     pub(crate) fn record_launches(&mut self, id: &MachineId, commands: &[Command]) {
-        self.usage.commands(commands);
+        self.usage.count_commands(commands);
         for command in commands {
             let Command::Launch { task, attempt } = command else {
                 continue;
@@ -184,22 +186,24 @@
                 task: *task,
                 machine: id.clone(),
             };
-            let first = self.launched.entry(*attempt).or_insert(launch.clone());
+            let launches = &mut self.launches_by_attempt;
+            let first = launches.entry(*attempt).or_insert(launch.clone());
             if *first != launch {
-                let text = format!("attempt {attempt} of {first:?} used again for {launch:?}");
+                let text = format!("attempt {attempt} of {first:?} reused for {launch:?}");
                 self.invariants.record_violation("attempts", &text);
             }
         }
     }
 
-    /// Has a worker execute direct commands, if it can be reached; its heartbeat after them.
+    /// Delivers direct commands to a worker, which ignores them if they are stale. Returns the worker's heartbeat;
+    /// `None` if it is unreachable or hangs.
     pub(crate) fn execute_commands(&mut self, commands: &DirectCommands) -> Option<Heartbeat> {
         let (id, batch) = (&commands.machine, &commands.batch);
         self.record_launches(id, &batch.commands);
         if self.faults.unreachable_machines.contains(id) {
             return None;
         }
-        let worker = self.workers.get_mut(id).filter(|worker| !worker.hung)?;
+        let worker = self.workers.get_mut(id).filter(|worker| !worker.is_hung)?;
         let is_current = batch.fencing_token >= worker.fencing_token
             && batch.incarnation.0 == worker.incarnation;
         if is_current {
@@ -211,23 +215,23 @@
         Some(worker.next_heartbeat(id))
     }
 
-    /// A machine hangs for so long.
-    pub fn hang(&mut self, id: &MachineId, ms: u64) {
-        let set = |cluster: &mut Cluster, id: &MachineId, is_hung: bool| {
+    /// Makes a machine hang for a duration, ms.
+    pub fn hang(&mut self, id: &MachineId, duration_ms: u64) {
+        let set_hung = |cluster: &mut Cluster, id: &MachineId, is_hung: bool| {
             if let Some(worker) = cluster.workers.get_mut(id) {
-                worker.hung = is_hung;
+                worker.is_hung = is_hung;
             }
         };
-        set(self, id, true);
+        set_hung(self, id, true);
         let id = id.clone();
-        self.schedule(ms, move |cluster| set(cluster, &id, false));
+        self.schedule(duration_ms, move |cluster| set_hung(cluster, &id, false));
     }
 
-    /// Puts a task on a machine without any controller's command.
+    /// Launches a task on a machine without a controller's command.
     ///
     /// # Panics
     ///
-    /// There is no such machine.
+    /// The machine does not exist.
     pub fn inject_task(&mut self, id: &MachineId, task: TaskId, attempt: u64) {
         let worker = self.workers.get_mut(id).expect("a worker");
         worker.launch(task, Attempt(attempt));
