--- a/crates/worksshunt-simulation/src/commands.rs
+++ b/crates/worksshunt-simulation/src/commands.rs
@@ -73,10 +73,10 @@
 
     /// Executes the held-back commands and returns the number of requests.
     pub fn release_commands(&mut self) -> usize {
-        let held = std::mem::take(&mut self.held_commands);
-        for commands in &held {
+        let held_commands = std::mem::take(&mut self.held_commands);
+        for commands in &held_commands {
             self.execute_commands(commands);
         }
-        held.len()
+        held_commands.len()
     }
 }
--- a/crates/worksshunt-simulation/src/key_value_store.rs
+++ b/crates/worksshunt-simulation/src/key_value_store.rs
@@ -147,10 +147,12 @@
         let has_prefix = |event: &WatchEvent| match event {
             WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key.starts_with(prefix),
         };
-        let first = self
+        let first_index = self
             .change_log
             .partition_point(|change| change.revision <= since.0);
-        let events = self.change_log[first..].iter().map(|change| &change.event);
+        let events = self.change_log[first_index..]
+            .iter()
+            .map(|change| &change.event);
         WatchResponse {
             revision: Revision(self.revision),
             events: events.filter(|event| has_prefix(event)).cloned().collect(),
--- a/crates/worksshunt-simulation/src/users.rs
+++ b/crates/worksshunt-simulation/src/users.rs
@@ -93,19 +93,19 @@
 
     /// Sends a status query without waiting; returns the response's slot.
     pub fn send_status(&mut self, controller: usize, id: JobId) -> usize {
-        let text = id.to_string();
+        let job_id = id.to_string();
         self.send(controller, |request_id| Event::Status {
             request_id,
-            job_id: text,
+            job_id,
         })
     }
 
     /// Sends a cancellation without waiting; returns the response's slot.
     pub fn send_cancel(&mut self, controller: usize, id: JobId) -> usize {
-        let text = id.to_string();
+        let job_id = id.to_string();
         self.send(controller, |request_id| Event::Cancel {
             request_id,
-            job_id: text,
+            job_id,
         })
     }
 
@@ -123,28 +123,28 @@
 
     /// Submits each job to each of the controllers at the same time and waits for all responses.
     pub fn submit_at_once(&mut self, controllers: &[usize], jobs: &[Value]) -> Vec<HttpResponse> {
-        let first = self.users.responses.len();
+        let first_slot = self.users.responses.len();
         for job in jobs {
             for controller in controllers {
                 self.send_submit(*controller, job);
             }
         }
         self.until("responses", 5_000, |cluster| {
-            let mut responses = cluster.users.responses[first..].iter();
+            let mut responses = cluster.users.responses[first_slot..].iter();
             responses.all(Option::is_some)
         });
-        let responses = self.users.responses[first..].iter();
+        let responses = self.users.responses[first_slot..].iter();
         responses.flatten().cloned().collect()
     }
 
     /// Queries jobs at a controller at the same time and returns those answered with status 200 within 2 s.
     pub fn answered_queries(&mut self, controller: usize, ids: &[u64]) -> BTreeSet<u64> {
-        let first = self.users.responses.len();
+        let first_slot = self.users.responses.len();
         for id in ids {
             self.send_status(controller, JobId(*id));
         }
         self.run(RESPONSE_TIMEOUT_MS);
-        let slots = first..first + ids.len();
+        let slots = first_slot..first_slot + ids.len();
         slots
             .zip(ids)
             .filter(|(slot, _)| self.is_answered_ok(*slot))
@@ -164,10 +164,10 @@
     ///
     /// The controller does not respond.
     pub fn state(&mut self, controller: usize, id: u64) -> (u16, String) {
-        let text = JobId(id).to_string();
+        let job_id = JobId(id).to_string();
         let response = self.send_and_wait(controller, |request_id| Event::Status {
             request_id,
-            job_id: text,
+            job_id,
         });
         let body: Value = serde_json::from_str(&response.body).expect("JSON");
         let state = body["Estado"].as_str().unwrap_or_default().to_owned();
@@ -181,10 +181,10 @@
 
     /// Cancels a job and waits for the response.
     pub fn cancel(&mut self, controller: usize, id: u64) -> HttpResponse {
-        let text = JobId(id).to_string();
+        let job_id = JobId(id).to_string();
         self.send_and_wait(controller, |request_id| Event::Cancel {
             request_id,
-            job_id: text,
+            job_id,
         })
     }
 
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -187,9 +187,9 @@
                 machine: id.clone(),
             };
             let launches = &mut self.launches_by_attempt;
-            let first = launches.entry(*attempt).or_insert(launch.clone());
-            if *first != launch {
-                let text = format!("attempt {attempt} of {first:?} reused for {launch:?}");
+            let first_launch = launches.entry(*attempt).or_insert(launch.clone());
+            if *first_launch != launch {
+                let text = format!("attempt {attempt} of {first_launch:?} reused for {launch:?}");
                 self.invariants.record_violation("attempts", &text);
             }
         }
