--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,24 +1,28 @@
-//! The key-value store is down, slow or refuses requests while thousands of machines have to be kept.
+//! Faults of the key-value store while thousands of machines run tasks.
 
 use worksshunt_core::time::TokenBucket;
 use worksshunt_simulation::{Cluster, DelayRange, KeyValueRates, LateWrites};
 
-use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
+use crate::fixtures::{complete_jobs, full_deployment, Users, FLEET_JOB_COUNT};
 
 #[test]
-fn an_outage_longer_than_a_lease_then_slow_and_lost_responses() {
+fn leases_survive_a_long_outage_followed_by_slow_and_lost_responses() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     cluster.faults.key_value.down = true;
     users.query_for(&mut cluster, 20);
-    let lost = |cluster: &Cluster| {
+    let restarted_workers = |cluster: &Cluster| {
         cluster
             .workers
             .keys()
             .filter(|id| cluster.worker_incarnation(id) > 1)
             .count()
     };
-    assert_eq!(lost(&cluster), 0, "leases outlive the outage");
+    assert_eq!(
+        restarted_workers(&cluster),
+        0,
+        "a worker lease expired in the outage"
+    );
     cluster.faults.key_value.down = false;
     cluster.faults.key_value.slow_responses_ms = 600;
     cluster.faults.key_value.late_writes = Some(LateWrites {
@@ -32,17 +36,17 @@
     users.query_for(&mut cluster, 20);
     cluster.faults.key_value.slow_responses_ms = 0;
     cluster.faults.key_value.late_writes = None;
-    assert!(cluster.effects("late write") > 5, "answers were lost");
-    assert!(users.served > 0 && users.refused > 0);
-    finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
+    assert!(cluster.effects("late write") > 5, "responses were lost");
+    assert!(users.served_count > 0 && users.refused_count > 0);
+    complete_jobs(&mut cluster, 1..=FLEET_JOB_COUNT + 8, 240_000);
 }
 
-// Less than a fifth of what the settings name: what is sent within the shares of the limit is too much.
+// The store's actual limits are less than a fifth of the configured ones, so controllers exceed them.
 #[test]
-fn a_key_value_store_that_answers_429_to_many_requests() {
+fn jobs_complete_while_the_key_value_store_answers_429_to_many_requests() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
-    let full = cluster.key_value_rates.clone();
+    let configured_rates = cluster.key_value_rates.clone();
     cluster.key_value_rates = Some(KeyValueRates {
         requests: TokenBucket::new(60.0, 60.0),
         changes: TokenBucket::new(10.0, 10.0),
@@ -53,6 +57,6 @@
         "{} refused",
         cluster.usage.refused
     );
-    cluster.key_value_rates = full;
-    finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 240_000);
+    cluster.key_value_rates = configured_rates;
+    complete_jobs(&mut cluster, 1..=FLEET_JOB_COUNT + 8, 240_000);
 }
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -1,14 +1,14 @@
-//! Machines that go silent together, and cancellations and ends in the middle of a change of leader.
+//! Machines that fall silent together, and cancellations and completions during a leader change.
 
 use std::collections::BTreeSet;
 
 use worksshunt_simulation::ZonePartition;
 use worksshunt_wire::JobId;
 
-use crate::fixtures::{finish, full_deployment, Users, JOBS_AT_ONCE};
+use crate::fixtures::{complete_jobs, full_deployment, Users, FLEET_JOB_COUNT};
 
 #[test]
-fn half_of_the_machines_are_cut_off_and_back_in_the_same_second() {
+fn half_of_the_machines_disconnect_and_return_together() {
     let mut cluster = full_deployment(40_000);
     let mut users = Users::default();
     cluster.faults.heartbeats.copies_after_ms = vec![9_000, 30_000];
@@ -25,12 +25,12 @@
         cluster.effects("heartbeat copy") > 50_000,
         "late copies of all heartbeats arrived"
     );
-    assert_eq!(users.refused, 0);
-    finish(&mut cluster, 1..=JOBS_AT_ONCE + 8, 180_000);
+    assert_eq!(users.refused_count, 0);
+    complete_jobs(&mut cluster, 1..=FLEET_JOB_COUNT + 8, 180_000);
 }
 
 #[test]
-fn the_leader_changes_amid_thousands_of_completions_and_hundreds_of_cancellations() {
+fn the_leader_changes_amid_many_completions_and_cancellations() {
     let mut cluster = full_deployment(30_000);
     let mut users = Users::default();
     cluster.run(22_000);
@@ -42,6 +42,9 @@
     cluster.restart(leader, 300);
     users.query_for(&mut cluster, 40);
     assert_eq!(cluster.invariants.starts_after_cancel, 0);
-    assert!(users.served > users.refused, "questions are answered");
-    finish(&mut cluster, 9..=JOBS_AT_ONCE + 8, 180_000);
+    assert!(
+        users.served_count > users.refused_count,
+        "most queries are answered"
+    );
+    complete_jobs(&mut cluster, 9..=FLEET_JOB_COUNT + 8, 180_000);
 }
--- a/crates/worksshunt-core/tests/scale/main.rs
+++ b/crates/worksshunt-core/tests/scale/main.rs
@@ -1,5 +1,4 @@
-//! Scenarios of four thousand machines on virtual time, with all invariants checked. Each takes 5 to 20 s of one
-//! processor, so they are few.
+//! Scenarios of deployments with thousands of machines, simulated on virtual time. Each takes 5 to 20 s of CPU time.
 
 mod completions;
 mod fixtures;
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -1,35 +1,44 @@
-//! The first minutes: the fleet is scaled out, boots together, and is scaled in.
+//! Scale-out, boot and scale-in of the whole fleet.
 
 use worksshunt_simulation::{Cluster, ResourceUsage};
 
-use crate::fixtures::{finish, submit_jobs, Users, JOB_TASKS, MACHINES, TASKS_AT_ONCE};
+use crate::fixtures::{
+    complete_jobs, submit_jobs, Users, FLEET_TASK_COUNT, JOB_TASKS, MACHINE_COUNT,
+};
 
 #[test]
-fn tasks_for_twice_the_fleet_wait_from_the_first_second() {
-    let mut cluster = Cluster::large(MACHINES);
+fn tasks_for_twice_the_fleet_complete_from_a_cold_start() {
+    let mut cluster = Cluster::large(MACHINE_COUNT);
     let mut users = Users::default();
     cluster.run(2_000);
     submit_jobs(&mut cluster, 1..=64);
     cluster.run(3_000);
     users.query_for(&mut cluster, 13);
-    assert_eq!(cluster.workers.len(), MACHINES, "provisioned within 16 s");
+    assert_eq!(
+        cluster.workers.len(),
+        MACHINE_COUNT,
+        "not all machines were provisioned within 16 s"
+    );
     users.query_for(&mut cluster, 24);
     let running = cluster.running().len();
-    assert!(running >= TASKS_AT_ONCE * 9 / 10, "{running} run");
-    finish(&mut cluster, 1..=64, 90_000);
+    assert!(
+        running >= FLEET_TASK_COUNT * 9 / 10,
+        "{running} tasks are running"
+    );
+    complete_jobs(&mut cluster, 1..=64, 90_000);
     let tasks = 64 * JOB_TASKS as usize;
     assert_eq!(cluster.task_starts.len(), tasks, "each task started once");
     assert_eq!(cluster.usage.launches, tasks as u64);
     check_usage(&cluster.usage, tasks as u64);
-    // Kept for half a boot time, then 40 requests of 100 at most.
+    // Idle machines are kept for half the boot time, then released by 40 requests of at most 100 machines.
     cluster.until("an empty fleet", 30_000, |cluster| {
         cluster.workers.is_empty()
     });
-    assert_eq!(users.refused, 0);
+    assert_eq!(users.refused_count, 0);
     cluster.check();
 }
 
-/// What it took to run so many tasks stays within the limits.
+/// Checks the resources used to run `tasks` tasks.
 fn check_usage(usage: &ResourceUsage, tasks: u64) {
     assert!(usage.changes <= tasks / 20, "{} changes", usage.changes);
     assert!(
@@ -44,6 +53,6 @@
     );
     assert_eq!(
         usage.refused, 0,
-        "within the rates of the key-value store and the cloud"
+        "requests exceeded the rates of the key-value store or the cloud"
     );
 }
--- a/crates/worksshunt-core/tests/scenarios/claims.rs
+++ b/crates/worksshunt-core/tests/scenarios/claims.rs
@@ -1,16 +1,5 @@
-//! Claims on machines and the ends of jobs, which share writes, when transactions are carried out late.
-//!
-//! The incident of 2 December 2026 (`docs/incidents/inc-2026-12-02-went-back.md`):
-//!
-//! - Seen: the leader answered `done` for a job 0.1 s after its last task had completed, and went on doing so. The
-//!   other two controllers answered `running` and then `queued` for as long as the epoch lasted.
-//! - How it came about: the leader's transactions were carried out up to 8 s late. A copy of a claim's write arrived
-//!   after the claim had been released and brought its key back. The next claim on that machine shared a write with
-//!   the end of a job; the key-value store refused the write, because the claim's key existed.
-//! - Cause: the leader read a conflict on any one key as proof that an earlier copy of the whole write had been
-//!   applied, so it took the job's end for durable. The key of a claim was put again after it had been deleted, so
-//!   its conflict proves nothing about the write.
-//! - Proof: this scenario fails with the rule as it was, and the refused write in it was sent only once.
+//! Writes shared by claims on machines and final states of jobs: a late copy of a claim's write, which restores the
+//! claim's key, must not confirm a final state.
 
 use std::ops::RangeInclusive;
 
@@ -20,97 +9,97 @@
 use crate::ready;
 use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
-/// Machines of the cluster, each of four processors.
-const MACHINES: usize = 2;
-/// Tasks of one processor that fill them.
-const FULL: usize = 8;
+/// Machines of the cluster, with four CPUs each.
+const MACHINE_COUNT: usize = 2;
+/// Tasks of one CPU that fill the machines.
+const FLEET_TASK_COUNT: usize = 8;
 
-/// Jobs of one narrow task.
-const SMALL_JOBS: RangeInclusive<u64> = 101..=700;
-/// Jobs of one wide task.
-const WIDE_JOBS: RangeInclusive<u64> = 1..=3;
-/// How late the copies arrive.
-const LATE: DelayRange = DelayRange {
+/// Ids of the jobs with one narrow task.
+const SMALL_JOB_IDS: RangeInclusive<u64> = 101..=700;
+/// Ids of the jobs with one wide task.
+const WIDE_JOB_IDS: RangeInclusive<u64> = 1..=3;
+/// Delay of the copies of writes.
+const COPY_DELAY: DelayRange = DelayRange {
     min_ms: 12_000,
     max_ms: 12_000,
 };
 
-/// A job with a task that needs a whole machine.
-fn wide(id: u64) -> Value {
-    let mut wide = job(id, 1);
-    wide["Cores"] = json!(4.0);
-    wide["CalculoS"] = json!(3.0);
-    wide
+/// Returns a job with one task that needs a whole machine.
+fn wide_job(id: u64) -> Value {
+    let mut job = job(id, 1);
+    job["Cores"] = json!(4.0);
+    job["CalculoS"] = json!(3.0);
+    job
 }
 
-/// A cluster whose machines are full of narrow tasks, each the only one of its job, so that jobs end all the time.
+/// Returns a cluster filled by jobs of one narrow task each, so that jobs complete all the time.
 fn full_of_small_jobs() -> Cluster {
     let mut cluster = ready();
-    cluster.capacity = MACHINES;
+    cluster.capacity = MACHINE_COUNT;
     cluster.task_run_ms = 4_000;
     cluster.run_spread_ms = 300;
     cluster.faults.rapid_status_queries = true;
-    for id in SMALL_JOBS {
+    for id in SMALL_JOB_IDS {
         cluster.send_submit(id as usize % 3, &job(id, 1));
     }
     cluster.until("a full fleet", 40_000, |cluster| {
-        cluster.running().len() == FULL
+        cluster.running().len() == FLEET_TASK_COUNT
     });
     cluster
 }
 
-/// The wide job of that number gets a machine by a claim and is done. The first copy of the claim's write is carried out
-/// only after [`LATE`], when the claim has been released.
+/// Runs a wide job to its end on a claimed machine. The first copy of the claim's write is applied after
+/// [`COPY_DELAY`], when the claim has been released.
 fn claim_with_a_late_copy(cluster: &mut Cluster, id: u64) {
-    let arrived = cluster.effects("late write");
-    let put_off = cluster.effects("write put off");
+    let applied_before = cluster.effects("late write");
+    let delayed_before = cluster.effects("write put off");
     cluster.faults.key_value.late_writes = Some(LateWrites {
         share: 1.0,
-        delay: LATE,
+        delay: COPY_DELAY,
         key_prefix: Some("k/"),
     });
     let controller = cluster.leader();
-    cluster.submit(controller, &wide(id));
+    cluster.submit(controller, &wide_job(id));
     cluster.until("the claim's write", 60_000, |cluster| {
-        cluster.effects("write put off") > put_off
+        cluster.effects("write put off") > delayed_before
     });
     cluster.faults.key_value.late_writes = None;
     cluster.until("the wide task", 300_000, |cluster| cluster.all_done(id, 1));
     cluster.until("the late copy", 20_000, |cluster| {
-        cluster.effects("late write") > arrived
+        cluster.effects("late write") > applied_before
     });
 }
 
-/// The wide job of that number gets a machine by a claim and is done, while most answers to writes of jobs' ends are lost,
-/// so that claims and ends wait for the same write.
-fn claim_beside_ends(cluster: &mut Cluster, id: u64) {
+/// Runs a wide job to its end on a claimed machine while many responses to writes of final states are lost, so that
+/// claims and final states share a pending write.
+fn claim_with_lost_final_state_responses(cluster: &mut Cluster, id: u64) {
     cluster.faults.key_value.late_writes = Some(LateWrites {
         share: 0.4,
         delay: DelayRange::NONE,
         key_prefix: Some("f/"),
     });
     let controller = cluster.leader();
-    cluster.submit(controller, &wide(id));
+    cluster.submit(controller, &wide_job(id));
     cluster.until("the wide task", 300_000, |cluster| cluster.all_done(id, 1));
     cluster.faults.key_value.late_writes = None;
 }
 
-// Guards against a job that is called done although its end was never written.
+// Guards against a job that is reported done although its final state was never written.
 #[test]
-fn a_claim_that_a_late_copy_brings_back_ends_no_job() {
+fn a_claim_restored_by_a_late_copy_confirms_no_final_state() {
     let mut cluster = full_of_small_jobs();
-    for id in WIDE_JOBS {
+    for id in WIDE_JOB_IDS {
         claim_with_a_late_copy(&mut cluster, id);
-        claim_beside_ends(&mut cluster, id + WIDE_JOBS.end());
+        claim_with_lost_final_state_responses(&mut cluster, id + WIDE_JOB_IDS.end());
     }
     cluster.check();
-    cluster.until("the ends of all jobs", 300_000, |cluster| {
+    cluster.until("the final states of all jobs", 300_000, |cluster| {
         cluster.keys("j/").is_empty()
     });
     cluster.check();
 }
 
-/// The value of a counter or gauge in a controller's metrics; 0 where it is not listed.
+/// Returns the value of a counter or gauge in a controller's metrics; 0 if it is not listed.
 fn metric(cluster: &mut Cluster, controller: usize, name: &str) -> u64 {
     let response = cluster.ask(controller, Event::Metrics);
     assert_eq!(response.status, 200);
@@ -121,20 +110,26 @@
     line.unwrap_or(0)
 }
 
-// Guards against conclusions that operators cannot see: how often what was concluded from what.
+// Guards against metrics that do not show by which evidence claim records and final states were resolved.
 #[test]
-fn the_metrics_tell_what_claims_and_final_states_were_concluded_from() {
+fn metrics_count_claim_records_and_final_states_by_evidence() {
     let mut cluster = full_of_small_jobs();
     claim_with_a_late_copy(&mut cluster, 1);
     let leader = cluster.leader();
-    let claims =
+    let claim_records_metric =
         |evidence: &str| format!("worksshunt_claim_records_total{{evidence=\"{evidence}\"}}");
-    let committed = metric(&mut cluster, leader, &claims("Committed"));
+    let committed = metric(&mut cluster, leader, &claim_records_metric("Committed"));
     assert!(committed > 0);
-    assert_eq!(metric(&mut cluster, leader, &claims("Deleted")), committed);
-    let done = "worksshunt_final_states_total{evidence=\"Committed\"}";
-    let ended = cluster.keys("f/").len() as u64;
-    assert_eq!(metric(&mut cluster, leader, done), ended);
+    assert_eq!(
+        metric(&mut cluster, leader, &claim_records_metric("Deleted")),
+        committed
+    );
+    let final_states_metric = "worksshunt_final_states_total{evidence=\"Committed\"}";
+    let final_state_count = cluster.keys("f/").len() as u64;
+    assert_eq!(
+        metric(&mut cluster, leader, final_states_metric),
+        final_state_count
+    );
     assert_eq!(metric(&mut cluster, leader, "worksshunt_is_leader"), 1);
     let epoch = cluster.epoch();
     for controller in 0..3 {
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -1,7 +1,7 @@
-//! Faults that come together, one scenario for each.
+//! Combinations of faults: no invariant is violated, and all accepted jobs end.
 //!
-//! Faults interact at particular moments, so each scenario runs over a sweep of moments, with fixed seeds. Each asserts
-//! that its faults took effect. `docs/combined-faults.md` says what the code relies on in each.
+//! Each scenario sweeps the times of its faults, or uses fixed seeds, and asserts that the faults took effect.
+//! `docs/combined-faults.md` describes which guarantees each combination relies on.
 
 mod controllers;
 mod machines;
@@ -11,25 +11,25 @@
 use serde_json::{json, Value};
 use worksshunt_wire::{JobId, MachineId};
 
-use crate::{long_job, ready_with_boots_of};
+use crate::{long_job, ready_with_boot_time};
 use worksshunt_simulation::Cluster;
 
-/// A job of team red, whose limit is eight processors.
-fn red(id: u64, tasks: u32) -> Value {
-    let mut red = long_job(id, tasks);
-    red["Cuadrilla"] = json!("red");
-    red
+/// Returns a job of team red, whose limit is eight CPUs.
+fn red_job(id: u64, tasks: u32) -> Value {
+    let mut job = long_job(id, tasks);
+    job["Cuadrilla"] = json!("red");
+    job
 }
 
-/// A cluster in which all tasks of so many jobs of four tasks each run, for so long.
-fn busy(jobs: u64, run_ms: u64) -> Cluster {
-    let mut cluster = ready_with_boots_of(50.0);
-    fill(&mut cluster, jobs, run_ms);
+/// Returns a cluster that runs all tasks of `jobs` jobs of four tasks, each for `run_ms`.
+fn with_running_jobs(jobs: u64, run_ms: u64) -> Cluster {
+    let mut cluster = ready_with_boot_time(50.0);
+    submit_and_start(&mut cluster, jobs, run_ms);
     cluster
 }
 
-/// Has all tasks of so many jobs of four tasks each run, for so long.
-pub fn fill(cluster: &mut Cluster, jobs: u64, run_ms: u64) {
+/// Submits `jobs` jobs of four tasks that run for `run_ms`, and waits until all tasks are running.
+pub fn submit_and_start(cluster: &mut Cluster, jobs: u64, run_ms: u64) {
     cluster.capacity = jobs as usize + 2;
     cluster.task_run_ms = run_ms;
     for id in 1..=jobs {
@@ -40,12 +40,12 @@
     cluster.run(3_000);
 }
 
-/// How a machine and the controllers lose contact.
+/// Fault that disconnects a machine from the controllers.
 #[derive(Debug, Clone, Copy)]
 enum MachineFault {
-    /// Its heartbeats arrive, responses and commands do not reach it.
+    /// Its heartbeats arrive, but responses and commands do not reach it.
     Unreachable,
-    /// Its heartbeats are lost, direct commands reach it.
+    /// Its heartbeats are lost, but direct commands reach it.
     HeartbeatsLost,
     /// Its worker hangs.
     Hung,
@@ -58,7 +58,7 @@
         MachineFault::Hung,
     ];
 
-    /// Begins the fault. A hung worker resumes after `hang_ms`; the other faults last until they are cleared.
+    /// Injects the fault. A hung worker resumes after `hang_ms`; the other faults last until they are cleared.
     fn apply(self, cluster: &mut Cluster, machine: &MachineId, hang_ms: u64) {
         match self {
             MachineFault::Unreachable => {
@@ -74,17 +74,18 @@
     }
 }
 
-/// All faults are over: whatever was accepted gets done, and the invariants are checked.
-pub fn settle(cluster: &mut Cluster, moment: &str) {
-    let ended = cluster.settle();
-    ended.unwrap_or_else(|failure| panic!("{moment}: {failure}"));
+/// Runs without faults until all accepted jobs have ended, and checks the invariants. Panics with `case` otherwise.
+pub fn settle(cluster: &mut Cluster, case: &str) {
+    let result = cluster.settle();
+    result.unwrap_or_else(|failure| panic!("{case}: {failure}"));
 }
 
-fn others(controller: usize) -> [usize; 2] {
+fn other_controllers(controller: usize) -> [usize; 2] {
     [(controller + 1) % 3, (controller + 2) % 3]
 }
 
-fn machines_of(cluster: &Cluster, job: u64) -> Vec<MachineId> {
+/// Returns the machines on which tasks of a job have started.
+fn machines_of_job(cluster: &Cluster, job: u64) -> Vec<MachineId> {
     let mut ids: Vec<MachineId> = cluster
         .task_starts
         .iter()
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -1,23 +1,23 @@
-//! Combinations of faults that the users asked for first: a refused leader followed by an outage, and seven others.
+//! Combinations of faults requested by users.
 
 use worksshunt_wire::JobId;
 
-use super::{busy, machines_of, others, red, settle};
-use crate::{long_job, ready, ready_with_boots_of};
+use super::{machines_of_job, other_controllers, red_job, settle, with_running_jobs};
+use crate::{long_job, ready, ready_with_boot_time};
 use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
-// Guards against a leader that goes on renewing leases of tasks whose cancellation it cannot know.
+// Guards against a leader that renews leases although it cannot learn of cancellations.
 #[test]
-fn the_leader_is_refused_then_an_outage_lasts_longer_than_the_cancel_time() {
+fn the_store_refuses_the_leader_before_a_long_outage() {
     for outage_ms in [17_000, 24_000, 63_500] {
         for cancel_ms in (0..2_400).step_by(200) {
-            let moment = format!("outage {outage_ms}, cancelled after {cancel_ms}");
-            let mut cluster = busy(6, 120_000);
+            let case = format!("outage {outage_ms}, cancelled after {cancel_ms}");
+            let mut cluster = with_running_jobs(6, 120_000);
             let leader = cluster.leader();
             cluster.faults.key_value.refuses.insert(leader);
             cluster.run(cancel_ms);
             for id in 1..=4 {
-                cluster.send_cancel(others(leader)[id as usize % 2], JobId(id));
+                cluster.send_cancel(other_controllers(leader)[id as usize % 2], JobId(id));
             }
             cluster.run(2_400 - cancel_ms);
             cluster.faults.key_value.down = true;
@@ -25,27 +25,27 @@
             cluster.run(outage_ms);
             assert!(
                 cluster.invariants.any_cancelled(),
-                "{moment}: none was confirmed"
+                "{case}: none was confirmed"
             );
-            assert!(cluster.effects("refused") > 0, "{moment}");
+            assert!(cluster.effects("refused") > 0, "{case}");
             cluster.faults.key_value.down = false;
             cluster.run(40_000);
-            settle(&mut cluster, &moment);
+            settle(&mut cluster, &case);
         }
     }
 }
 
-// Guards against a controller that knows the epoch, but not what was cancelled: its reads of the one are
-// answered and its watch of the other is not.
+// Guards against a controller that renews leases while its reads of the epoch are answered, but its watch of
+// cancellations is not.
 #[test]
 fn a_controller_whose_watch_is_never_answered_stops_renewing_leases() {
     for after_ms in [0, 700, 5_000] {
-        let mut cluster = busy(6, 200_000);
+        let mut cluster = with_running_jobs(6, 200_000);
         cluster.faults.key_value.no_watch_responses = (0..3).collect();
         cluster.run(after_ms);
-        let second = others(cluster.leader())[0];
+        let other_controller = other_controllers(cluster.leader())[0];
         for id in 1..=4 {
-            cluster.send_cancel(second, JobId(id));
+            cluster.send_cancel(other_controller, JobId(id));
         }
         cluster.run(1_000);
         assert!(cluster.invariants.any_cancelled());
@@ -55,7 +55,7 @@
     }
 }
 
-// Guards against a controller that answers from what it knew before another one's answer.
+// Guards against a controller that answers with a state older than another controller's earlier answer.
 #[test]
 fn users_query_rapidly_after_every_response() {
     for seed in 1..=12 {
@@ -87,9 +87,9 @@
     }
 }
 
-// Guards against lost responses of the key-value store that are taken for refusals: the write was applied.
+// Guards against treating a write whose response was lost as not applied.
 #[test]
-fn only_the_response_to_a_write_is_lost_while_others_read_it() {
+fn responses_to_applied_writes_are_lost() {
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -121,15 +121,16 @@
     }
 }
 
-/// A cluster in which two jobs use up the limit of team red, a third of that team waits, and others run.
+/// Returns a cluster in which two jobs use the whole limit of team red, a third job of the team waits, and a job of
+/// another team runs.
 fn team_at_its_limit() -> Cluster {
-    let mut cluster = ready_with_boots_of(50.0);
+    let mut cluster = ready_with_boot_time(50.0);
     cluster.capacity = 8;
     cluster.task_run_ms = 60_000;
-    cluster.submit(0, &red(1, 4));
-    cluster.submit(1, &red(2, 4));
+    cluster.submit(0, &red_job(1, 4));
+    cluster.submit(1, &red_job(2, 4));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-    cluster.submit(2, &red(3, 8));
+    cluster.submit(2, &red_job(3, 8));
     cluster.submit(2, &long_job(4, 12));
     cluster.until("more tasks", 30_000, |cluster| {
         cluster.running().len() == 20
@@ -137,77 +138,75 @@
     cluster
 }
 
-// Guards against a new leader that takes tasks of cancelled jobs for nothing while they are still there.
+// Guards against a new leader that does not count tasks of cancelled jobs that still run.
 #[test]
-fn a_team_at_its_limit_has_jobs_cancelled_on_hung_machines_as_the_leader_changes() {
-    for all in [false, true] {
+fn jobs_on_hung_machines_are_cancelled_as_the_leader_changes() {
+    for all_crash in [false, true] {
         for crash_ms in (0..4_000).step_by(400) {
-            let moment = format!("all {all}, the leader crashes after {crash_ms}");
+            let case = format!("all crash: {all_crash}, the leader crashes after {crash_ms}");
             let mut cluster = team_at_its_limit();
             let leader = cluster.leader();
-            for id in machines_of(&cluster, 1) {
+            for id in machines_of_job(&cluster, 1) {
                 cluster.hang(&id, 9_000);
             }
-            for id in machines_of(&cluster, 2) {
+            for id in machines_of_job(&cluster, 2) {
                 cluster.faults.unreachable_machines.insert(id);
             }
             cluster.run(1_000);
             for id in 1..=2 {
-                cluster.send_cancel(others(leader)[0], JobId(id));
+                cluster.send_cancel(other_controllers(leader)[0], JobId(id));
             }
             cluster.run(crash_ms);
-            let gone: Vec<usize> = (0..3).filter(|n| all || *n == leader).collect();
-            gone.iter()
+            let crashed: Vec<usize> = (0..3).filter(|n| all_crash || *n == leader).collect();
+            crashed
+                .iter()
                 .for_each(|controller| cluster.crash(*controller));
             cluster.run(300);
-            gone.iter()
+            crashed
+                .iter()
                 .for_each(|controller| cluster.start(*controller));
             let epoch = cluster.epoch();
             cluster.run(6_000);
-            // Whoever got no answer asks again.
+            // Repeats requests that may not have been answered.
             for id in 1..=2 {
-                cluster.send_cancel(others(leader)[0], JobId(id));
+                cluster.send_cancel(other_controllers(leader)[0], JobId(id));
             }
             cluster.run(2_000);
-            assert!(
-                cluster.epoch() > epoch,
-                "{moment}: the leader did not change"
-            );
+            assert!(cluster.epoch() > epoch, "{case}: the leader did not change");
             cluster.faults.unreachable_machines.clear();
             cluster.run(25_000);
-            assert!(cluster.invariants.any_cancelled(), "{moment}");
-            settle(&mut cluster, &moment);
+            assert!(cluster.invariants.any_cancelled(), "{case}");
+            settle(&mut cluster, &case);
         }
     }
 }
 
-// Guards against a job that is cancelled while a new leader asks how others have ended (found by a day of mixed
-// faults).
+// Guards against a new leader that misses a cancellation while it reads the final states of other jobs.
 #[test]
-fn jobs_are_cancelled_while_a_new_leader_reads_how_others_ended() {
+fn jobs_are_cancelled_while_a_new_leader_reads_final_states() {
     for cancel_ms in (0..300).step_by(4) {
-        let moment = format!("cancelled {cancel_ms} ms after the epoch began");
-        let mut cluster = ready_with_boots_of(50.0);
+        let case = format!("cancelled {cancel_ms} ms after the epoch began");
+        let mut cluster = ready_with_boot_time(50.0);
         cluster.capacity = 8;
         cluster.task_run_ms = 40_000;
         for id in 1..=4 {
-            cluster.submit(0, &red(id, 2));
+            cluster.submit(0, &red_job(id, 2));
         }
         cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-        cluster.submit(2, &red(9, 8));
-        // Capacity for what waits at the limit.
+        cluster.submit(2, &red_job(9, 8));
+        // Capacity for the job that waits for its team's limit.
         for _ in 0..3 {
             cluster.machine("a", true, 0);
         }
         cluster.run(4_000);
         let leader = cluster.leader();
         for id in 1..=4 {
-            for machine in machines_of(&cluster, id) {
+            for machine in machines_of_job(&cluster, id) {
                 cluster.faults.unreachable_machines.insert(machine);
             }
         }
-        // The new leader looks up its final state.
-        cluster.send_cancel(others(leader)[0], JobId(1));
+        // The new leader reads the final state of job 1.
+        cluster.send_cancel(other_controllers(leader)[0], JobId(1));
         cluster.run(300);
         cluster.crash(leader);
         let epoch = cluster.epoch();
@@ -216,50 +215,57 @@
         }
         cluster.run(cancel_ms);
         for id in 2..=4 {
-            cluster.send_cancel(others(leader)[1], JobId(id));
+            cluster.send_cancel(other_controllers(leader)[1], JobId(id));
         }
         cluster.run(8_000);
-        assert!(cluster.invariants.any_cancelled(), "{moment}");
-        let broken = &cluster.invariants.violations;
-        assert!(broken.is_empty(), "{moment}: {broken:?}");
+        assert!(cluster.invariants.any_cancelled(), "{case}");
+        let violations = &cluster.invariants.violations;
+        assert!(violations.is_empty(), "{case}: {violations:?}");
     }
 }
 
-// Guards against tasks that lose the one who was to stop them.
+// Guards against tasks that no controller stops because their owner changes.
 #[test]
-fn jobs_are_cancelled_while_a_controllers_partition_is_handed_over() {
-    for leads in [false, true] {
+fn jobs_are_cancelled_during_a_partition_handover() {
+    for is_leader in [false, true] {
         for cancel_ms in (0..9_000).step_by(450) {
-            let moment = format!("leader {leads}, cancelled after {cancel_ms}");
-            let mut cluster = busy(6, 120_000);
+            let case = format!("leader: {is_leader}, cancelled after {cancel_ms}");
+            let mut cluster = with_running_jobs(6, 120_000);
             let leader = cluster.leader();
-            let gone = if leads { leader } else { others(leader)[0] };
-            let owned = cluster.reporting_to(gone);
-            cluster.restart(gone, 2_000);
+            let restarted = if is_leader {
+                leader
+            } else {
+                other_controllers(leader)[0]
+            };
+            let owned_machines = cluster.reporting_to(restarted);
+            cluster.restart(restarted, 2_000);
             cluster.run(cancel_ms);
             for id in 1..=6 {
-                cluster.send_cancel(others(gone)[id as usize % 2], JobId(id));
+                cluster.send_cancel(other_controllers(restarted)[id as usize % 2], JobId(id));
             }
             cluster.run(6_000);
-            // Whoever got no answer asks again.
+            // Repeats requests that may not have been answered.
             for id in 1..=6 {
-                cluster.send_cancel(others(gone)[id as usize % 2], JobId(id));
+                cluster.send_cancel(other_controllers(restarted)[id as usize % 2], JobId(id));
             }
             cluster.run(45_000);
-            assert!(cluster.invariants.any_cancelled(), "{moment}");
-            assert!(owned > 0, "{moment}: it had no work");
-            settle(&mut cluster, &moment);
+            assert!(cluster.invariants.any_cancelled(), "{case}");
+            assert!(
+                owned_machines > 0,
+                "{case}: the controller owned no machines"
+            );
+            settle(&mut cluster, &case);
             assert_eq!(cluster.running(), Vec::new());
         }
     }
 }
 
-// Guards against machines unknown to all controllers, with tasks unknown to all.
+// Guards against machines and tasks that no controller tracks.
 #[test]
-fn new_machines_get_tasks_at_once_while_writes_lag_and_the_leader_crashes() {
+fn new_machines_get_tasks_while_writes_lag_and_the_leader_crashes() {
     for seed in 1..=4 {
         for crash_ms in (1_200..6_000).step_by(300) {
-            let moment = format!("seed {seed}, the leader crashes after {crash_ms}");
+            let case = format!("seed {seed}, the leader crashes after {crash_ms}");
             let mut cluster = ready();
             cluster.seed(seed);
             cluster.boot_ms = 1_500;
@@ -280,23 +286,24 @@
             cluster.run(3_000);
             cluster.start(leader);
             cluster.run(20_000);
-            assert!(cluster.effects("late write") > 0, "{moment}");
-            settle(&mut cluster, &moment);
+            assert!(cluster.effects("late write") > 0, "{case}");
+            settle(&mut cluster, &case);
         }
     }
 }
 
-// Guards against a new leader's epoch that begins with what was true in another one.
+// Guards against an epoch that starts from heartbeats of an earlier one.
 #[test]
-fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
-    for hung in [false, true] {
+fn old_heartbeats_reach_all_controllers_as_an_epoch_begins() {
+    for has_hung_machine in [false, true] {
         for crash_ms in (0..5_000).step_by(250) {
-            let moment = format!("hung {hung}, the leader crashes after {crash_ms}");
-            let mut cluster = busy(4, 14_000);
+            let case =
+                format!("hung machine: {has_hung_machine}, the leader crashes after {crash_ms}");
+            let mut cluster = with_running_jobs(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
             cluster.faults.heartbeats.copies_for_next_leader = true;
             cluster.run(2_500);
-            if hung {
+            if has_hung_machine {
                 let id = cluster.task_starts[0].machine.clone();
                 cluster.hang(&id, 12_000);
             }
@@ -306,16 +313,16 @@
             cluster.run(400);
             cluster.start(leader);
             cluster.run(12_000);
-            assert!(cluster.effects("copy for the next leader") > 0, "{moment}");
-            settle(&mut cluster, &moment);
+            assert!(cluster.effects("copy for the next leader") > 0, "{case}");
+            settle(&mut cluster, &case);
             assert!(cluster.all_done(9, 16));
         }
     }
 }
 
-// Guards against whatever a stream of small jobs wears out: shares of writes, memory of ends, look-ups.
+// Guards against exhausted write shares, completion caches and look-ups under a stream of small jobs.
 #[test]
-fn one_task_jobs_are_submitted_four_a_second_and_a_quarter_is_cancelled() {
+fn a_stream_of_one_task_jobs_with_cancellations() {
     let mut cluster = ready();
     cluster.capacity = 20;
     cluster.task_run_ms = 3_000;
@@ -338,7 +345,10 @@
     }
     assert!(cluster.invariants.accepted_jobs().len() > jobs as usize * 9 / 10);
     assert!(cluster.invariants.any_cancelled());
-    settle(&mut cluster, "a stream");
-    let late = cluster.invariants.starts_after_cancel;
-    assert!(late <= 6, "{late} starts after a confirmed cancellation");
+    settle(&mut cluster, "a stream of small jobs");
+    let starts_after_cancel = cluster.invariants.starts_after_cancel;
+    assert!(
+        starts_after_cancel <= 6,
+        "{starts_after_cancel} starts after a confirmed cancellation"
+    );
 }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/users.rs
@@ -1,20 +1,20 @@
-//! Faults that come together with users' requests: slow and unanswered writes, load, bad input.
+//! Combinations of faults with users' requests: slow and unanswered writes, load, invalid input.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
 use worksshunt_wire::JobId;
 
-use super::{busy, red, settle};
+use super::{red_job, settle, with_running_jobs};
 use crate::ready;
 use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
 
-// Guards against answers that come after their sender has timed out, taken for none.
+// Guards against treating a write as not applied because its response arrives after the timeout.
 #[test]
 fn the_key_value_store_responds_slowly_while_users_cancel_and_query() {
     for slow_ms in [350, 900, 1_400, 1_600] {
         for cancel_ms in [0, 450, 2_000] {
-            let moment = format!("{slow_ms} slower, cancelled after {cancel_ms}");
-            let mut cluster = busy(5, 40_000);
+            let case = format!("{slow_ms} slower, cancelled after {cancel_ms}");
+            let mut cluster = with_running_jobs(5, 40_000);
             cluster.faults.rapid_status_queries = true;
             cluster.faults.key_value.slow_responses_ms = slow_ms;
             cluster.run(cancel_ms);
@@ -28,16 +28,16 @@
                 cluster.send_cancel(id as usize % 3, JobId(id));
             }
             cluster.run(32_000);
-            assert!(cluster.invariants.any_cancelled(), "{moment}");
-            assert!(cluster.effects("rapid status query") > 0, "{moment}");
-            settle(&mut cluster, &moment);
+            assert!(cluster.invariants.any_cancelled(), "{case}");
+            assert!(cluster.effects("rapid status query") > 0, "{case}");
+            settle(&mut cluster, &case);
         }
     }
 }
 
-// Guards against a job that is called cancelled and done, with nothing else going on.
+// Guards against a job that is reported both as cancelled and as done.
 #[test]
-fn requests_arrive_as_a_jobs_last_task_ends() {
+fn requests_arrive_as_the_last_task_completes() {
     for seed in 1..=10 {
         let mut cluster = ready();
         cluster.seed(seed);
@@ -54,7 +54,7 @@
     }
 }
 
-// Guards against a write that was abandoned and undoes newer ones of the same controller.
+// Guards against an abandoned write that is applied late and overwrites newer ones of the same controller.
 #[test]
 fn unanswered_writes_are_applied_after_newer_ones() {
     for seed in 1..=10 {
@@ -91,11 +91,11 @@
     }
 }
 
-// Guards against work that waits for ever beside other work, and links that are taken for dead.
+// Guards against starvation of waiting jobs, and against treating slow links as failed.
 #[test]
 fn jobs_exceed_the_capacity_over_slow_links() {
     for slow_ms in [0, 300, 800] {
-        let moment = format!("{slow_ms} slower");
+        let case = format!("{slow_ms} slower");
         let mut cluster = ready();
         cluster.capacity = 3;
         cluster.task_run_ms = 4_000;
@@ -111,33 +111,39 @@
         cluster.until("a full fleet", 30_000, |cluster| {
             cluster.running().len() >= 10
         });
-        settle(&mut cluster, &moment);
+        settle(&mut cluster, &case);
     }
 }
 
-/// Submits an accepted job's id again with a field missing, with a wrong one, and so that it can never run.
-fn send_bad_repetitions(cluster: &mut Cluster, controller: usize, id: u64) {
-    let mut lacks = job(id, 3);
-    lacks.as_object_mut().expect("an object").remove("Cores");
-    let mut wrong = job(id, 3);
-    wrong["Piezas"] = json!(-3);
-    let mut never = job(id, 3);
-    never["Cores"] = json!(64.0);
-    for bad in [lacks, wrong, never] {
-        cluster.send_submit(controller, &bad);
+/// Submits the id of an accepted job again: with a missing field, with an invalid one, and with infeasible resources.
+fn send_invalid_resubmissions(cluster: &mut Cluster, controller: usize, id: u64) {
+    let mut incomplete = job(id, 3);
+    incomplete
+        .as_object_mut()
+        .expect("an object")
+        .remove("Cores");
+    let mut invalid = job(id, 3);
+    invalid["Piezas"] = json!(-3);
+    let mut infeasible = job(id, 3);
+    infeasible["Cores"] = json!(64.0);
+    for submission in [incomplete, invalid, infeasible] {
+        cluster.send_submit(controller, &submission);
     }
 }
 
-/// Sends bad requests about jobs that nobody has submitted. Returns the expected status of each, and its slot.
-fn send_bad_requests(cluster: &mut Cluster, controller: usize) -> [(u16, usize); 5] {
-    let mut lacks = job(50, 1);
-    lacks.as_object_mut().expect("an object").remove("RamGb");
-    let mut never = job(51, 1);
-    never["Cuadrilla"] = json!("nobody");
+/// Sends invalid requests about jobs that were never submitted. Returns the expected status and the slot of each.
+fn send_invalid_requests(cluster: &mut Cluster, controller: usize) -> [(u16, usize); 5] {
+    let mut incomplete = job(50, 1);
+    incomplete
+        .as_object_mut()
+        .expect("an object")
+        .remove("RamGb");
+    let mut infeasible = job(51, 1);
+    infeasible["Cuadrilla"] = json!("nobody");
     let bytes = b"{\"Ref\": ".to_vec();
     [
-        (400, cluster.send_submit(controller, &lacks)),
-        (422, cluster.send_submit(controller, &never)),
+        (400, cluster.send_submit(controller, &incomplete)),
+        (422, cluster.send_submit(controller, &infeasible)),
         (404, cluster.send_status(controller, JobId(60))),
         (404, cluster.send_cancel(controller, JobId(61))),
         (
@@ -150,33 +156,33 @@
     ]
 }
 
-/// How many requests got the expected status; the others may only have been asked to retry, or not answered.
-fn rejected_as_expected(cluster: &Cluster, replies: Vec<(u16, usize)>) -> usize {
-    let mut refused = 0;
-    for (expected, slot) in replies {
-        let Some(reply) = cluster.reply(slot) else {
+/// Returns the number of requests with the expected status. All others must have got status 503 or no response.
+fn count_expected_rejections(cluster: &Cluster, requests: Vec<(u16, usize)>) -> usize {
+    let mut rejected = 0;
+    for (expected, slot) in requests {
+        let Some(response) = cluster.reply(slot) else {
             continue;
         };
         assert!(
-            reply.status == expected || reply.status == 503,
+            response.status == expected || response.status == 503,
             "{} for {expected}: {}",
-            reply.status,
-            reply.body
+            response.status,
+            response.body
         );
-        refused += usize::from(reply.status == expected);
+        rejected += usize::from(response.status == expected);
     }
-    refused
+    rejected
 }
 
-// Guards against an accepted job that is rejected because a controller has not read it yet.
+// Guards against rejecting the id of an accepted job because a controller has not read the job yet.
 #[test]
-fn bad_input_is_rejected_under_faults_and_never_affects_an_accepted_job() {
+fn invalid_requests_under_faults_are_rejected_and_change_no_accepted_job() {
     for seed in 1..=6 {
         let mut cluster = ready();
         cluster.seed(seed);
         cluster.faults.rapid_status_queries = true;
         cluster.submit(0, &job(1, 3));
-        cluster.submit(1, &red(2, 8));
+        cluster.submit(1, &red_job(2, 8));
         let leader = cluster.leader();
         cluster.restart(leader, 150 * seed);
         cluster.faults.key_value.late_writes = Some(LateWrites {
@@ -187,24 +193,24 @@
             },
             key_prefix: None,
         });
-        let mut replies = Vec::new();
+        let mut requests = Vec::new();
         for round in 0..40 {
             let controller = (round + seed as usize) % 3;
             for id in [1, 2] {
-                send_bad_repetitions(&mut cluster, controller, id);
+                send_invalid_resubmissions(&mut cluster, controller, id);
             }
-            replies.extend(send_bad_requests(&mut cluster, controller));
+            requests.extend(send_invalid_requests(&mut cluster, controller));
             cluster.run(230);
         }
         cluster.run(5_000);
-        let refused = rejected_as_expected(&cluster, replies);
-        assert!(refused > 60, "seed {seed}: {refused}");
+        let rejected = count_expected_rejections(&cluster, requests);
+        assert!(rejected > 60, "seed {seed}: {rejected}");
         settle(&mut cluster, &format!("seed {seed}"));
-        // What is done stays so, whoever cancels it.
-        let reply = cluster.cancel(0, 1);
+        // A cancellation does not change the state of a job that is done.
+        let response = cluster.cancel(0, 1);
         assert!(
-            reply.status == 200 && reply.body.contains("done"),
-            "{reply:?}"
+            response.status == 200 && response.body.contains("done"),
+            "{response:?}"
         );
     }
 }
--- a/crates/worksshunt-core/tests/scenarios/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -2,7 +2,7 @@
 
 use worksshunt_core::controller::KvResponse;
 
-use crate::{long_job, ready, ready_with_boots_of};
+use crate::{long_job, ready, ready_with_boot_time};
 use worksshunt_simulation::{job, Cluster};
 
 #[test]
@@ -33,9 +33,9 @@
     cluster.check();
 }
 
-// Guards against writes of a former epoch that are applied after the next one has begun.
+// Guards against writes of an earlier epoch that are applied after the next one has begun.
 #[test]
-fn a_late_write_of_a_former_leader_is_refused() {
+fn a_late_write_of_an_earlier_leader_is_rejected() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
@@ -47,10 +47,10 @@
         cluster.leader() != leader
     });
     cluster.faults.key_value.hold_writes.clear();
-    let replies = cluster.release_writes();
-    assert!(!replies.is_empty(), "something was held back");
-    for reply in replies {
-        assert!(matches!(reply, KvResponse::Conflict(_)), "{reply:?}");
+    let responses = cluster.release_writes();
+    assert!(!responses.is_empty(), "no write was held back");
+    for response in responses {
+        assert!(matches!(response, KvResponse::Conflict(_)), "{response:?}");
     }
     cluster.start(leader);
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
@@ -69,12 +69,12 @@
     cluster.run(30_000);
     cluster.faults.cut_from_workers.clear();
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 40));
-    assert_eq!(cluster.task_starts.len(), 40, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 40, "no lease expired");
     cluster.check();
 }
 
-// Guards against a controller that goes on commanding workers when only they are left to it, and against
-// users who are sent to it.
+// Guards against a controller that keeps commanding its workers while it reaches nothing else, and against routing
+// users to it.
 #[test]
 fn a_controller_that_reaches_only_its_workers_releases_them() {
     let mut cluster = ready();
@@ -86,7 +86,10 @@
     cluster.faults.key_value.unreachable_from.insert(leader);
     cluster.faults.cut_from_peers.insert(leader);
     cluster.run(7_000);
-    assert!(!cluster.healthy(leader), "users should not be sent there");
+    assert!(
+        !cluster.healthy(leader),
+        "users are routed to an isolated controller"
+    );
     cluster.until("another leader", 10_000, |cluster| {
         cluster.leader() != leader
     });
@@ -94,17 +97,17 @@
     cluster.faults.key_value.unreachable_from.clear();
     cluster.faults.cut_from_peers.clear();
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 24));
-    assert_eq!(cluster.task_starts.len(), 24, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 24, "no lease expired");
     assert_eq!(
         cluster.epoch(),
         epoch + 2,
-        "one epoch without it, one with it again"
+        "one epoch without the controller, one with it again"
     );
     cluster.check();
 }
 
 #[test]
-fn nothing_is_lost_when_all_controllers_are_left_with_their_workers() {
+fn no_job_is_lost_when_all_controllers_reach_only_their_workers() {
     let mut cluster = ready();
     cluster.task_run_ms = 30_000;
     cluster.submit(0, &long_job(1, 12));
@@ -120,11 +123,11 @@
     cluster.check();
 }
 
-// Guards against partitions that stay idle, and a leader that provisions nothing, for as long as connections
-// between controllers are refused.
+// Guards against idle partitions, and a leader that provisions nothing, while connections between controllers are
+// refused.
 #[test]
 fn the_leader_takes_over_partitions_whose_owners_do_not_reach_it() {
-    let mut cluster = ready_with_boots_of(50.0);
+    let mut cluster = ready_with_boot_time(50.0);
     cluster.task_run_ms = 30_000;
     for _ in 0..9 {
         cluster.machine("a", true, 0);
@@ -136,7 +139,7 @@
     cluster.start(leader);
     cluster.run(5_000);
     cluster.submit(leader, &long_job(1, 36));
-    cluster.until("all at once", 25_000, |cluster| {
+    cluster.until("all tasks at once", 25_000, |cluster| {
         cluster.running().len() == 36
     });
     let epoch = cluster.epoch();
@@ -148,16 +151,16 @@
     cluster.run(20_000);
     assert!(
         (epoch + 1..=epoch + 2).contains(&cluster.epoch()),
-        "both have joined again"
+        "both controllers have rejoined"
     );
     cluster.until("all tasks", 60_000, |cluster| {
         cluster.all_done(1, 36) && cluster.all_done(2, 4)
     });
-    assert_eq!(cluster.task_starts.len(), 40, "nothing was lost on the way");
+    assert_eq!(cluster.task_starts.len(), 40, "no task started twice");
     cluster.check();
 }
 
-// Guards against a new leader that counts machines as silent because it has received no heartbeat yet.
+// Guards against a new leader that treats machines as silent because it has received no heartbeat yet.
 #[test]
 fn a_new_leader_keeps_machines_older_than_any_boot() {
     let mut cluster = ready();
@@ -173,15 +176,15 @@
     assert_eq!(
         cluster.task_starts.len(),
         40,
-        "no machine was taken from its tasks"
+        "no machine with tasks was released"
     );
     cluster.check();
 }
 
-// Guards against a leader that forgets what it provisioned, and waits for the list, whenever a controller
-// joins or leaves.
+// Guards against a leader that loses track of its provisioning requests, and waits for the cloud's listing, whenever a
+// controller joins or leaves.
 #[test]
-fn a_leader_goes_on_provisioning_when_another_controller_leaves() {
+fn a_leader_keeps_provisioning_when_another_controller_leaves() {
     let mut cluster = ready();
     let leader = cluster.leader();
     cluster.list_lag_ms = 5_000;
@@ -193,13 +196,13 @@
     cluster.submit(remaining, &long_job(2, 12));
     cluster.until("more machines", 3_000, |cluster| cluster.workers.len() == 5);
     cluster.run(10_000);
-    assert_eq!(cluster.workers.len(), 5, "and no more than that");
+    assert_eq!(cluster.workers.len(), 5, "more machines than needed");
     cluster.check();
 }
 
-// Guards against former incarnations that are taken for present ones: leases still alive, names used again.
+// Guards against confusing incarnations of a controller while the lease of the earlier one has not expired.
 #[test]
-fn controllers_restarted_within_a_moment_share_one_leader_and_repeat_no_number() {
+fn rapidly_restarted_controllers_rejoin_and_no_task_starts_twice() {
     let mut cluster = ready();
     cluster.task_run_ms = 30_000;
     cluster.submit(0, &long_job(1, 16));
@@ -213,8 +216,8 @@
         cluster.faults.key_value.hold_writes.clear();
         cluster.start(leader);
         cluster.run(400);
-        // In the middle of the election that follows, another crashes, or all; and late copies of what
-        // the former incarnation had sent arrive.
+        // During the election that follows, another controller or all of them restart, and late writes of the earlier
+        // incarnation are applied.
         cluster.crash((leader + 1) % 3);
         cluster.start((leader + 1) % 3);
         if round % 2 == 1 {
@@ -227,27 +230,31 @@
         assert_eq!(
             members.as_array().map(Vec::len),
             Some(3),
-            "all have joined again"
+            "all controllers have rejoined"
         );
     }
     cluster.until("all tasks", 200_000, |cluster| cluster.all_done(1, 16));
-    assert_eq!(cluster.task_starts.len(), 16, "no lease ran out");
+    assert_eq!(cluster.task_starts.len(), 16, "no lease expired");
     cluster.check();
 }
 
-// Guards against a late write by which a former incarnation joins and which undoes that of the present one.
+// Guards against a late member key of an earlier incarnation that overwrites the current one.
 #[test]
-fn a_late_message_of_a_former_incarnation_costs_no_epoch() {
+fn a_late_write_of_an_earlier_incarnation_causes_no_epoch() {
     let mut cluster = ready();
-    let other = (cluster.leader() + 1) % 3;
-    cluster.crash(other);
+    let other_controller = (cluster.leader() + 1) % 3;
+    cluster.crash(other_controller);
     cluster.run(8_000);
-    cluster.faults.key_value.hold_writes.insert(other);
-    cluster.start(other);
+    cluster
+        .faults
+        .key_value
+        .hold_writes
+        .insert(other_controller);
+    cluster.start(other_controller);
     cluster.run(400);
-    cluster.crash(other);
+    cluster.crash(other_controller);
     cluster.faults.key_value.hold_writes.clear();
-    cluster.start(other);
+    cluster.start(other_controller);
     cluster.until("its epoch", 3_000, |cluster| {
         let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
         members.as_array().map(Vec::len) == Some(3)
@@ -255,17 +262,16 @@
     let epoch = cluster.epoch();
     assert!(
         !cluster.release_writes().is_empty(),
-        "something was held back"
+        "no write was held back"
     );
     cluster.run(10_000);
     assert_eq!(cluster.epoch(), epoch);
 }
 
-// Guards against records of former epochs that are never written anew while completions always come
-// first: the next epoch takes all that has ended since for work that may still be there, and at full
-// size its leader ran out of memory.
+// Guards against records of earlier epochs that are never rewritten because writes of completions have precedence. The
+// next epoch would load attempts that have ended as active ones.
 #[test]
-fn records_of_former_epochs_go_while_tasks_complete() {
+fn records_of_earlier_epochs_are_rewritten_while_tasks_complete() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
         settings.facts.key_value_store.changes_per_s = 6.0;
@@ -278,21 +284,24 @@
     cluster.run(10_000);
     (0..3).for_each(|controller| cluster.crash(controller));
     (0..3).for_each(|controller| cluster.start(controller));
-    let former = format!("a/{}.", cluster.epoch());
-    let before = cluster.task_starts.len();
+    let earlier_records_prefix = format!("a/{}.", cluster.epoch());
+    let starts_before = cluster.task_starts.len();
     cluster.run(20_000);
-    assert_eq!(cluster.keys(&former), Vec::<String>::new());
-    assert!(cluster.task_starts.len() > before + 100, "tasks went on");
+    assert_eq!(cluster.keys(&earlier_records_prefix), Vec::<String>::new());
+    assert!(
+        cluster.task_starts.len() > starts_before + 100,
+        "tasks keep starting"
+    );
     cluster.check();
 }
 
-// Guards against numbers of attempts that a long epoch has in common with the next one.
+// Guards against attempt numbers of a long epoch that overlap with those of the next one.
 #[test]
-fn a_new_epoch_begins_when_the_attempt_numbers_are_used_up() {
+fn a_new_epoch_begins_when_attempt_numbers_are_exhausted() {
     let mut cluster = Cluster::new();
     cluster.limit_attempts(16);
     cluster.run(4_000);
-    let first = cluster.epoch();
+    let first_epoch = cluster.epoch();
     let reincarnated_workers = |cluster: &Cluster| {
         cluster
             .workers
@@ -302,9 +311,13 @@
     };
     cluster.submit(0, &job(1, 50));
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 50));
-    assert_eq!(cluster.epoch(), first + 3, "16, 32 and 48 of 50 attempts");
+    assert_eq!(
+        cluster.epoch(),
+        first_epoch + 3,
+        "16, 32 and 48 of 50 attempts"
+    );
     assert_eq!(cluster.task_starts.len(), 50, "each task started once");
-    assert_eq!(reincarnated_workers(&cluster), 0, "no lease was lost");
+    assert_eq!(reincarnated_workers(&cluster), 0, "no lease expired");
     cluster.run(3_000);
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -1,5 +1,4 @@
-//! The checker of the invariants finds each violation that it is there for: it is shown a deliberate one, and accepts
-//! the same without the violation.
+//! The invariant checker detects a violation of each kind, and accepts the same steps without the violation.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
@@ -10,31 +9,31 @@
 use worksshunt_simulation::invariants::{Invariants, JobQuery};
 use worksshunt_simulation::{job, settings, Cluster};
 
-fn rules() -> Invariants {
-    let mut rules = Invariants::default();
-    rules.set_limits(&settings(0));
-    rules
+fn new_checker() -> Invariants {
+    let mut checker = Invariants::default();
+    checker.set_limits(&settings(0));
+    checker
 }
 
-fn submission(rules: &mut Invariants, id: u64) -> JobQuery {
+fn record_submission(checker: &mut Invariants, id: u64) -> JobQuery {
     let body = job(id, 1).to_string().into_bytes();
-    rules.request_sent(&Event::Submit {
+    checker.request_sent(&Event::Submit {
         request_id: RequestId(1),
         body,
     })
 }
 
-fn status(rules: &mut Invariants, id: u64) -> JobQuery {
+fn record_status_query(checker: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.request_sent(&Event::Status {
+    checker.request_sent(&Event::Status {
         request_id: RequestId(1),
         job_id: id,
     })
 }
 
-fn withdrawal(rules: &mut Invariants, id: u64) -> JobQuery {
+fn record_cancellation(checker: &mut Invariants, id: u64) -> JobQuery {
     let id = JobId(id).to_string();
-    rules.request_sent(&Event::Cancel {
+    checker.request_sent(&Event::Cancel {
         request_id: RequestId(1),
         job_id: id,
     })
@@ -53,114 +52,119 @@
     TaskId { job, index }
 }
 
-/// A checker that has seen job 1 accepted.
-fn accepted() -> Invariants {
-    let mut rules = rules();
-    let query = submission(&mut rules, 1);
-    rules.response_received(0, &query, &job_response("pending"));
-    rules
+/// Returns a checker that has recorded that job 1 was accepted.
+fn checker_with_accepted_job() -> Invariants {
+    let mut checker = new_checker();
+    let request = record_submission(&mut checker, 1);
+    checker.response_received(0, &request, &job_response("pending"));
+    checker
 }
 
-fn is_violated(rules: &Invariants, rule: &str) -> bool {
-    rules.violations.iter().any(|text| text.starts_with(rule))
+fn is_violated(checker: &Invariants, invariant: &str) -> bool {
+    checker
+        .violations
+        .iter()
+        .any(|text| text.starts_with(invariant))
 }
 
 #[test]
-fn an_accepted_job_must_stay_known() {
-    let mut rules = accepted();
-    let before = status(&mut rules, 1);
-    let query = status(&mut rules, 1);
-    rules.response_received(1, &query, &HttpResponse::retry_later("busy"));
-    rules.response_received(2, &before, &job_response("pending"));
-    assert!(rules.violations.is_empty());
-    let query = status(&mut rules, 1);
-    rules.response_received(3, &query, &not_found());
-    assert!(is_violated(&rules, "forgotten"));
+fn a_forgotten_job_is_detected() {
+    let mut checker = checker_with_accepted_job();
+    let earlier_request = record_status_query(&mut checker, 1);
+    let request = record_status_query(&mut checker, 1);
+    checker.response_received(1, &request, &HttpResponse::retry_later("busy"));
+    checker.response_received(2, &earlier_request, &job_response("pending"));
+    assert!(checker.violations.is_empty());
+    let request = record_status_query(&mut checker, 1);
+    checker.response_received(3, &request, &not_found());
+    assert!(is_violated(&checker, "forgotten"));
     for status in [400, 422] {
-        let mut rules = accepted();
-        let query = submission(&mut rules, 1);
-        rules.response_received(1, &query, &HttpResponse::error(status, "no"));
-        assert!(is_violated(&rules, "forgotten"), "{status}");
+        let mut checker = checker_with_accepted_job();
+        let request = record_submission(&mut checker, 1);
+        checker.response_received(1, &request, &HttpResponse::error(status, "no"));
+        assert!(is_violated(&checker, "forgotten"), "{status}");
     }
 }
 
 #[test]
-fn a_response_to_an_earlier_query_may_be_older() {
-    let mut rules = rules();
-    let early = status(&mut rules, 1);
-    let query = submission(&mut rules, 1);
-    rules.response_received(1, &query, &job_response("pending"));
-    rules.response_received(2, &early, &not_found());
+fn a_response_to_an_earlier_query_may_be_outdated() {
+    let mut checker = new_checker();
+    let earlier_request = record_status_query(&mut checker, 1);
+    let request = record_submission(&mut checker, 1);
+    checker.response_received(1, &request, &job_response("pending"));
+    checker.response_received(2, &earlier_request, &not_found());
     assert!(
-        rules.violations.is_empty(),
+        checker.violations.is_empty(),
         "queried before it was accepted"
     );
 }
 
 #[test]
-fn a_job_that_nobody_submitted_must_be_unknown() {
-    let mut rules = rules();
-    let query = status(&mut rules, 2);
-    rules.response_received(0, &query, &not_found());
-    assert!(rules.violations.is_empty());
-    let query = status(&mut rules, 2);
-    rules.response_received(1, &query, &job_response("pending"));
-    assert!(is_violated(&rules, "invented"));
+fn a_state_of_an_unsubmitted_job_is_detected() {
+    let mut checker = new_checker();
+    let request = record_status_query(&mut checker, 2);
+    checker.response_received(0, &request, &not_found());
+    assert!(checker.violations.is_empty());
+    let request = record_status_query(&mut checker, 2);
+    checker.response_received(1, &request, &job_response("pending"));
+    assert!(is_violated(&checker, "invented"));
 }
 
 #[test]
-fn a_job_is_done_only_after_its_last_task() {
-    let mut rules = accepted();
-    let query = status(&mut rules, 1);
-    rules.response_received(1, &query, &job_response("done"));
-    assert!(is_violated(&rules, "not_done"));
-    let mut rules = accepted();
-    rules.completed(task(1, 0));
-    let query = status(&mut rules, 1);
-    rules.response_received(1, &query, &job_response("done"));
-    assert!(rules.violations.is_empty());
+fn a_job_reported_done_before_its_last_task_is_detected() {
+    let mut checker = checker_with_accepted_job();
+    let request = record_status_query(&mut checker, 1);
+    checker.response_received(1, &request, &job_response("done"));
+    assert!(is_violated(&checker, "not_done"));
+    let mut checker = checker_with_accepted_job();
+    checker.completed(task(1, 0));
+    let request = record_status_query(&mut checker, 1);
+    checker.response_received(1, &request, &job_response("done"));
+    assert!(checker.violations.is_empty());
 }
 
 #[test]
-fn the_reported_end_of_a_job_must_not_change() {
-    let done = || {
-        let mut rules = accepted();
-        rules.completed(task(1, 0));
-        let early = status(&mut rules, 1);
-        let query = status(&mut rules, 1);
-        rules.response_received(1, &query, &job_response("done"));
-        rules.response_received(2, &early, &job_response("running"));
-        assert!(rules.violations.is_empty(), "queried before it was done");
-        rules
+fn a_changed_final_state_is_detected() {
+    let checker_with_completed_job = || {
+        let mut checker = checker_with_accepted_job();
+        checker.completed(task(1, 0));
+        let earlier_request = record_status_query(&mut checker, 1);
+        let request = record_status_query(&mut checker, 1);
+        checker.response_received(1, &request, &job_response("done"));
+        checker.response_received(2, &earlier_request, &job_response("running"));
+        assert!(checker.violations.is_empty(), "queried before it was done");
+        checker
     };
-    let mut rules = done();
-    let query = status(&mut rules, 1);
-    rules.response_received(3, &query, &job_response("running"));
-    assert!(is_violated(&rules, "went_back"));
-    let mut rules = done();
-    let query = withdrawal(&mut rules, 1);
-    rules.response_received(3, &query, &job_response("aborted"));
-    assert!(is_violated(&rules, "went_back"));
-    let mut rules = accepted();
-    let query = status(&mut rules, 1);
-    rules.response_received(3, &query, &job_response("aborted"));
+    let mut checker = checker_with_completed_job();
+    let request = record_status_query(&mut checker, 1);
+    checker.response_received(3, &request, &job_response("running"));
+    assert!(is_violated(&checker, "went_back"));
+    let mut checker = checker_with_completed_job();
+    let request = record_cancellation(&mut checker, 1);
+    checker.response_received(3, &request, &job_response("aborted"));
+    assert!(is_violated(&checker, "went_back"));
+    let mut checker = checker_with_accepted_job();
+    let request = record_status_query(&mut checker, 1);
+    checker.response_received(3, &request, &job_response("aborted"));
     assert!(
-        is_violated(&rules, "went_back"),
+        is_violated(&checker, "went_back"),
         "its user did not cancel it"
     );
 }
 
-/// A cluster with machines that controllers' commands do not reach; tests inject tasks into them.
-fn with_machines(count: usize, zone: &str, spot: bool) -> (Cluster, Vec<MachineId>) {
+/// Returns a cluster and machines that the controllers' commands do not reach. Tests inject tasks into the machines.
+fn with_unreachable_machines(count: usize, zone: &str, is_spot: bool) -> (Cluster, Vec<MachineId>) {
     let mut cluster = ready();
-    let ids: Vec<MachineId> = (0..count).map(|_| cluster.machine(zone, spot, 0)).collect();
+    let ids: Vec<MachineId> = (0..count)
+        .map(|_| cluster.machine(zone, is_spot, 0))
+        .collect();
     cluster.faults.unreachable_machines = ids.iter().cloned().collect();
     (cluster, ids)
 }
 
 #[test]
-fn a_task_on_two_machines_is_found_also_when_one_hangs() {
-    let (mut cluster, ids) = with_machines(2, "a", true);
+fn a_task_on_two_machines_is_detected_when_one_hangs() {
+    let (mut cluster, ids) = with_unreachable_machines(2, "a", true);
     cluster.faults.cloud.down = true;
     cluster.submit(0, &long_job(1, 1));
     cluster.inject_task(&ids[0], task(1, 0), 7);
@@ -173,12 +177,12 @@
 }
 
 #[test]
-fn a_team_over_its_limit_is_found_also_on_hung_machines() {
-    let (mut cluster, ids) = with_machines(3, "a", true);
+fn an_exceeded_team_limit_is_detected_on_hung_machines() {
+    let (mut cluster, ids) = with_unreachable_machines(3, "a", true);
     cluster.faults.cloud.down = true;
-    let mut red = long_job(1, 9);
-    red["Cuadrilla"] = json!("red");
-    cluster.submit(0, &red);
+    let mut red_job = long_job(1, 9);
+    red_job["Cuadrilla"] = json!("red");
+    cluster.submit(0, &red_job);
     for index in 0..8 {
         let id = &ids[index as usize / 4];
         cluster.inject_task(id, task(1, index), 7 + u64::from(index));
@@ -192,30 +196,46 @@
 }
 
 #[test]
-fn a_task_in_the_wrong_place_is_found() {
-    let is_wrong_place_found = |field: &str, value: serde_json::Value, zone: &str, spot: bool| {
-        let (mut cluster, ids) = with_machines(2, zone, spot);
-        cluster.faults.cloud.down = true;
-        let mut restricted = long_job(1, 4);
-        restricted[field] = value;
-        cluster.submit(0, &restricted);
-        for index in 0..3 {
-            cluster.inject_task(&ids[0], task(1, index), 7 + u64::from(index));
-        }
-        cluster.run(300);
-        is_violated(&cluster.invariants, "wrong_place")
-    };
-    assert!(is_wrong_place_found("Patio", json!("b"), "a", true));
-    assert!(!is_wrong_place_found("Patio", json!("a"), "a", true));
-    assert!(is_wrong_place_found("Prestados", json!(false), "a", true));
-    assert!(!is_wrong_place_found("Prestados", json!(false), "a", false));
-    assert!(is_wrong_place_found("Spread", json!(true), "a", true));
-    assert!(!is_wrong_place_found("SamePlace", json!(true), "a", true));
+fn a_task_in_a_wrong_place_is_detected() {
+    let is_wrong_place_detected =
+        |field: &str, value: serde_json::Value, zone: &str, is_spot: bool| {
+            let (mut cluster, ids) = with_unreachable_machines(2, zone, is_spot);
+            cluster.faults.cloud.down = true;
+            let mut restricted = long_job(1, 4);
+            restricted[field] = value;
+            cluster.submit(0, &restricted);
+            for index in 0..3 {
+                cluster.inject_task(&ids[0], task(1, index), 7 + u64::from(index));
+            }
+            cluster.run(300);
+            is_violated(&cluster.invariants, "wrong_place")
+        };
+    assert!(is_wrong_place_detected("Patio", json!("b"), "a", true));
+    assert!(!is_wrong_place_detected("Patio", json!("a"), "a", true));
+    assert!(is_wrong_place_detected(
+        "Prestados",
+        json!(false),
+        "a",
+        true
+    ));
+    assert!(!is_wrong_place_detected(
+        "Prestados",
+        json!(false),
+        "a",
+        false
+    ));
+    assert!(is_wrong_place_detected("Spread", json!(true), "a", true));
+    assert!(!is_wrong_place_detected(
+        "SamePlace",
+        json!(true),
+        "a",
+        true
+    ));
 }
 
 #[test]
-fn a_task_of_a_cancelled_job_is_found_once_its_time_is_over_and_its_start_at_once() {
-    let (mut cluster, ids) = with_machines(1, "a", true);
+fn a_task_of_a_cancelled_job_is_detected_after_the_cancel_time() {
+    let (mut cluster, ids) = with_unreachable_machines(1, "a", true);
     cluster.faults.cloud.down = true;
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 2));
@@ -226,7 +246,7 @@
     cluster.inject_task(&ids[0], task(1, 1), 8);
     cluster.run(300);
     assert_eq!(cluster.invariants.starts_after_cancel, 1);
-    // The machine is unreachable, so its lease ends the tasks; others are injected again.
+    // The machine is unreachable, so its lease expires and its tasks end; one is injected again.
     cluster.run(29_000);
     assert!(cluster.invariants.violations.is_empty());
     cluster.inject_task(&ids[0], task(1, 0), 9);
@@ -237,39 +257,42 @@
 }
 
 #[test]
-fn a_job_that_waits_beside_free_capacity_is_found() {
+fn a_job_waiting_beside_free_capacity_is_detected() {
     let mut cluster = ready();
     cluster.submit(0, &long_job(1, 4));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
-    let spot = cluster.task_starts[0].machine.clone();
+    let machine = cluster.task_starts[0].machine.clone();
     let unknown_job = job(9, 1).to_string().into_bytes();
-    let query = cluster.invariants.request_sent(&Event::Submit {
+    let request = cluster.invariants.request_sent(&Event::Submit {
         request_id: RequestId(0),
         body: unknown_job,
     });
     let now = cluster.now;
     cluster
         .invariants
-        .response_received(now, &query, &job_response("pending"));
-    // Accepted according to the checker, unknown to the controllers; there is always a machine for it.
+        .response_received(now, &request, &job_response("pending"));
+    // The checker considers the job accepted; the controllers do not know it. Free capacity for it is always available.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
         cluster.submit(0, &job(id, 1));
         cluster.run(1_500);
     }
-    assert!(is_violated(&cluster.invariants, "waits"), "beside {spot:?}");
-    let forgotten = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
-    assert!(forgotten.is_err());
+    assert!(
+        is_violated(&cluster.invariants, "waits"),
+        "beside {machine:?}"
+    );
+    let check_result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
+    assert!(check_result.is_err());
 }
 
-// A query that is never answered is distinguished from one that is answered late.
+// Guards against treating a query that is never answered as one that is answered late.
 #[test]
-fn a_job_whose_queries_are_never_answered_is_found() {
+fn a_job_whose_queries_are_never_answered_is_detected() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 1));
-    cluster.until("its end", 60_000, |cluster| cluster.all_done(1, 1));
+    cluster.until("the final state", 60_000, |cluster| cluster.all_done(1, 1));
     cluster.put("j/j-000001", json!({ "spec": "of another version" }));
-    let found = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
-    assert!(found.is_err());
+    let check_result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| cluster.check()));
+    assert!(check_result.is_err());
     assert!(is_violated(&cluster.invariants, "forgotten"));
 }
--- a/crates/worksshunt-core/tests/scenarios/jobs.rs
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a job: submission, cancellation, its end, and jobs that cannot be accepted or never succeed.
+//! The life cycle of a job: submission, cancellation and completion, and jobs that are rejected or always fail.
 
 use serde_json::json;
 use worksshunt_core::controller::Event;
@@ -8,7 +8,7 @@
 use worksshunt_simulation::job;
 
 #[test]
-fn a_job_runs_to_its_end_and_every_controller_reports_it() {
+fn a_job_completes_and_every_controller_reports_it_done() {
     let mut cluster = ready();
     assert_eq!(cluster.submit(0, &job(1, 6)).status, 201);
     assert_eq!(cluster.state(1, 1), (200, "pending".into()));
@@ -24,21 +24,25 @@
 }
 
 #[test]
-fn a_cancelled_job_is_gone_for_good() {
+fn a_cancelled_job_stays_cancelled() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 12));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() > 3);
     assert!(cluster.cancel(1, 1).body.contains("aborted"));
-    cluster.until("none running", 6_000, |cluster| {
+    cluster.until("no running tasks", 6_000, |cluster| {
         cluster.running().is_empty()
     });
-    let started = cluster.task_starts.len();
+    let starts_before = cluster.task_starts.len();
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(1_000);
     cluster.start(leader);
     cluster.run(30_000);
-    assert_eq!(cluster.task_starts.len(), started, "none starts after that");
+    assert_eq!(
+        cluster.task_starts.len(),
+        starts_before,
+        "a task started after the cancellation"
+    );
     for controller in 0..3 {
         assert_eq!(cluster.state(controller, 1), (200, "aborted".into()));
     }
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn a_cancellation_that_races_the_launch_wins() {
+fn a_cancellation_that_races_with_the_launch_takes_effect() {
     let mut cluster = ready();
     cluster.machine("a", true, 0);
     cluster.run(4_000);
@@ -58,9 +62,9 @@
     cluster.check();
 }
 
-// Guards against reporting to a user what is not stored yet.
+// Guards against reporting a final state to users before it is stored.
 #[test]
-fn a_job_is_reported_done_only_when_that_is_durable() {
+fn a_job_is_reported_done_only_after_its_final_state_is_durable() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 2));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 2);
@@ -77,9 +81,9 @@
     cluster.check();
 }
 
-// Guards against a worker that forgets a completion that is not stored yet.
+// Guards against a worker that discards a completion that is not stored yet.
 #[test]
-fn a_completion_survives_a_crash_before_it_was_durable() {
+fn a_completion_survives_a_crash_before_it_is_durable() {
     let mut cluster = ready();
     cluster.submit(0, &job(1, 3));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 3);
@@ -93,11 +97,11 @@
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(20_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
-    assert_eq!(cluster.task_starts.len(), 3, "no work was repeated");
+    assert_eq!(cluster.task_starts.len(), 3, "no task started twice");
     cluster.check();
 }
 
-// Guards against a job that fails on every machine keeping the fleet from the others.
+// Guards against a job that fails on every machine and starves other jobs.
 #[test]
 fn a_job_that_always_fails_is_retried_at_growing_intervals() {
     let mut cluster = ready();
@@ -106,14 +110,16 @@
     cluster.faults.failing_jobs.insert(JobId(1));
     cluster.submit(0, &job(1, 1));
     cluster.submit(1, &job(2, 30));
-    cluster.until("the good job", 120_000, |cluster| cluster.all_done(2, 30));
+    cluster.until("the job that does not fail", 120_000, |cluster| {
+        cluster.all_done(2, 30)
+    });
     cluster.run(60_000);
-    let tries = cluster
+    let attempts = cluster
         .task_starts
         .iter()
         .filter(|start| start.task.job == JobId(1))
         .count();
-    assert!((4..16).contains(&tries), "{tries} tries");
+    assert!((4..16).contains(&attempts), "{attempts} attempts");
     assert_eq!(cluster.state(0, 1).0, 200);
 }
 
@@ -125,12 +131,10 @@
     cluster.until("many tasks", 120_000, |cluster| {
         cluster.task_starts.len() > 500
     });
-    let mut urgent = job(2, 10);
-    urgent["Turno"] = json!("urgent");
-    cluster.submit(1, &urgent);
-    cluster.until("the urgent job too", 120_000, |cluster| {
-        cluster.all_done(2, 10)
-    });
+    let mut urgent_job = job(2, 10);
+    urgent_job["Turno"] = json!("urgent");
+    cluster.submit(1, &urgent_job);
+    cluster.until("the urgent job", 120_000, |cluster| cluster.all_done(2, 10));
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(10_000);
@@ -140,34 +144,39 @@
     cluster.run(5_000);
     assert!(
         cluster.task_starts.len() > starts,
-        "it goes on under another leader"
+        "tasks keep starting under another leader"
     );
     assert_eq!(cluster.cancel(leader, 1).status, 200);
-    cluster.until("none running", 10_000, |cluster| {
+    cluster.until("no running tasks", 10_000, |cluster| {
         cluster.running().is_empty()
     });
     cluster.check();
 }
 
-// Guards against a burst of submissions that takes as many changes as jobs, and against a job that is
-// admitted twice, by two controllers, and runs again after its end.
+// Guards against a burst of submissions that needs one change per job, and against a job that two controllers accept
+// and that runs again after its final state.
 #[test]
-fn a_burst_of_submissions_is_admitted_in_batches() {
+fn a_burst_of_submissions_is_stored_in_batches() {
     let mut cluster = ready();
-    let before = cluster.revision();
+    let revision_before = cluster.revision();
     let jobs: Vec<_> = (1..=40).map(|id| job(id, 1)).collect();
-    let replies = cluster.submit_at_once(&[0, 1], &jobs);
+    let responses = cluster.submit_at_once(&[0, 1], &jobs);
+    assert!(
+        responses
+            .iter()
+            .all(|response| matches!(response.status, 200 | 201)),
+        "{responses:?}"
+    );
     assert!(
-        replies.iter().all(|r| matches!(r.status, 200 | 201)),
-        "{replies:?}"
+        cluster.revision() - revision_before < 30,
+        "as many changes as with one key per job"
     );
-    assert!(cluster.revision() - before < 30, "pages, not keys");
     for controller in 0..3 {
         assert_eq!(cluster.state(controller, 7), (200, "pending".into()));
         assert_eq!(cluster.submit(controller, &job(8, 1)).status, 200);
     }
     assert!(cluster.cancel(2, 9).body.contains("aborted"));
-    cluster.until("all the others", 120_000, |cluster| {
+    cluster.until("all other jobs", 120_000, |cluster| {
         (1..=40).all(|id| id == 9 || cluster.all_done(id, 1))
     });
     cluster.run(5_000);
@@ -180,74 +189,74 @@
     cluster.check();
 }
 
-/// Job 7 of two tasks with another value of one field.
-fn change(field: &str, value: serde_json::Value) -> serde_json::Value {
+/// Returns job 7, of two tasks, with `field` replaced.
+fn job_with(field: &str, value: serde_json::Value) -> serde_json::Value {
     let mut job = job(7, 2);
     job[field] = value;
     job
 }
 
 #[test]
-fn bad_submissions_are_rejected_with_the_reason() {
+fn invalid_submissions_are_rejected() {
     let mut cluster = ready();
     let malformed = [
         json!([1]),
         json!({}),
-        change("Ref", json!("job-7")),
-        change("Piezas", json!(0)),
-        change("Piezas", json!(100_001)),
-        change("Piezas", json!(1.5)),
-        change("Cores", json!(-1.0)),
-        change("Oficio", json!("gang")),
-        change("Spread", json!("no")),
-        change("Carril", json!("c".repeat(9_000))),
+        job_with("Ref", json!("job-7")),
+        job_with("Piezas", json!(0)),
+        job_with("Piezas", json!(100_001)),
+        job_with("Piezas", json!(1.5)),
+        job_with("Cores", json!(-1.0)),
+        job_with("Oficio", json!("gang")),
+        job_with("Spread", json!("no")),
+        job_with("Carril", json!("c".repeat(9_000))),
     ];
     for job in &malformed {
         assert_eq!(cluster.submit(0, job).status, 400, "{job}");
     }
-    let reply = cluster.ask(0, |request_id| Event::Submit {
+    let response = cluster.ask(0, |request_id| Event::Submit {
         request_id,
         body: b"{not json".to_vec(),
     });
-    assert_eq!(reply.status, 400);
-    let impossible = [
-        change("Cuadrilla", json!("green")),
-        change("Cores", json!(5.0)),
-        change("Modelos", json!(["m5"])),
-        change("Patio", json!("c")),
-        change("Cores", json!(101.0)),
+    assert_eq!(response.status, 400);
+    let infeasible = [
+        job_with("Cuadrilla", json!("green")),
+        job_with("Cores", json!(5.0)),
+        job_with("Modelos", json!(["m5"])),
+        job_with("Patio", json!("c")),
+        job_with("Cores", json!(101.0)),
     ];
-    for job in &impossible {
+    for job in &infeasible {
         assert_eq!(cluster.submit(0, job).status, 422, "{job}");
     }
     assert_eq!(cluster.state(0, 7).0, 404);
     assert_eq!(cluster.cancel(0, 7).status, 404);
-    // A known job is answered with its state, whatever else the repeated submission contains.
+    // The resubmission of an accepted job returns the job's state, whatever else it contains.
     assert_eq!(cluster.submit(0, &job(7, 2)).status, 201);
-    assert_eq!(cluster.submit(1, &change("Piezas", json!(0))).status, 200);
+    assert_eq!(cluster.submit(1, &job_with("Piezas", json!(0))).status, 200);
     assert_eq!(
         cluster
-            .submit(2, &change("Cuadrilla", json!("green")))
+            .submit(2, &job_with("Cuadrilla", json!("green")))
             .status,
         200
     );
 }
 
-// Guards against a job on which nobody works for the rest of an epoch, because the leader takes it for over and the
-// store does not. A store that forgets a committed write stands for any cause.
+// Guards against a job that the leader considers ended and the store does not, so that it would not be served for the
+// rest of the epoch. The fault is injected as a committed write that the store drops.
 #[test]
-fn a_job_that_the_leader_has_closed_and_the_store_has_not_is_served_again() {
+fn a_job_without_its_stored_final_state_is_reconciled() {
     let mut cluster = ready();
     cluster.faults.key_value.forgets = Some("f/");
     cluster.submit(0, &job(1, 3));
-    cluster.until("a false end", 60_000, |cluster| {
+    cluster.until("a dropped final state", 60_000, |cluster| {
         cluster.effects("write forgotten") > 0
     });
     assert!(cluster.stored("f/j-000001").is_none());
     let leader = cluster.leader();
     cluster.faults.key_value.forgets = None;
     let epoch = cluster.epoch();
-    cluster.until("its end", 30_000, |cluster| {
+    cluster.until("the stored final state", 30_000, |cluster| {
         cluster.stored("f/j-000001").is_some()
     });
     assert_eq!(cluster.epoch(), epoch);
--- a/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -2,21 +2,22 @@
 
 use worksshunt_wire::JobId;
 
-use crate::combined_faults::{fill, settle};
+use crate::combined_faults::{settle, submit_and_start};
 use worksshunt_simulation::Cluster;
 
-/// The lease of the scenarios' workers and the leader lease of an epoch that was confirmed last.
-const WORKER_AND_LEADER_LEASE_MS: u64 = 20_000;
+/// Worker lease plus epoch lease, ms. If the epoch is not confirmed during an outage of this duration, all worker
+/// leases expire.
+const WORKER_AND_EPOCH_LEASE_MS: u64 = 20_000;
 
-/// An outage that takes all tasks with it unless leases are renewed in the middle of it.
-const LONG_OUTAGE_MS: u64 = WORKER_AND_LEADER_LEASE_MS + 4_000;
+/// Duration of an outage in which all tasks end unless leases are renewed during it, ms.
+const LONG_OUTAGE_MS: u64 = WORKER_AND_EPOCH_LEASE_MS + 4_000;
 
-/// The time within which a cancellation takes effect, seconds: so long that knowledge of cancellations stays
-/// fresh throughout every outage here that is longer than a lease.
+/// Time within which a cancellation takes effect, seconds. Long enough that the controllers' knowledge of cancellations
+/// stays valid during every outage of these scenarios.
 const CANCEL_S: f64 = 45.0;
 
-/// A cluster in which eight tasks run for longer than any outage here.
-fn busy() -> Cluster {
+/// Returns a cluster with eight tasks that run for longer than any outage of these scenarios.
+fn with_eight_running_tasks() -> Cluster {
     let mut cluster = Cluster::new();
     cluster.nominal_boot_s = 50.0;
     for controller in 0..3 {
@@ -27,7 +28,7 @@
         cluster.stored("c/epoch").is_some()
     });
     cluster.run(3_000);
-    fill(&mut cluster, 2, 120_000);
+    submit_and_start(&mut cluster, 2, 120_000);
     cluster
 }
 
@@ -37,30 +38,31 @@
     cluster.faults.key_value.down = false;
 }
 
-fn starts(cluster: &Cluster) -> usize {
-    let ours = |id: &JobId| id.0 <= 2;
+/// Returns the number of starts of the eight tasks.
+fn start_count(cluster: &Cluster) -> usize {
+    let is_counted = |id: &JobId| id.0 <= 2;
     cluster
         .task_starts
         .iter()
-        .filter(|start| ours(&start.task.job))
+        .filter(|start| is_counted(&start.task.job))
         .count()
 }
 
-// Guards against 1,383 tasks killed by their leases in an outage of 20 s (vriesdok-noord, rough).
+// Guards against leases that expire in an outage although all controllers confirm the epoch.
 #[test]
-fn tasks_outlive_an_outage_longer_than_a_lease_while_all_controllers_agree() {
-    let mut cluster = busy();
+fn tasks_survive_a_long_outage_if_all_controllers_confirm_the_epoch() {
+    let mut cluster = with_eight_running_tasks();
     outage(&mut cluster, LONG_OUTAGE_MS);
     cluster.run(10_000);
-    assert_eq!(starts(&cluster), 8, "none started a second time");
+    assert_eq!(start_count(&cluster), 8, "no task started twice");
     assert_eq!(cluster.running().len(), 8);
     settle(&mut cluster, "after the outage");
 }
 
-// Guards against leases that end because all controllers restart just before an outage does.
+// Guards against leases that expire because all controllers restart shortly before the end of an outage.
 #[test]
-fn tasks_outlive_an_outage_that_ends_with_a_restart_of_all_controllers() {
-    let mut cluster = busy();
+fn tasks_survive_an_outage_with_a_restart_of_all_controllers() {
+    let mut cluster = with_eight_running_tasks();
     cluster.faults.key_value.down = true;
     cluster.run(LONG_OUTAGE_MS - 6_000);
     for controller in 0..3 {
@@ -69,44 +71,43 @@
     cluster.run(6_000);
     cluster.faults.key_value.down = false;
     cluster.run(10_000);
-    assert_eq!(starts(&cluster), 8, "none started a second time");
+    assert_eq!(start_count(&cluster), 8, "no task started twice");
     settle(&mut cluster, "after the outage");
 }
 
-// A controller that does not answer may know a newer epoch, so silence confirms nothing.
+// A controller that does not answer may know a newer epoch, so the epoch is not confirmed without its answer.
 #[test]
-fn one_controller_that_does_not_answer_lets_the_leases_of_all_expire() {
-    let mut cluster = busy();
+fn leases_expire_if_one_controller_does_not_answer_the_poll() {
+    let mut cluster = with_eight_running_tasks();
     cluster.faults.cut_from_peers.insert(2);
     outage(&mut cluster, LONG_OUTAGE_MS);
-    assert_eq!(cluster.running().len(), 0, "all leases ran out");
+    assert_eq!(cluster.running().len(), 0, "all leases have expired");
     settle(&mut cluster, "after the outage");
 }
 
-// A controller that alone is refused must not keep its workers: the others go on without it.
+// Guards against a controller that keeps its workers while the others continue without it.
 #[test]
-fn a_controller_that_alone_is_refused_releases_its_workers() {
-    let mut cluster = busy();
-    let alone = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    cluster.faults.key_value.refuses.insert(alone);
-    cluster.run(WORKER_AND_LEADER_LEASE_MS);
-    assert_eq!(cluster.reporting_to(alone), 0);
-    assert_eq!(starts(&cluster), 8, "none started a second time");
+fn a_controller_that_only_the_store_refuses_releases_its_workers() {
+    let mut cluster = with_eight_running_tasks();
+    let refused = (0..3).find(|n| *n != cluster.leader()).expect("another");
+    cluster.faults.key_value.refuses.insert(refused);
+    cluster.run(WORKER_AND_EPOCH_LEASE_MS);
+    assert_eq!(cluster.reporting_to(refused), 0);
+    assert_eq!(start_count(&cluster), 8, "no task started twice");
     settle(&mut cluster, "after the refusals");
 }
 
-/// One controller is refused and cut from its peers, which go on without it and draw their conclusions from
-/// its machines' silence. At some moment of that all of them lose the key-value store, and it can ask its peers
-/// again, which may have been restarted and have forgotten what they knew.
-fn a_former_owner_asks_again(moment: u64, peers_restart: bool) {
-    let mut cluster = busy();
-    let former = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    let others: Vec<usize> = (0..3).filter(|n| *n != former).collect();
-    cluster.faults.key_value.refuses.insert(former);
-    cluster.faults.cut_from_peers.insert(former);
-    // Its workers send heartbeats to nobody else.
+/// Isolates a controller from the key-value store and its peers, which continue without it. After a delay no controller
+/// reaches the store, and the isolated one can poll its peers again, which may have restarted.
+fn isolated_owner_polls_its_peers(delay_ms: u64, peers_restart: bool) {
+    let mut cluster = with_eight_running_tasks();
+    let isolated = (0..3).find(|n| *n != cluster.leader()).expect("another");
+    let others: Vec<usize> = (0..3).filter(|n| *n != isolated).collect();
+    cluster.faults.key_value.refuses.insert(isolated);
+    cluster.faults.cut_from_peers.insert(isolated);
+    // Its workers' heartbeats reach no other controller.
     cluster.faults.cut_from_workers.extend(&others);
-    cluster.run(5_000 + moment);
+    cluster.run(5_000 + delay_ms);
     cluster.faults.key_value.down = true;
     cluster.faults.cut_from_peers.clear();
     if peers_restart {
@@ -114,25 +115,25 @@
             cluster.restart(controller, 100);
         }
     }
-    cluster.run(WORKER_AND_LEADER_LEASE_MS);
+    cluster.run(WORKER_AND_EPOCH_LEASE_MS);
     cluster.faults.key_value.down = false;
     cluster.run(3_000);
-    let what = format!("asked after {moment} ms, peers restart: {peers_restart}");
-    settle(&mut cluster, &what);
+    let case = format!("polled after {delay_ms} ms, peers restart: {peers_restart}");
+    settle(&mut cluster, &case);
 }
 
-// Guards against a former owner whose leases go on while the others have started its tasks elsewhere.
+// Guards against a previous owner that renews leases while its tasks have restarted on other machines.
 #[test]
-fn peers_that_know_a_newer_epoch_do_not_confirm_a_former_owner() {
-    for moment in (0..24_000).step_by(1_500) {
-        a_former_owner_asks_again(moment, false);
+fn peers_with_a_newer_epoch_do_not_confirm_a_previous_owner() {
+    for delay_ms in (0..24_000).step_by(1_500) {
+        isolated_owner_polls_its_peers(delay_ms, false);
     }
 }
 
-// The same with peers that have forgotten the newer epoch, and with it what they concluded from it.
+// The same with peers that have lost the newer epoch in a restart.
 #[test]
-fn peers_that_have_forgotten_a_newer_epoch_revive_no_task_that_runs_elsewhere() {
-    for moment in (0..24_000).step_by(1_500) {
-        a_former_owner_asks_again(moment, true);
+fn restarted_peers_cause_no_duplicate_tasks() {
+    for delay_ms in (0..24_000).step_by(1_500) {
+        isolated_owner_polls_its_peers(delay_ms, true);
     }
 }
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -1,9 +1,9 @@
-//! Machines that hang, die, fail tasks, are unreachable or are not needed any more.
+//! Machines that hang, die, fail tasks, are unreachable or are idle.
 
 use worksshunt_core::partitioning::partition_owner;
 use worksshunt_wire::{ControllerName, MachineId};
 
-use crate::{long_job, ready, ready_with_boots_of};
+use crate::{long_job, ready, ready_with_boot_time};
 use worksshunt_simulation::{job, Cluster, TaskStart};
 
 #[test]
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_hung_machine_loses_its_tasks_only_after_its_lease() {
+fn tasks_of_a_hung_machine_restart_only_after_its_lease_expires() {
     let mut cluster = ready();
     cluster.task_run_ms = 20_000;
     cluster.submit(0, &job(1, 4));
@@ -31,7 +31,7 @@
     });
     assert!(
         cluster.now > hung_at + 16_000,
-        "started before the lease was over"
+        "restarted before the lease expired"
     );
     if let Some(worker) = cluster.workers.get_mut(&machine) {
         worker.hung = false;
@@ -40,7 +40,7 @@
     cluster.check();
 }
 
-// Guards against epochs in quick succession that put off the discovery of a dead machine each time.
+// Guards against short epochs that each postpone the detection of a dead machine.
 #[test]
 fn a_dead_machine_is_detected_during_a_rolling_restart() {
     let mut cluster = ready();
@@ -48,38 +48,44 @@
     cluster.submit(0, &long_job(1, 24));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 24);
     let leader = cluster.leader();
-    let other = (leader + 1) % 3;
-    // A machine that is the leader's with and without the controller that restarts.
+    let restarting = (leader + 1) % 3;
+    // A machine that the leader owns with and without the restarting controller.
     let names: Vec<ControllerName> = (0..3).map(|n| ControllerName(format!("n{n}"))).collect();
-    let rest: Vec<ControllerName> = names
+    let remaining_names: Vec<ControllerName> = names
         .iter()
-        .filter(|n| **n != names[other])
+        .filter(|n| **n != names[restarting])
         .cloned()
         .collect();
-    let dead = cluster
+    let dead_machine = cluster
         .workers
         .keys()
-        .find(|id| [&names, &rest].map(|n| partition_owner(id, n)) == [Some(&names[leader]); 2])
+        .find(|id| {
+            [&names, &remaining_names].map(|n| partition_owner(id, n)) == [Some(&names[leader]); 2]
+        })
         .cloned()
-        .expect("the leader owns one of six");
-    cluster.workers.get_mut(&dead).expect("a worker").hung = true;
+        .expect("a machine of the leader");
+    cluster
+        .workers
+        .get_mut(&dead_machine)
+        .expect("a worker")
+        .hung = true;
     for _ in 0..4 {
-        cluster.crash(other);
+        cluster.crash(restarting);
         cluster.run(6_000);
-        cluster.start(other);
+        cluster.start(restarting);
         cluster.run(4_000);
     }
     assert!(
         cluster.task_starts.len() > 24,
-        "no machine was counted as lost after 40 s"
+        "the machine was not detected as lost within 40 s"
     );
     cluster.check();
 }
 
-// Guards against a faulty machine that fails tasks quickly and so attracts ever more of them.
+// Guards against a faulty machine that is always free for more tasks because it fails them quickly.
 #[test]
 fn a_faulty_machine_gets_no_more_tasks_and_is_released() {
-    let mut cluster = ready_with_boots_of(50.0);
+    let mut cluster = ready_with_boot_time(50.0);
     cluster.task_run_ms = 2_000;
     let faulty = cluster.machine("a", true, 0);
     cluster.machine("a", true, 0);
@@ -94,12 +100,12 @@
     cluster.until("its release", 90_000, |cluster| {
         cluster.released_machines.contains(&faulty)
     });
-    let failed = cluster
+    let starts = cluster
         .task_starts
         .iter()
         .filter(|start| start.machine == faulty)
         .count();
-    assert!((3..=8).contains(&failed), "{failed} starts on it");
+    assert!((3..=8).contains(&starts), "{starts} starts on it");
     cluster.check();
 }
 
@@ -111,9 +117,9 @@
         .count()
 }
 
-// Guards against machines whose heartbeats arrive, and which therefore get tasks, while nothing reaches them.
+// Guards against placing tasks on machines whose heartbeats arrive but which commands do not reach.
 #[test]
-fn a_machine_that_sends_heartbeats_but_is_unreachable_gets_no_tasks_and_is_released() {
+fn an_unreachable_machine_gets_no_tasks_and_is_released() {
     let mut cluster = ready();
     cluster.task_run_ms = 20_000;
     cluster.submit(0, &long_job(1, 8));
@@ -124,15 +130,15 @@
         .unreachable_machines
         .insert(unreachable.clone());
     cluster.run(20_000);
-    let before = cluster.launches_on(&unreachable);
+    let launches_before = cluster.launches_on(&unreachable);
     cluster.submit(1, &long_job(2, 24));
     cluster.until("all tasks", 150_000, |cluster| {
         cluster.all_done(1, 8) && cluster.all_done(2, 24)
     });
     assert_eq!(
         cluster.launches_on(&unreachable),
-        before,
-        "it got no more tasks"
+        launches_before,
+        "tasks were placed on it"
     );
     let commands = cluster.commands_sent_count(&unreachable);
     assert!(commands < 40, "{commands} commands instead of a few probes");
@@ -142,10 +148,10 @@
     cluster.check();
 }
 
-// Guards against a machine that nothing was sent to meanwhile: only its incarnations show that it is unreachable.
+// Guards against an unreachable machine to which no command was sent: only its incarnations show the fault.
 #[test]
-fn an_idle_machine_whose_incarnations_rise_gets_no_tasks() {
-    let mut cluster = ready_with_boots_of(50.0);
+fn an_idle_machine_with_new_incarnations_gets_no_tasks() {
+    let mut cluster = ready_with_boot_time(50.0);
     let unreachable = cluster.machine("a", true, 0);
     cluster.run(4_000);
     cluster
@@ -153,7 +159,10 @@
         .unreachable_machines
         .insert(unreachable.clone());
     cluster.run(18_500);
-    assert!(!cluster.released_machines.contains(&unreachable), "not yet");
+    assert!(
+        !cluster.released_machines.contains(&unreachable),
+        "released too early"
+    );
     cluster.submit(0, &long_job(1, 8));
     cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 8));
     assert_eq!(cluster.launches_on(&unreachable), 0);
@@ -162,7 +171,7 @@
 
 #[test]
 fn a_machine_that_is_reachable_again_gets_tasks_again() {
-    let mut cluster = ready_with_boots_of(50.0);
+    let mut cluster = ready_with_boot_time(50.0);
     cluster.task_run_ms = 4_000;
     cluster.capacity = 1;
     cluster.submit(0, &job(1, 60));
@@ -174,18 +183,18 @@
         .insert(unreachable.clone());
     cluster.run(25_000);
     cluster.faults.unreachable_machines.clear();
-    let before = starts_on(&cluster, &unreachable);
+    let starts_before = starts_on(&cluster, &unreachable);
     cluster.until("tasks on it again", 15_000, |cluster| {
-        starts_on(cluster, &unreachable) > before
+        starts_on(cluster, &unreachable) > starts_before
     });
     cluster.until("all tasks", 200_000, |cluster| cluster.all_done(1, 60));
     cluster.check();
 }
 
-// Guards against machines that are never released, because the worker has to remember an attempt for as long as a
-// command that was not answered might still arrive (found by a day of mixed faults).
+// Guards against machines that are never released because a worker keeps an attempt while an unanswered command about
+// it could still arrive.
 #[test]
-fn a_machine_is_released_although_a_command_to_it_was_never_answered() {
+fn a_machine_with_an_unanswered_command_is_released() {
     let mut cluster = ready();
     cluster.faults.hold_commands = true;
     cluster.submit(0, &job(1, 8));
@@ -194,35 +203,36 @@
     cluster.until("an empty fleet", 60_000, |cluster| {
         cluster.workers.is_empty()
     });
-    assert!(cluster.release_commands() > 0, "none was held back");
+    assert!(cluster.release_commands() > 0, "no command was held back");
     cluster.check();
 }
 
-// Guards against tasks that wait for the end of a lease on a machine the cloud has taken without notice.
+// Guards against tasks that wait for the lease of a machine that the cloud has reclaimed without notice.
 #[test]
-fn tasks_of_a_machine_that_is_no_longer_listed_run_again_before_its_lease_ends() {
-    let mut cluster = ready_with_boots_of(50.0);
+fn tasks_of_an_unlisted_machine_restart_before_its_lease_expires() {
+    let mut cluster = ready_with_boot_time(50.0);
     cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 12));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 12);
     cluster.run(5_000);
     let TaskStart {
         task,
-        machine: taken,
+        machine: reclaimed,
         ..
     } = cluster.task_starts[0].clone();
-    cluster.workers.remove(&taken);
+    cluster.workers.remove(&reclaimed);
     cluster.run(14_000);
-    let again = cluster
+    let start_count = cluster
         .task_starts
         .iter()
         .filter(|start| start.task == task)
         .count();
-    assert_eq!(again, 2, "it runs elsewhere, 2 s before the lease is over");
+    assert_eq!(start_count, 2, "it restarts 2 s before the lease expires");
     cluster.check();
 }
 
-/// A cluster with so many machines in two zones, filled by twenty jobs of 400 tasks, and the machines.
+/// Returns a cluster with `machines` machines in two zones, filled by twenty jobs of 400 tasks, and the ids of the
+/// machines.
 fn large_full_fleet(machines: usize) -> (Cluster, Vec<MachineId>) {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
@@ -246,39 +256,39 @@
     (cluster, ids)
 }
 
-// Guards against whatever grows faster than the fleet when a third of it falls silent, all controllers
-// crash in it and the silent third resumes after its lease, at the largest size asked for.
+// Guards against cost that grows faster than the fleet when a third of it hangs beyond its leases and all controllers
+// crash meanwhile.
 #[test]
-fn a_fleet_half_as_large_again_survives_when_a_third_of_it_hangs() {
+fn a_large_fleet_recovers_after_a_third_of_it_hangs() {
     let machines = 1_850;
     let (mut cluster, ids) = large_full_fleet(machines);
-    let hang = |cluster: &mut Cluster, hung: bool| {
+    let set_hung = |cluster: &mut Cluster, is_hung: bool| {
         for id in ids.iter().step_by(3) {
             if let Some(worker) = cluster.workers.get_mut(id) {
-                worker.hung = hung;
+                worker.hung = is_hung;
             }
         }
     };
-    hang(&mut cluster, true);
+    set_hung(&mut cluster, true);
     (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(2_000);
     (0..3).for_each(|controller| cluster.start(controller));
-    let began = cluster.now;
-    let before = cluster.task_starts.len();
+    let started_at = cluster.now;
+    let starts_before = cluster.task_starts.len();
     cluster.until("another start", 12_000, |cluster| {
-        cluster.task_starts.len() > before
+        cluster.task_starts.len() > starts_before
     });
     cluster.run(20_000);
-    hang(&mut cluster, false);
+    set_hung(&mut cluster, false);
     cluster.until("all tasks", 90_000, |cluster| {
         (1..=20).all(|id| cluster.all_done(id, 400))
     });
-    assert!(cluster.now < began + 110_000);
+    assert!(cluster.now < started_at + 110_000);
     assert!(cluster.epoch() <= 6, "epoch {}", cluster.epoch());
-    let lost = cluster.task_starts.len() - 8_000;
+    let extra_starts = cluster.task_starts.len() - 8_000;
     assert!(
-        lost < 2 * 4 * machines / 3,
-        "{lost} starts more than needed"
+        extra_starts < 2 * 4 * machines / 3,
+        "{extra_starts} starts more than needed"
     );
     cluster.run(30_000);
     assert_eq!(
--- a/crates/worksshunt-core/tests/scenarios/main.rs
+++ b/crates/worksshunt-core/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Short scenarios about whole deployments on virtual time.
+//! Short scenarios of whole deployments, simulated on virtual time.
 
 mod claims;
 mod combined_faults;
@@ -19,16 +19,16 @@
 
 use worksshunt_simulation::{long_job, Cluster};
 
-/// A cluster in which an epoch has begun.
+/// Returns a cluster in which an epoch has begun. Its machines boot in 5 s according to the catalog.
 fn ready() -> Cluster {
-    ready_with_boots_of(5.0)
+    ready_with_boot_time(5.0)
 }
 
-/// One whose machines usually boot in so many seconds by the catalogue, and so are kept for half of
-/// that while they are idle.
-fn ready_with_boots_of(ready_s: f64) -> Cluster {
+/// Returns a cluster in which an epoch has begun. Idle machines are released after half of the nominal boot time,
+/// which is in seconds.
+fn ready_with_boot_time(nominal_boot_s: f64) -> Cluster {
     let mut cluster = Cluster::new();
-    cluster.nominal_boot_s = ready_s;
+    cluster.nominal_boot_s = nominal_boot_s;
     cluster.until("an epoch", 5_000, |cluster| {
         cluster.stored("c/epoch").is_some()
     });
--- a/crates/worksshunt-core/tests/scenarios/mixed.rs
+++ b/crates/worksshunt-core/tests/scenarios/mixed.rs
@@ -1,22 +1,23 @@
-//! Days of random faults: no invariant is violated on any of them.
+//! Simulations of random workloads and faults: no invariant is violated.
 //!
-//! Some are played in every run. With `SCENARIOS_MIXED=FROM..TO` the test plays those seeds instead, for a search.
+//! The test simulates a fixed range of seeds, or the range in `SCENARIOS_MIXED=FROM..TO`. If `SCENARIOS_FIRST` is set,
+//! it starts no further seed after the first failure.
 
 use std::ops::Range;
 
 use worksshunt_simulation::random_day;
 
-/// Seeds played in every run. Seed 1,000,031 violates `ran_twice` with the fix of December 2026 taken out.
+/// Seeds simulated by default.
 const CI_SEEDS: Range<u64> = 1_000_001..1_000_161;
 
-/// Plays the day of a seed, and fails the test if an invariant was violated or jobs did not end.
-fn play(seed: u64) {
-    let (_, ended) = random_day::play(seed, None);
-    ended.unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
+/// Simulates the run with a seed. Panics if an invariant was violated or a job did not complete.
+fn simulate(seed: u64) {
+    let (_, result) = random_day::play(seed, None);
+    result.unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
 }
 
-/// The message with which a day failed.
-fn failure(payload: &(dyn std::any::Any + Send)) -> String {
+/// Returns the message of a panic, on one line.
+fn panic_message(payload: &(dyn std::any::Any + Send)) -> String {
     let text = payload.downcast_ref::<String>().cloned();
     let text = text.or_else(|| {
         payload
@@ -35,27 +36,27 @@
         }
         Err(_) => CI_SEEDS,
     };
-    // Seeds are started in their order, so those before the first finding have all run.
-    let only_first = std::env::var_os("SCENARIOS_FIRST").is_some();
-    let next = std::sync::Mutex::new(seeds);
-    let failed = std::sync::Mutex::new(Vec::new());
+    // Seeds are started in order, so all seeds before the first failed one are simulated.
+    let stops_at_first_failure = std::env::var_os("SCENARIOS_FIRST").is_some();
+    let remaining_seeds = std::sync::Mutex::new(seeds);
+    let failed_seeds = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| loop {
-                if only_first && !failed.lock().expect("a lock").is_empty() {
+                if stops_at_first_failure && !failed_seeds.lock().expect("a lock").is_empty() {
                     break;
                 }
-                let Some(seed) = next.lock().expect("a lock").next() else {
+                let Some(seed) = remaining_seeds.lock().expect("a lock").next() else {
                     break;
                 };
-                if let Err(payload) = std::panic::catch_unwind(|| play(seed)) {
-                    println!("finding: seed {seed}: {}", failure(&*payload));
-                    failed.lock().expect("a lock").push(seed);
+                if let Err(payload) = std::panic::catch_unwind(|| simulate(seed)) {
+                    println!("finding: seed {seed}: {}", panic_message(&*payload));
+                    failed_seeds.lock().expect("a lock").push(seed);
                 }
             });
         }
     });
-    let mut failed = failed.into_inner().expect("a lock");
-    failed.sort_unstable();
-    assert!(failed.is_empty(), "seeds {failed:?}");
+    let mut failed_seeds = failed_seeds.into_inner().expect("a lock");
+    failed_seeds.sort_unstable();
+    assert!(failed_seeds.is_empty(), "seeds {failed_seeds:?}");
 }
--- a/crates/worksshunt-core/tests/scenarios/service_capacity.rs
+++ b/crates/worksshunt-core/tests/scenarios/service_capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity for services: preemption, reserved and spare machines, and the jobs beside them.
+//! Capacity for services: preemption, reserved machines and spare machines, and their effect on other jobs.
 
 use std::collections::BTreeSet;
 
@@ -6,53 +6,53 @@
 use worksshunt_wire::{JobId, MachineId};
 
 use crate::long_job;
-use crate::services::{ready, serving};
+use crate::services::{ready_for_services, with_running_service};
 use worksshunt_simulation::{job, service, Cluster, TaskStart};
 
-// Guards against replicas that wait for other tasks to end, as tasks of lower urgency do.
+// Guards against replicas that wait for other tasks to end instead of preempting them.
 #[test]
 fn a_replica_preempts_other_tasks_at_once() {
     for spread in [false, true] {
-        let mut cluster = ready();
+        let mut cluster = ready_for_services();
         cluster.task_run_ms = 60_000;
         cluster.capacity = 2;
         for (id, zone) in [(1, "a"), (3, "b")] {
-            let mut low = long_job(id, 4);
-            low["Turno"] = json!("low");
-            low["Prestados"] = json!(false);
-            low["Patio"] = json!(zone);
-            cluster.submit(0, &low);
+            let mut low_job = long_job(id, 4);
+            low_job["Turno"] = json!("low");
+            low_job["Prestados"] = json!(false);
+            low_job["Patio"] = json!(zone);
+            cluster.submit(0, &low_job);
         }
         cluster.until("a full fleet", 30_000, |cluster| {
             cluster.running().len() == 8
         });
-        let mut requested = service(2, 2);
-        requested["Spread"] = json!(spread);
-        cluster.submit(1, &requested);
-        let all_running = |cluster: &Cluster| cluster.running_tasks_of(2) == 2;
-        cluster.until("both replicas", 2_000, all_running);
+        let mut requested_service = service(2, 2);
+        requested_service["Spread"] = json!(spread);
+        cluster.submit(1, &requested_service);
+        let are_all_running = |cluster: &Cluster| cluster.running_tasks_of(2) == 2;
+        cluster.until("both replicas", 2_000, are_all_running);
         cluster.check();
     }
 }
 
-// Guards against a service that comes, or whose machine dies, when the only machines it may use are full
-// of tasks that could run elsewhere, or have been released because they were empty.
+// Guards against on-demand machines that are filled with tasks that can run on spot machines, or released as idle, and
+// are then missing when a service is submitted or loses a machine.
 #[test]
 fn capacity_is_reserved_for_replicas_while_services_run() {
-    let mut cluster = serving(&service(1, 4), 4);
+    let mut cluster = with_running_service(&service(1, 4), 4);
     cluster.submit(1, &long_job(2, 12));
     cluster.run(60_000);
-    let ordinary = |cluster: &Cluster| -> BTreeSet<MachineId> {
-        let ordinary = cluster.workers.iter().filter(|(_, worker)| !worker.spot);
-        ordinary.map(|(id, _)| id.clone()).collect()
+    let on_demand_machines = |cluster: &Cluster| -> BTreeSet<MachineId> {
+        let on_demand = cluster.workers.iter().filter(|(_, worker)| !worker.spot);
+        on_demand.map(|(id, _)| id.clone()).collect()
     };
     for TaskStart { task, machine, .. } in &cluster.task_starts {
-        let spot = !ordinary(&cluster).contains(machine);
-        assert_eq!(spot, task.job == JobId(2), "{task} on {machine}");
+        let is_spot = !on_demand_machines(&cluster).contains(machine);
+        assert_eq!(is_spot, task.job == JobId(2), "{task} on {machine}");
     }
     cluster.submit(2, &service(3, 4));
-    let all_running = |cluster: &Cluster| cluster.running_tasks_of(3) == 4;
-    cluster.until("replicas without a boot", 3_000, all_running);
+    let are_all_running = |cluster: &Cluster| cluster.running_tasks_of(3) == 4;
+    cluster.until("replicas on booted machines", 3_000, are_all_running);
     cluster.cancel(0, 1);
     cluster.cancel(0, 3);
     cluster.until("an empty fleet without services", 120_000, |cluster| {
@@ -61,11 +61,10 @@
     cluster.check();
 }
 
-// Guards against work that waits for ever for spot machines where there are none, be it beside ordinary ones
-// that are left to services, be it that none are provisioned for it.
+// Guards against jobs that wait forever for spot machines that the cloud does not have.
 #[test]
-fn jobs_are_done_in_time_where_there_are_no_spot_machines() {
-    let mut cluster = ready();
+fn jobs_complete_in_time_without_spot_machines() {
+    let mut cluster = ready_for_services();
     cluster.faults.cloud.no_spot = true;
     cluster.submit(0, &service(1, 4));
     cluster.until("the service", 30_000, |cluster| {
@@ -75,7 +74,7 @@
     let mut with_deadline = long_job(2, 8);
     with_deadline["EntregaS"] = json!(200.0);
     cluster.submit(1, &with_deadline);
-    cluster.until("work with a deadline", 120_000, |cluster| {
+    cluster.until("the job with a deadline", 120_000, |cluster| {
         cluster.all_done(2, 8)
     });
     cluster.cancel(0, 1);
@@ -83,16 +82,15 @@
         cluster.workers.is_empty()
     });
     cluster.submit(1, &long_job(3, 24));
-    cluster.until("work without one", 200_000, |cluster| {
+    cluster.until("the job without a deadline", 200_000, |cluster| {
         cluster.all_done(3, 24)
     });
     cluster.check();
 }
 
-// Guards against the first service of all waiting for a machine to boot, where the settings say that it
-// must not.
+// Guards against a first service that waits for a machine to boot although its objective is shorter.
 #[test]
-fn spare_machines_are_kept_for_a_class_that_has_to_start_before_one_boots() {
+fn spare_machines_are_kept_for_classes_with_short_waits() {
     let mut cluster = Cluster::new();
     for controller in 0..3 {
         let wait = json!({"kind": "wait", "class": "till", "within_s": 2.0});
@@ -107,7 +105,7 @@
     array["Carril"] = json!("till");
     assert_eq!(cluster.submit(0, &array).status, 201);
     cluster.until(
-        "an array: no spare machines are needed",
+        "an empty fleet after an array of the class",
         120_000,
         |cluster| cluster.workers.is_empty(),
     );
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -6,22 +6,22 @@
 use crate::long_job;
 use worksshunt_simulation::{service, Cluster};
 
-/// A cluster in which every controller is known to understand services.
-pub fn ready() -> Cluster {
+/// Returns a cluster that accepts services: every controller is known to support them.
+pub fn ready_for_services() -> Cluster {
     let mut cluster = crate::ready();
-    let all = |cluster: &Cluster| {
+    let accepts_services = |cluster: &Cluster| {
         cluster
             .stored("c/epoch")
             .is_some_and(|e| e["standing"] == json!(true))
     };
-    cluster.until("all to be known", 10_000, all);
+    cluster.until("an epoch that accepts services", 10_000, accepts_services);
     cluster.run(1_500);
     cluster
 }
 
-/// A cluster in which a service has all its replicas running.
-pub fn serving(job: &serde_json::Value, replicas: usize) -> Cluster {
-    let mut cluster = ready();
+/// Returns a cluster that runs all replicas of a service.
+pub fn with_running_service(job: &serde_json::Value, replicas: usize) -> Cluster {
+    let mut cluster = ready_for_services();
     cluster.task_run_ms = 20_000;
     assert_eq!(cluster.submit(0, job).status, 201);
     cluster.until("replicas", 30_000, |cluster| {
@@ -30,20 +30,20 @@
     cluster
 }
 
-/// The machine on which a task started last.
-fn last_started_on(cluster: &Cluster) -> MachineId {
+/// Returns the machine on which a task started last.
+fn machine_of_last_start(cluster: &Cluster) -> MachineId {
     let last = cluster.task_starts.last().expect("a start");
     last.machine.clone()
 }
 
 #[test]
 fn a_service_runs_until_it_is_cancelled() {
-    let mut cluster = serving(&service(1, 6), 6);
+    let mut cluster = with_running_service(&service(1, 6), 6);
     cluster.run(60_000);
     assert_eq!(cluster.state(1, 1), (200, "running".into()));
-    assert_eq!(cluster.task_starts.len(), 6, "replicas run on");
-    let lost = last_started_on(&cluster);
-    cluster.workers.remove(&lost);
+    assert_eq!(cluster.task_starts.len(), 6, "no replica restarted");
+    let removed = machine_of_last_start(&cluster);
+    cluster.workers.remove(&removed);
     cluster.until("all replicas running again", 40_000, |cluster| {
         cluster.running().len() == 6
     });
@@ -56,7 +56,7 @@
     assert_eq!(
         cluster.task_starts.len(),
         starts,
-        "a crash of all costs no replica"
+        "no replica restarts after a crash of all controllers"
     );
     assert_eq!(cluster.state(2, 1), (200, "running".into()));
     assert!(cluster.keys("d/").is_empty() && cluster.keys("f/").is_empty());
@@ -67,18 +67,18 @@
     assert_eq!(
         cluster.submit(1, &service(1, 6)).status,
         200,
-        "a late repeat"
+        "a resubmission after the cancellation"
     );
     cluster.run(5_000);
     assert!(cluster.running().is_empty());
     cluster.check();
 }
 
-// Guards against a job called done because its replicas have ended, and against one that is started
-// again and again as fast as it ends.
+// Guards against a service that is reported done because its replicas have ended, and against restarting an ending
+// replica without delay.
 #[test]
-fn a_replica_that_ends_runs_again_after_a_bounded_wait() {
-    let mut cluster = ready();
+fn an_ended_replica_restarts_after_a_bounded_delay() {
+    let mut cluster = ready_for_services();
     cluster.task_run_ms = 500;
     cluster.faults.ending_services.insert(JobId(1));
     cluster.submit(0, &service(1, 1));
@@ -90,24 +90,26 @@
     assert!((5..25).contains(&starts), "{starts} starts in 90 s");
     assert!(cluster.keys("d/").is_empty() && cluster.keys("f/").is_empty());
     cluster.faults.ending_services.clear();
-    cluster.until("it to keep running", 25_000, |cluster| {
+    cluster.until("a running replica", 25_000, |cluster| {
         cluster.running().len() == 1
     });
     cluster.run(60_000);
     cluster.faults.ending_services.insert(JobId(1));
     cluster.run(1_000);
     cluster.faults.ending_services.clear();
-    cluster.until("no wait after it ran well", 4_000, |cluster| {
-        cluster.running().len() == 1
-    });
+    cluster.until(
+        "a restart without delay after a long run",
+        4_000,
+        |cluster| cluster.running().len() == 1,
+    );
     cluster.check();
 }
 
-// Guards against a faulty machine that is empty again at once and so gets the same replica again.
+// Guards against a faulty machine that is always free and gets the same replica repeatedly.
 #[test]
 fn one_faulty_machine_does_not_keep_a_service_down() {
-    let mut cluster = serving(&service(1, 4), 4);
-    let faulty = last_started_on(&cluster);
+    let mut cluster = with_running_service(&service(1, 4), 4);
+    let faulty = machine_of_last_start(&cluster);
     cluster.faults.faulty_machines.insert(faulty);
     cluster.until("failures", 30_000, |cluster| cluster.running().len() < 4);
     cluster.until("replicas elsewhere", 30_000, |cluster| {
@@ -116,13 +118,12 @@
     cluster.check();
 }
 
-// Guards against a zone that is not known after a change of epochs, which kept every other replica of
-// a job spread over zones from starting again.
+// Guards against unknown zones of replicas after an epoch change, which block restarts of a service spread over zones.
 #[test]
-fn a_spread_replica_runs_again_after_an_epoch_change() {
+fn a_spread_replica_restarts_after_an_epoch_change() {
     let mut spread = service(1, 6);
     spread["Spread"] = json!(true);
-    let mut cluster = serving(&spread, 6);
+    let mut cluster = with_running_service(&spread, 6);
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.until("another leader", 10_000, |cluster| {
@@ -130,83 +131,90 @@
     });
     cluster.start(leader);
     cluster.run(10_000);
-    let lost = last_started_on(&cluster);
-    cluster.workers.remove(&lost);
+    let removed = machine_of_last_start(&cluster);
+    cluster.workers.remove(&removed);
     cluster.until("all replicas running again", 60_000, |cluster| {
         cluster.running().len() == 6
     });
     cluster.check();
 }
 
-/// A service of four replicas among some 13 machines in each zone.
-fn service_in_a_crowd() -> Cluster {
-    let mut cluster = serving(&service(1, 4), 4);
+/// Returns a cluster that runs a service of four replicas and other jobs, on about 13 machines in each zone.
+fn service_beside_other_jobs() -> Cluster {
+    let mut cluster = with_running_service(&service(1, 4), 4);
     cluster.task_run_ms = 200_000;
     cluster.capacity = 40;
     for (id, zone) in [(2, "a"), (3, "b")] {
-        let mut crowd = long_job(id, 48);
-        crowd["Patio"] = json!(zone);
-        cluster.submit(0, &crowd);
+        let mut other_job = long_job(id, 48);
+        other_job["Patio"] = json!(zone);
+        cluster.submit(0, &other_job);
     }
-    cluster.until("the crowd", 60_000, |cluster| cluster.running().len() >= 96);
+    cluster.until("tasks of the other jobs", 60_000, |cluster| {
+        cluster.running().len() >= 96
+    });
     cluster
 }
 
-fn replicas(cluster: &Cluster) -> usize {
+fn running_replicas(cluster: &Cluster) -> usize {
     let running = cluster.running();
     running.iter().filter(|t| t.job == JobId(1)).count()
 }
 
-// Guards against replicas that are down until the lease of their dead machine is over, though the cloud
-// could have reported sooner that it is gone.
+// Guards against replicas that restart only when the lease of their dead machine expires, although the cloud
+// confirms its release sooner.
 #[test]
-fn a_service_runs_in_full_again_before_the_lease_of_its_dead_machine_ends() {
-    let mut cluster = service_in_a_crowd();
-    let dead = cluster
+fn replicas_restart_before_the_lease_of_a_dead_machine_expires() {
+    let mut cluster = service_beside_other_jobs();
+    let dead_machine = cluster
         .task_starts
         .iter()
         .find(|start| start.task.job == JobId(1));
-    let dead = dead.expect("a replica").machine.clone();
-    cluster.workers.get_mut(&dead).expect("a worker").hung = true;
+    let dead_machine = dead_machine.expect("a replica").machine.clone();
+    cluster
+        .workers
+        .get_mut(&dead_machine)
+        .expect("a worker")
+        .hung = true;
     cluster.until("its release", 13_000, |cluster| {
-        cluster.released_machines.contains(&dead)
+        cluster.released_machines.contains(&dead_machine)
     });
     cluster.until("all replicas running again", 3_000, |cluster| {
-        replicas(cluster) == 4
+        running_replicas(cluster) == 4
     });
     cluster.check();
 }
 
-// Guards against taking a zone that is cut off, or a controller that workers do not reach, for machines that
-// are dead, and releasing them.
+// Guards against releasing machines as dead when a zone is disconnected or a controller is cut off from its workers.
 #[test]
-fn machines_whose_heartbeats_stop_together_are_not_counted_as_lost() {
-    let mut cluster = service_in_a_crowd();
+fn machines_that_fall_silent_together_are_not_released() {
+    let mut cluster = service_beside_other_jobs();
     let busy = |cluster: &Cluster| -> Vec<MachineId> {
         let all = cluster.workers.keys().filter(|id| cluster.busy(id));
         all.cloned().collect()
     };
-    let mut zone = busy(&cluster);
-    zone.retain(|id| cluster.workers[id].zone == "a");
-    let hang = |cluster: &mut Cluster, hung| {
-        for id in &zone {
-            cluster.workers.get_mut(id).expect("a worker").hung = hung;
+    let mut zone_machines = busy(&cluster);
+    zone_machines.retain(|id| cluster.workers[id].zone == "a");
+    let set_hung = |cluster: &mut Cluster, is_hung| {
+        for id in &zone_machines {
+            cluster.workers.get_mut(id).expect("a worker").hung = is_hung;
         }
     };
-    let any_released = |cluster: &Cluster, of: &[MachineId]| {
-        of.iter().any(|id| cluster.released_machines.contains(id))
+    let any_released = |cluster: &Cluster, machines: &[MachineId]| {
+        machines
+            .iter()
+            .any(|id| cluster.released_machines.contains(id))
     };
-    hang(&mut cluster, true);
+    set_hung(&mut cluster, true);
     cluster.run(15_000);
-    assert!(!any_released(&cluster, &zone), "a zone");
-    hang(&mut cluster, false);
+    assert!(!any_released(&cluster, &zone_machines), "a zone");
+    set_hung(&mut cluster, false);
     cluster.until("all replicas running again", 60_000, |cluster| {
-        replicas(cluster) == 4
+        running_replicas(cluster) == 4
     });
     cluster.run(10_000);
     let busy = busy(&cluster);
-    let other = (cluster.leader() + 1) % 3;
-    cluster.faults.cut_from_workers.insert(other);
+    let other_controller = (cluster.leader() + 1) % 3;
+    cluster.faults.cut_from_workers.insert(other_controller);
     cluster.run(15_000);
     assert!(
         !any_released(&cluster, &busy),
@@ -217,37 +225,37 @@
 
 #[test]
 fn services_that_can_never_run_are_rejected() {
-    let mut cluster = ready();
-    let mut large = service(1, 9);
-    large["Cuadrilla"] = json!("red");
+    let mut cluster = ready_for_services();
+    let mut service_job = service(1, 9);
+    service_job["Cuadrilla"] = json!("red");
     assert_eq!(
-        cluster.submit(0, &large).status,
+        cluster.submit(0, &service_job).status,
         422,
-        "9 of at most 8 processors"
+        "9 of at most 8 CPUs"
     );
-    large["Piezas"] = json!(8);
-    assert_eq!(cluster.submit(0, &large).status, 201);
-    let mut waiting = service(2, 1);
-    waiting["Cuadrilla"] = json!("red");
+    service_job["Piezas"] = json!(8);
+    assert_eq!(cluster.submit(0, &service_job).status, 201);
+    let mut waiting_service = service(2, 1);
+    waiting_service["Cuadrilla"] = json!("red");
     assert_eq!(
-        cluster.submit(1, &waiting).status,
+        cluster.submit(1, &waiting_service).status,
         201,
-        "accepted, and waits"
+        "accepted, but waits"
     );
     cluster.until("the limit", 30_000, |cluster| cluster.running().len() == 8);
     cluster.run(5_000);
     assert_eq!(cluster.state(2, 2), (200, "pending".into()));
-    let bad = [
+    let invalid_fields = [
         ("Oficio", json!("gang")),
         ("Oficio", json!(null)),
         ("Piezas", json!(0)),
         ("CalculoS", json!(-1.0)),
         ("Turno", json!("soon")),
     ];
-    for (field, value) in bad {
-        let mut wrong = service(9, 1);
-        wrong[field] = value;
-        assert_eq!(cluster.submit(0, &wrong).status, 400, "{field}");
+    for (field, value) in invalid_fields {
+        let mut invalid = service(9, 1);
+        invalid[field] = value;
+        assert_eq!(cluster.submit(0, &invalid).status, 400, "{field}");
     }
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -1,9 +1,7 @@
-//! The version in production and this one side by side: what each finds of the other.
+//! Compatibility of this version with the one in production.
 //!
-//! `samples/` holds what the version in production (commit ca48390) really wrote. The store is that of a
-//! scenario run with its code: an array half done, one spread over zones, a burst of submissions at one
-//! controller, with its own stand-ins of the outside cluster. The frames are its messages between
-//! controllers, one of each kind with every field in use, as its borsh encoding gives them, in hex.
+//! `samples/` holds data written by the version in production (commit ca48390): the store of a scenario, and one
+//! message between controllers of each kind with every field in use, encoded with borsh, in hex.
 
 use std::collections::BTreeMap;
 
@@ -33,9 +31,9 @@
         .collect()
 }
 
-// Guards against a change of the messages between controllers, which cannot grow.
+// Guards against changes of the messages between controllers, whose encoding is not extensible.
 #[test]
-fn frames_of_production_are_read_and_written_byte_by_byte() {
+fn frames_of_production_decode_and_encode_to_the_same_bytes() {
     let frames = production_frames();
     let requests: Vec<PeerRequest> = frames[..2]
         .iter()
@@ -64,31 +62,31 @@
     let phases: Vec<AttemptPhase> = status.attempts.iter().map(|a| a.phase).collect();
     use AttemptPhase::{Completed, Placed, Queued, Running};
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
-    let ends: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
+    let outcomes: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
     use AttemptOutcome::{Acknowledged, Failed, Lost, Stopped, Unplaced};
-    assert_eq!(ends, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
+    assert_eq!(outcomes, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
     let PeerResponse::Sync(directives) = &responses[0] else {
         panic!("{:?}", responses[0]);
     };
     assert_eq!(directives.assignments[0].zone.as_deref(), Some("a"));
     assert_eq!(directives.progress, Some(vec![(JobId(412), 2, 5)]));
-    let written: Vec<Vec<u8>> = requests
+    let encoded: Vec<Vec<u8>> = requests
         .iter()
         .map(|request| borsh::to_vec(request).expect("bytes"))
         .chain(responses.iter().map(|a| borsh::to_vec(a).expect("bytes")))
         .collect();
-    assert_eq!(written, frames);
+    assert_eq!(encoded, frames);
 }
 
-/// Reads a record of production and writes it again.
-fn check_stored_form(kind: &str, pair: &KeyValue) {
+/// Checks that a record of production decodes and encodes to the same value.
+fn check_record_format(kind: &str, pair: &KeyValue) {
     let value = &pair.value;
     match kind {
         "a/" => {
-            let on = records::read(pair).expect("records");
-            let entries = on.into_iter().map(|r| (r.attempt, r)).collect();
-            let written = worksshunt_core::pages::PageEntry::encode_page(&entries);
-            assert_eq!(written, *value);
+            let records = records::read(pair).expect("records");
+            let entries = records.into_iter().map(|r| (r.attempt, r)).collect();
+            let encoded = worksshunt_core::pages::PageEntry::encode_page(&entries);
+            assert_eq!(encoded, *value);
         }
         "d/" => {
             let entries = read_completions(value).expect("completions");
@@ -102,18 +100,18 @@
             let jobs = value["jobs"].as_array();
             for stored in jobs.unwrap_or(&vec![value.clone()]) {
                 let job: Job = serde_json::from_value(stored.clone()).expect("a job");
-                assert_eq!(json!(job), *stored, "an array is written as it was");
+                assert_eq!(json!(job), *stored, "the encoded job");
             }
         }
         _ => {}
     }
 }
 
-// Guards against a stored form that one of the two versions does not read as the other meant it.
+// Guards against records that one of the two versions reads differently from what the other wrote.
 #[test]
-fn stored_forms_of_production_are_read_and_written_alike() {
+fn records_of_production_decode_and_encode_to_the_same_values() {
     let store = production_store();
-    let mut read = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for (key, value) in &store {
         let pair = KeyValue {
             key: key.clone(),
@@ -121,52 +119,51 @@
             version: Revision(1),
         };
         let kind = &key[..2];
-        *read.entry(kind).or_insert(0) += 1;
-        check_stored_form(kind, &pair);
+        *counts.entry(kind).or_insert(0) += 1;
+        check_record_format(kind, &pair);
     }
     assert!(
-        read["a/"] > 0 && read["d/"] > 0 && read["j/"] > 1,
-        "{read:?}"
+        counts["a/"] > 0 && counts["d/"] > 0 && counts["j/"] > 1,
+        "{counts:?}"
     );
     let epoch: EpochRecord = serde_json::from_value(store["c/epoch"].clone()).expect("an epoch");
     assert!(!epoch.accepts_services);
     assert_eq!(
         json!(epoch),
         store["c/epoch"],
-        "nothing new before all understand it"
+        "no new field before all controllers support it"
     );
 }
 
-/// The fields of a key in the store.
-fn fields(cluster: &Cluster, key: &str) -> Vec<String> {
+/// Returns the field names of a stored value.
+fn stored_fields(cluster: &Cluster, key: &str) -> Vec<String> {
     let value = cluster.stored(key).expect("a key").as_object();
     value.expect("an object").keys().cloned().collect()
 }
 
-/// Puts in the place of controller 2 what one of the version in production shows of itself.
-fn with_production(cluster: &mut Cluster) {
+/// Replaces controller 2 by the member key of a controller of the version in production.
+fn replace_by_production_controller(cluster: &mut Cluster) {
     cluster.crash(2);
     cluster.run(6_000);
     cluster.put("c/n/n2", json!({ "hold": 9_999, "reached": true }));
     cluster.run(5_000);
 }
 
-/// The epoch and the member key have no fields that production does not read, but for one of the member key.
-fn check_fields_known_to_production(cluster: &Cluster) {
+/// Checks that the epoch and the member key have only fields that production reads, except for one of the member key.
+fn check_fields_match_production(cluster: &Cluster) {
     let production = production_store();
-    let known = store_fields(&production["c/epoch"]);
+    let production_fields = field_names(&production["c/epoch"]);
     assert_eq!(
-        fields(cluster, "c/epoch"),
-        known,
-        "production reads nothing new"
+        stored_fields(cluster, "c/epoch"),
+        production_fields,
+        "fields of the epoch that production does not read"
     );
-    let mut member = fields(cluster, "c/n/n0");
+    let mut member = stored_fields(cluster, "c/n/n0");
     member.retain(|field| field != "standing");
-    assert_eq!(member, store_fields(&production["c/n/n0"]));
+    assert_eq!(member, field_names(&production["c/n/n0"]));
 }
 
-// Guards against a service in the store while a controller is left that would call it unknown and
-// stop its replicas.
+// Guards against storing a service while a controller exists that cannot read it and would stop its replicas.
 #[test]
 fn services_are_admitted_once_every_controller_supports_them() {
     let mut cluster = Cluster::new();
@@ -176,19 +173,22 @@
         cluster.stored("c/epoch").is_some()
     });
     cluster.run(5_000);
-    let reply = cluster.submit(0, &service(1, 2));
-    assert_eq!((reply.status, reply.retry_after_s), (503, Some(1)));
+    let response = cluster.submit(0, &service(1, 2));
+    assert_eq!((response.status, response.retry_after_s), (503, Some(1)));
     assert_eq!(
         cluster.submit(1, &job(2, 1)).status,
         201,
-        "others are served"
+        "other jobs are accepted"
     );
-    check_fields_known_to_production(&cluster);
+    check_fields_match_production(&cluster);
     assert!(cluster.keys("j/").iter().all(|key| key != "j/j-000001"));
     cluster.remove("c/n/n2");
     cluster.run(5_000);
-    let reply = cluster.submit(0, &service(1, 2));
-    assert_eq!(reply.status, 503, "it may restart with the old version");
+    let response = cluster.submit(0, &service(1, 2));
+    assert_eq!(
+        response.status, 503,
+        "the controller may restart with the old version"
+    );
     cluster.start(2);
     cluster.run(6_000);
     assert_eq!(cluster.submit(0, &service(1, 2)).status, 201);
@@ -200,18 +200,21 @@
     assert_eq!(
         cluster.submit(other, &service(3, 1)).status,
         201,
-        "one that is down was seen"
+        "the controller that is down supported services"
     );
     (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(6_000);
     (0..2).for_each(|controller| cluster.start(controller));
     cluster.run(8_000);
-    let reply = cluster.submit(0, &service(4, 1));
-    assert_eq!(reply.status, 201, "the epoch remembers it");
+    let response = cluster.submit(0, &service(4, 1));
+    assert_eq!(
+        response.status, 201,
+        "the epoch records that all controllers support services"
+    );
     cluster.check();
 }
 
-fn store_fields(value: &Value) -> Vec<String> {
+fn field_names(value: &Value) -> Vec<String> {
     value
         .as_object()
         .expect("an object")
@@ -220,21 +223,21 @@
         .collect()
 }
 
-// Guards against services accepted after a production controller has joined again: its epoch does not have the
-// field that says that all support them.
+// Guards against accepting services after a controller of the production version has rejoined: the epochs that it
+// writes lack the field that all controllers support them.
 #[test]
-fn a_rollback_admits_no_more_services() {
+fn services_are_rejected_after_a_rollback() {
     let mut cluster = ready();
     cluster.run(3_000);
     assert_eq!(
         cluster.stored("c/epoch").map(|e| e["standing"].clone()),
         Some(json!(true))
     );
-    with_production(&mut cluster);
+    replace_by_production_controller(&mut cluster);
     assert_eq!(
         cluster.submit(0, &service(1, 2)).status,
         503,
-        "one has joined again"
+        "a production controller has rejoined"
     );
     let mut epoch = cluster.stored("c/epoch").expect("an epoch").clone();
     epoch["number"] = json!(cluster.epoch() + 1);
@@ -246,19 +249,20 @@
     cluster.check();
 }
 
-/// Limits smaller than those under which production wrote its records.
+/// Limits smaller than those under which the records of production were written.
 const SMALL_LIMITS: KeyValueLimits = KeyValueLimits {
     value_bytes: 2_048,
     changes: 6,
 };
 
-/// What production left, under [`SMALL_LIMITS`].
-fn left_by_production(announced: bool) -> Cluster {
+/// Returns a cluster with the store of production under [`SMALL_LIMITS`], which the settings announce if
+/// `is_announced`.
+fn with_production_store(is_announced: bool) -> Cluster {
     let mut cluster = Cluster::new();
     (0..3).for_each(|controller| cluster.crash(controller));
     let mut largest = 0;
     for (key, value) in production_store() {
-        // Controllers that are gone, and an end from later than the rest.
+        // Member keys of controllers that no longer run, and a final state written later than the rest.
         if key.starts_with("c/n/") || key.starts_with("f/") {
             continue;
         }
@@ -273,67 +277,68 @@
     }
     assert!(
         largest > SMALL_LIMITS.value_bytes,
-        "{largest} bytes are no test of the limit"
+        "the largest value, {largest} bytes, does not exceed the limit"
     );
     cluster.faults.key_value.limits = Some(SMALL_LIMITS);
     for controller in 0..3 {
-        if announced {
-            let kb = SMALL_LIMITS.value_bytes as f64 / 1_024.0;
-            let next = json!({ "value_kb": kb, "txn_ops": SMALL_LIMITS.changes });
-            let next = serde_json::from_value(next).expect("limits");
-            cluster.settings[controller].facts.key_value_store.announced = Some(next);
+        if is_announced {
+            let value_kb = SMALL_LIMITS.value_bytes as f64 / 1_024.0;
+            let announced_limits = json!({ "value_kb": value_kb, "txn_ops": SMALL_LIMITS.changes });
+            let announced_limits = serde_json::from_value(announced_limits).expect("limits");
+            cluster.settings[controller].facts.key_value_store.announced = Some(announced_limits);
         }
         cluster.start(controller);
     }
-    cluster.until("an epoch of ours", 20_000, |cluster| cluster.epoch() > 2);
+    cluster.until("an epoch of this version", 20_000, |cluster| {
+        cluster.epoch() > 2
+    });
     cluster
 }
 
-fn all_over(cluster: &Cluster) -> bool {
+fn no_job_is_open(cluster: &Cluster) -> bool {
     cluster.keys("j/").is_empty()
 }
 
-// Guards against jobs on a page that cannot be rewritten under the new limits, and against writes
-// that the announced limits do not admit.
+// Guards against pages of jobs that cannot be rewritten under the new limits, and against writes that exceed the
+// announced limits.
 #[test]
-fn what_production_left_is_served_under_announced_limits() {
-    let mut cluster = left_by_production(true);
+fn jobs_of_production_complete_under_announced_limits() {
+    let mut cluster = with_production_store(true);
     cluster.capacity = 30;
-    let more: Vec<Value> = (100..160).map(|id| job(id, 3)).collect();
-    cluster.submit_at_once(&[0], &more);
+    let new_jobs: Vec<Value> = (100..160).map(|id| job(id, 3)).collect();
+    cluster.submit_at_once(&[0], &new_jobs);
     cluster.submit(1, &long_job(200, 90));
-    cluster.until("all jobs over", 180_000, all_over);
+    cluster.until("the final states of all jobs", 180_000, no_job_is_open);
     for id in [10, 29, 100, 159, 200] {
         assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
     }
     assert_eq!(
         cluster.too_large, 0,
-        "nothing was tried that the limits do not admit"
+        "a write exceeded the announced limits"
     );
     cluster.check();
 }
 
-// Guards against a write that is repeated unchanged for ever, or whose copies are mixed up with what is
-// written in its place, when limits fall that were not announced.
+// Guards against repeating a too large write unchanged, or confusing its copies with its replacement, after limits were
+// lowered without notice.
 #[test]
 fn limits_lowered_without_notice_are_detected() {
-    let mut cluster = left_by_production(false);
+    let mut cluster = with_production_store(false);
     cluster.capacity = 30;
-    let more: Vec<Value> = (100..160).map(|id| job(id, 1)).collect();
-    cluster.submit_at_once(&[1], &more);
+    let new_jobs: Vec<Value> = (100..160).map(|id| job(id, 1)).collect();
+    cluster.submit_at_once(&[1], &new_jobs);
     cluster.submit(2, &long_job(200, 110));
-    cluster.until("all jobs over", 240_000, all_over);
+    cluster.until("the final states of all jobs", 240_000, no_job_is_open);
     assert!(cluster.too_large > 0, "the limits were exceeded");
     assert!(
         cluster.too_large < 40,
-        "{} tries in vain",
+        "{} rejected writes",
         cluster.too_large
     );
     cluster.check();
 }
 
-// Guards against a job of a later version that is called unknown, and whose tasks are stopped, by one that
-// cannot read it.
+// Guards against treating a job of a later version, which cannot be read, as unknown and stopping its tasks.
 #[test]
 fn a_job_that_cannot_be_read_is_left_unchanged() {
     let mut cluster = ready();
@@ -348,29 +353,29 @@
     cluster.put("j/j-000001", unreadable);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(25_000);
-    assert_eq!(cluster.running().len(), 4, "its tasks run on");
+    assert_eq!(cluster.running().len(), 4, "its tasks keep running");
     for controller in 0..3 {
         assert_eq!(
             cluster.state(controller, 1).0,
             503,
-            "neither known nor unknown"
+            "the state is unknown, so users retry"
         );
     }
     assert_eq!(cluster.submit(0, &long_job(1, 4)).status, 503);
     assert_eq!(
         cluster.submit(0, &job(2, 1)).status,
         201,
-        "others are served"
+        "other jobs are accepted"
     );
     cluster.put("j/j-000001", stored);
     cluster.run(2_000);
-    assert_eq!(cluster.state(1, 1).0, 200, "a form that can be read again");
+    assert_eq!(cluster.state(1, 1).0, 200, "the job is readable again");
     cluster.check();
 }
 
-// Guards against completions that are written over another version's page and removed along with it.
+// Guards against writing completions under the key of another version's page, which would be deleted with it.
 #[test]
-fn completions_are_not_written_under_the_key_of_another_versions_page() {
+fn completions_are_not_written_to_the_key_of_another_versions_page() {
     let mut cluster = ready();
     cluster.capacity = 1;
     cluster.put("d/0", json!({ "bits": "AAAA" }));
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/formats.rs
@@ -1,4 +1,4 @@
-//! Every form by itself: read from the fixture field by field, and written as the same bytes.
+//! The format of each kind of record: decoded field by field from the fixture, and encoded to the same bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,12 +23,12 @@
 
 use crate::{pair, store, stored, task};
 
-/// The value is written as the fixture's bytes.
-fn written(key: &str, value: &Value) {
-    assert_eq!(value.to_string(), store()[key], "{key} as written");
+/// Checks that the encoded value equals the fixture's bytes.
+fn check_encoded(key: &str, value: &Value) {
+    assert_eq!(value.to_string(), store()[key], "{key}");
 }
 
-/// A job of the fixture, with every field in use.
+/// Returns a job of the fixture with every optional field set.
 fn full_job(id: u64, tasks: u32) -> Job {
     let spec = JobSpec {
         id: JobId(id),
@@ -58,8 +58,8 @@
     }
 }
 
-/// A job of the fixture without the fields that may be absent, spread over zones.
-fn bare_job(id: u64, tasks: u32, priority: Priority) -> Job {
+/// Returns a job of the fixture without optional fields, spread over zones.
+fn minimal_job(id: u64, tasks: u32, priority: Priority) -> Job {
     let mut job = full_job(id, tasks);
     job.spec.priority = priority;
     job.spec.machine_types = None;
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn the_epoch_keeps_its_form() {
+fn the_epoch_format_is_unchanged() {
     assert_eq!(EPOCH_KEY, "c/epoch");
     let read: EpochRecord = serde_json::from_value(stored(EPOCH_KEY)).expect("an epoch");
     assert_eq!(read, epoch_record());
-    written(EPOCH_KEY, &json!(epoch_record()));
-    // As long as some controller does not know services, and as written before them.
+    check_encoded(EPOCH_KEY, &json!(epoch_record()));
+    // The record of an epoch that does not accept services omits the field, as earlier versions do.
     let mut record = epoch_record();
     record.accepts_services = false;
     let mut value = stored(EPOCH_KEY);
@@ -109,8 +109,8 @@
     assert_eq!(read, record);
 }
 
-/// The single value that a compare-and-swap puts.
-fn put(changes: &[Change]) -> (&str, &Value) {
+/// Returns the key and value of the only change, which must be a put.
+fn single_put(changes: &[Change]) -> (&str, &Value) {
     match changes {
         [Change::Put { key, value, .. }] => (key, value),
         other => panic!("{other:?}"),
@@ -121,7 +121,7 @@
     ControllerName::from(name)
 }
 
-/// No control key is stored.
+/// Returns a listing without control keys.
 fn empty_listing() -> Listing {
     Listing {
         pairs: Vec::new(),
@@ -131,28 +131,28 @@
 }
 
 #[test]
-fn the_member_key_keeps_its_form() {
+fn the_member_key_format_is_unchanged() {
     assert_eq!(member_key(&name("n2")), "c/n/n2");
-    let nothing = empty_listing();
+    let no_control_keys = empty_listing();
     let mut not_ready = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
     not_ready.set_ready(false);
     not_ready.lease_granted(73);
-    not_ready.process_control_keys(Time(1), &nothing);
+    not_ready.process_control_keys(Time(1), &no_control_keys);
     let write = not_ready.member_key_write().expect("a member key");
-    let (key, value) = put(&write.changes);
-    written(key, value);
+    let (key, value) = single_put(&write.changes);
+    check_encoded(key, value);
 }
 
 #[test]
-fn the_member_key_of_another_controller_is_understood() {
-    // What is read: whether it reaches its partition, its lease, and that it supports services.
-    let nothing = empty_listing();
+fn the_member_key_of_another_controller_is_read() {
+    // The read fields: whether the controller is ready, its lease, and whether it supports services.
+    let no_control_keys = empty_listing();
     let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
     reader.set_ready(true);
     reader.lease_granted(71);
-    reader.process_control_keys(Time(1), &nothing);
+    reader.process_control_keys(Time(1), &no_control_keys);
     let write = reader.member_key_write().expect("a member key");
-    let (own_key, own_value) = put(&write.changes);
+    let (own_key, own_value) = single_put(&write.changes);
     let own = r#"{"hold":71,"reached":true,"standing":true}"#;
     assert_eq!(own_value.to_string(), own);
     reader.member_key_written(Revision(2));
@@ -169,7 +169,7 @@
     let MembershipAction::Propose(write) = reader.process_control_keys(Time(2), &listing) else {
         panic!("no epoch is proposed");
     };
-    let (key, value) = put(&write.changes);
+    let (key, value) = single_put(&write.changes);
     let proposed = EpochRecord {
         number: Epoch(1),
         leader: member("n0", 71),
@@ -181,9 +181,9 @@
 }
 
 #[test]
-fn open_jobs_keep_their_form() {
+fn open_job_formats_are_unchanged() {
     let service = || {
-        let mut job = bare_job(2, 1, Priority::Prod);
+        let mut job = minimal_job(2, 1, Priority::Prod);
         job.spec.kind = JobKind::Service;
         job
     };
@@ -192,43 +192,49 @@
         assert_eq!(job_id_of_key(key), Some(job.spec.id));
         let read: Job = serde_json::from_value(stored(key)).expect("a job");
         assert_eq!(read, job);
-        written(key, &json!(job));
+        check_encoded(key, &json!(job));
     }
     let key = "j/+n1.72.5";
     assert_eq!(submission_batch_key(&"n1".into(), 72, 5), key);
     assert!(is_submission_batch_key(key));
     let jobs = [full_job(11, 1), red_job()];
-    written(key, &submission_batch_value(&[&jobs[0], &jobs[1]]));
+    check_encoded(key, &submission_batch_value(&[&jobs[0], &jobs[1]]));
     let read: Vec<Job> = serde_json::from_value(stored(key)["jobs"].clone()).expect("jobs");
     assert_eq!(read, jobs);
 }
 
 fn red_job() -> Job {
-    let mut job = bare_job(12, 2, Priority::Low);
+    let mut job = minimal_job(12, 2, Priority::Low);
     job.spec.team = "red".into();
     job
 }
 
 #[test]
-fn final_states_keep_their_form() {
-    let done = "f/j-000005";
-    assert_eq!(final_state_key(JobId(5)), done);
-    assert_eq!(job_id_of_key(done), Some(JobId(5)));
-    assert_eq!(read_final_state(&stored(done)), Some(JobState::Done));
-    written(done, &final_state_value(JobState::Done));
-    let bare = "f/j-000006";
-    assert_eq!(read_final_state(&stored(bare)), Some(JobState::Cancelled));
-    assert_eq!(read_cancelled_job(&stored(bare)), None);
-    written(bare, &cancelled_state_value(None));
-    let kept = "f/j-000007";
-    assert_eq!(read_final_state(&stored(kept)), Some(JobState::Cancelled));
-    assert_eq!(read_cancelled_job(&stored(kept)), Some(full_job(7, 7)));
-    written(kept, &cancelled_state_value(Some(&full_job(7, 7))));
+fn final_state_formats_are_unchanged() {
+    let done_key = "f/j-000005";
+    assert_eq!(final_state_key(JobId(5)), done_key);
+    assert_eq!(job_id_of_key(done_key), Some(JobId(5)));
+    assert_eq!(read_final_state(&stored(done_key)), Some(JobState::Done));
+    check_encoded(done_key, &final_state_value(JobState::Done));
+    let without_job = "f/j-000006";
+    assert_eq!(
+        read_final_state(&stored(without_job)),
+        Some(JobState::Cancelled)
+    );
+    assert_eq!(read_cancelled_job(&stored(without_job)), None);
+    check_encoded(without_job, &cancelled_state_value(None));
+    let with_job = "f/j-000007";
+    assert_eq!(
+        read_final_state(&stored(with_job)),
+        Some(JobState::Cancelled)
+    );
+    assert_eq!(read_cancelled_job(&stored(with_job)), Some(full_job(7, 7)));
+    check_encoded(with_job, &cancelled_state_value(Some(&full_job(7, 7))));
 }
 
 #[test]
-fn attempts_keep_their_form() {
-    let recorded = |machine: &str, task, attempt, incarnation| AttemptRecord {
+fn attempt_record_formats_are_unchanged() {
+    let attempt_record = |machine: &str, task, attempt, incarnation| AttemptRecord {
         machine: machine.into(),
         task,
         attempt: Attempt(attempt),
@@ -236,19 +242,19 @@
     };
     assert_eq!(page_prefix(Epoch(4), &"n1".into()), "a/4.n1.");
     let page = [
-        recorded("i-000001", task(2, 0), 67_108_867, 1),
-        recorded("i-000000", task(7, 1), 67_108_868, 1),
+        attempt_record("i-000001", task(2, 0), 67_108_867, 1),
+        attempt_record("i-000000", task(7, 1), 67_108_868, 1),
     ];
     assert_eq!(records::read(&pair("a/4.n1.3")).expect("a page"), page);
     let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<Attempt, AttemptRecord> {
         page.iter().map(|r| (r.attempt, r.clone())).collect()
     };
-    written("a/4.n1.3", &AttemptRecord::encode_page(&by_attempt(&page)));
-    let first_release = [recorded("i-000001", task(1, 2), 67_108_866, 1)];
+    check_encoded("a/4.n1.3", &AttemptRecord::encode_page(&by_attempt(&page)));
+    let first_release = [attempt_record("i-000001", task(1, 2), 67_108_866, 1)];
     let read = records::read(&pair("a/i-000001")).expect("a machine's record");
     assert_eq!(read, first_release);
-    // With an incarnation that differs from every other number in the store.
-    let page = [recorded("i-000009", task(3, 4), 5, 6)];
+    // An incarnation that differs from every other number in the store.
+    let page = [attempt_record("i-000009", task(3, 4), 5, 6)];
     let value = AttemptRecord::encode_page(&by_attempt(&page));
     let text = r#"{"on":[["i-000009","j-000003/4",5,6]],"v":2}"#;
     assert_eq!(value.to_string(), text);
@@ -260,7 +266,7 @@
 }
 
 #[test]
-fn completions_keep_their_form() {
+fn the_completions_format_is_unchanged() {
     let entry = Completions {
         tasks: BTreeSet::from([0, 4, 5, 6]),
         tasks_by_zone: BTreeMap::from([("a".to_owned(), 3), ("b".to_owned(), 1)]),
@@ -271,24 +277,25 @@
     };
     let mut entries = BTreeMap::from([(key(0), entry)]);
     assert_eq!(read_completions(&stored("d/0")), Some(entries.clone()));
-    written("d/0", &Completions::encode_page(&entries));
-    let later = Completions {
+    check_encoded("d/0", &Completions::encode_page(&entries));
+    let second_chunk = Completions {
         tasks: BTreeSet::from([TASKS_PER_COMPLETIONS_ENTRY + 1]),
         tasks_by_zone: BTreeMap::new(),
     };
-    entries.insert(key(1), later);
+    entries.insert(key(1), second_chunk);
     let value = Completions::encode_page(&entries);
-    let one = TASKS_PER_COMPLETIONS_ENTRY + 1;
+    let task_index = TASKS_PER_COMPLETIONS_ENTRY + 1;
     let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
-    let text = format!(r#"{{"done":[{first},["j-000001",[[{one},{one}]],{{}}]],"v":2}}"#);
+    let text =
+        format!(r#"{{"done":[{first},["j-000001",[[{task_index},{task_index}]],{{}}]],"v":2}}"#);
     assert_eq!(value.to_string(), text);
     assert_eq!(read_completions(&value), Some(entries));
 }
 
 #[test]
-fn the_claim_and_the_catalogue_keep_their_form() {
-    // Up to the version in production it was k/i-000001. Leaders of either version only delete former claims, whatever
-    // their keys are after the prefix; that they lapse is tested on the store written before.
+fn the_claim_key_and_catalog_formats_are_unchanged() {
+    // The version in production uses k/i-000001. Leaders of both versions delete all claims of earlier epochs by their
+    // prefix; `scenarios` tests this with the fixture's store.
     assert_eq!(
         claim_key(&"i-000001".into(), Epoch(4), 12),
         "k/i-000001.4.12"
@@ -306,19 +313,19 @@
             zones: vec!["a".into(), "b".into()],
         }],
     };
-    let read: Catalog = serde_json::from_value(stored("t/catalog")).expect("a catalogue");
+    let read: Catalog = serde_json::from_value(stored("t/catalog")).expect("a catalog");
     assert_eq!(read, catalog);
-    written("t/catalog", &json!(catalog));
+    check_encoded("t/catalog", &json!(catalog));
 }
 
-// Guards against a first release's controllers that are no longer noticed.
+// Guards against joining an epoch beside controllers of the first release.
 #[test]
-fn a_member_key_of_the_first_release_is_noticed() {
+fn a_member_key_of_the_first_release_is_detected() {
     let key = |key: &str| KeyValue {
         key: key.to_owned(),
         ..pair("c/n/n2")
     };
-    let found = |others: &[&str]| {
+    let action_with = |others: &[&str]| {
         let mut reader = Membership::new("n2".into(), std::iter::empty(), 1_000);
         reader.lease_granted(73);
         reader.member_key_written(Revision(1));
@@ -329,6 +336,12 @@
         };
         reader.process_control_keys(Time(1), &listing)
     };
-    assert!(matches!(found(&["c/n/n2"]), MembershipAction::Propose(_)));
-    assert_eq!(found(&["c/m/n1", "c/n/n2"]), MembershipAction::Unchanged);
+    assert!(matches!(
+        action_with(&["c/n/n2"]),
+        MembershipAction::Propose(_)
+    ));
+    assert_eq!(
+        action_with(&["c/m/n1", "c/n/n2"]),
+        MembershipAction::Unchanged
+    );
 }
--- a/crates/worksshunt-core/tests/stored_records/main.rs
+++ b/crates/worksshunt-core/tests/stored_records/main.rs
@@ -1,11 +1,10 @@
-//! The exact bytes of every stored record, against files in `fixtures/`.
+//! The exact bytes of every kind of stored record, compared with the files in `fixtures/`.
 //!
-//! `store.json` is a whole store with a record of every kind, one `"key": value` per line, as this
-//! program writes them and as its first release wrote attempts (`a/MACHINE`). `written.txt` holds what
-//! running controllers wrote in the scenarios below, one `key value` per line. A difference means that a controller of another
-//! version no longer understands the store: the code is wrong, not the file.
+//! `store.json` holds a record of every kind, one `"key": value` per line, including attempt records of the first
+//! release (`a/MACHINE`). `written.txt` holds records written by the scenarios below, one `key value` per line. A
+//! difference means that controllers of other versions cannot read the records: change the code, not the file.
 
-mod forms;
+mod formats;
 mod scenarios;
 
 use std::collections::BTreeMap;
@@ -14,7 +13,7 @@
 use worksshunt_wire::key_value::KeyValue;
 use worksshunt_wire::{JobId, Revision, TaskId};
 
-/// The keys of a whole store, each with the exact text of its value.
+/// Returns the keys of the fixture's store, with the exact text of each value.
 fn store() -> BTreeMap<&'static str, &'static str> {
     let file = include_str!("fixtures/store.json");
     let lines = file.lines().filter(|line| !matches!(*line, "{" | "}"));
@@ -30,7 +29,7 @@
     serde_json::from_str(text).expect("JSON")
 }
 
-/// A record of the store.
+/// Returns the value of a key of the fixture's store.
 fn stored(key: &str) -> Value {
     value(store()[key])
 }
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -1,4 +1,4 @@
-//! What running controllers write, and what they make of a store written before.
+//! Records written by running controllers, and controllers that start from an existing store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,11 @@
 
 use crate::{store, stored, task, value};
 
-/// Every value that each key has had.
+/// All values that each key has had.
 type History = BTreeMap<String, BTreeSet<String>>;
 
-/// Lets time pass and notes what the store holds meanwhile.
-fn watch(cluster: &mut Cluster, history: &mut History, ms: u64) {
+/// Runs for `ms` and records the contents of the store every millisecond.
+fn run_and_record(cluster: &mut Cluster, history: &mut History, ms: u64) {
     for _ in 0..ms {
         cluster.run(1);
         for key in cluster.keys("") {
@@ -25,47 +25,47 @@
     }
 }
 
-/// A cluster in which every controller is known to understand services.
-fn ready(history: &mut History) -> Cluster {
+/// Returns a cluster that accepts services: every controller is known to support them.
+fn ready_for_services(history: &mut History) -> Cluster {
     let mut cluster = Cluster::new();
     cluster.seed(5);
-    watch(&mut cluster, history, 8_000);
+    run_and_record(&mut cluster, history, 8_000);
     let epoch = cluster.stored("c/epoch").expect("an epoch");
     assert_eq!(epoch["standing"], json!(true));
     cluster
 }
 
-/// A job of every way through the store: submitted alone, in a batch of submissions, a service, cancelled before
-/// it has a key of its own and after.
-fn every_way(history: &mut History) {
-    let mut cluster = ready(history);
+/// Runs jobs with every kind of record: a job submitted alone, a batch of submissions, a service, and cancellations
+/// before and after the job has its own key.
+fn run_jobs_of_all_kinds(history: &mut History) {
+    let mut cluster = ready_for_services(history);
     let mut spread = job(1, 6);
     spread["Spread"] = json!(true);
     assert_eq!(cluster.submit(0, &spread).status, 201);
     assert_eq!(cluster.submit(1, &service(2, 1)).status, 201);
-    watch(&mut cluster, history, 15_000);
+    run_and_record(&mut cluster, history, 15_000);
     for id in 10..18 {
         cluster.send_submit(1, &job(id, 1));
     }
     for _ in 0..500 {
-        watch(&mut cluster, history, 1);
+        run_and_record(&mut cluster, history, 1);
         if !cluster.keys("j/+").is_empty() {
             break;
         }
     }
     cluster.send_cancel(1, task(17, 0).job);
-    watch(&mut cluster, history, 5_000);
+    run_and_record(&mut cluster, history, 5_000);
     cluster.send_cancel(0, task(2, 0).job);
-    watch(&mut cluster, history, 25_000);
+    run_and_record(&mut cluster, history, 25_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     assert_eq!(cluster.state(0, 2), (200, "aborted".into()));
     assert_eq!(cluster.state(0, 17), (200, "aborted".into()));
     cluster.check();
 }
 
-/// A wide job that gets a machine by a claim.
-fn claim(history: &mut History) {
-    let mut cluster = ready(history);
+/// Runs a wide job that claims a machine.
+fn run_claim(history: &mut History) {
+    let mut cluster = ready_for_services(history);
     cluster.capacity = 2;
     cluster.task_run_ms = 3_000;
     cluster.submit(0, &job(1, 400));
@@ -78,15 +78,15 @@
     wide["CalculoS"] = json!(3.0);
     cluster.submit(0, &wide);
     for _ in 0..90_000 {
-        watch(&mut cluster, history, 1);
+        run_and_record(&mut cluster, history, 1);
         if !cluster.keys("k/").is_empty() {
             break;
         }
     }
 }
 
-/// The kind of a record, by its key.
-fn kind(key: &str) -> &str {
+/// Returns the kind of a record, which is the prefix of its key.
+fn record_kind(key: &str) -> &str {
     let kinds = [
         "c/n/",
         "c/epoch",
@@ -102,16 +102,16 @@
     found.unwrap_or_else(|| panic!("a key of a new kind: {key}"))
 }
 
-// Guards against a record that is written otherwise than before, also where only a running controller does.
+// Guards against changed formats of records that only running controllers write.
 #[test]
-fn running_controllers_write_the_same_bytes() {
+fn running_controllers_write_the_stored_formats() {
     let lines = include_str!("fixtures/written.txt").lines();
-    let written = lines.map(|line| line.split_once(' ').expect("a key and a value"));
-    let written: Vec<(&str, &str)> = written.collect();
+    let expected_records = lines.map(|line| line.split_once(' ').expect("a key and a value"));
+    let expected_records: Vec<(&str, &str)> = expected_records.collect();
     let mut history = History::new();
-    every_way(&mut history);
-    claim(&mut history);
-    for (key, value) in &written {
+    run_jobs_of_all_kinds(&mut history);
+    run_claim(&mut history);
+    for (key, value) in &expected_records {
         let values = history
             .get(*key)
             .unwrap_or_else(|| panic!("{key} is never written"));
@@ -121,32 +121,34 @@
         );
     }
     let kinds = |keys: Vec<&str>| -> BTreeSet<String> {
-        keys.into_iter().map(|key| kind(key).to_owned()).collect()
+        keys.into_iter()
+            .map(|key| record_kind(key).to_owned())
+            .collect()
     };
-    let seen = kinds(history.keys().map(String::as_str).collect());
+    let recorded_kinds = kinds(history.keys().map(String::as_str).collect());
     assert_eq!(
-        kinds(written.iter().map(|(key, _)| *key).collect()),
-        seen,
+        kinds(expected_records.iter().map(|(key, _)| *key).collect()),
+        recorded_kinds,
         "kinds of records"
     );
     assert_eq!(
         kinds(store().into_keys().collect()),
-        seen,
+        recorded_kinds,
         "kinds of records"
     );
 }
 
-/// Two controllers that start from the store of the fixtures. The third was alive when it was written and
-/// did not reach its machines. Two machines run what the attempts of the store say.
-fn with_the_store() -> Cluster {
+/// Returns a cluster that starts from the fixture's store with two controllers. The third controller has a member key
+/// and is not ready to own machines. Two machines run the attempts of the store.
+fn with_stored_records() -> Cluster {
     let mut cluster = Cluster::new();
     (0..3).for_each(|controller| cluster.crash(controller));
     cluster.seed(5);
     cluster.task_run_ms = 25_000;
     for (key, text) in store() {
         let stored = value(text);
-        let page = stored["jobs"].as_array().cloned().unwrap_or_default();
-        for stored in page.into_iter().chain([stored.clone()]) {
+        let batch = stored["jobs"].as_array().cloned().unwrap_or_default();
+        for stored in batch.into_iter().chain([stored.clone()]) {
             if let Ok(job) = serde_json::from_value::<Job>(stored) {
                 cluster.invariants.assume_accepted(job.spec);
             }
@@ -156,7 +158,7 @@
     for index in [0, 4, 5, 6] {
         cluster.invariants.completed(task(1, index));
     }
-    // What users know of the jobs that are over: the first is done, the others they cancelled.
+    // Users know that job 5 is done, and have cancelled jobs 6 and 7.
     let cancelled = read_cancelled_job(&stored("f/j-000007")).expect("a job");
     for id in [5, 6, 7] {
         let mut spec = cancelled.spec.clone();
@@ -165,11 +167,11 @@
     }
     (0..7).for_each(|index| cluster.invariants.completed(task(5, index)));
     for id in [6, 7] {
-        let withdrawal = Event::Cancel {
+        let cancellation = Event::Cancel {
             request_id: RequestId(0),
             job_id: JobId(id).to_string(),
         };
-        cluster.invariants.request_sent(&withdrawal);
+        cluster.invariants.request_sent(&cancellation);
     }
     let first = cluster.machine("a", true, 0);
     let second = cluster.machine("a", true, 0);
@@ -189,26 +191,38 @@
         .count()
 }
 
-/// Of job 1 only the tasks that had not completed have started, each once, and the replica of job 2 runs on.
+/// Checks that of job 1 only the tasks without a stored completion have started, once each, and that the replica of job
+/// 2 has not restarted.
 fn check_starts(cluster: &Cluster) {
     for index in 0..7 {
-        let times = usize::from(matches!(index, 1..=3));
-        assert_eq!(starts_of(cluster, task(1, index)), times, "task {index}");
+        let expected_starts = usize::from(matches!(index, 1..=3));
+        assert_eq!(
+            starts_of(cluster, task(1, index)),
+            expected_starts,
+            "task {index}"
+        );
     }
-    assert_eq!(starts_of(cluster, task(2, 0)), 1, "the replica runs on");
+    assert_eq!(
+        starts_of(cluster, task(2, 0)),
+        1,
+        "the replica keeps running"
+    );
 }
 
 #[test]
-fn controllers_understand_a_store_written_before() {
-    let mut cluster = with_the_store();
+fn controllers_read_an_existing_store() {
+    let mut cluster = with_stored_records();
     cluster.until("an epoch", 20_000, |cluster| cluster.epoch() > 4);
     let epoch = cluster.stored("c/epoch").expect("an epoch").clone();
     assert_eq!(epoch["number"], json!(5));
     assert_eq!(epoch["standing"], json!(true));
     let members = epoch["members"].as_array().expect("members");
-    let other = json!({ "hold": 73, "name": "n2" });
-    assert!(members.contains(&other), "the third is alive: {members:?}");
-    assert_eq!(epoch["unreached"], json!([other]));
+    let third_member = json!({ "hold": 73, "name": "n2" });
+    assert!(
+        members.contains(&third_member),
+        "the third controller is a member: {members:?}"
+    );
+    assert_eq!(epoch["unreached"], json!([third_member]));
     cluster.run(6_000);
     for (id, state) in [(5, "done"), (6, "aborted"), (7, "aborted")] {
         for controller in 0..2 {
@@ -220,13 +234,13 @@
         }
     }
     assert_eq!(cluster.submit(1, &service(3, 1)).status, 201);
-    cluster.until("an end of the cancelled task", 20_000, |cluster| {
+    cluster.until("the end of the cancelled task", 20_000, |cluster| {
         !cluster.running().contains(&task(7, 1))
     });
-    cluster.until("the claim to lapse", 20_000, |cluster| {
+    cluster.until("the deletion of the claim", 20_000, |cluster| {
         cluster.keys("k/").is_empty()
     });
-    cluster.until("all arrays over", 120_000, |cluster| {
+    cluster.until("the final states of all arrays", 120_000, |cluster| {
         cluster.keys("j/") == ["j/j-000002", "j/j-000003"]
     });
     for id in [1, 11, 12] {
@@ -237,18 +251,17 @@
     cluster.check();
 }
 
-// Guards against a stored catalogue that is not understood, without which no job can be accepted while the
-// cloud does not answer.
+// Guards against an unreadable stored catalog, without which no job can be accepted while the cloud does not respond.
 #[test]
-fn the_stored_catalogue_serves_while_the_cloud_is_down() {
-    for known in [true, false] {
+fn the_stored_catalog_is_used_while_the_cloud_is_down() {
+    for is_catalog_stored in [true, false] {
         let mut cluster = Cluster::new();
         cluster.faults.cloud.down = true;
-        if known {
+        if is_catalog_stored {
             cluster.put("t/catalog", stored("t/catalog"));
         }
         cluster.run(8_000);
         let status = cluster.submit(0, &job(1, 1)).status;
-        assert_eq!(status, if known { 201 } else { 503 });
+        assert_eq!(status, if is_catalog_stored { 201 } else { 503 });
     }
 }
