--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -72,7 +72,7 @@
         if !accept.hedge.record_response(number, is_conclusive) {
             return;
         }
-        accept.timer.schedule_retry(now, 0);
+        accept.timer.schedule_next(now, 0);
         let jobs = self.job_api.requests.write_answered();
         match response {
             // Only this process writes this key, so another copy of the write was applied.
@@ -101,7 +101,7 @@
     /// Requeues the submissions of a write that was not executed. The next write follows after [`KV_RETRY_DELAY_MS`].
     fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
-        accept.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
+        accept.timer.schedule_next(now, KV_RETRY_DELAY_MS);
         self.job_api.requests.requeue_submissions(jobs);
     }
 
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -5,7 +5,7 @@
 
 use worksshunt_wire::cloud::{Catalog, MachineIds, MachineList};
 use worksshunt_wire::key_value::{CompareAndSwap, KeyValue, Listing, WatchResponse};
-use worksshunt_wire::peer::{KnownEpoch, PeerRequest, PeerResponse};
+use worksshunt_wire::peer::{EpochPollResponse, PeerRequest, PeerResponse};
 use worksshunt_wire::{ControllerName, Epoch, JobId, Revision};
 
 use crate::fleet::CloudRequest;
@@ -238,7 +238,7 @@
     /// A peer's response on whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
     /// A peer's response with the newest epoch that it knows.
-    PeerKnownEpoch(ControllerName, KnownEpoch),
+    PeerKnownEpoch(ControllerName, EpochPollResponse),
 }
 
 /// An action that the caller of [`Controller::handle`](super::Controller::handle) executes.
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_wire::peer::{KnownEpoch, PeerRequest};
+use worksshunt_wire::peer::{EpochPollResponse, PeerRequest};
 use worksshunt_wire::ControllerName;
 
 use crate::constants::key_value::{
-    KV_FAIL_FAST_AFTER_MS, KV_SUSPECT_AFTER_MS, KV_UNHEALTHY_AFTER_MS,
+    KV_UNHEALTHY_AFTER_MS, KV_UNREACHABLE_AFTER_MS, KV_UNRESPONSIVE_AFTER_MS,
     PEER_HEALTH_QUERY_INTERVAL_MS, PEER_HEALTH_VALIDITY_MS,
 };
 use crate::epoch_confirmation::EpochConfirmation;
@@ -48,15 +48,15 @@
         }
     }
 
-    /// Whether the key-value store responded to this controller within [`KV_SUSPECT_AFTER_MS`].
+    /// Whether the key-value store responded to this controller within [`KV_UNREACHABLE_AFTER_MS`].
     pub fn is_reachable(&self, now: Time) -> bool {
-        now.since(self.last_response_at) < KV_SUSPECT_AFTER_MS
+        now.since(self.last_response_at) < KV_UNREACHABLE_AFTER_MS
     }
 
-    /// Whether the key-value store has not responded for [`KV_FAIL_FAST_AFTER_MS`], so that user requests are rejected
-    /// at once.
+    /// Whether the key-value store has not responded for [`KV_UNRESPONSIVE_AFTER_MS`], so that user requests are
+    /// rejected at once.
     pub fn is_unresponsive(&self, now: Time) -> bool {
-        now.since(self.last_response_at) > KV_FAIL_FAST_AFTER_MS
+        now.since(self.last_response_at) > KV_UNRESPONSIVE_AFTER_MS
     }
 
     /// Whether the state of the key-value store allows user traffic to be routed to this controller.
@@ -120,14 +120,14 @@
         for peer in others {
             actions.push(Action::SendToPeer(
                 peer,
-                PeerRequest::KnownEpoch { poll_number: poll },
+                PeerRequest::EpochPoll { poll_number: poll },
             ));
         }
     }
 
     /// The response to a peer's poll of the epoch.
-    pub(super) fn known_epoch(&self, now: Time, poll: u64) -> KnownEpoch {
-        KnownEpoch {
+    pub(super) fn known_epoch(&self, now: Time, poll: u64) -> EpochPollResponse {
+        EpochPollResponse {
             poll_number: poll,
             epoch: self.membership.fencing_token(),
             is_key_value_store_reachable: self.store_health.is_reachable(now),
@@ -136,7 +136,7 @@
 
     /// Processes a peer's response to a poll. Extends the epoch lease once all other controllers have confirmed the
     /// epoch.
-    pub(super) fn process_known_epoch(&mut self, from: &ControllerName, known: &KnownEpoch) {
+    pub(super) fn process_known_epoch(&mut self, from: &ControllerName, known: &EpochPollResponse) {
         let confirmation = &mut self.store_health.epoch_confirmation;
         confirmation.record_response(from, known);
         let epoch = self.membership.fencing_token();
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -51,7 +51,7 @@
         if !queue.hedge.record_response(number, is_conclusive) {
             return;
         }
-        queue.timer.schedule_retry(now, interval_ms);
+        queue.timer.schedule_next(now, interval_ms);
         match outcome {
             WriteOutcome::Unknown => {}
             WriteOutcome::Committed(revision) => {
@@ -146,7 +146,7 @@
         } else {
             tracing::error!(queue = ?queue_id, "write rejected as too large at the minimum key-value limits; retrying");
             let queue = self.write_queues.queue(queue_id);
-            queue.timer.schedule_retry(now, KV_RETRY_DELAY_MS);
+            queue.timer.schedule_next(now, KV_RETRY_DELAY_MS);
         }
     }
 
@@ -198,9 +198,9 @@
         let version = match response {
             KvResponse::Found(pair) => pair.version,
             KvResponse::Missing => Revision(0),
-            _ => return timer.schedule_retry(now, KV_RETRY_DELAY_MS),
+            _ => return timer.schedule_next(now, KV_RETRY_DELAY_MS),
         };
-        timer.schedule_retry(now, 0);
+        timer.schedule_next(now, 0);
         self.partition.set_record_page_version(key, version);
         if let Some(leader) = &mut self.leader {
             leader.scheduler.page_version_read(key, version);
--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeSet;
 
-use worksshunt_wire::peer::KnownEpoch;
+use worksshunt_wire::peer::EpochPollResponse;
 use worksshunt_wire::{ControllerName, Epoch};
 
 use crate::time::Time;
@@ -45,7 +45,7 @@
 
     /// Processes a response. The poll fails if the peer has read a newer epoch or can reach the key-value store: in the
     /// latter case only the polling controller is disconnected, and the others may begin an epoch without it.
-    pub fn record_response(&mut self, from: &ControllerName, response: &KnownEpoch) {
+    pub fn record_response(&mut self, from: &ControllerName, response: &EpochPollResponse) {
         if response.poll_number != self.poll_number {
             return;
         }
--- a/crates/worksshunt-core/src/epoch_confirmation/tests.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation/tests.rs
@@ -6,8 +6,8 @@
     text.into()
 }
 
-fn response(poll: u64, epoch: u64) -> KnownEpoch {
-    KnownEpoch {
+fn response(poll: u64, epoch: u64) -> EpochPollResponse {
+    EpochPollResponse {
         poll_number: poll,
         epoch: Epoch(epoch),
         is_key_value_store_reachable: false,
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_newer_epoch_or_a_reachable_store_fails_the_poll() {
-    let store_reachable = |number| KnownEpoch {
+    let store_reachable = |number| EpochPollResponse {
         is_key_value_store_reachable: true,
         ..response(number, 4)
     };
