--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs without faults until all accepted jobs have ended, and checks the invariants. Panics with `case` otherwise.
+/// Ends all faults, waits until all accepted jobs have ended, and checks the invariants. Panics with `case` on failure.
 pub fn settle(cluster: &mut Cluster, case: &str) {
     let result = cluster.settle();
     result.unwrap_or_else(|failure| panic!("{case}: {failure}"));
