--- a/crates/worksshunt-core/tests/scale/fixtures.rs
+++ b/crates/worksshunt-core/tests/scale/fixtures.rs
@@ -92,7 +92,7 @@
     fn check_responses(&mut self, cluster: &Cluster) {
         let (served_count, refused_count) = (&mut self.served_count, &mut self.refused_count);
         self.open_queries.retain(|query| {
-            if let Some(response) = cluster.reply(query.slot) {
+            if let Some(response) = cluster.response(query.slot) {
                 match response.status {
                     200 => *served_count += 1,
                     503 => {
--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -1,7 +1,7 @@
 //! Faults of the key-value store while thousands of machines run tasks.
 
 use worksshunt_core::time::TokenBucket;
-use worksshunt_simulation::{Cluster, DelayRange, KeyValueRates, LateWrites};
+use worksshunt_simulation::{Cluster, DelayRange, DelayedWrites, KeyValueRates};
 
 use crate::fixtures::{complete_jobs, full_deployment, Users, FLEET_JOB_COUNT};
 
@@ -9,7 +9,7 @@
 fn leases_survive_a_long_outage_followed_by_slow_and_lost_responses() {
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     users.query_for(&mut cluster, 20);
     let restarted_workers = |cluster: &Cluster| {
         cluster
@@ -23,9 +23,9 @@
         0,
         "a worker lease expired in the outage"
     );
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.faults.key_value.slow_responses_ms = 600;
-    cluster.faults.key_value.late_writes = Some(LateWrites {
+    cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
         share: 0.2,
         delay: DelayRange {
             min_ms: 0,
@@ -35,8 +35,11 @@
     });
     users.query_for(&mut cluster, 20);
     cluster.faults.key_value.slow_responses_ms = 0;
-    cluster.faults.key_value.late_writes = None;
-    assert!(cluster.effects("late write") > 5, "responses were lost");
+    cluster.faults.key_value.delayed_writes = None;
+    assert!(
+        cluster.effects("delayed write applied") > 5,
+        "responses were lost"
+    );
     assert!(users.served_count > 0 && users.refused_count > 0);
     complete_jobs(&mut cluster, 1..=FLEET_JOB_COUNT + 8, 240_000);
 }
@@ -53,9 +56,9 @@
     });
     users.query_for(&mut cluster, 45);
     assert!(
-        cluster.usage.refused > 100,
+        cluster.usage.refused_requests > 100,
         "{} refused",
-        cluster.usage.refused
+        cluster.usage.refused_requests
     );
     cluster.key_value_rates = configured_rates;
     complete_jobs(&mut cluster, 1..=FLEET_JOB_COUNT + 8, 240_000);
--- a/crates/worksshunt-core/tests/scale/start.rs
+++ b/crates/worksshunt-core/tests/scale/start.rs
@@ -40,7 +40,11 @@
 
 /// Checks the resources used to run `tasks` tasks.
 fn check_usage(usage: &ResourceUsage, tasks: u64) {
-    assert!(usage.changes <= tasks / 20, "{} changes", usage.changes);
+    assert!(
+        usage.changed_keys <= tasks / 20,
+        "{} changes",
+        usage.changed_keys
+    );
     assert!(
         usage.sync_bytes <= tasks * 200,
         "{} bytes",
@@ -52,7 +56,7 @@
         usage.cloud_calls
     );
     assert_eq!(
-        usage.refused, 0,
+        usage.refused_requests, 0,
         "requests exceeded the rates of the key-value store or the cloud"
     );
 }
--- a/crates/worksshunt-core/tests/scenarios/claims.rs
+++ b/crates/worksshunt-core/tests/scenarios/claims.rs
@@ -7,7 +7,7 @@
 use worksshunt_core::controller::Event;
 
 use crate::ready;
-use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, DelayedWrites};
 
 /// Machines of the cluster, with four CPUs each.
 const MACHINE_COUNT: usize = 2;
@@ -38,7 +38,7 @@
     cluster.capacity = MACHINE_COUNT;
     cluster.task_run_ms = 4_000;
     cluster.run_spread_ms = 300;
-    cluster.faults.rapid_status_queries = true;
+    cluster.faults.has_rapid_status_queries = true;
     for id in SMALL_JOB_IDS {
         cluster.send_submit(id as usize % 3, &job(id, 1));
     }
@@ -51,9 +51,9 @@
 /// Runs a wide job to its end on a claimed machine. The first copy of the claim's write is applied after
 /// [`COPY_DELAY`], when the claim has been released.
 fn claim_with_a_late_copy(cluster: &mut Cluster, id: u64) {
-    let applied_before = cluster.effects("late write");
-    let delayed_before = cluster.effects("write put off");
-    cluster.faults.key_value.late_writes = Some(LateWrites {
+    let applied_before = cluster.effects("delayed write applied");
+    let delayed_before = cluster.effects("write delayed");
+    cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
         share: 1.0,
         delay: COPY_DELAY,
         key_prefix: Some("k/"),
@@ -61,19 +61,19 @@
     let controller = cluster.leader();
     cluster.submit(controller, &wide_job(id));
     cluster.until("the claim's write", 60_000, |cluster| {
-        cluster.effects("write put off") > delayed_before
+        cluster.effects("write delayed") > delayed_before
     });
-    cluster.faults.key_value.late_writes = None;
+    cluster.faults.key_value.delayed_writes = None;
     cluster.until("the wide task", 300_000, |cluster| cluster.all_done(id, 1));
     cluster.until("the late copy", 20_000, |cluster| {
-        cluster.effects("late write") > applied_before
+        cluster.effects("delayed write applied") > applied_before
     });
 }
 
 /// Runs a wide job to its end on a claimed machine while many responses to writes of final states are lost, so that
 /// claims and final states share a pending write.
 fn claim_with_lost_final_state_responses(cluster: &mut Cluster, id: u64) {
-    cluster.faults.key_value.late_writes = Some(LateWrites {
+    cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
         share: 0.4,
         delay: DelayRange::NONE,
         key_prefix: Some("f/"),
@@ -81,7 +81,7 @@
     let controller = cluster.leader();
     cluster.submit(controller, &wide_job(id));
     cluster.until("the wide task", 300_000, |cluster| cluster.all_done(id, 1));
-    cluster.faults.key_value.late_writes = None;
+    cluster.faults.key_value.delayed_writes = None;
 }
 
 // Guards against a job that is reported done although its final state was never written.
@@ -101,7 +101,7 @@
 
 /// Returns the value of a counter or gauge in a controller's metrics; 0 if it is not listed.
 fn metric(cluster: &mut Cluster, controller: usize, name: &str) -> u64 {
-    let response = cluster.ask(controller, Event::Metrics);
+    let response = cluster.send_and_wait(controller, Event::Metrics);
     assert_eq!(response.status, 200);
     let line = response.body.lines().find_map(|line| {
         let value = line.strip_prefix(name)?;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -89,10 +89,10 @@
         let mut cluster = ready_with_boot_time(50.0);
         cluster.task_run_ms = 25_000;
         for _ in 0..5 {
-            cluster.machine("a", true, 0);
+            cluster.create_machine("a", true, 0);
         }
         cluster.run(9_000);
-        cluster.faults.hold_commands = true;
+        cluster.faults.are_commands_held = true;
         cluster.submit(0, &long_job(1, 12));
         cluster.submit(1, &red_job(2, 8));
         cluster.run(2_000);
@@ -104,7 +104,7 @@
             cluster.run(1_500);
         }
         assert!(cluster.release_commands() > 0, "{case}");
-        cluster.faults.hold_commands = false;
+        cluster.faults.are_commands_held = false;
         cluster.run(35_000);
         settle(&mut cluster, &case);
     }
@@ -150,15 +150,15 @@
     let mut cluster = ready();
     cluster.task_run_ms = 3_000;
     cluster.capacity = 1;
-    cluster.faults.cloud.down = true;
-    cluster.machine("a", true, 0);
+    cluster.faults.cloud.is_down = true;
+    cluster.create_machine("a", true, 0);
     let mut spread = long_job(1, 6);
     spread["Spread"] = json!(true);
     cluster.submit(0, &spread);
     cluster.until("half of the tasks", 30_000, |cluster| {
         cluster.task_starts.len() >= 3
     });
-    cluster.faults.cloud.down = false;
+    cluster.faults.cloud.is_down = false;
     cluster.until("all tasks", 90_000, |cluster| cluster.all_done(1, 6));
     settle(&mut cluster, "spread");
 }
@@ -190,9 +190,9 @@
         let case = format!("a heartbeat arrives after {release_ms}");
         let mut cluster = ready_with_boot_time(50.0);
         cluster.task_run_ms = 30_000;
-        let id = cluster.machine("a", true, 0);
+        let id = cluster.create_machine("a", true, 0);
         cluster.run(6_000);
-        cluster.faults.cloud.down = true;
+        cluster.faults.cloud.is_down = true;
         cluster.faults.heartbeats.held_from.insert(id.clone());
         cluster.run(release_ms);
         assert!(cluster.release_heartbeats(&[0, 1, 2]) > 0, "{case}");
@@ -201,7 +201,7 @@
             cluster.run(1_300);
         }
         // Another machine is available by the time at which the lease is considered expired.
-        cluster.faults.cloud.down = false;
+        cluster.faults.cloud.is_down = false;
         cluster.run(22_000);
         incarnations += cluster.worker_incarnation(&id);
         cluster.faults.heartbeats.held_from.clear();
@@ -220,7 +220,7 @@
             let mut cluster = ready_with_boot_time(50.0);
             cluster.task_run_ms = 60_000;
             for zone in ["a", "b", "a", "b", "a", "b"] {
-                cluster.machine(zone, true, 0);
+                cluster.create_machine(zone, true, 0);
             }
             cluster.run(9_000);
             cluster.submit(0, &long_job(1, 12));
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
@@ -4,7 +4,7 @@
 
 use super::{machines_of_job, other_controllers, red_job, settle, with_running_jobs};
 use crate::{long_job, ready, ready_with_boot_time};
-use worksshunt_simulation::{job, Cluster, DelayRange, LateWrites};
+use worksshunt_simulation::{job, Cluster, DelayRange, DelayedWrites};
 
 // Guards against a leader that renews leases although it cannot learn of cancellations.
 #[test]
@@ -14,21 +14,23 @@
             let case = format!("outage {outage_ms}, cancelled after {cancel_ms}");
             let mut cluster = with_running_jobs(6, 120_000);
             let leader = cluster.leader();
-            cluster.faults.key_value.refuses.insert(leader);
+            cluster.faults.key_value.refused_controllers.insert(leader);
             cluster.run(cancel_ms);
             for id in 1..=4 {
                 cluster.send_cancel(other_controllers(leader)[id as usize % 2], JobId(id));
             }
             cluster.run(2_400 - cancel_ms);
-            cluster.faults.key_value.down = true;
-            cluster.schedule(12_000, |cluster| cluster.faults.key_value.refuses.clear());
+            cluster.faults.key_value.is_down = true;
+            cluster.schedule(12_000, |cluster| {
+                cluster.faults.key_value.refused_controllers.clear()
+            });
             cluster.run(outage_ms);
             assert!(
                 cluster.invariants.any_cancelled(),
                 "{case}: none was confirmed"
             );
             assert!(cluster.effects("refused") > 0, "{case}");
-            cluster.faults.key_value.down = false;
+            cluster.faults.key_value.is_down = false;
             cluster.run(40_000);
             settle(&mut cluster, &case);
         }
@@ -41,7 +43,7 @@
 fn a_controller_whose_watch_is_never_answered_stops_renewing_leases() {
     for after_ms in [0, 700, 5_000] {
         let mut cluster = with_running_jobs(6, 200_000);
-        cluster.faults.key_value.no_watch_responses = (0..3).collect();
+        cluster.faults.key_value.unanswered_watches_of = (0..3).collect();
         cluster.run(after_ms);
         let other_controller = other_controllers(cluster.leader())[0];
         for id in 1..=4 {
@@ -61,7 +63,7 @@
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.5;
         for id in 1..=18 {
             cluster.send_submit(id as usize % 3, &job(id, 1 + id as u32 % 3));
@@ -93,9 +95,9 @@
     for seed in 1..=12 {
         let mut cluster = ready();
         cluster.seed(seed);
-        cluster.faults.rapid_status_queries = true;
+        cluster.faults.has_rapid_status_queries = true;
         cluster.faults.cancel_at_completion = 0.3;
-        cluster.faults.key_value.late_writes = Some(LateWrites {
+        cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
             share: 0.35,
             delay: DelayRange::NONE,
             key_prefix: None,
@@ -116,7 +118,7 @@
         cluster.run(6_000);
         cluster.start(leader);
         cluster.run(20_000);
-        assert!(cluster.effects("late write") > 10, "seed {seed}");
+        assert!(cluster.effects("delayed write applied") > 10, "seed {seed}");
         settle(&mut cluster, &format!("seed {seed}"));
     }
 }
@@ -196,7 +198,7 @@
         cluster.submit(2, &red_job(9, 8));
         // Capacity for the job that waits for its team's limit.
         for _ in 0..3 {
-            cluster.machine("a", true, 0);
+            cluster.create_machine("a", true, 0);
         }
         cluster.run(4_000);
         let leader = cluster.leader();
@@ -237,7 +239,7 @@
             } else {
                 other_controllers(leader)[0]
             };
-            let owned_machines = cluster.reporting_to(restarted);
+            let owned_machines = cluster.workers_reporting_to(restarted);
             cluster.restart(restarted, 2_000);
             cluster.run(cancel_ms);
             for id in 1..=6 {
@@ -272,7 +274,7 @@
             cluster.list_lag_ms = 6_000;
             cluster.task_run_ms = 20_000;
             cluster.submit(0, &long_job(1, 16));
-            cluster.faults.key_value.late_writes = Some(LateWrites {
+            cluster.faults.key_value.delayed_writes = Some(DelayedWrites {
                 share: 0.4,
                 delay: DelayRange {
                     min_ms: 2_000,
@@ -286,7 +288,7 @@
             cluster.run(3_000);
             cluster.start(leader);
             cluster.run(20_000);
-            assert!(cluster.effects("late write") > 0, "{case}");
+            assert!(cluster.effects("delayed write applied") > 0, "{case}");
             settle(&mut cluster, &case);
         }
     }
@@ -301,7 +303,7 @@
                 format!("hung machine: {has_hung_machine}, the leader crashes after {crash_ms}");
             let mut cluster = with_running_jobs(4, 14_000);
             cluster.submit(0, &long_job(9, 16));
-            cluster.faults.heartbeats.copies_for_next_leader = true;
+            cluster.faults.heartbeats.is_copied_for_next_leader = true;
             cluster.run(2_500);
             if has_hung_machine {
                 let id = cluster.task_starts[0].machine.clone();
--- a/crates/worksshunt-core/tests/scenarios/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -40,13 +40,13 @@
     cluster.submit(0, &job(1, 8));
     let leader = cluster.leader();
     cluster.until("machines", 30_000, |cluster| !cluster.workers.is_empty());
-    cluster.faults.key_value.hold_writes.insert(leader);
+    cluster.faults.key_value.writes_held_from.insert(leader);
     cluster.run(8_000);
     cluster.crash(leader);
     cluster.until("another leader", 20_000, |cluster| {
         cluster.leader() != leader
     });
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     let responses = cluster.release_writes();
     assert!(!responses.is_empty(), "no write was held back");
     for response in responses {
@@ -87,7 +87,7 @@
     cluster.faults.cut_from_peers.insert(leader);
     cluster.run(7_000);
     assert!(
-        !cluster.healthy(leader),
+        !cluster.is_healthy(leader),
         "users are routed to an isolated controller"
     );
     cluster.until("another leader", 10_000, |cluster| {
@@ -130,7 +130,7 @@
     let mut cluster = ready_with_boot_time(50.0);
     cluster.task_run_ms = 30_000;
     for _ in 0..9 {
-        cluster.machine("a", true, 0);
+        cluster.create_machine("a", true, 0);
     }
     cluster.run(10_000);
     let leader = cluster.leader();
@@ -209,11 +209,11 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 16);
     for round in 0..4 {
         let leader = cluster.leader();
-        cluster.faults.key_value.hold_writes.insert(leader);
+        cluster.faults.key_value.writes_held_from.insert(leader);
         cluster.run(300);
         cluster.crash(leader);
         cluster.run(200);
-        cluster.faults.key_value.hold_writes.clear();
+        cluster.faults.key_value.writes_held_from.clear();
         cluster.start(leader);
         cluster.run(400);
         // During the election that follows, another controller or all of them restart, and late writes of the earlier
@@ -248,12 +248,12 @@
     cluster
         .faults
         .key_value
-        .hold_writes
+        .writes_held_from
         .insert(other_controller);
     cluster.start(other_controller);
     cluster.run(400);
     cluster.crash(other_controller);
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     cluster.start(other_controller);
     cluster.until("its epoch", 3_000, |cluster| {
         let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
--- a/crates/worksshunt-core/tests/scenarios/invariants.rs
+++ b/crates/worksshunt-core/tests/scenarios/invariants.rs
@@ -6,7 +6,7 @@
 use worksshunt_wire::{JobId, MachineId, TaskId};
 
 use crate::{long_job, ready};
-use worksshunt_simulation::invariants::{Invariants, JobQuery};
+use worksshunt_simulation::invariants::{Invariants, UserRequest};
 use worksshunt_simulation::{job, settings, Cluster};
 
 fn new_checker() -> Invariants {
@@ -15,25 +15,25 @@
     checker
 }
 
-fn record_submission(checker: &mut Invariants, id: u64) -> JobQuery {
+fn record_submission(checker: &mut Invariants, id: u64) -> UserRequest {
     let body = job(id, 1).to_string().into_bytes();
-    checker.request_sent(&Event::Submit {
+    checker.record_request(&Event::Submit {
         request_id: RequestId(1),
         body,
     })
 }
 
-fn record_status_query(checker: &mut Invariants, id: u64) -> JobQuery {
+fn record_status_query(checker: &mut Invariants, id: u64) -> UserRequest {
     let id = JobId(id).to_string();
-    checker.request_sent(&Event::Status {
+    checker.record_request(&Event::Status {
         request_id: RequestId(1),
         job_id: id,
     })
 }
 
-fn record_cancellation(checker: &mut Invariants, id: u64) -> JobQuery {
+fn record_cancellation(checker: &mut Invariants, id: u64) -> UserRequest {
     let id = JobId(id).to_string();
-    checker.request_sent(&Event::Cancel {
+    checker.record_request(&Event::Cancel {
         request_id: RequestId(1),
         job_id: id,
     })
@@ -56,7 +56,7 @@
 fn checker_with_accepted_job() -> Invariants {
     let mut checker = new_checker();
     let request = record_submission(&mut checker, 1);
-    checker.response_received(0, &request, &job_response("pending"));
+    checker.record_response(0, &request, &job_response("pending"));
     checker
 }
 
@@ -72,16 +72,16 @@
     let mut checker = checker_with_accepted_job();
     let earlier_request = record_status_query(&mut checker, 1);
     let request = record_status_query(&mut checker, 1);
-    checker.response_received(1, &request, &HttpResponse::retry_later("busy"));
-    checker.response_received(2, &earlier_request, &job_response("pending"));
+    checker.record_response(1, &request, &HttpResponse::retry_later("busy"));
+    checker.record_response(2, &earlier_request, &job_response("pending"));
     assert!(checker.violations.is_empty());
     let request = record_status_query(&mut checker, 1);
-    checker.response_received(3, &request, &not_found());
+    checker.record_response(3, &request, &not_found());
     assert!(is_violated(&checker, "forgotten"));
     for status in [400, 422] {
         let mut checker = checker_with_accepted_job();
         let request = record_submission(&mut checker, 1);
-        checker.response_received(1, &request, &HttpResponse::error(status, "no"));
+        checker.record_response(1, &request, &HttpResponse::error(status, "no"));
         assert!(is_violated(&checker, "forgotten"), "{status}");
     }
 }
@@ -91,8 +91,8 @@
     let mut checker = new_checker();
     let earlier_request = record_status_query(&mut checker, 1);
     let request = record_submission(&mut checker, 1);
-    checker.response_received(1, &request, &job_response("pending"));
-    checker.response_received(2, &earlier_request, &not_found());
+    checker.record_response(1, &request, &job_response("pending"));
+    checker.record_response(2, &earlier_request, &not_found());
     assert!(
         checker.violations.is_empty(),
         "queried before it was accepted"
@@ -103,10 +103,10 @@
 fn a_state_of_an_unsubmitted_job_is_detected() {
     let mut checker = new_checker();
     let request = record_status_query(&mut checker, 2);
-    checker.response_received(0, &request, &not_found());
+    checker.record_response(0, &request, &not_found());
     assert!(checker.violations.is_empty());
     let request = record_status_query(&mut checker, 2);
-    checker.response_received(1, &request, &job_response("pending"));
+    checker.record_response(1, &request, &job_response("pending"));
     assert!(is_violated(&checker, "invented"));
 }
 
@@ -114,12 +114,12 @@
 fn a_job_reported_done_before_its_last_task_is_detected() {
     let mut checker = checker_with_accepted_job();
     let request = record_status_query(&mut checker, 1);
-    checker.response_received(1, &request, &job_response("done"));
+    checker.record_response(1, &request, &job_response("done"));
     assert!(is_violated(&checker, "not_done"));
     let mut checker = checker_with_accepted_job();
-    checker.completed(task(1, 0));
+    checker.record_completion(task(1, 0));
     let request = record_status_query(&mut checker, 1);
-    checker.response_received(1, &request, &job_response("done"));
+    checker.record_response(1, &request, &job_response("done"));
     assert!(checker.violations.is_empty());
 }
 
@@ -127,25 +127,25 @@
 fn a_changed_final_state_is_detected() {
     let checker_with_completed_job = || {
         let mut checker = checker_with_accepted_job();
-        checker.completed(task(1, 0));
+        checker.record_completion(task(1, 0));
         let earlier_request = record_status_query(&mut checker, 1);
         let request = record_status_query(&mut checker, 1);
-        checker.response_received(1, &request, &job_response("done"));
-        checker.response_received(2, &earlier_request, &job_response("running"));
+        checker.record_response(1, &request, &job_response("done"));
+        checker.record_response(2, &earlier_request, &job_response("running"));
         assert!(checker.violations.is_empty(), "queried before it was done");
         checker
     };
     let mut checker = checker_with_completed_job();
     let request = record_status_query(&mut checker, 1);
-    checker.response_received(3, &request, &job_response("running"));
+    checker.record_response(3, &request, &job_response("running"));
     assert!(is_violated(&checker, "went_back"));
     let mut checker = checker_with_completed_job();
     let request = record_cancellation(&mut checker, 1);
-    checker.response_received(3, &request, &job_response("aborted"));
+    checker.record_response(3, &request, &job_response("aborted"));
     assert!(is_violated(&checker, "went_back"));
     let mut checker = checker_with_accepted_job();
     let request = record_status_query(&mut checker, 1);
-    checker.response_received(3, &request, &job_response("aborted"));
+    checker.record_response(3, &request, &job_response("aborted"));
     assert!(
         is_violated(&checker, "went_back"),
         "its user did not cancel it"
@@ -156,7 +156,7 @@
 fn with_unreachable_machines(count: usize, zone: &str, is_spot: bool) -> (Cluster, Vec<MachineId>) {
     let mut cluster = ready();
     let ids: Vec<MachineId> = (0..count)
-        .map(|_| cluster.machine(zone, is_spot, 0))
+        .map(|_| cluster.create_machine(zone, is_spot, 0))
         .collect();
     cluster.faults.unreachable_machines = ids.iter().cloned().collect();
     (cluster, ids)
@@ -165,7 +165,7 @@
 #[test]
 fn a_task_on_two_machines_is_detected_when_one_hangs() {
     let (mut cluster, ids) = with_unreachable_machines(2, "a", true);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     cluster.submit(0, &long_job(1, 1));
     cluster.inject_task(&ids[0], task(1, 0), 7);
     cluster.run(300);
@@ -179,7 +179,7 @@
 #[test]
 fn an_exceeded_team_limit_is_detected_on_hung_machines() {
     let (mut cluster, ids) = with_unreachable_machines(3, "a", true);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     let mut red_job = long_job(1, 9);
     red_job["Cuadrilla"] = json!("red");
     cluster.submit(0, &red_job);
@@ -200,7 +200,7 @@
     let is_wrong_place_detected =
         |field: &str, value: serde_json::Value, zone: &str, is_spot: bool| {
             let (mut cluster, ids) = with_unreachable_machines(2, zone, is_spot);
-            cluster.faults.cloud.down = true;
+            cluster.faults.cloud.is_down = true;
             let mut restricted = long_job(1, 4);
             restricted[field] = value;
             cluster.submit(0, &restricted);
@@ -236,7 +236,7 @@
 #[test]
 fn a_task_of_a_cancelled_job_is_detected_after_the_cancel_time() {
     let (mut cluster, ids) = with_unreachable_machines(1, "a", true);
-    cluster.faults.cloud.down = true;
+    cluster.faults.cloud.is_down = true;
     cluster.task_run_ms = 100_000;
     cluster.submit(0, &long_job(1, 2));
     cluster.inject_task(&ids[0], task(1, 0), 7);
@@ -263,14 +263,14 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let machine = cluster.task_starts[0].machine.clone();
     let unknown_job = job(9, 1).to_string().into_bytes();
-    let request = cluster.invariants.request_sent(&Event::Submit {
+    let request = cluster.invariants.record_request(&Event::Submit {
         request_id: RequestId(0),
         body: unknown_job,
     });
     let now = cluster.now;
     cluster
         .invariants
-        .response_received(now, &request, &job_response("pending"));
+        .record_response(now, &request, &job_response("pending"));
     // The checker considers the job accepted; the controllers do not know it. Free capacity for it is always available.
     cluster.task_run_ms = 1_000;
     for id in 10..80 {
--- a/crates/worksshunt-core/tests/scenarios/jobs.rs
+++ b/crates/worksshunt-core/tests/scenarios/jobs.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_cancellation_that_races_with_the_launch_takes_effect() {
     let mut cluster = ready();
-    cluster.machine("a", true, 0);
+    cluster.create_machine("a", true, 0);
     cluster.run(4_000);
     cluster.submit(0, &job(1, 4));
     cluster.cancel(2, 1);
@@ -69,13 +69,13 @@
     cluster.submit(0, &job(1, 2));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 2);
     cluster.run(6_000);
-    cluster.faults.key_value.hold_writes = (0..3).collect();
+    cluster.faults.key_value.writes_held_from = (0..3).collect();
     cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 2));
     cluster.run(2_000);
     for controller in 0..3 {
         assert_ne!(cluster.state(controller, 1).1, "done");
     }
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     cluster.run(4_000);
     assert_eq!(cluster.state(0, 1), (200, "done".into()));
     cluster.check();
@@ -88,11 +88,11 @@
     cluster.submit(0, &job(1, 3));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 3);
     cluster.run(6_000);
-    cluster.faults.key_value.hold_writes = (0..3).collect();
+    cluster.faults.key_value.writes_held_from = (0..3).collect();
     cluster.until("all tasks", 30_000, |cluster| cluster.all_done(1, 3));
     cluster.run(4_000);
     (0..3).for_each(|controller| cluster.crash(controller));
-    cluster.faults.key_value.hold_writes.clear();
+    cluster.faults.key_value.writes_held_from.clear();
     cluster.run(5_000);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(20_000);
@@ -214,7 +214,7 @@
     for job in &malformed {
         assert_eq!(cluster.submit(0, job).status, 400, "{job}");
     }
-    let response = cluster.ask(0, |request_id| Event::Submit {
+    let response = cluster.send_and_wait(0, |request_id| Event::Submit {
         request_id,
         body: b"{not json".to_vec(),
     });
@@ -247,14 +247,14 @@
 #[test]
 fn a_job_without_its_stored_final_state_is_reconciled() {
     let mut cluster = ready();
-    cluster.faults.key_value.forgets = Some("f/");
+    cluster.faults.key_value.dropped_write_prefix = Some("f/");
     cluster.submit(0, &job(1, 3));
     cluster.until("a dropped final state", 60_000, |cluster| {
-        cluster.effects("write forgotten") > 0
+        cluster.effects("write dropped") > 0
     });
     assert!(cluster.stored("f/j-000001").is_none());
     let leader = cluster.leader();
-    cluster.faults.key_value.forgets = None;
+    cluster.faults.key_value.dropped_write_prefix = None;
     let epoch = cluster.epoch();
     cluster.until("the stored final state", 30_000, |cluster| {
         cluster.stored("f/j-000001").is_some()
--- a/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -33,9 +33,9 @@
 }
 
 fn outage(cluster: &mut Cluster, ms: u64) {
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.run(ms);
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
 }
 
 /// Returns the number of starts of the eight tasks.
@@ -63,13 +63,13 @@
 #[test]
 fn tasks_survive_an_outage_with_a_restart_of_all_controllers() {
     let mut cluster = with_eight_running_tasks();
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.run(LONG_OUTAGE_MS - 6_000);
     for controller in 0..3 {
         cluster.restart(controller, 3_000);
     }
     cluster.run(6_000);
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.run(10_000);
     assert_eq!(start_count(&cluster), 8, "no task started twice");
     settle(&mut cluster, "after the outage");
@@ -90,9 +90,9 @@
 fn a_controller_that_only_the_store_refuses_releases_its_workers() {
     let mut cluster = with_eight_running_tasks();
     let refused = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    cluster.faults.key_value.refuses.insert(refused);
+    cluster.faults.key_value.refused_controllers.insert(refused);
     cluster.run(WORKER_AND_EPOCH_LEASE_MS);
-    assert_eq!(cluster.reporting_to(refused), 0);
+    assert_eq!(cluster.workers_reporting_to(refused), 0);
     assert_eq!(start_count(&cluster), 8, "no task started twice");
     settle(&mut cluster, "after the refusals");
 }
@@ -103,12 +103,16 @@
     let mut cluster = with_eight_running_tasks();
     let isolated = (0..3).find(|n| *n != cluster.leader()).expect("another");
     let others: Vec<usize> = (0..3).filter(|n| *n != isolated).collect();
-    cluster.faults.key_value.refuses.insert(isolated);
+    cluster
+        .faults
+        .key_value
+        .refused_controllers
+        .insert(isolated);
     cluster.faults.cut_from_peers.insert(isolated);
     // Its workers' heartbeats reach no other controller.
     cluster.faults.cut_from_workers.extend(&others);
     cluster.run(5_000 + delay_ms);
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.faults.cut_from_peers.clear();
     if peers_restart {
         for controller in others {
@@ -116,7 +120,7 @@
         }
     }
     cluster.run(WORKER_AND_EPOCH_LEASE_MS);
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.run(3_000);
     let case = format!("polled after {delay_ms} ms, peers restart: {peers_restart}");
     settle(&mut cluster, &case);
--- a/crates/worksshunt-core/tests/scenarios/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_store.rs
@@ -22,7 +22,8 @@
         let mut heartbeat = heartbeat.clone();
         heartbeat["Estiba"] = json!(format!("i-{machine:06}"));
         let body = heartbeat.to_string().into_bytes();
-        let response = cluster.ask(leader, |request_id| Event::Heartbeat { request_id, body });
+        let response =
+            cluster.send_and_wait(leader, |request_id| Event::Heartbeat { request_id, body });
         assert_ne!(
             response.status, 200,
             "it answered a worker after its epoch lease had expired"
@@ -42,13 +43,16 @@
     let mut cluster = ready();
     cluster.faults.key_value.unreachable_from.insert(1);
     cluster.run(4_500);
-    assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true, false, true]);
+    assert_eq!(
+        [0, 1, 2].map(|n| cluster.is_healthy(n)),
+        [true, false, true]
+    );
     cluster.faults.key_value.unreachable_from.clear();
     cluster.run(5_000);
-    assert!(cluster.healthy(1));
-    cluster.faults.key_value.down = true;
+    assert!(cluster.is_healthy(1));
+    cluster.faults.key_value.is_down = true;
     cluster.run(40_000);
-    assert_eq!([0, 1, 2].map(|n| cluster.healthy(n)), [true; 3]);
+    assert_eq!([0, 1, 2].map(|n| cluster.is_healthy(n)), [true; 3]);
 }
 
 #[test]
@@ -57,11 +61,11 @@
     cluster.task_run_ms = 60_000;
     cluster.submit(0, &long_job(1, 8));
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 8);
-    cluster.faults.key_value.down = true;
+    cluster.faults.key_value.is_down = true;
     cluster.run(15_000);
     let response = cluster.submit(1, &job(2, 1));
     assert_eq!((response.status, response.retry_after_s), (503, Some(1)));
-    cluster.faults.key_value.down = false;
+    cluster.faults.key_value.is_down = false;
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     assert_eq!(cluster.task_starts.len(), 8, "no lease expired");
     cluster.check();
@@ -73,7 +77,7 @@
 fn slow_writes_block_no_submission() {
     let mut cluster = ready_with_boot_time(50.0);
     for _ in 0..9 {
-        cluster.machine("a", true, 0);
+        cluster.create_machine("a", true, 0);
     }
     cluster.run(10_000);
     cluster.faults.key_value.slow_writes_ms = 1_200;
@@ -98,7 +102,7 @@
 fn queries_beyond_the_share_of_reads_are_all_answered() {
     let mut cluster = ready();
     let ids: Vec<u64> = (1..=900).collect();
-    ids.iter().for_each(|id| cluster.put_final(*id));
+    ids.iter().for_each(|id| cluster.put_final_state(*id));
     (0..3).for_each(|controller| cluster.crash(controller));
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(5_000);
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -25,7 +25,7 @@
     cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 4);
     let machine = cluster.task_starts[0].machine.clone();
     let hung_at = cluster.now;
-    cluster.workers.get_mut(&machine).expect("a worker").hung = true;
+    cluster.workers.get_mut(&machine).expect("a worker").is_hung = true;
     cluster.until("a second start", 90_000, |cluster| {
         cluster.task_starts.len() > 4
     });
@@ -34,7 +34,7 @@
         "restarted before the lease expired"
     );
     if let Some(worker) = cluster.workers.get_mut(&machine) {
-        worker.hung = false;
+        worker.is_hung = false;
     }
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 4));
     cluster.check();
@@ -68,7 +68,7 @@
         .workers
         .get_mut(&dead_machine)
         .expect("a worker")
-        .hung = true;
+        .is_hung = true;
     for _ in 0..4 {
         cluster.crash(restarting);
         cluster.run(6_000);
@@ -87,8 +87,8 @@
 fn a_faulty_machine_gets_no_more_tasks_and_is_released() {
     let mut cluster = ready_with_boot_time(50.0);
     cluster.task_run_ms = 2_000;
-    let faulty = cluster.machine("a", true, 0);
-    cluster.machine("a", true, 0);
+    let faulty = cluster.create_machine("a", true, 0);
+    cluster.create_machine("a", true, 0);
     cluster.faults.faulty_machines.insert(faulty.clone());
     cluster.run(4_000);
     for id in 1..=20 {
@@ -152,7 +152,7 @@
 #[test]
 fn an_idle_machine_with_new_incarnations_gets_no_tasks() {
     let mut cluster = ready_with_boot_time(50.0);
-    let unreachable = cluster.machine("a", true, 0);
+    let unreachable = cluster.create_machine("a", true, 0);
     cluster.run(4_000);
     cluster
         .faults
@@ -196,10 +196,10 @@
 #[test]
 fn a_machine_with_an_unanswered_command_is_released() {
     let mut cluster = ready();
-    cluster.faults.hold_commands = true;
+    cluster.faults.are_commands_held = true;
     cluster.submit(0, &job(1, 8));
     cluster.until("all tasks", 60_000, |cluster| cluster.all_done(1, 8));
-    cluster.faults.hold_commands = false;
+    cluster.faults.are_commands_held = false;
     cluster.until("an empty fleet", 60_000, |cluster| {
         cluster.workers.is_empty()
     });
@@ -244,7 +244,7 @@
     cluster.task_run_ms = 12_000;
     cluster.nominal_boot_s = 50.0;
     let ids: Vec<MachineId> = (0..machines)
-        .map(|n| cluster.machine(if n % 2 == 0 { "a" } else { "b" }, true, 0))
+        .map(|n| cluster.create_machine(if n % 2 == 0 { "a" } else { "b" }, true, 0))
         .collect();
     cluster.run(9_000);
     for id in 1..=20 {
@@ -265,7 +265,7 @@
     let set_hung = |cluster: &mut Cluster, is_hung: bool| {
         for id in ids.iter().step_by(3) {
             if let Some(worker) = cluster.workers.get_mut(id) {
-                worker.hung = is_hung;
+                worker.is_hung = is_hung;
             }
         }
     };
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -10,7 +10,7 @@
 #[test]
 fn late_direct_commands_start_no_task_again() {
     let mut cluster = ready();
-    cluster.faults.hold_commands = true;
+    cluster.faults.are_commands_held = true;
     cluster.submit(0, &job(1, 8));
     cluster.until("all tasks", 120_000, |cluster| cluster.all_done(1, 8));
     cluster.run(5_000);
@@ -35,14 +35,14 @@
         .workers
         .get_mut(&hung_machine)
         .expect("a worker")
-        .hung = true;
+        .is_hung = true;
     cluster.run(8_000);
     (0..3).for_each(|controller| cluster.crash(controller));
     cluster.run(3_000);
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(30_000);
     if let Some(worker) = cluster.workers.get_mut(&hung_machine) {
-        worker.hung = false;
+        worker.is_hung = false;
     }
     let leader = cluster.leader();
     cluster.crash(leader);
@@ -72,7 +72,7 @@
         .workers
         .get_mut(&dead_machine)
         .expect("a worker")
-        .hung = true;
+        .is_hung = true;
     cluster.until("restarted tasks", 30_000, |cluster| {
         cluster.task_starts.len() > 8
     });
@@ -88,7 +88,7 @@
     cluster.until("tasks", 30_000, |cluster| !cluster.running().is_empty());
     let id = cluster.task_starts[0].machine.clone();
     cluster.run(3_000);
-    let mut copy = cluster.heartbeat_of(&id);
+    let mut copy = cluster.next_heartbeat_of(&id);
     // The last heartbeat of the machine, whose original never arrived.
     copy.sequence += 1_000;
     copy.tasks.clear();
@@ -99,7 +99,7 @@
     let commands_before = cluster.commands_sent_count(&id);
     for round in 0..2 {
         for controller in 0..3 {
-            cluster.deliver_copy(controller, copy.clone());
+            cluster.deliver_heartbeat_copy(controller, copy.clone());
         }
         cluster.run(500);
         let job_id = 2 + round;
@@ -155,7 +155,7 @@
     ];
     for body in malformed {
         let bytes = body.clone().into_bytes();
-        let response = cluster.ask(0, |request_id| Event::Heartbeat {
+        let response = cluster.send_and_wait(0, |request_id| Event::Heartbeat {
             request_id,
             body: bytes,
         });
@@ -168,7 +168,7 @@
     unknown_type["Piezas"] = json!([{"Pieza": "j-000001/0", "Intento": 1, "Estado": "running"}]);
     for controller in 0..3 {
         let bytes = unknown_type.to_string().into_bytes();
-        let response = cluster.ask(controller, |request_id| Event::Heartbeat {
+        let response = cluster.send_and_wait(controller, |request_id| Event::Heartbeat {
             request_id,
             body: bytes,
         });
--- a/crates/worksshunt-core/tests/scenarios/mixed.rs
+++ b/crates/worksshunt-core/tests/scenarios/mixed.rs
@@ -5,14 +5,14 @@
 
 use std::ops::Range;
 
-use worksshunt_simulation::random_day;
+use worksshunt_simulation::random_run;
 
 /// Seeds simulated by default.
 const CI_SEEDS: Range<u64> = 1_000_001..1_000_161;
 
 /// Simulates the run with a seed. Panics if an invariant was violated or a job did not complete.
 fn simulate(seed: u64) {
-    let (_, result) = random_day::play(seed, None);
+    let (_, result) = random_run::simulate(seed, None);
     result.unwrap_or_else(|failure| panic!("seed {seed}: {failure}"));
 }
 
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -174,7 +174,7 @@
         .workers
         .get_mut(&dead_machine)
         .expect("a worker")
-        .hung = true;
+        .is_hung = true;
     cluster.until("its release", 13_000, |cluster| {
         cluster.released_machines.contains(&dead_machine)
     });
@@ -189,14 +189,14 @@
 fn machines_that_fall_silent_together_are_not_released() {
     let mut cluster = service_beside_other_jobs();
     let busy = |cluster: &Cluster| -> Vec<MachineId> {
-        let all = cluster.workers.keys().filter(|id| cluster.busy(id));
+        let all = cluster.workers.keys().filter(|id| cluster.is_busy(id));
         all.cloned().collect()
     };
     let mut zone_machines = busy(&cluster);
     zone_machines.retain(|id| cluster.workers[id].zone == "a");
     let set_hung = |cluster: &mut Cluster, is_hung| {
         for id in &zone_machines {
-            cluster.workers.get_mut(id).expect("a worker").hung = is_hung;
+            cluster.workers.get_mut(id).expect("a worker").is_hung = is_hung;
         }
     };
     let any_released = |cluster: &Cluster, machines: &[MachineId]| {
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -313,7 +313,7 @@
         assert_eq!(cluster.state(0, id), (200, "done".into()), "job {id}");
     }
     assert_eq!(
-        cluster.too_large, 0,
+        cluster.too_large_writes, 0,
         "a write exceeded the announced limits"
     );
     cluster.check();
@@ -329,11 +329,11 @@
     cluster.submit_at_once(&[1], &new_jobs);
     cluster.submit(2, &long_job(200, 110));
     cluster.until("the final states of all jobs", 240_000, no_job_is_open);
-    assert!(cluster.too_large > 0, "the limits were exceeded");
+    assert!(cluster.too_large_writes > 0, "the limits were exceeded");
     assert!(
-        cluster.too_large < 40,
+        cluster.too_large_writes < 40,
         "{} rejected writes",
-        cluster.too_large
+        cluster.too_large_writes
     );
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -156,7 +156,7 @@
         cluster.put(key, stored);
     }
     for index in [0, 4, 5, 6] {
-        cluster.invariants.completed(task(1, index));
+        cluster.invariants.record_completion(task(1, index));
     }
     // Users know that job 5 is done, and have cancelled jobs 6 and 7.
     let cancelled = read_cancelled_job(&stored("f/j-000007")).expect("a job");
@@ -165,16 +165,16 @@
         spec.id = JobId(id);
         cluster.invariants.assume_accepted(spec);
     }
-    (0..7).for_each(|index| cluster.invariants.completed(task(5, index)));
+    (0..7).for_each(|index| cluster.invariants.record_completion(task(5, index)));
     for id in [6, 7] {
         let cancellation = Event::Cancel {
             request_id: RequestId(0),
             job_id: JobId(id).to_string(),
         };
-        cluster.invariants.request_sent(&cancellation);
+        cluster.invariants.record_request(&cancellation);
     }
-    let first = cluster.machine("a", true, 0);
-    let second = cluster.machine("a", true, 0);
+    let first = cluster.create_machine("a", true, 0);
+    let second = cluster.create_machine("a", true, 0);
     cluster.inject_task(&first, task(1, 1), 67_108_865);
     cluster.inject_task(&first, task(7, 1), 67_108_868);
     cluster.inject_task(&second, task(1, 2), 67_108_866);
@@ -256,7 +256,7 @@
 fn the_stored_catalog_is_used_while_the_cloud_is_down() {
     for is_catalog_stored in [true, false] {
         let mut cluster = Cluster::new();
-        cluster.faults.cloud.down = true;
+        cluster.faults.cloud.is_down = true;
         if is_catalog_stored {
             cluster.put("t/catalog", stored("t/catalog"));
         }
