--- a/crates/worksshunt-search/src/digest.rs
+++ b/crates/worksshunt-search/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of the random days of a range of seeds, one line for each.
+//! Digests of the simulated random days of a range of seeds.
 
 use std::sync::Mutex;
 
@@ -6,15 +6,15 @@
 
 use crate::seeds::SeedRange;
 
-/// Plays the days of all seeds on every processor and returns their digests, by seed.
-pub fn of_days(seeds: &SeedRange) -> Vec<(u64, DayDigest)> {
+/// Computes the digest of each seed's day, on all processors. The result is sorted by seed.
+pub fn compute_day_digests(seeds: &SeedRange) -> Vec<(u64, DayDigest)> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let next = Mutex::new(seeds.from..seeds.to);
+    let remaining_seeds = Mutex::new(seeds.from..seeds.to);
     let digests = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some(seed) = next_seed(&next) {
+                while let Some(seed) = next_seed(&remaining_seeds) {
                     let digest = random_day::digest(seed);
                     lock(&digests).push((seed, digest));
                 }
@@ -30,7 +30,7 @@
     lock(seeds).next()
 }
 
-/// Locks a mutex, also after another thread has panicked: each access leaves the value consistent.
+/// Locks a mutex even if it is poisoned: no access leaves its value inconsistent.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/worksshunt-search/src/main.rs
+++ b/crates/worksshunt-search/src/main.rs
@@ -1,8 +1,8 @@
-//! Measures the search for violated invariants: how many seeds of random days it takes to find each of a list of
-//! mutations. Also prints digests of random days, by which two versions of the program are compared.
+//! Mutation testing of the search for invariant violations: counts the simulated random days, one per seed, that it
+//! takes to detect each of a list of mutations. Also prints digests of random days, to compare the behavior of builds.
 //!
-//! A mutation replaces a few lines of the sources in a scratch copy. The days are those of
-//! `worksshunt_simulation::random_day`. This file has the arguments and the exit codes.
+//! A mutation is a small change of the sources that introduces a fault; it is applied to a scratch copy. The days are
+//! played by `worksshunt_simulation::random_day`. This file defines the command line and the exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,13 +16,13 @@
 mod seeds;
 
 use mutation::MutationError;
-use scratch::{Scratch, ScratchError};
+use scratch::{ScratchCopy, ScratchError};
 use seeds::SeedRange;
 
-/// Exit code: the search could not be run.
-const FAILED: u8 = 1;
-/// Exit code: arguments or the list of mutations are wrong.
-const WRONG_ARGUMENTS: u8 = 2;
+/// Exit code: the scratch copy could not be made, built or searched.
+const EXIT_CODE_FAILURE: u8 = 1;
+/// Exit code: the arguments or the list of mutations are invalid.
+const EXIT_CODE_USAGE: u8 = 2;
 
 #[derive(Parser)]
 #[command(version, about, args_conflicts_with_subcommands = true)]
@@ -40,42 +40,41 @@
     /// One line for each seed, in their order: the seed, a SHA-256 hash in hexadecimal digits, and the number of
     /// messages.
     ///
-    /// The hash covers every message that a controller sends or receives, in the order in which they pass: its time
-    /// (ms since the start of the day), the controller, the direction, the kind of the message, and its bytes as the
-    /// protocol or the link between controllers encodes them. Messages are those from and to workers, users, the
-    /// key-value store, the cloud and other controllers. The hash ends with the verdict on the day: whether all
-    /// invariants held, otherwise the names of those violated. Names of Rust types and log lines are not covered.
+    /// The hash covers every message that a controller exchanges with workers, users, the key-value store, the cloud
+    /// and other controllers, in order: its time (ms since the start of the day), the controller, the direction, the
+    /// kind of the message, and its encoded bytes. The last input of the hash is the verdict on the day: all
+    /// invariants held, or the names of those violated. Names of Rust types and log lines are not covered.
     ///
-    /// Two builds that behave alike print the same lines for the same seeds.
+    /// Builds with the same behavior print the same lines for the same seeds.
     #[command(verbatim_doc_comment)]
     Digest {
-        /// Seeds, FROM..TO without the last one.
+        /// Range of seeds, FROM..TO; TO is excluded.
         seeds: SeedRange,
     },
 }
 
 #[derive(Args)]
 struct SearchArguments {
-    /// Names of mutations; all of the list if none is given.
+    /// Names of the mutations to search for; all mutations of the list by default.
     names: Vec<String>,
-    /// The list of mutations.
+    /// List of mutations (TOML).
     #[arg(long, default_value = "crates/worksshunt-search/mutations.toml")]
     list: PathBuf,
-    /// The sources.
+    /// Root of the sources.
     #[arg(long, default_value = ".")]
     sources: PathBuf,
-    /// Folder for the copy of the sources and what is built of it.
+    /// Folder for the scratch copy of the sources and its build.
     #[arg(long)]
     scratch: PathBuf,
-    /// Seeds of the first start, FROM..TO without the last one.
+    /// Range of seeds of the first start, FROM..TO; TO is excluded.
     #[arg(long, default_value = "1..401")]
     seeds: SeedRange,
-    /// Starts, each with other seeds.
+    /// Number of searches for each mutation, each with other seeds.
     #[arg(long, default_value_t = 3)]
     starts: u64,
 }
 
-/// Why there is no result.
+/// A search that could not be completed.
 #[derive(Debug, thiserror::Error)]
 enum SearchError {
     #[error(transparent)]
@@ -88,10 +87,10 @@
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) if error.use_stderr() => {
-            // One line: what follows it is usage.
+            // The first line is the error, the rest the usage.
             let text = error.to_string();
             eprintln!("{}", text.lines().next().unwrap_or_default());
-            return ExitCode::from(WRONG_ARGUMENTS);
+            return ExitCode::from(EXIT_CODE_USAGE);
         }
         Err(help) => {
             println!("{help}");
@@ -107,8 +106,8 @@
             }
         }
         (None, None) => {
-            eprintln!("error: neither a command nor --scratch is given");
-            return ExitCode::from(WRONG_ARGUMENTS);
+            eprintln!("error: a command or --scratch is required");
+            return ExitCode::from(EXIT_CODE_USAGE);
         }
     }
     ExitCode::SUCCESS
@@ -116,25 +115,25 @@
 
 fn exit_code(error: &SearchError) -> u8 {
     match error {
-        SearchError::Mutation(_) => WRONG_ARGUMENTS,
-        SearchError::Scratch(_) => FAILED,
+        SearchError::Mutation(_) => EXIT_CODE_USAGE,
+        SearchError::Scratch(_) => EXIT_CODE_FAILURE,
     }
 }
 
 fn print_digests(seeds: &SeedRange) {
-    for (seed, digest) in digest::of_days(seeds) {
+    for (seed, digest) in digest::compute_day_digests(seeds) {
         println!("{seed} {digest}");
     }
 }
 
-/// Searches for the chosen mutations and prints a row for each.
+/// Searches for the selected mutations and prints a table with a row for each.
 fn print_table(arguments: &SearchArguments) -> Result<(), SearchError> {
     let list = mutation::read_list(&arguments.list)?;
-    let chosen = mutation::choose(&list, &arguments.names)?;
-    let scratch = Scratch::new(&arguments.sources, &arguments.scratch)?;
+    let selected = mutation::select(&list, &arguments.names)?;
+    let scratch_copy = ScratchCopy::new(&arguments.sources, &arguments.scratch)?;
     println!("{}", search::TABLE_HEADER);
-    for mutation in chosen {
-        let result = search::run(mutation, &scratch, &arguments.seeds, arguments.starts)?;
+    for mutation in selected {
+        let result = search::run(mutation, &scratch_copy, &arguments.seeds, arguments.starts)?;
         println!("{result}");
     }
     Ok(())
--- a/crates/worksshunt-search/src/mutation.rs
+++ b/crates/worksshunt-search/src/mutation.rs
@@ -1,103 +1,108 @@
-//! Mutations: faults put into the sources on purpose, and the list of them.
+//! Mutations: changes of the sources that introduce a fault, and the list that defines them.
 
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
 
-/// One mutation of the list.
+/// A mutation, as the list defines it.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mutation {
-    /// Its name.
+    /// Unique name, which selects it on the command line.
     pub name: String,
-    /// What is wrong with the mutated sources, for a reader.
+    /// Description of the fault; not used by the program.
     pub fault: String,
-    /// The file it changes, from the root of the repository.
+    /// File to change, relative to the root of the sources.
     pub file: PathBuf,
-    /// The text that it replaces, which occurs once in the file.
+    /// Text to replace; occurs exactly once in the file.
     pub from: String,
-    /// The replacement.
+    /// Replacement.
     pub to: String,
-    /// What it replaces in other files, where the fault takes more than one change.
-    #[serde(default)]
-    pub also: Vec<Edit>,
+    /// Edits of further files, for a fault that takes more than one change.
+    #[serde(default, rename = "also")]
+    pub additional_edits: Vec<Edit>,
 }
 
-/// A replacement in one file.
+/// Replacement of a text in one file.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// The file, from the root of the repository.
+    /// File to change, relative to the root of the sources.
     pub file: PathBuf,
-    /// The text that is replaced, which occurs once in the file.
+    /// Text to replace; occurs exactly once in the file.
     pub from: String,
-    /// The replacement.
+    /// Replacement.
     pub to: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct List {
-    mutation: Vec<Mutation>,
+struct MutationList {
+    #[serde(rename = "mutation")]
+    mutations: Vec<Mutation>,
 }
 
-/// Why a mutation cannot be searched for.
+/// A list of mutations that is invalid, or a mutation that does not apply.
 #[derive(Debug, thiserror::Error)]
 pub enum MutationError {
     /// The list cannot be read.
     #[error("{path}: {source}")]
     ListUnreadable {
-        /// The list.
+        /// Path of the list.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The list is no TOML of the expected form.
+    /// The list is not valid TOML or has unexpected fields.
     #[error("{path}: {}", source.message())]
     ListMalformed {
-        /// The list.
+        /// Path of the list.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: toml::de::Error,
     },
-    /// No mutation of the list has that name.
-    #[error("no mutation is called {0}")]
-    Unknown(String),
+    /// No mutation of the list has this name.
+    #[error("unknown mutation: {0}")]
+    UnknownName(String),
     /// The text to replace does not occur exactly once.
-    #[error("{name}: its text stands {times} times in {file}")]
-    NotOnce {
-        /// The mutation.
+    #[error(
+        "{name}: the text to replace occurs {occurrences} times in {file}; expected one occurrence"
+    )]
+    NotUnique {
+        /// Name of the mutation.
         name: String,
-        /// Its file.
+        /// File of the edit.
         file: PathBuf,
-        /// How often its text occurs.
-        times: usize,
+        /// Number of occurrences.
+        occurrences: usize,
     },
 }
 
 impl Mutation {
-    /// All its replacements, each in another file.
+    /// All edits of the mutation, at most one per file.
     pub fn edits(&self) -> Vec<Edit> {
         let first = Edit {
             file: self.file.clone(),
             from: self.from.clone(),
             to: self.to.clone(),
         };
-        std::iter::once(first).chain(self.also.clone()).collect()
+        std::iter::once(first)
+            .chain(self.additional_edits.clone())
+            .collect()
     }
 
-    /// A file's text with one of its replacements applied.
+    /// Applies an edit of the mutation to the text of its file.
     ///
     /// # Errors
     ///
     /// The text to replace does not occur exactly once.
     pub fn apply(&self, edit: &Edit, text: &str) -> Result<String, MutationError> {
-        let times = text.matches(&edit.from).count();
-        if times != 1 {
-            return Err(MutationError::NotOnce {
+        let occurrences = text.matches(&edit.from).count();
+        if occurrences != 1 {
+            return Err(MutationError::NotUnique {
                 name: self.name.clone(),
                 file: edit.file.clone(),
-                times,
+                occurrences,
             });
         }
         Ok(text.replacen(&edit.from, &edit.to, 1))
@@ -108,25 +113,26 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read, or is not such a list.
+/// The file cannot be read or parsed.
 pub fn read_list(path: &Path) -> Result<Vec<Mutation>, MutationError> {
     let text = std::fs::read_to_string(path).map_err(|source| MutationError::ListUnreadable {
         path: path.to_owned(),
         source,
     })?;
-    let list: List = toml::from_str(&text).map_err(|source| MutationError::ListMalformed {
-        path: path.to_owned(),
-        source,
-    })?;
-    Ok(list.mutation)
+    let list: MutationList =
+        toml::from_str(&text).map_err(|source| MutationError::ListMalformed {
+            path: path.to_owned(),
+            source,
+        })?;
+    Ok(list.mutations)
 }
 
-/// The mutations with these names, or all if there is no name.
+/// Selects the mutations with these names, in this order; all mutations if `names` is empty.
 ///
 /// # Errors
 ///
-/// No mutation of the list has one of the names.
-pub fn choose<'a>(
+/// A name is not in the list.
+pub fn select<'a>(
     list: &'a [Mutation],
     names: &[String],
 ) -> Result<Vec<&'a Mutation>, MutationError> {
@@ -136,8 +142,8 @@
     names
         .iter()
         .map(|name| {
-            let named = list.iter().find(|mutation| mutation.name == *name);
-            named.ok_or_else(|| MutationError::Unknown(name.clone()))
+            let mutation = list.iter().find(|mutation| mutation.name == *name);
+            mutation.ok_or_else(|| MutationError::UnknownName(name.clone()))
         })
         .collect()
 }
--- a/crates/worksshunt-search/src/mutation/tests.rs
+++ b/crates/worksshunt-search/src/mutation/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `mutation`, and of the list against the sources as they are.
+//! Tests of `mutation`, and of the list of mutations against the sources.
 
 use std::collections::BTreeSet;
 
@@ -12,9 +12,9 @@
     read_list(&root().join("crates/worksshunt-search/mutations.toml")).expect("a list")
 }
 
-// The list must not fall behind the sources: a mutation that is not applied is never found.
+// Guards against a list that no longer matches the sources.
 #[test]
-fn every_mutation_applies_to_the_sources_and_changes_them() {
+fn every_mutation_applies_and_changes_the_sources() {
     let list = list();
     assert!(list.len() > 10);
     for mutation in &list {
@@ -24,14 +24,14 @@
             assert_ne!(text, mutated, "{}", mutation.name);
         }
         let files: BTreeSet<PathBuf> = mutation.edits().into_iter().map(|e| e.file).collect();
-        assert_eq!(files.len(), mutation.edits().len(), "each in another file");
+        assert_eq!(files.len(), mutation.edits().len(), "one edit per file");
     }
     let names: BTreeSet<&str> = list.iter().map(|m| m.name.as_str()).collect();
-    assert_eq!(names.len(), list.len(), "each has a name of its own");
+    assert_eq!(names.len(), list.len(), "names are unique");
 }
 
 #[test]
-fn a_text_that_stands_there_twice_or_never_is_refused() {
+fn missing_or_repeated_text_is_rejected() {
     let mutation = Mutation {
         from: "a + b".to_owned(),
         to: "a".to_owned(),
@@ -40,29 +40,29 @@
     let edit = &mutation.edits()[0];
     assert_eq!(mutation.apply(edit, "x = a + b").expect("once"), "x = a");
     for text in ["", "a+b", "a + b; a + b"] {
-        let refused = mutation.apply(edit, text);
+        let result = mutation.apply(edit, text);
         assert!(
-            matches!(refused, Err(MutationError::NotOnce { .. })),
+            matches!(result, Err(MutationError::NotUnique { .. })),
             "{text}"
         );
     }
 }
 
 #[test]
-fn names_choose_and_unknown_ones_are_refused() {
+fn mutations_are_selected_by_name_and_unknown_names_rejected() {
     let list = list();
-    assert_eq!(choose(&list, &[]).expect("all").len(), list.len());
+    assert_eq!(select(&list, &[]).expect("all").len(), list.len());
     let name = list[1].name.clone();
-    assert_eq!(choose(&list, &[name]).expect("one"), [&list[1]]);
-    let unknown = choose(&list, &["no-such".to_owned()]);
-    let text = unknown.expect_err("refused").to_string();
-    assert_eq!(text, "no mutation is called no-such");
+    assert_eq!(select(&list, &[name]).expect("one"), [&list[1]]);
+    let unknown = select(&list, &["no-such".to_owned()]);
+    let text = unknown.expect_err("rejected").to_string();
+    assert_eq!(text, "unknown mutation: no-such");
 }
 
 #[test]
-fn a_list_that_is_missing_is_refused_in_one_line() {
+fn missing_list_is_reported_in_one_line() {
     let text = read_list(Path::new("no/such.toml"))
-        .expect_err("refused")
+        .expect_err("rejected")
         .to_string();
     assert!(
         text.starts_with("no/such.toml: ") && text.lines().count() == 1,
--- a/crates/worksshunt-search/src/scratch.rs
+++ b/crates/worksshunt-search/src/scratch.rs
@@ -1,6 +1,6 @@
-//! A scratch copy of the sources: mutated, built, and run on seeds until a day fails.
+//! Scratch copy of the sources, in which mutations are applied, built and tested.
 //!
-//! The search owns one for the whole run, so builds after the first are incremental.
+//! One copy serves all mutations of a run, so that builds after the first are incremental.
 
 use std::fs;
 use std::io::{Error, ErrorKind};
@@ -11,59 +11,62 @@
 
 use crate::seeds::SeedRange;
 
-/// Files and folders of the sources that are copied.
-const COPIED: [&str; 3] = ["Cargo.toml", "Cargo.lock", "crates"];
-/// What precedes the seed and the failure in a line that the test prints about a day that failed.
-const FINDING: &str = "finding: seed ";
-/// The test that plays random days, and the variables that choose the seeds and end it at the first finding.
+/// Files and folders to copy, relative to the root of the sources.
+const COPIED_PATHS: [&str; 3] = ["Cargo.toml", "Cargo.lock", "crates"];
+/// Prefix of the line `finding: seed SEED: FAILURE` that the test prints for each failed day.
+const FINDING_PREFIX: &str = "finding: seed ";
+/// Test that plays random days.
 const RANDOM_DAYS_TEST: &str = "mixed::days_of_mixed_faults";
-const SEEDS_VARIABLE: &str = "SCENARIOS_MIXED";
-const FIRST_ONLY_VARIABLE: &str = "SCENARIOS_FIRST";
+/// Environment variable with the range of seeds that the test plays.
+const SEEDS_ENV_VAR: &str = "SCENARIOS_MIXED";
+/// Environment variable that, if set, stops the test at the first failed day.
+const FIRST_ONLY_ENV_VAR: &str = "SCENARIOS_FIRST";
 
-/// Why a scratch copy cannot be made, built or searched.
+/// Failure to create, change, build or test a scratch copy.
 #[derive(Debug, thiserror::Error)]
 pub enum ScratchError {
-    /// A file could not be read or written.
+    /// A file or folder could not be read or written.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: Error,
     },
-    /// Cargo could not be run.
-    #[error("cargo: {0}")]
-    Cargo(Error),
-    /// The copy does not compile.
-    #[error("the copy does not compile: {0}")]
+    /// Cargo or the built test program could not be started.
+    #[error("cannot start cargo or the test program: {0}")]
+    ProcessStart(Error),
+    /// The scratch copy does not compile; with the last line of cargo's error output.
+    #[error("the scratch copy does not compile: {0}")]
     Build(String),
-    /// The test ended without a verdict.
+    /// The exit status of the test and the findings that it printed contradict each other; with the last line of its
+    /// error output.
     #[error("the test ended without a verdict: {0}")]
     NoVerdict(String),
 }
 
-/// The first day that violated an invariant.
+/// The failed day with the lowest seed of a search.
 #[derive(Debug, Clone)]
 pub struct Finding {
-    /// How many seeds it took, itself included.
-    pub seeds: u64,
-    /// The rule that was violated.
-    pub rule: String,
+    /// Number of seeds from the first of the range up to this one, inclusive.
+    pub seeds_tried: u64,
+    /// Name of the violated invariant, or the message of another failure.
+    pub violation: String,
 }
 
-/// Cargo's message about something it has built.
+/// Cargo's `compiler-artifact` message. Other messages parse as one without an executable.
 #[derive(Deserialize)]
-struct Artifact {
-    /// The program, if it is one.
+struct CompilerArtifact {
+    /// Path of the built program; `None` for a library.
     executable: Option<PathBuf>,
 }
 
-/// A copy of the sources.
-pub struct Scratch {
+/// Copy of the sources in a folder of its own, with its own build directory.
+pub struct ScratchCopy {
     folder: PathBuf,
 }
 
-/// Turns an I/O error about a file or folder into a [`ScratchError`].
+/// Returns a conversion of I/O errors on a path to [`ScratchError`].
 fn file_error(path: &Path) -> impl Fn(Error) -> ScratchError + '_ {
     |source| ScratchError::File {
         path: path.to_owned(),
@@ -71,59 +74,60 @@
     }
 }
 
-fn copy(from: &Path, to: &Path) -> Result<(), ScratchError> {
+/// Copies a file, or a folder with all its contents.
+fn copy_recursively(from: &Path, to: &Path) -> Result<(), ScratchError> {
     if !from.is_dir() {
         return fs::copy(from, to).map(drop).map_err(file_error(from));
     }
     fs::create_dir_all(to).map_err(file_error(from))?;
     for entry in fs::read_dir(from).map_err(file_error(from))? {
         let name = entry.map_err(file_error(from))?.file_name();
-        copy(&from.join(&name), &to.join(&name))?;
+        copy_recursively(&from.join(&name), &to.join(&name))?;
     }
     Ok(())
 }
 
-impl Scratch {
+impl ScratchCopy {
     /// Copies the sources to a folder.
     ///
     /// # Errors
     ///
     /// A file or folder cannot be read or written.
-    pub fn new(sources: &Path, folder: &Path) -> Result<Scratch, ScratchError> {
+    pub fn new(sources: &Path, folder: &Path) -> Result<ScratchCopy, ScratchError> {
         fs::create_dir_all(folder).map_err(file_error(folder))?;
-        for name in COPIED {
-            copy(&sources.join(name), &folder.join(name))?;
+        for name in COPIED_PATHS {
+            copy_recursively(&sources.join(name), &folder.join(name))?;
         }
-        Ok(Scratch {
+        Ok(ScratchCopy {
             folder: folder.to_owned(),
         })
     }
 
-    /// A file's text.
+    /// Reads a file, given by its path relative to the root of the sources.
     ///
     /// # Errors
     ///
-    /// It cannot be read.
+    /// The file cannot be read.
     pub fn read(&self, file: &Path) -> Result<String, ScratchError> {
         let path = self.folder.join(file);
         fs::read_to_string(&path).map_err(file_error(&path))
     }
 
-    /// Replaces a file's text.
+    /// Replaces the contents of a file, given by its path relative to the root of the sources.
     ///
     /// # Errors
     ///
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn write(&self, file: &Path, text: &str) -> Result<(), ScratchError> {
         let path = self.folder.join(file);
         fs::write(&path, text).map_err(file_error(&path))
     }
 
-    /// Builds the scenarios and returns the path of their program.
+    /// Builds the scenario tests and returns the path of the test program.
     ///
     /// # Errors
     ///
-    /// Cargo cannot be run, or the copy does not compile.
+    /// Cargo cannot be started, or the scratch copy does not compile.
     pub fn build(&self) -> Result<PathBuf, ScratchError> {
         let arguments = "test --release --locked -p worksshunt-core --test scenarios --no-run";
         let output = Command::new("cargo")
@@ -132,11 +136,11 @@
             .current_dir(&self.folder)
             .env("CARGO_TARGET_DIR", self.folder.join("target"))
             .output()
-            .map_err(ScratchError::Cargo)?;
+            .map_err(ScratchError::ProcessStart)?;
         let text = String::from_utf8_lossy(&output.stdout);
-        // The last program is the test itself.
+        // The last executable is the test program.
         let program = text.lines().rev().find_map(|line| {
-            let artifact: Artifact = serde_json::from_str(line).ok()?;
+            let artifact: CompilerArtifact = serde_json::from_str(line).ok()?;
             artifact.executable
         });
         match program.filter(|_| output.status.success()) {
@@ -145,11 +149,11 @@
         }
     }
 
-    /// Plays the days of these seeds until one fails; none if all pass.
+    /// Plays the days of these seeds until one fails. `None` if all pass.
     ///
     /// # Errors
     ///
-    /// The program cannot be run, or ends without a verdict.
+    /// The program cannot be started, or ends without a verdict.
     pub fn first_finding(
         &self,
         program: &Path,
@@ -157,25 +161,25 @@
     ) -> Result<Option<Finding>, ScratchError> {
         let output = Command::new(program)
             .args([RANDOM_DAYS_TEST, "--exact", "--nocapture"])
-            .env(SEEDS_VARIABLE, format!("{}..{}", seeds.from, seeds.to))
-            .env(FIRST_ONLY_VARIABLE, "1")
+            .env(SEEDS_ENV_VAR, format!("{}..{}", seeds.from, seeds.to))
+            .env(FIRST_ONLY_ENV_VAR, "1")
             .current_dir(&self.folder)
             .output()
-            .map_err(ScratchError::Cargo)?;
+            .map_err(ScratchError::ProcessStart)?;
         let text = String::from_utf8_lossy(&output.stdout);
         let failed_day = text.lines().filter_map(FailedDay::parse).min();
         match (output.status.success(), failed_day) {
             (true, None) => Ok(None),
             (false, Some(day)) => Ok(Some(Finding {
-                seeds: day.seed - seeds.from + 1,
-                rule: rule_of(&day.failure),
+                seeds_tried: day.seed - seeds.from + 1,
+                violation: describe_violation(&day.failure),
             })),
             _ => Err(ScratchError::NoVerdict(last_line(&output.stderr))),
         }
     }
 }
 
-/// A day that failed, as the test prints it. Ordered by seed.
+/// Failed day, parsed from the output of the test. Ordered by seed.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FailedDay {
     seed: u64,
@@ -184,7 +188,7 @@
 
 impl FailedDay {
     fn parse(line: &str) -> Option<FailedDay> {
-        let (seed, failure) = line.strip_prefix(FINDING)?.split_once(": ")?;
+        let (seed, failure) = line.strip_prefix(FINDING_PREFIX)?.split_once(": ")?;
         Some(FailedDay {
             seed: seed.parse().ok()?,
             failure: failure.to_owned(),
@@ -192,17 +196,21 @@
     }
 }
 
-/// The rule that a day's failure names first, or the failure itself if it names none.
-fn rule_of(failure: &str) -> String {
-    let named = failure.split_once("[\"").map(|(_, named)| named);
-    let rule = named.and_then(|named| named.split_once(':'));
-    rule.map_or(failure, |(rule, _)| rule).replace('|', "/")
+/// Name of the first violated invariant that the failure lists, or the failure itself if it lists none. `|` would
+/// break the row of the table and is replaced.
+fn describe_violation(failure: &str) -> String {
+    let violations = failure.split_once("[\"").map(|(_, list)| list);
+    let invariant = violations.and_then(|list| list.split_once(':'));
+    invariant
+        .map_or(failure, |(name, _)| name)
+        .replace('|', "/")
 }
 
+/// Last line that is not blank, or the text of an unexpected end of file if there is none.
 fn last_line(bytes: &[u8]) -> String {
     let text = String::from_utf8_lossy(bytes);
-    let last = text.lines().rfind(|line| !line.trim().is_empty());
-    last.map_or_else(
+    let last_line = text.lines().rfind(|line| !line.trim().is_empty());
+    last_line.map_or_else(
         || Error::from(ErrorKind::UnexpectedEof).to_string(),
         str::to_owned,
     )
--- a/crates/worksshunt-search/src/search.rs
+++ b/crates/worksshunt-search/src/search.rs
@@ -1,100 +1,103 @@
-//! The search for one mutation: applied to the scratch copy, built, and searched from every start.
+//! Search for one mutation: applies it to the scratch copy, builds the copy, and plays random days from several starts.
+//! A start is a search over a range of seeds of its own.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use crate::mutation::Mutation;
-use crate::scratch::{Finding, Scratch, ScratchError};
+use crate::scratch::{Finding, ScratchCopy, ScratchError};
 use crate::seeds::SeedRange;
 use crate::SearchError;
 
-/// Seeds by which starts lie apart, so that they share none.
-const START_DISTANCE: u64 = 1_000_000;
+/// Offset between the seed ranges of consecutive starts; shorter ranges do not overlap.
+const START_SEED_OFFSET: u64 = 1_000_000;
 
-/// The first two lines of the table whose rows are [`MutationResult`]s.
+/// Header of the Markdown table whose rows are [`MutationResult`]s.
 pub const TABLE_HEADER: &str =
     "| mutation | found | seeds to the first finding, by start | rule | s |
 | --- | --- | --- | --- | --- |";
 
-/// What the searches from every start found.
-struct Searched {
-    /// The first finding of each start, if there is one.
+/// Result of the searches from all starts.
+struct SearchOutcome {
+    /// First finding of each start; `None` if all its days passed.
     findings: Vec<Option<Finding>>,
-    /// How long the searches took, without the build.
-    took: Duration,
+    /// Duration of all searches, without the build.
+    duration: Duration,
 }
 
-/// The result of the search for a mutation; displayed as a row of the table.
+/// Result of the search for a mutation; displayed as a row of the table.
 pub struct MutationResult {
-    mutation: String,
-    searched: Searched,
+    mutation_name: String,
+    outcome: SearchOutcome,
 }
 
 impl fmt::Display for MutationResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Searched { findings, took } = &self.searched;
-        let found = findings.iter().flatten().count();
-        let seeds = |finding: &Option<Finding>| match finding {
-            Some(finding) => finding.seeds.to_string(),
+        let SearchOutcome { findings, duration } = &self.outcome;
+        let found_count = findings.iter().flatten().count();
+        let format_seeds = |finding: &Option<Finding>| match finding {
+            Some(finding) => finding.seeds_tried.to_string(),
             None => "–".to_owned(),
         };
-        let seeds: Vec<String> = findings.iter().map(seeds).collect();
-        let first = findings.iter().flatten().next();
+        let seeds: Vec<String> = findings.iter().map(format_seeds).collect();
+        let first_finding = findings.iter().flatten().next();
         write!(
             f,
-            "| {} | {found} of {} | {} | {} | {:.0} |",
-            self.mutation,
+            "| {} | {found_count} of {} | {} | {} | {:.0} |",
+            self.mutation_name,
             findings.len(),
             seeds.join(", "),
-            first.map_or("–", |finding| &finding.rule),
-            took.as_secs_f64(),
+            first_finding.map_or("–", |finding| &finding.violation),
+            duration.as_secs_f64(),
         )
     }
 }
 
-/// Searches for a mutation from every start. The scratch copy is as before when this returns.
+/// Applies a mutation to the scratch copy, searches from every start, and restores the copy.
 ///
 /// # Errors
 ///
-/// The mutation does not apply, or the mutated sources cannot be written, built or searched.
+/// The mutation does not apply, or the mutated copy cannot be written, built or searched.
 pub fn run(
     mutation: &Mutation,
-    scratch: &Scratch,
+    scratch_copy: &ScratchCopy,
     seeds: &SeedRange,
     starts: u64,
 ) -> Result<MutationResult, SearchError> {
-    let mut originals = Vec::new();
+    let mut edited_files = Vec::new();
     for edit in mutation.edits() {
-        let original = scratch.read(&edit.file)?;
+        let original = scratch_copy.read(&edit.file)?;
         let mutated = mutation.apply(&edit, &original)?;
-        originals.push((edit.file, original, mutated));
+        edited_files.push((edit.file, original, mutated));
     }
-    for (file, _, mutated) in &originals {
-        scratch.write(file, mutated)?;
+    for (file, _, mutated) in &edited_files {
+        scratch_copy.write(file, mutated)?;
     }
-    let searched = search_built(scratch, seeds, starts);
-    for (file, original, _) in &originals {
-        scratch.write(file, original)?;
+    let outcome = build_and_search(scratch_copy, seeds, starts);
+    for (file, original, _) in &edited_files {
+        scratch_copy.write(file, original)?;
     }
     Ok(MutationResult {
-        mutation: mutation.name.clone(),
-        searched: searched?,
+        mutation_name: mutation.name.clone(),
+        outcome: outcome?,
     })
 }
 
-/// Builds the scratch copy as it is and searches from every start.
-fn search_built(
-    scratch: &Scratch,
+/// Builds the scratch copy and searches from every start.
+fn build_and_search(
+    scratch_copy: &ScratchCopy,
     seeds: &SeedRange,
     starts: u64,
-) -> Result<Searched, ScratchError> {
-    let program = scratch.build()?;
-    let began_at = Instant::now();
+) -> Result<SearchOutcome, ScratchError> {
+    let program = scratch_copy.build()?;
+    let started_at = Instant::now();
     let findings = (0..starts)
-        .map(|start| scratch.first_finding(&program, &seeds.later(start * START_DISTANCE)))
+        .map(|start| {
+            scratch_copy.first_finding(&program, &seeds.shifted(start * START_SEED_OFFSET))
+        })
         .collect::<Result<_, _>>()?;
-    Ok(Searched {
+    Ok(SearchOutcome {
         findings,
-        took: began_at.elapsed(),
+        duration: started_at.elapsed(),
     })
 }
--- a/crates/worksshunt-search/src/seeds.rs
+++ b/crates/worksshunt-search/src/seeds.rs
@@ -1,33 +1,33 @@
-//! Ranges of seeds, as arguments name them.
+//! Ranges of seeds, as given on the command line.
 
 use std::str::FromStr;
 
-/// Seeds from one up to another, without the last.
+/// Range of seeds with at least one seed. [`FromStr`] accepts `FROM..TO`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeedRange {
-    /// The first seed.
+    /// First seed.
     pub from: u64,
-    /// The one after the last.
+    /// End of the range, exclusive.
     pub to: u64,
 }
 
-/// Why a text is not a range of seeds.
+/// Text that is not a valid range of seeds.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SeedRangeError {
-    /// It has another form.
-    #[error("not FROM..TO with two numbers")]
-    Form,
-    /// No seed is in it.
-    #[error("no seed is in it")]
+    /// The text is not two 32-bit numbers separated by `..`.
+    #[error("expected FROM..TO with two numbers")]
+    InvalidFormat,
+    /// The range contains no seed.
+    #[error("the range contains no seed")]
     Empty,
 }
 
 impl SeedRange {
-    /// As many seeds, moved up by so many.
-    pub fn later(&self, by: u64) -> SeedRange {
+    /// Range of the same length, moved up by `offset`.
+    pub fn shifted(&self, offset: u64) -> SeedRange {
         SeedRange {
-            from: self.from + by,
-            to: self.to + by,
+            from: self.from + offset,
+            to: self.to + offset,
         }
     }
 }
@@ -36,9 +36,12 @@
     type Err = SeedRangeError;
 
     fn from_str(text: &str) -> Result<SeedRange, SeedRangeError> {
-        let (from, to) = text.split_once("..").ok_or(SeedRangeError::Form)?;
-        let number = |text: &str| text.parse::<u32>().map_err(|_| SeedRangeError::Form);
-        let (from, to) = (u64::from(number(from)?), u64::from(number(to)?));
+        let (from, to) = text.split_once("..").ok_or(SeedRangeError::InvalidFormat)?;
+        let parse_seed = |text: &str| {
+            text.parse::<u32>()
+                .map_err(|_| SeedRangeError::InvalidFormat)
+        };
+        let (from, to) = (u64::from(parse_seed(from)?), u64::from(parse_seed(to)?));
         if from >= to {
             return Err(SeedRangeError::Empty);
         }
--- a/crates/worksshunt-search/src/seeds/tests.rs
+++ b/crates/worksshunt-search/src/seeds/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 #[test]
-fn a_range_is_read_and_moved() {
+fn range_is_parsed_and_shifted() {
     let range: SeedRange = "3..9".parse().expect("a range");
     assert_eq!(range, SeedRange { from: 3, to: 9 });
-    assert_eq!(range.later(10), SeedRange { from: 13, to: 19 });
+    assert_eq!(range.shifted(10), SeedRange { from: 13, to: 19 });
 }
 
 #[test]
-fn what_is_no_range_is_refused() {
+fn invalid_and_empty_ranges_are_rejected() {
     for text in [
         "",
         "5",
@@ -25,7 +25,7 @@
     ] {
         assert_eq!(
             text.parse::<SeedRange>(),
-            Err(SeedRangeError::Form),
+            Err(SeedRangeError::InvalidFormat),
             "{text}"
         );
     }
