--- a/crates/worksshunt-measure/src/loopback/cloud.rs
+++ b/crates/worksshunt-measure/src/loopback/cloud.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the cloud provider, over HTTP on the loopback interface. It owns the machines, which are workers in this
-//! process, each with an address of its own; the controllers send it requests.
+//! Fake of the cloud provider with an HTTP interface for the controllers. Its machines are workers in this process,
+//! each with its own address.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,59 +16,62 @@
 };
 use worksshunt_wire::MachineId;
 
-use super::observer::Observer;
-use super::surroundings::Plan;
+use super::environment::EnvironmentConfig;
+use super::observer::TaskObserver;
 use super::worker::{self, Worker};
-use super::{malformed, Handled, TASKS_PER_MACHINE};
+use super::{malformed_request, ResponseFuture, TASKS_PER_MACHINE};
 
-/// Machines in one page of the list (protocol).
-const PAGE: usize = 500;
-/// The only machine type.
+/// Maximum number of machines in a page of the machine list (protocol).
+const MACHINE_LIST_PAGE_SIZE: usize = 500;
+/// Name of the only machine type.
 pub const MACHINE_TYPE: &str = "m4";
 
-/// A machine that is provisioned.
 pub struct Machine {
-    /// Its worker.
     pub worker: Rc<Worker>,
     provisioned_at: Instant,
 }
 
-/// The cloud and its machines.
+/// Fake cloud and its machines.
 pub struct Cloud {
-    plan: Rc<Plan>,
+    config: Rc<EnvironmentConfig>,
     executor: Rc<Executor>,
-    observer: Rc<Observer>,
-    /// How many machines were ever provisioned.
-    provisioned: Cell<usize>,
-    /// Machines that exist.
+    observer: Rc<TaskObserver>,
+    /// Number of machines provisioned so far, including terminated ones.
+    provisioned_count: Cell<usize>,
+    /// Machines that are not terminated.
     pub machines: RefCell<BTreeMap<MachineId, Machine>>,
 }
 
 impl Cloud {
-    /// A cloud that provisions at most as many machines as the plan says.
-    pub fn new(plan: Rc<Plan>, executor: Rc<Executor>, observer: Rc<Observer>) -> Rc<Cloud> {
+    /// Creates a cloud without machines.
+    pub fn new(
+        config: Rc<EnvironmentConfig>,
+        executor: Rc<Executor>,
+        observer: Rc<TaskObserver>,
+    ) -> Rc<Cloud> {
         Rc::new(Cloud {
-            plan,
+            config,
             executor,
             observer,
-            provisioned: Cell::new(0),
+            provisioned_count: Cell::new(0),
             machines: RefCell::new(BTreeMap::new()),
         })
     }
 
+    /// Provisions the requested machines as far as the maximum allows, and starts their workers.
     fn provision(&self, request: &ProvisionRequest) -> HttpResponse {
-        let free = self
-            .plan
-            .machines
+        let available = self
+            .config
+            .max_machines
             .saturating_sub(self.machines.borrow().len());
-        let count = free.min(request.machine_count as usize);
+        let count = available.min(request.machine_count as usize);
         if count == 0 {
             return HttpResponse::error(503, "no capacity");
         }
-        let mut machines = Vec::new();
+        let mut ids = Vec::new();
         for _ in 0..count {
-            let number = self.provisioned.get();
-            self.provisioned.set(number + 1);
+            let number = self.provisioned_count.get();
+            self.provisioned_count.set(number + 1);
             let id = MachineId(format!("i-{number:06}"));
             let worker = Worker::new(id.clone(), number, request);
             let machine = Machine {
@@ -76,12 +79,12 @@
                 provisioned_at: Instant::now(),
             };
             self.machines.borrow_mut().insert(id.clone(), machine);
-            let (plan, observer) = (Rc::clone(&self.plan), Rc::clone(&self.observer));
-            let running = worker::run(worker, plan, observer, Rc::clone(&self.executor));
-            self.executor.spawn(running).detach();
-            machines.push(id);
+            let (config, observer) = (Rc::clone(&self.config), Rc::clone(&self.observer));
+            let worker_run = worker::run(worker, config, observer, Rc::clone(&self.executor));
+            self.executor.spawn(worker_run).detach();
+            ids.push(id);
         }
-        HttpResponse::json(200, &MachineIds { ids: machines })
+        HttpResponse::json(200, &MachineIds { ids })
     }
 
     fn terminate(&self, request: &MachineIds) -> HttpResponse {
@@ -93,13 +96,14 @@
         HttpResponse::json(200, &())
     }
 
+    /// One page of the machine list, with the machines whose ids follow `since`.
     fn list(&self, since: &str) -> HttpResponse {
-        let all = self.machines.borrow();
+        let all_machines = self.machines.borrow();
         let listed = |(id, machine): (&MachineId, &Machine)| ListedMachine {
             id: id.clone(),
             machine_type: MACHINE_TYPE.into(),
             zone: machine.worker.zone.clone(),
-            is_spot: machine.worker.spot,
+            is_spot: machine.worker.is_spot,
             state: if machine.worker.is_booted() {
                 ListedState::Running
             } else {
@@ -107,21 +111,18 @@
             },
             age_s: machine.provisioned_at.elapsed().as_secs_f64(),
         };
-        let after = all.iter().filter(|(id, _)| id.0.as_str() > since);
-        let mut machines: Vec<ListedMachine> = after.take(PAGE + 1).map(listed).collect();
-        let more = machines.len() > PAGE;
-        machines.truncate(PAGE);
-        HttpResponse::json(
-            200,
-            &MachineList {
-                machines,
-                has_more: more,
-            },
-        )
+        let following = all_machines.iter().filter(|(id, _)| id.0.as_str() > since);
+        let mut machines: Vec<ListedMachine> = following
+            .take(MACHINE_LIST_PAGE_SIZE + 1)
+            .map(listed)
+            .collect();
+        let has_more = machines.len() > MACHINE_LIST_PAGE_SIZE;
+        machines.truncate(MACHINE_LIST_PAGE_SIZE);
+        HttpResponse::json(200, &MachineList { machines, has_more })
     }
 
-    /// Answers a request.
-    pub fn handle(self: Rc<Self>, incoming: HttpRequest) -> Handled {
+    /// Handles a request of a controller.
+    pub fn handle(self: Rc<Self>, incoming: HttpRequest) -> ResponseFuture {
         Box::pin(async move {
             let body = incoming.body.as_deref().unwrap_or_default();
             match (incoming.method, incoming.path.as_str()) {
@@ -131,13 +132,13 @@
                 }
                 (Method::Post, "/machines") => match serde_json::from_slice(body) {
                     Ok(request) => self.provision(&request),
-                    Err(_) => malformed(),
+                    Err(_) => malformed_request(),
                 },
                 (Method::Post, "/machines/return") => match serde_json::from_slice(body) {
                     Ok(request) => self.terminate(&request),
-                    Err(_) => malformed(),
+                    Err(_) => malformed_request(),
                 },
-                _ => malformed(),
+                _ => malformed_request(),
             }
         })
     }
--- a/crates/worksshunt-measure/src/loopback/controllers.rs
+++ b/crates/worksshunt-measure/src/loopback/controllers.rs
@@ -1,5 +1,5 @@
-//! The real controllers: writes their settings, and owns their processes, each with a program of its own. The commands
-//! `loopback` and `upgrade` start and kill them.
+//! The real controllers: writes their settings, and starts and kills their processes. Each controller can run another
+//! program.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -8,37 +8,37 @@
 use serde_json::json;
 use worksshunt_simulation::large_settings;
 
-use super::process::Usage;
-use super::surroundings::{
-    address, CLOUD_PORT, CONTROLLERS_PORT, HEARTBEAT_INTERVAL, KV_STORE_PORT, WORKER_LEASE,
+use super::environment::{
+    address, CLOUD_PORT, FIRST_CONTROLLER_PORT, HEARTBEAT_INTERVAL, KV_STORE_PORT, WORKER_LEASE,
 };
+use super::process::ProcessUsage;
 use crate::MeasureError;
 
-/// How many controllers there are.
-pub const CONTROLLERS: usize = 3;
-/// How long after a cancellation tasks may still run, seconds.
+pub const CONTROLLER_COUNT: usize = 3;
+/// Setting `cancel_s`: time within which a cancelled job's tasks must have ended.
 const CANCEL_S: f64 = 46.5;
-/// Distance of a controller's port for its peers from the one for users and workers.
+/// Offset of a controller's port for other controllers from its port for users and workers.
 const PEER_PORT_OFFSET: u16 = 10;
 
 struct Controller {
-    /// What its next start runs.
+    /// Program that the next start runs.
     program: PathBuf,
-    /// Its process from a start to the next kill.
+    /// Process; `None` before the first start and after a kill.
     child: Option<Child>,
 }
 
-/// The controllers; dropping it kills those that still run.
+/// All controllers. Dropping it kills the processes that still run.
 pub struct Controllers {
+    /// Folder of settings and logs.
     folder: PathBuf,
-    all: Vec<Controller>,
+    controllers: Vec<Controller>,
 }
 
 impl Controllers {
-    /// Controllers that all run this program, none of them started; writes their settings.
+    /// Writes the settings of all controllers, which run `program`. Starts none of them.
     ///
     /// # Errors
-    /// The folder or a file of settings cannot be written.
+    /// The folder or a settings file cannot be written.
     pub fn new(
         folder: PathBuf,
         program: &Path,
@@ -53,24 +53,24 @@
         };
         Ok(Controllers {
             folder,
-            all: (0..CONTROLLERS).map(stopped).collect(),
+            controllers: (0..CONTROLLER_COUNT).map(stopped).collect(),
         })
     }
 
-    /// Sets the program that a controller runs from its next start on.
+    /// Sets the program of a controller, from its next start on.
     pub fn set_program(&mut self, node: usize, program: &Path) {
-        self.all[node].program = program.to_owned();
+        self.controllers[node].program = program.to_owned();
     }
 
-    /// Starts a controller; its log is appended to.
+    /// Starts a controller and appends its output to its log.
     ///
     /// # Errors
-    /// The log cannot be opened, or the program cannot be run.
+    /// The log cannot be opened, or the program cannot be started.
     pub fn start(&mut self, node: usize) -> Result<(), MeasureError> {
         let log = self.folder.join(format!("n{node}.log"));
         let file = File::options().create(true).append(true).open(&log);
         let file = file.map_err(|error| MeasureError::File(log, error))?;
-        let controller = &mut self.all[node];
+        let controller = &mut self.controllers[node];
         let child = Command::new(&controller.program)
             .arg("--config")
             .arg(self.folder.join(format!("n{node}.json")))
@@ -83,44 +83,47 @@
         Ok(())
     }
 
-    /// Kills a controller's process (SIGKILL), without a shutdown.
+    /// Kills a controller's process with SIGKILL, if it was started, and waits for its exit.
     pub fn kill(&mut self, node: usize) {
-        if let Some(mut child) = self.all[node].child.take() {
+        if let Some(mut child) = self.controllers[node].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Whether a controller was started and not killed.
+    /// Whether a controller was started and not killed since. It may have exited by itself.
     pub fn is_started(&self, node: usize) -> bool {
-        self.all[node].child.is_some()
+        self.controllers[node].child.is_some()
     }
 
-    /// Resource usage of each; zero for those that do not run.
-    pub fn usage(&self) -> Vec<Usage> {
+    /// Resource usage of each controller; zero for those that do not run.
+    pub fn usage(&self) -> Vec<ProcessUsage> {
         let usage = |controller: &Controller| {
             let child = controller.child.as_ref();
-            child.map_or_else(Usage::default, |child| Usage::of(child.id()))
+            child.map_or_else(ProcessUsage::default, |child| {
+                ProcessUsage::read(child.id())
+            })
         };
-        self.all.iter().map(usage).collect()
+        self.controllers.iter().map(usage).collect()
     }
 }
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        (0..self.all.len()).for_each(|node| self.kill(node));
+        (0..self.controllers.len()).for_each(|node| self.kill(node));
     }
 }
 
+/// Writes the settings file of each controller: those of a large deployment, on the loopback interface.
 fn write_settings(folder: &Path, machines: usize, sockets: usize) -> Result<(), MeasureError> {
-    let port = |node: usize| CONTROLLERS_PORT + node as u16;
-    for node in 0..CONTROLLERS {
+    let port = |node: usize| FIRST_CONTROLLER_PORT + node as u16;
+    for node in 0..CONTROLLER_COUNT {
         let mut settings = large_settings(node, machines);
         settings.client_listen = address(port(node)).to_string();
         settings.internal_addr = address(port(node) + PEER_PORT_OFFSET).to_string();
         for peer in &mut settings.peers {
-            let other: usize = peer.host_name.0[1..].parse().unwrap_or(0);
-            peer.endpoint = address(port(other) + PEER_PORT_OFFSET).to_string();
+            let peer_node: usize = peer.host_name.0[1..].parse().unwrap_or(0);
+            peer.endpoint = address(port(peer_node) + PEER_PORT_OFFSET).to_string();
         }
         settings.services.key_value_store = address(KV_STORE_PORT).to_string();
         settings.services.cloud = address(CLOUD_PORT).to_string();
--- a/crates/worksshunt-measure/src/loopback/key_value_store.rs
+++ b/crates/worksshunt-measure/src/loopback/key_value_store.rs
@@ -1,5 +1,4 @@
-//! Stand-in of the key-value store, over HTTP on the loopback interface. It owns the records; the controllers send it
-//! requests, and the measurements read the epoch from it.
+//! Fake of the key-value store with an HTTP interface for the controllers. The upgrade reads the epoch directly.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,22 +15,22 @@
 use worksshunt_wire::key_value::{CompareAndSwap, Conflict, Lease, Listing, StoreRevision};
 use worksshunt_wire::Revision;
 
-use super::{malformed, Handled};
+use super::{malformed_request, ResponseFuture};
 
-/// How often a watch checks for changes.
+/// Interval at which a watch checks for changes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Records in one page of a listing if the request does not limit them.
-const DEFAULT_PAGE: u64 = 1_000;
+/// Maximum number of records in a page of a listing, unless the request sets one.
+const DEFAULT_PAGE_SIZE: u64 = 1_000;
 
-/// Name of the leader in a record of an epoch.
-fn leader_of(epoch: &Value) -> Option<String> {
+/// Name of the leader in the record of an epoch.
+fn leader_name(epoch: &Value) -> Option<String> {
     let name = epoch.pointer("/leader/name")?;
     name.as_str().map(str::to_owned)
 }
 
-/// Names of the members in a record of an epoch; those without a name are left out.
-fn members_of(epoch: &Value) -> Vec<String> {
+/// Names of the members in the record of an epoch; members without a name are skipped.
+fn member_names(epoch: &Value) -> Vec<String> {
     let members = epoch.get("members").and_then(Value::as_array);
     let names = members.into_iter().flatten().map(|member| &member["name"]);
     names
@@ -39,15 +38,14 @@
         .collect()
 }
 
-/// The key-value store.
+/// Fake key-value store.
 pub struct KeyValueStore {
     store: RefCell<Store>,
-    /// The zero of the store's time.
+    /// Origin of the store's clock.
     started_at: Instant,
 }
 
 impl KeyValueStore {
-    /// A store without records.
     pub fn new() -> Rc<KeyValueStore> {
         Rc::new(KeyValueStore {
             store: RefCell::new(Store::default()),
@@ -60,6 +58,7 @@
         self.store.borrow_mut().apply(now_ms, request)
     }
 
+    /// Record of the epoch; `None` if it is not stored yet.
     fn epoch(&self) -> Option<Value> {
         match self.apply(&KvRequest::Get(EPOCH_KEY.to_owned())) {
             KvResponse::Found(pair) => Some(pair.value),
@@ -67,16 +66,15 @@
         }
     }
 
-    /// Name of the leader in the stored epoch, if there is an epoch. Only that field is read, so that the record
-    /// may be of any version.
+    /// Name of the leader in the stored epoch. Reads no other field, so that the record may be of any version. `None`
+    /// without an epoch or a leader.
     pub fn leader(&self) -> Option<String> {
-        leader_of(&self.epoch()?)
+        leader_name(&self.epoch()?)
     }
 
-    /// Names of the members in the stored epoch; none if there is no epoch. Like the leader's, these are the only
-    /// fields that are read.
+    /// Names of the members in the stored epoch; empty without an epoch. Reads no other field either.
     pub fn members(&self) -> Vec<String> {
-        self.epoch().as_ref().map(members_of).unwrap_or_default()
+        self.epoch().as_ref().map(member_names).unwrap_or_default()
     }
 
     /// Executes a request and encodes the response.
@@ -87,12 +85,7 @@
             KvResponse::Found(pair) => HttpResponse::json(200, &pair),
             KvResponse::Committed(revision) => HttpResponse::json(200, &StoreRevision { revision }),
             KvResponse::WatchResponse(changes) => HttpResponse::json(200, &changes),
-            KvResponse::Conflict(failed) => HttpResponse::json(
-                409,
-                &Conflict {
-                    failed_keys: failed,
-                },
-            ),
+            KvResponse::Conflict(failed_keys) => HttpResponse::json(409, &Conflict { failed_keys }),
             KvResponse::Missing => HttpResponse::json(
                 404,
                 &StoreRevision {
@@ -107,23 +100,25 @@
         }
     }
 
+    /// One page of the records whose keys have a prefix and follow `since`.
     fn list(&self, prefix: &str, since: Option<&str>, limit: usize) -> HttpResponse {
-        let KvResponse::Listing(all) = self.apply(&KvRequest::List(prefix.to_owned())) else {
+        let KvResponse::Listing(listing) = self.apply(&KvRequest::List(prefix.to_owned())) else {
             return HttpResponse::retry_later("not executed");
         };
-        let after = |key: &str| since.is_none_or(|since| key > since);
-        let mut pairs = all.pairs;
-        pairs.retain(|pair| after(&pair.key));
-        let more = pairs.len() > limit;
+        let follows = |key: &str| since.is_none_or(|since| key > since);
+        let mut pairs = listing.pairs;
+        pairs.retain(|pair| follows(&pair.key));
+        let has_more = pairs.len() > limit;
         pairs.truncate(limit);
         let page = Listing {
             pairs,
-            has_more: more,
-            revision: all.revision,
+            has_more,
+            revision: listing.revision,
         };
         HttpResponse::json(200, &page)
     }
 
+    /// Waits for changes after the revision `since`; responds without changes after `timeout`.
     async fn watch(&self, prefix: &str, since: u64, timeout: Duration) -> HttpResponse {
         let deadline = Instant::now() + timeout;
         let request = KvRequest::Watch {
@@ -145,14 +140,14 @@
     fn compare_and_swap(&self, body: &[u8]) -> HttpResponse {
         match serde_json::from_slice::<CompareAndSwap>(body) {
             Ok(request) => self.respond(&KvRequest::CompareAndSwap(request)),
-            Err(_) => malformed(),
+            Err(_) => malformed_request(),
         }
     }
 
     fn get(&self, path: &str) -> HttpResponse {
         match path.strip_prefix("kv/") {
             Some(key) => self.respond(&KvRequest::Get(key.to_owned())),
-            None => malformed(),
+            None => malformed_request(),
         }
     }
 
@@ -161,12 +156,12 @@
         let lease = lease.and_then(|rest| rest.strip_suffix("/renew"));
         match lease.and_then(|lease| lease.parse().ok()) {
             Some(lease) => self.respond(&KvRequest::RenewLease(lease)),
-            None => malformed(),
+            None => malformed_request(),
         }
     }
 
-    /// Answers a request.
-    pub fn handle(self: Rc<Self>, incoming: HttpRequest) -> Handled {
+    /// Handles a request of a controller.
+    pub fn handle(self: Rc<Self>, incoming: HttpRequest) -> ResponseFuture {
         Box::pin(async move {
             let number = |name| {
                 incoming
@@ -177,7 +172,7 @@
             let path = incoming.path.trim_start_matches('/');
             match (incoming.method, path) {
                 (Method::Get, "kv") => {
-                    let limit = number("Most").unwrap_or(DEFAULT_PAGE) as usize;
+                    let limit = number("Most").unwrap_or(DEFAULT_PAGE_SIZE) as usize;
                     self.list(prefix, incoming.query_value("Since"), limit)
                 }
                 (Method::Get, "follow") => {
--- a/crates/worksshunt-measure/src/loopback/measurement.rs
+++ b/crates/worksshunt-measure/src/loopback/measurement.rs
@@ -1,14 +1,14 @@
-//! Measures three real controllers: filling the machines, the steady state, one controller alone, and recovery. It owns
-//! the controllers' processes; the command `loopback` calls it.
+//! The command `loopback`: measures three real controllers while they fill the machines, in the steady state, with two
+//! of them killed, and during recovery.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
 
-use super::controllers::{Controllers, CONTROLLERS};
-use super::process::Usage;
-use super::surroundings::Surroundings;
+use super::controllers::{Controllers, CONTROLLER_COUNT};
+use super::environment::Environment;
+use super::process::ProcessUsage;
 use super::users::{submit, unlimited_job};
 use super::wait::{describe_wait, wait_until, POLL_INTERVAL};
 use super::TASKS_PER_MACHINE;
@@ -16,125 +16,125 @@
 
 pub mod arguments;
 
-/// Tasks of a job.
-const JOB_TASKS: u32 = 200;
-/// How long a task runs.
-const TASK_RUN: Duration = Duration::from_secs(40);
-/// Run time that a job's owner estimates for a task, seconds.
-const ESTIMATE_S: f64 = 60.0;
-/// How long a phase may take.
+const TASKS_PER_JOB: u32 = 200;
+const TASK_DURATION: Duration = Duration::from_secs(40);
+/// Estimated duration of a task, as submitted with a job.
+const TASK_ESTIMATE_S: f64 = 60.0;
+/// Time limit of a phase.
 const PHASE_TIMEOUT: Duration = Duration::from_secs(180);
-/// Time over which resource usage is measured.
+/// Duration of a measurement of resource usage.
 const USAGE_WINDOW: Duration = Duration::from_secs(15);
-/// The controller that is left alone.
-const REMAINING: usize = 2;
+/// Controller that is not killed.
+const REMAINING_NODE: usize = 2;
 
-/// The measurement that is running.
 struct Measurement<'a> {
-    surroundings: &'a Surroundings,
+    environment: &'a Environment,
     controllers: Controllers,
-    jobs: u64,
+    /// Number of jobs to submit.
+    job_count: u64,
 }
 
 impl Measurement<'_> {
-    fn tasks_on_full_machines(&self) -> usize {
-        self.surroundings.plan.machines * TASKS_PER_MACHINE
+    /// Tasks that fit on all machines.
+    fn task_capacity(&self) -> usize {
+        self.environment.config.max_machines * TASKS_PER_MACHINE
     }
 
-    /// Submits all jobs, each until a controller accepts it.
+    /// Submits all jobs, each to one of the controllers in turn; retries until the job is accepted.
     async fn submit_jobs(&self) {
-        let nodes = &self.surroundings.plan.nodes;
-        for id in 1..=self.jobs {
-            let request = unlimited_job(id, JOB_TASKS, ESTIMATE_S);
-            let address = nodes[id as usize % CONTROLLERS].address;
+        let nodes = &self.environment.config.nodes;
+        for id in 1..=self.job_count {
+            let request = unlimited_job(id, TASKS_PER_JOB, TASK_ESTIMATE_S);
+            let address = nodes[id as usize % CONTROLLER_COUNT].address;
             while !submit(address, &request).await {
                 Timer::after(POLL_INTERVAL).await;
             }
         }
     }
 
+    /// Measures and prints the resource usage of the running controllers.
     async fn print_usage(&self, phase: &str) {
         let before = self.controllers.usage();
         Timer::after(USAGE_WINDOW).await;
-        let now = self.controllers.usage();
-        for (node, (now, before)) in now.iter().zip(&before).enumerate() {
-            if is_running(now) {
+        let after = self.controllers.usage();
+        for (node, (after, before)) in after.iter().zip(&before).enumerate() {
+            if is_running(after) {
                 println!(
                     "{phase}: n{node} {}",
-                    now.describe_since(before, USAGE_WINDOW)
+                    after.describe_since(before, USAGE_WINDOW)
                 );
             }
         }
     }
 
-    /// Fills the machines with jobs, and measures the steady state.
-    async fn fill(&self) {
+    /// Submits the jobs, waits until the machines are 90% full, and measures the steady state.
+    async fn fill_machines(&self) {
         self.submit_jobs().await;
-        let Surroundings {
-            plan,
+        let Environment {
+            config,
             cloud,
             observer,
             ..
-        } = self.surroundings;
-        let is_full =
-            || observer.observations().running.len() >= self.tasks_on_full_machines() * 9 / 10;
+        } = self.environment;
+        let is_full = || observer.observations().running.len() >= self.task_capacity() * 9 / 10;
         println!(
             "{} machines, nine tenths full: {}",
-            plan.machines,
+            config.max_machines,
             describe_wait(wait_until(PHASE_TIMEOUT, is_full).await)
         );
-        let booted = {
+        let booted_count = {
             let machines = cloud.machines.borrow();
             let booted = machines.values().filter(|m| m.worker.is_booted());
             booted.count()
         };
-        println!("workers up: {booted}");
+        println!("workers up: {booted_count}");
         self.print_usage("three controllers").await;
     }
 
-    /// How many heartbeats of each worker were answered.
+    /// Number of answered heartbeats of each worker.
     fn answered_heartbeats(&self) -> Vec<u64> {
-        let machines = self.surroundings.cloud.machines.borrow();
+        let machines = self.environment.cloud.machines.borrow();
         let workers = machines.values().map(|machine| &machine.worker);
         workers.map(|w| w.answered_heartbeats.get()).collect()
     }
 
-    /// Whether the remaining controller has answered 99% of the workers since an earlier count.
-    fn is_answered_by_remaining(&self, before: &[u64]) -> bool {
-        let machines = self.surroundings.cloud.machines.borrow();
+    /// Whether 99% of the workers send their heartbeats to the remaining controller and got a response since `before`
+    /// was counted.
+    fn has_remaining_node_answered_workers(&self, before: &[u64]) -> bool {
+        let machines = self.environment.cloud.machines.borrow();
         let workers = machines.values().map(|machine| &machine.worker);
         let answered = workers.zip(before).filter(|(worker, before)| {
-            worker.controller.get() == REMAINING && worker.answered_heartbeats.get() > **before
+            worker.controller.get() == REMAINING_NODE && worker.answered_heartbeats.get() > **before
         });
         answered.count() >= machines.len() * 99 / 100
     }
 
-    /// Kills two controllers, and measures the remaining one; when they were killed.
-    async fn leave_one_alone(&mut self) -> Instant {
-        for node in (0..CONTROLLERS).filter(|node| *node != REMAINING) {
+    /// Kills two controllers and measures the remaining one. Returns the time of the kill.
+    async fn measure_remaining_node(&mut self) -> Instant {
+        for node in (0..CONTROLLER_COUNT).filter(|node| *node != REMAINING_NODE) {
             self.controllers.kill(node);
         }
         let killed_at = Instant::now();
         let before = self.answered_heartbeats();
-        let is_answered = || self.is_answered_by_remaining(&before);
+        let has_answered = || self.has_remaining_node_answered_workers(&before);
         println!(
             "one controller answers 99% of the workers: {}",
-            describe_wait(wait_until(PHASE_TIMEOUT, is_answered).await)
+            describe_wait(wait_until(PHASE_TIMEOUT, has_answered).await)
         );
         self.print_usage("one alone").await;
         killed_at
     }
 
-    /// Restarts the killed controllers, and waits until all tasks have completed.
+    /// Restarts the killed controllers, waits until all tasks have completed, and prints the counts of tasks.
     async fn recover(&mut self, killed_at: Instant) -> Result<(), MeasureError> {
-        for node in (0..CONTROLLERS).filter(|node| *node != REMAINING) {
+        for node in (0..CONTROLLER_COUNT).filter(|node| *node != REMAINING_NODE) {
             self.controllers.start(node)?;
         }
-        let observer = &self.surroundings.observer;
-        let tasks = self.jobs as usize * JOB_TASKS as usize;
-        let is_done = || observer.observations().completed.len() >= tasks;
+        let observer = &self.environment.observer;
+        let task_count = self.job_count as usize * TASKS_PER_JOB as usize;
+        let is_done = || observer.observations().completed.len() >= task_count;
         println!(
-            "all {tasks} tasks completed: {}",
+            "all {task_count} tasks completed: {}",
             describe_wait(wait_until(PHASE_TIMEOUT, is_done).await)
         );
         let observations = observer.observations();
@@ -149,23 +149,23 @@
     }
 
     async fn run_all(mut self) -> Result<(), MeasureError> {
-        (0..CONTROLLERS).try_for_each(|node| self.controllers.start(node))?;
-        self.fill().await;
-        let killed_at = self.leave_one_alone().await;
+        (0..CONTROLLER_COUNT).try_for_each(|node| self.controllers.start(node))?;
+        self.fill_machines().await;
+        let killed_at = self.measure_remaining_node().await;
         self.recover(killed_at).await
     }
 }
 
-/// Whether that is the usage of a process that runs.
-fn is_running(usage: &Usage) -> bool {
+/// Whether the usage was read from a running process.
+fn is_running(usage: &ProcessUsage) -> bool {
     usage.memory_mb > 0.0
 }
 
-/// Measures three controllers of a program with at most `machines` workers. `folder` is for settings and logs; each
-/// controller's settings allow it `sockets` sockets.
+/// Measures three controllers that run `program`, with at most `machines` machines. `folder` is for settings and logs,
+/// `sockets` is the limit of sockets in each controller's settings.
 ///
 /// # Errors
-/// Too few sockets, or a file, port or process that cannot be used.
+/// `sockets` is too low, or a file, port or process cannot be used.
 pub fn run(
     program: &Path,
     folder: PathBuf,
@@ -174,12 +174,12 @@
 ) -> Result<(), MeasureError> {
     arguments::check_sockets(sockets)?;
     let controllers = Controllers::new(folder, program, machines, sockets)?;
-    let surroundings = Surroundings::new(machines, TASK_RUN)?;
-    let tasks = machines * TASKS_PER_MACHINE * 2;
+    let environment = Environment::new(machines, TASK_DURATION)?;
+    let task_count = machines * TASKS_PER_MACHINE * 2;
     let measurement = Measurement {
-        surroundings: &surroundings,
+        environment: &environment,
         controllers,
-        jobs: tasks.div_ceil(JOB_TASKS as usize) as u64,
+        job_count: task_count.div_ceil(TASKS_PER_JOB as usize) as u64,
     };
-    async_io::block_on(surroundings.executor.run(measurement.run_all()))
+    async_io::block_on(environment.executor.run(measurement.run_all()))
 }
--- a/crates/worksshunt-measure/src/loopback/measurement/arguments/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/measurement/arguments/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn too_few_sockets_are_refused_on_one_line() {
+fn too_few_sockets_are_rejected_in_one_line() {
     assert_eq!(check_sockets(64), Ok(()));
     let message = check_sockets(63).map_err(|error| error.to_string());
     let expected =
--- a/crates/worksshunt-measure/src/loopback/mod.rs
+++ b/crates/worksshunt-measure/src/loopback/mod.rs
@@ -1,5 +1,5 @@
-//! Real controllers on the loopback interface, with stand-ins of everything around them: key-value store, cloud,
-//! workers and users. The commands `loopback` ([`measurement`]) and `upgrade` ([`upgrade`]) use it.
+//! Real controller processes on the loopback interface, with in-process fakes of the key-value store, the cloud, the
+//! workers and the users, for the commands `loopback` ([`measurement`]) and `upgrade` ([`upgrade`]).
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,24 +8,24 @@
 
 mod cloud;
 mod controllers;
+mod environment;
 mod key_value_store;
 pub mod measurement;
 mod observer;
 mod process;
-mod surroundings;
 pub mod upgrade;
 mod users;
 mod verdict;
 mod wait;
 mod worker;
 
-/// The future of a response.
-type Handled = Pin<Box<dyn Future<Output = HttpResponse>>>;
+/// Future of the response to a request.
+type ResponseFuture = Pin<Box<dyn Future<Output = HttpResponse>>>;
 
-/// Tasks that a machine holds.
+/// Tasks that fit on a machine.
 const TASKS_PER_MACHINE: usize = 4;
 
-/// The response to a request that is not one of the protocol.
-fn malformed() -> HttpResponse {
+/// Response to a request that does not follow the protocol.
+fn malformed_request() -> HttpResponse {
     HttpResponse::error(400, "malformed")
 }
--- a/crates/worksshunt-measure/src/loopback/observer.rs
+++ b/crates/worksshunt-measure/src/loopback/observer.rs
@@ -1,5 +1,5 @@
-//! Observes what runs on the workers, independently of the controllers. It owns the history of every task; the workers
-//! record starts and ends, and the measurements read them.
+//! History of all tasks as the workers run them, independent of the controllers' view. The workers record starts and
+//! ends; the commands check them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,41 +10,41 @@
 /// History of one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskHistory {
-    /// When it started first.
+    /// Time of the first start.
     pub first_start: Instant,
-    /// How often it started.
+    /// Number of starts.
     pub starts: usize,
-    /// How often it completed.
+    /// Number of completions.
     pub completions: usize,
 }
 
-/// What was observed of all tasks.
+/// Records of all tasks so far.
 #[derive(Debug, Default, Clone)]
 pub struct Observations {
-    /// Tasks that run now, each with the number of workers that run it.
+    /// Running tasks, each with the number of workers that run it.
     pub running: BTreeMap<TaskId, usize>,
-    /// Tasks that completed.
+    /// Tasks that completed at least once.
     pub completed: BTreeSet<TaskId>,
-    /// All tasks that ever started.
+    /// Histories of all tasks that started at least once.
     pub histories: BTreeMap<TaskId, TaskHistory>,
-    /// Starts of tasks.
+    /// Number of starts of all tasks.
     pub starts: usize,
-    /// Starts of a task while another worker ran it.
+    /// Number of starts of a task that was already running.
     pub concurrent_starts: usize,
 }
 
-/// The observer.
+/// Recorder of the tasks' starts and ends.
 #[derive(Debug, Default)]
-pub struct Observer(RefCell<Observations>);
+pub struct TaskObserver(RefCell<Observations>);
 
-impl Observer {
-    /// What was observed so far.
+impl TaskObserver {
+    /// Records so far.
     pub fn observations(&self) -> std::cell::Ref<'_, Observations> {
         self.0.borrow()
     }
 
-    /// Records that a task starts on a worker.
-    pub fn started(&self, task: TaskId) {
+    /// Records the start of a task on a worker.
+    pub fn record_start(&self, task: TaskId) {
         let mut observations = self.0.borrow_mut();
         observations.starts += 1;
         let history = observations
@@ -56,23 +56,23 @@
                 completions: 0,
             });
         history.starts += 1;
-        let copies = observations.running.entry(task).or_default();
-        *copies += 1;
-        if *copies > 1 {
+        let worker_count = observations.running.entry(task).or_default();
+        *worker_count += 1;
+        if *worker_count > 1 {
             observations.concurrent_starts += 1;
         }
     }
 
-    /// Records that a task has ended on its worker.
-    pub fn ended(&self, task: TaskId, completed: bool) {
+    /// Records the end of a task on a worker, by completion or otherwise.
+    pub fn record_end(&self, task: TaskId, is_completed: bool) {
         let mut observations = self.0.borrow_mut();
-        if let Some(copies) = observations.running.get_mut(&task) {
-            *copies -= 1;
-            if *copies == 0 {
+        if let Some(worker_count) = observations.running.get_mut(&task) {
+            *worker_count -= 1;
+            if *worker_count == 0 {
                 observations.running.remove(&task);
             }
         }
-        if completed {
+        if is_completed {
             observations.completed.insert(task);
             if let Some(history) = observations.histories.get_mut(&task) {
                 history.completions += 1;
--- a/crates/worksshunt-measure/src/loopback/observer/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/observer/tests.rs
@@ -10,13 +10,13 @@
 };
 
 #[test]
-fn each_start_and_completion_of_a_task_is_counted() {
-    let observer = Observer::default();
-    observer.started(TASK);
+fn starts_and_completions_of_a_task_are_counted() {
+    let observer = TaskObserver::default();
+    observer.record_start(TASK);
     let first_start = observer.observations().histories[&TASK].first_start;
-    observer.ended(TASK, false);
-    observer.started(TASK);
-    observer.ended(TASK, true);
+    observer.record_end(TASK, false);
+    observer.record_start(TASK);
+    observer.record_end(TASK, true);
     let expected = TaskHistory {
         first_start,
         starts: 2,
--- a/crates/worksshunt-measure/src/loopback/process.rs
+++ b/crates/worksshunt-measure/src/loopback/process.rs
@@ -1,59 +1,61 @@
-//! Resource usage of a process, read from `/proc`. It owns no state; `controllers` calls it.
+//! Resource usage of a process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// Ticks per second of the kernel's processor times.
-const TICKS_PER_S: f64 = 100.0;
+/// Unit of processor times in `/proc` (`USER_HZ`).
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// Resource usage of a process.
+/// Resource usage of a process at a point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Resident memory, MB.
     pub memory_mb: f64,
-    /// Open files, nearly all of them sockets.
-    pub files: usize,
-    /// Threads.
+    /// Open file descriptors, including sockets.
+    pub open_files: usize,
+    /// Number of threads.
     pub threads: usize,
-    /// Processor time since its start, seconds.
-    pub processor_s: f64,
+    /// User and system time since the start of the process, seconds.
+    pub processor_time_s: f64,
 }
 
-/// The number after a name in the text of `/proc/PID/status`.
-fn status_number(text: &str, name: &str) -> Option<f64> {
-    let line = text.lines().find(|line| line.starts_with(name))?;
+/// Value of a numeric field in `/proc/PID/status`; `field` includes the colon.
+fn parse_status_field(text: &str, field: &str) -> Option<f64> {
+    let line = text.lines().find(|line| line.starts_with(field))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Ticks of user and system time in the text of `/proc/PID/stat`, counted from the end of the name in parentheses.
-fn processor_ticks(text: &str) -> Option<f64> {
+/// Sum of user and system time, in clock ticks, in `/proc/PID/stat`. Fields are counted from the closing parenthesis of
+/// the program's name, which may contain spaces and parentheses.
+fn parse_processor_ticks(text: &str) -> Option<f64> {
     let fields: Vec<&str> = text.rsplit(')').next()?.split_whitespace().collect();
     let user: f64 = fields.get(11)?.parse().ok()?;
     let system: f64 = fields.get(12)?.parse().ok()?;
     Some(user + system)
 }
 
-impl Usage {
-    /// Usage of the process of that id; zero if there is none.
-    pub fn of(pid: u32) -> Usage {
-        let read =
+impl ProcessUsage {
+    /// Reads the usage of a process; zero if it does not exist.
+    pub fn read(pid: u32) -> ProcessUsage {
+        let read_file =
             |name: &str| fs::read_to_string(format!("/proc/{pid}/{name}")).unwrap_or_default();
-        let status = read("status");
-        let files = fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |files| files.count());
-        Usage {
-            memory_mb: status_number(&status, "VmRSS:").unwrap_or(0.0) / 1_000.0,
-            files,
-            threads: status_number(&status, "Threads:").unwrap_or(0.0) as usize,
-            processor_s: processor_ticks(&read("stat")).unwrap_or(0.0) / TICKS_PER_S,
+        let status = read_file("status");
+        let open_files = fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |files| files.count());
+        ProcessUsage {
+            memory_mb: parse_status_field(&status, "VmRSS:").unwrap_or(0.0) / 1_000.0,
+            open_files,
+            threads: parse_status_field(&status, "Threads:").unwrap_or(0.0) as usize,
+            processor_time_s: parse_processor_ticks(&read_file("stat")).unwrap_or(0.0)
+                / CLOCK_TICKS_PER_S,
         }
     }
 
-    /// Describes it, with the processors used on average since an earlier reading that long ago.
-    pub fn describe_since(&self, earlier: &Usage, elapsed: Duration) -> String {
-        let processors = (self.processor_s - earlier.processor_s) / elapsed.as_secs_f64();
+    /// Formats the usage, with the average number of processors used since `earlier`, which was read `elapsed` before.
+    pub fn describe_since(&self, earlier: &ProcessUsage, elapsed: Duration) -> String {
+        let processors = (self.processor_time_s - earlier.processor_time_s) / elapsed.as_secs_f64();
         format!(
             "memory {:.1} MB, {} open files, {} threads, {:.2} of a processor",
-            self.memory_mb, self.files, self.threads, processors
+            self.memory_mb, self.open_files, self.threads, processors
         )
     }
 }
--- a/crates/worksshunt-measure/src/loopback/upgrade/arguments.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/arguments.rs
@@ -1,55 +1,55 @@
-//! Checks the arguments of an upgrade before anything is started. It owns no state; `upgrade::run` calls it.
+//! Validation of the arguments of `upgrade`, before anything is started.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
 use super::stage::MAX_LEADERS_KILLED;
-use super::{JOBS_BEFORE, JOB_TASKS};
-use crate::loopback::controllers::CONTROLLERS;
+use super::{JOBS_BEFORE_CHANGE, TASKS_PER_JOB};
+use crate::loopback::controllers::CONTROLLER_COUNT;
 use crate::loopback::TASKS_PER_MACHINE;
 
-/// Fewest machines that hold all tasks of the stage with the most jobs at once.
+/// Minimum number of machines: all tasks of a stage with the maximum number of jobs fit on them at once.
 pub const MIN_MACHINES: usize = {
-    let jobs = JOBS_BEFORE + MAX_LEADERS_KILLED + 1 + CONTROLLERS;
-    (jobs * JOB_TASKS as usize).div_ceil(TASKS_PER_MACHINE)
+    let max_jobs = JOBS_BEFORE_CHANGE + MAX_LEADERS_KILLED + 1 + CONTROLLER_COUNT;
+    (max_jobs * TASKS_PER_JOB as usize).div_ceil(TASKS_PER_MACHINE)
 };
-/// Permission bits of which an executable file has at least one.
-const EXECUTABLE_BITS: u32 = 0o111;
+/// Execute permissions of owner, group and others; an executable file has at least one.
+const EXECUTE_PERMISSIONS: u32 = 0o111;
 
-/// The programs of the two builds.
+/// Controller programs of the two builds.
 #[derive(Debug, Clone)]
 pub struct Programs {
-    /// The one that is upgraded to.
+    /// Program to upgrade to.
     pub new: PathBuf,
-    /// The one that runs first, and again after the rollback.
+    /// Program before the upgrade and after the rollback.
     pub old: PathBuf,
 }
 
-/// Why the arguments are wrong.
+/// Invalid arguments.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UsageError {
-    /// A path does not name an executable file.
-    #[error("{0} is not a program that can be run")]
-    NotAProgram(PathBuf),
-    /// The machines could not hold all jobs of a stage.
+    /// The path is not an executable file.
+    #[error("{0} is not an executable file")]
+    NotExecutable(PathBuf),
+    /// The tasks of a stage may not fit on the machines; at least [`MIN_MACHINES`] are required.
     #[error("{0} machines are too few: at least {MIN_MACHINES}")]
     TooFewMachines(usize),
 }
 
 fn check_program(path: &Path) -> Result<(), UsageError> {
     let is_executable = std::fs::metadata(path)
-        .is_ok_and(|file| file.is_file() && file.permissions().mode() & EXECUTABLE_BITS != 0);
+        .is_ok_and(|file| file.is_file() && file.permissions().mode() & EXECUTE_PERMISSIONS != 0);
     if is_executable {
         Ok(())
     } else {
-        Err(UsageError::NotAProgram(path.to_owned()))
+        Err(UsageError::NotExecutable(path.to_owned()))
     }
 }
 
 /// Checks both programs and the number of machines.
 ///
 /// # Errors
-/// The first argument that is wrong.
+/// The first invalid argument.
 pub fn check(programs: &Programs, machines: usize) -> Result<(), UsageError> {
     check_program(&programs.new)?;
     check_program(&programs.old)?;
--- a/crates/worksshunt-measure/src/loopback/upgrade/jobs.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/jobs.rs
@@ -1,5 +1,4 @@
-//! The jobs of an upgrade: submits them to the controllers, waits for their tasks, and polls the controllers about
-//! them. The state is `Upgrade`'s; its stages call this.
+//! Jobs of an upgrade: submits them, waits for their tasks, and polls the controllers for their states.
 
 use std::time::{Duration, Instant};
 
@@ -7,79 +6,82 @@
 use worksshunt_wire::user::{JobState, JobStatus};
 use worksshunt_wire::JobId;
 
-use super::{Upgrade, JOBS_BEFORE, JOB_TASKS, TASK_RUN};
+use super::{Upgrade, JOBS_BEFORE_CHANGE, TASKS_PER_JOB, TASK_DURATION};
 use crate::loopback::users::{poll, submit, unlimited_job};
 use crate::loopback::verdict::{
-    ControllerJob, DoneAnswers, Histories, Submission, DONE_BOUND, START_BOUND,
+    ControllerJob, DoneResponses, Submission, TaskHistories, DONE_TIMEOUT, START_TIMEOUT,
 };
 use crate::loopback::wait::{wait_until, POLL_INTERVAL};
 
-/// Whether an answer to a poll says that a job is done.
-fn is_done_answer(status: u16, body: &[u8]) -> bool {
-    let answer = serde_json::from_slice::<JobStatus>(body);
-    status == 200 && answer.is_ok_and(|answer| answer.state == JobState::Done)
+/// Whether the response to a poll reports a job as done.
+fn is_done_response(status: u16, body: &[u8]) -> bool {
+    let job_status = serde_json::from_slice::<JobStatus>(body);
+    status == 200 && job_status.is_ok_and(|job_status| job_status.state == JobState::Done)
 }
 
 impl Upgrade<'_> {
-    /// Submits a job to one of these controllers, each in turn until one accepts it.
+    /// Submits a job to these controllers in turn until one accepts it or [`START_TIMEOUT`] has passed.
     pub(super) async fn submit_to(&mut self, nodes: &[usize]) {
         let job = JobId(self.jobs.len() as u64 + 1);
-        let request = unlimited_job(job.0, JOB_TASKS, TASK_RUN.as_secs_f64());
-        let begun_at = Instant::now();
-        let mut accepted = false;
+        let request = unlimited_job(job.0, TASKS_PER_JOB, TASK_DURATION.as_secs_f64());
+        let started_at = Instant::now();
+        let mut is_accepted = false;
         for node in nodes.iter().cycle() {
-            accepted = submit(self.address(*node), &request).await;
-            if accepted || begun_at.elapsed() > START_BOUND {
+            is_accepted = submit(self.address(*node), &request).await;
+            if is_accepted || started_at.elapsed() > START_TIMEOUT {
                 break;
             }
             Timer::after(POLL_INTERVAL).await;
         }
         self.jobs.push(Submission {
             job,
-            tasks: JOB_TASKS,
-            begun_at,
-            accepted,
+            task_count: TASKS_PER_JOB,
+            submission_started_at: started_at,
+            is_accepted,
         });
     }
 
-    /// Waits until a condition holds for all accepted jobs from that index on.
+    /// Waits until a condition holds for all accepted jobs from the index `first_job` on, or until the timeout.
     pub(super) async fn wait_for_jobs(
         &self,
-        first: usize,
+        first_job: usize,
         timeout: Duration,
-        condition: impl Fn(&Submission, &Histories) -> bool,
+        condition: impl Fn(&Submission, &TaskHistories) -> bool,
     ) {
         let holds_for_all = || {
-            let observations = self.surroundings.observer.observations();
-            let mut accepted = self.jobs[first..].iter().filter(|job| job.accepted);
-            accepted.all(|job| condition(job, &observations.histories))
+            let observations = self.environment.observer.observations();
+            let mut accepted_jobs = self.jobs[first_job..].iter().filter(|job| job.is_accepted);
+            accepted_jobs.all(|job| condition(job, &observations.histories))
         };
         wait_until(timeout, holds_for_all).await;
     }
 
-    /// Submits the jobs that run when the stage's change is made, and waits until they have started.
-    pub(super) async fn submit_before(&mut self) {
-        let first = self.jobs.len();
-        for _ in 0..JOBS_BEFORE {
+    /// Submits the jobs that run during the change of a stage, and waits until all their tasks have started.
+    pub(super) async fn submit_before_change(&mut self) {
+        let first_job = self.jobs.len();
+        for _ in 0..JOBS_BEFORE_CHANGE {
             self.submit_to(&self.running_nodes()).await;
         }
-        let has_started =
-            |job: &Submission, histories: &Histories| job.time_to_last_start(histories).is_some();
-        self.wait_for_jobs(first, START_BOUND, has_started).await;
+        let has_started = |job: &Submission, histories: &TaskHistories| {
+            job.time_to_last_start(histories).is_some()
+        };
+        self.wait_for_jobs(first_job, START_TIMEOUT, has_started)
+            .await;
     }
 
-    /// Asks every running controller about every completed job until it answers that the job is done.
-    pub(super) async fn poll_until_done(&self) -> DoneAnswers {
-        let begun_at = Instant::now();
-        let mut missing = self.expected_done_answers();
-        let mut longest = Duration::ZERO;
-        while !missing.is_empty() && begun_at.elapsed() <= DONE_BOUND {
+    /// Polls every running controller for every completed job until it reports the job as done, or until
+    /// [`DONE_TIMEOUT`] has passed.
+    pub(super) async fn poll_until_done(&self) -> DoneResponses {
+        let started_at = Instant::now();
+        let mut missing = self.expected_done_responses();
+        let mut longest_wait = Duration::ZERO;
+        while !missing.is_empty() && started_at.elapsed() <= DONE_TIMEOUT {
             let mut still_missing = Vec::new();
             for expected in missing {
                 let path = format!("/v2/runs/{}", expected.job);
                 match poll(self.address(expected.node), &path).await {
-                    Some(response) if is_done_answer(response.status, &response.body) => {
-                        longest = begun_at.elapsed();
+                    Some(response) if is_done_response(response.status, &response.body) => {
+                        longest_wait = started_at.elapsed();
                     }
                     _ => still_missing.push(expected),
                 }
@@ -87,21 +89,28 @@
             missing = still_missing;
             Timer::after(POLL_INTERVAL).await;
         }
-        DoneAnswers { longest, missing }
+        DoneResponses {
+            longest_wait,
+            missing,
+        }
     }
 
-    fn expected_done_answers(&self) -> Vec<ControllerJob> {
-        let observations = self.surroundings.observer.observations();
-        let completed = self
+    /// Pairs of each running controller and each accepted job that has completed.
+    fn expected_done_responses(&self) -> Vec<ControllerJob> {
+        let observations = self.environment.observer.observations();
+        let completed_jobs = self
             .jobs
             .iter()
-            .filter(|job| job.accepted && job.is_completed(&observations.histories));
-        let jobs: Vec<JobId> = completed.map(|job| job.job).collect();
-        let of_node = |node| {
+            .filter(|job| job.is_accepted && job.is_completed(&observations.histories));
+        let jobs: Vec<JobId> = completed_jobs.map(|job| job.job).collect();
+        let pairs_of_node = |node| {
             jobs.iter()
                 .map(move |job| ControllerJob { node, job: *job })
         };
-        self.running_nodes().into_iter().flat_map(of_node).collect()
+        self.running_nodes()
+            .into_iter()
+            .flat_map(pairs_of_node)
+            .collect()
     }
 }
 
--- a/crates/worksshunt-measure/src/loopback/upgrade/jobs/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/jobs/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 #[test]
-fn only_a_known_job_that_is_done_is_done() {
+fn only_status_200_with_state_done_is_done() {
     let done = br#"{"Ref":"j-000001","Estado":"done","done":2}"#;
-    assert!(is_done_answer(200, done));
-    assert!(!is_done_answer(503, done));
-    assert!(!is_done_answer(
+    assert!(is_done_response(200, done));
+    assert!(!is_done_response(503, done));
+    assert!(!is_done_response(
         200,
         br#"{"Ref":"j-000001","Estado":"running"}"#
     ));
-    assert!(!is_done_answer(200, b"done"));
+    assert!(!is_done_response(200, b"done"));
 }
--- a/crates/worksshunt-measure/src/loopback/upgrade/stage.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/stage.rs
@@ -1,25 +1,24 @@
-//! The stages of an upgrade and its rollback: which change each makes, and to which controller. It owns no state;
-//! `upgrade` makes the changes.
+//! The stages of an upgrade and its rollback, and the change that each of them makes.
 
 use std::fmt;
 use std::path::Path;
 
 use super::arguments::Programs;
 
-/// How often a leader is killed at most until one of the stage's build leads.
+/// Maximum number of leaders to kill until a controller of the stage's build is the leader.
 pub const MAX_LEADERS_KILLED: usize = 4;
 
-/// Which program a controller runs.
+/// Build of the program that a controller runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Build {
-    /// The one before the upgrade.
+    /// Build before the upgrade.
     Old,
-    /// The one after it.
+    /// Build after the upgrade.
     New,
 }
 
 impl Build {
-    /// Its name in the lines that are printed.
+    /// Name in the printed results.
     pub fn name(self) -> &'static str {
         match self {
             Build::Old => "old",
@@ -27,7 +26,7 @@
         }
     }
 
-    /// Path of its program.
+    /// Program of the build.
     pub fn program(self, programs: &Programs) -> &Path {
         match self {
             Build::Old => &programs.old,
@@ -36,29 +35,29 @@
     }
 }
 
-/// What is changed in a stage.
+/// Change that a stage makes. `from` and `to` are the builds of the [`Stage`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change; all controllers run `from`.
     None,
-    /// A follower gets the other build.
+    /// Replaces a follower of `from` by `to`.
     ReplaceFollower,
-    /// The leader, of the build that is replaced, is killed and restarted with the other build.
+    /// Kills a leader of `from` and restarts it with `to`.
     FailOverAndReplace,
-    /// The leader, of the build that replaces, is killed and restarted with the same build.
+    /// Kills a leader of `to` and restarts it with `to`.
     FailOver,
-    /// The last controller of the build that is replaced gets the other build.
+    /// Replaces the last controller of `from` by `to`.
     ReplaceLast,
 }
 
-/// A stage: a change on the way from one build to the other.
+/// Stage of an upgrade or a rollback. It is displayed as its description in the printed results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stage {
-    /// What is changed.
+    /// Change that the stage makes.
     pub change: Change,
-    /// The build that is replaced.
+    /// Build that is replaced.
     pub from: Build,
-    /// The build that replaces it.
+    /// Build that replaces it.
     pub to: Build,
 }
 
@@ -77,7 +76,8 @@
     }
 }
 
-fn rolling_change(from: Build, to: Build) -> [Stage; 4] {
+/// Stages that replace one build by the other on all three controllers.
+fn rolling_replacement(from: Build, to: Build) -> [Stage; 4] {
     let changes = [
         Change::ReplaceFollower,
         Change::FailOverAndReplace,
@@ -94,16 +94,16 @@
         from: Build::Old,
         to: Build::Old,
     };
-    let mut all = vec![unchanged];
-    all.extend(rolling_change(Build::Old, Build::New));
-    all.extend(rolling_change(Build::New, Build::Old));
-    all
+    let mut stages = vec![unchanged];
+    stages.extend(rolling_replacement(Build::Old, Build::New));
+    stages.extend(rolling_replacement(Build::New, Build::Old));
+    stages
 }
 
-/// The first controller of a build, except for the excluded one.
-pub fn controller_of(builds: &[Build], build: Build, excluded: Option<usize>) -> Option<usize> {
-    let is_candidate = |(node, found): (usize, &Build)| {
-        (*found == build && Some(node) != excluded).then_some(node)
+/// First controller of a build, other than `excluded`.
+pub fn find_controller(builds: &[Build], build: Build, excluded: Option<usize>) -> Option<usize> {
+    let is_candidate = |(node, candidate): (usize, &Build)| {
+        (*candidate == build && Some(node) != excluded).then_some(node)
     };
     builds.iter().enumerate().find_map(is_candidate)
 }
--- a/crates/worksshunt-measure/src/loopback/upgrade/stage/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/stage/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_upgrade_is_followed_by_the_same_stages_backwards() {
+fn rollback_repeats_the_stages_with_builds_swapped() {
     let lines: Vec<String> = stages().iter().map(Stage::to_string).collect();
     let expected = [
         "all on the old build",
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn a_follower_is_not_the_leader() {
+fn excluded_controller_is_not_found() {
     let builds = [Build::Old, Build::New, Build::Old];
-    assert_eq!(controller_of(&builds, Build::Old, Some(0)), Some(2));
-    assert_eq!(controller_of(&builds, Build::Old, Some(1)), Some(0));
-    assert_eq!(controller_of(&builds, Build::New, Some(1)), None);
-    assert_eq!(controller_of(&builds, Build::New, None), Some(1));
+    assert_eq!(find_controller(&builds, Build::Old, Some(0)), Some(2));
+    assert_eq!(find_controller(&builds, Build::Old, Some(1)), Some(0));
+    assert_eq!(find_controller(&builds, Build::New, Some(1)), None);
+    assert_eq!(find_controller(&builds, Build::New, None), Some(1));
 }
--- a/crates/worksshunt-measure/src/loopback/users.rs
+++ b/crates/worksshunt-measure/src/loopback/users.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the users: submits jobs to controllers and polls them. It owns no state; the measurements call it.
+//! Requests of users: submits jobs to controllers and polls them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 use worksshunt_net::client::{ClientResponse, HttpClient};
 use worksshunt_simulation::job;
 
-/// How long a user waits for the response to a submission (protocol).
+/// Time limit for the response to a submission (protocol).
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a user waits for the response to a poll (protocol).
+/// Time limit for the response to a poll (protocol).
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A job of the team that has no limit, with the run time in seconds that its owner estimates for a task.
-pub fn unlimited_job(id: u64, tasks: u32, estimate_s: f64) -> Value {
-    let mut request = job(id, tasks);
+/// Request for a job of a team without limits. `estimate_s` is the estimated duration of a task.
+pub fn unlimited_job(id: u64, task_count: u32, estimate_s: f64) -> Value {
+    let mut request = job(id, task_count);
     request["Cuadrilla"] = json!("white");
     request["CalculoS"] = json!(estimate_s);
     request
 }
 
-/// Submits a job to a controller once; whether it was accepted.
+/// Submits a job to a controller once. Returns whether it was accepted.
 pub async fn submit(controller: SocketAddr, request: &Value) -> bool {
     let client = HttpClient::new(controller, 1);
     let body = Some(request.to_string());
@@ -30,7 +30,7 @@
         .is_ok_and(|response| matches!(response.status, 200 | 201))
 }
 
-/// Gets a path from a controller; none without a response in time.
+/// Sends a GET request to a controller. `None` if there is no response in time.
 pub async fn poll(controller: SocketAddr, path: &str) -> Option<ClientResponse> {
     let client = HttpClient::new(controller, 1);
     client
--- a/crates/worksshunt-measure/src/loopback/verdict.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict.rs
@@ -1,5 +1,4 @@
-//! Judges a stage of an upgrade by what its users, an observer of the workers and the stored epoch show. It owns no
-//! state; `upgrade` calls it at the end of each stage.
+//! Checks at the end of each stage of an upgrade: the jobs, as users and workers see them, and the stored epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,108 +8,112 @@
 
 use super::observer::TaskHistory;
 
-/// How long after the first attempt to submit a job its last task may start.
-pub const START_BOUND: Duration = Duration::from_secs(40);
-/// How long after the last task of a stage every controller must answer that all its jobs are done.
-pub const DONE_BOUND: Duration = Duration::from_secs(30);
-/// How long after that the epoch must name every running controller as a member.
-pub const MEMBERSHIP_BOUND: Duration = Duration::from_secs(10);
+/// Time limit for the start of all tasks of a job, from its first submission; also for a failover and for the readiness
+/// of a started controller.
+pub const START_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time limit for all running controllers to report all completed jobs as done, after the tasks of the stage.
+pub const DONE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time limit for all running controllers to be members of the epoch, after the checks of the jobs.
+pub const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A job that was submitted.
 #[derive(Debug, Clone, Copy)]
 pub struct Submission {
-    /// Its id.
     pub job: JobId,
-    /// Number of its tasks.
-    pub tasks: u32,
-    /// When its user first tried to submit it.
-    pub begun_at: Instant,
-    /// Whether a controller accepted it.
-    pub accepted: bool,
+    pub task_count: u32,
+    /// Time of the first submission to a controller.
+    pub submission_started_at: Instant,
+    pub is_accepted: bool,
 }
 
-/// All tasks that ever started.
-pub type Histories = BTreeMap<TaskId, TaskHistory>;
+/// Histories of all tasks that started at least once.
+pub type TaskHistories = BTreeMap<TaskId, TaskHistory>;
 
 impl Submission {
-    fn histories<'a>(
+    /// History of each task of the job; `None` for those that have not started.
+    fn task_histories<'a>(
         &self,
-        all: &'a Histories,
+        histories: &'a TaskHistories,
     ) -> impl Iterator<Item = Option<&'a TaskHistory>> + 'a {
         let job = self.job;
-        (0..self.tasks).map(move |index| all.get(&TaskId { job, index }))
+        (0..self.task_count).map(move |index| histories.get(&TaskId { job, index }))
     }
 
-    /// Time from the first attempt to submit it to the start of its last task; none while one has not started.
-    pub fn time_to_last_start(&self, all: &Histories) -> Option<Duration> {
-        let starts = self
-            .histories(all)
-            .map(|task| Some(task?.first_start.saturating_duration_since(self.begun_at)));
+    /// Time from the first submission to the first start of the last task; `None` until all tasks have started.
+    pub fn time_to_last_start(&self, histories: &TaskHistories) -> Option<Duration> {
+        let starts = self.task_histories(histories).map(|task| {
+            Some(
+                task?
+                    .first_start
+                    .saturating_duration_since(self.submission_started_at),
+            )
+        });
         starts.collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 
-    /// Whether all its tasks completed.
-    pub fn is_completed(&self, all: &Histories) -> bool {
-        self.histories(all)
+    /// Whether all tasks completed.
+    pub fn is_completed(&self, histories: &TaskHistories) -> bool {
+        self.task_histories(histories)
             .all(|task| task.is_some_and(|task| task.completions > 0))
     }
 
-    /// Tasks of it that started or completed more than once.
-    pub fn repeated_tasks(&self, all: &Histories) -> usize {
-        let repeated = |task: &&TaskHistory| task.starts > 1 || task.completions > 1;
-        self.histories(all).flatten().filter(repeated).count()
+    /// Number of tasks that started or completed more than once.
+    pub fn repeated_task_count(&self, histories: &TaskHistories) -> usize {
+        let is_repeated = |task: &&TaskHistory| task.starts > 1 || task.completions > 1;
+        self.task_histories(histories)
+            .flatten()
+            .filter(is_repeated)
+            .count()
     }
 }
 
-/// What a stage fell short of.
+/// Failed check of a stage.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Shortfall {
-    /// The epoch names no leader that runs.
-    #[error("no running controller leads")]
+pub enum StageFailure {
+    /// The epoch has no leader that runs.
+    #[error("no running controller is leader")]
     NoLeader,
-    /// No other controller took over from a leader that was killed.
-    #[error("nobody took over from n{0} in {n} s", n = START_BOUND.as_secs())]
-    NoTakeover(usize),
-    /// No controller of the build that the stage asks for came to lead.
-    #[error("no controller of the {0} build came to lead")]
-    LeaderOfOtherBuild(&'static str),
-    /// No controller runs the build that the stage replaces.
+    /// No other controller became leader after this one was killed.
+    #[error("no failover from n{0} in {n} s", n = START_TIMEOUT.as_secs())]
+    NoFailover(usize),
+    /// No controller of the required build became leader.
+    #[error("no controller of the {0} build became leader")]
+    NoLeaderOfBuild(&'static str),
+    /// No controller runs the build to replace.
     #[error("no controller of the {0} build to replace")]
-    NothingToReplace(&'static str),
-    /// A controller that was started did not become ready for requests.
-    #[error("n{0} was not ready for requests in {n} s", n = START_BOUND.as_secs())]
+    NoControllerOfBuild(&'static str),
+    /// A started controller did not become ready for requests.
+    #[error("n{0} was not ready for requests in {n} s", n = START_TIMEOUT.as_secs())]
     NotReady(usize),
-    /// Jobs were not accepted.
+    /// Number of jobs that no controller accepted.
     #[error("{0} jobs not accepted")]
-    NotAccepted(usize),
-    /// Accepted jobs did not start with all their tasks.
+    JobsNotAccepted(usize),
+    /// Number of accepted jobs with a task that did not start.
     #[error("{0} accepted jobs not started")]
-    NotStarted(usize),
-    /// Jobs started late.
-    #[error("{0} jobs started later than {n} s", n = START_BOUND.as_secs())]
-    StartedLate(usize),
-    /// Accepted jobs did not complete.
+    JobsNotStarted(usize),
+    /// Number of jobs whose last task started after [`START_TIMEOUT`].
+    #[error("{0} jobs started later than {n} s", n = START_TIMEOUT.as_secs())]
+    JobsStartedLate(usize),
+    /// Number of accepted jobs with a task that did not complete.
     #[error("{0} accepted jobs not completed")]
-    NotCompleted(usize),
-    /// Tasks started or completed more than once.
+    JobsNotCompleted(usize),
+    /// Number of tasks that started or completed more than once.
     #[error("{0} tasks ran more than once")]
-    Repeated(usize),
-    /// Controllers did not answer that completed jobs are done.
-    #[error("{missing} answers not done {n} s after the last task ({counts})",
-        missing = .0.len(), n = DONE_BOUND.as_secs(), counts = counts_by_controller(.0))]
-    NotAnsweredDone(Vec<ControllerJob>),
-    /// The epoch does not name running controllers as members.
+    TasksRepeated(usize),
+    /// Controllers that did not report a completed job as done.
+    #[error("{missing} done responses missing {n} s after the last task ({counts})",
+        missing = .0.len(), n = DONE_TIMEOUT.as_secs(), counts = counts_by_controller(.0))]
+    DoneResponsesMissing(Vec<ControllerJob>),
+    /// Running controllers that are not members of the epoch.
     #[error("{count} running controllers not members of the epoch ({names})",
         count = .0.len(), names = controller_names(.0))]
     NotMembers(Vec<usize>),
 }
 
-/// A controller and a job that it is asked about.
+/// Controller and a job for which it is polled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ControllerJob {
-    /// Number of the controller.
+    /// Index of the controller.
     pub node: usize,
-    /// The job.
     pub job: JobId,
 }
 
@@ -119,7 +122,7 @@
     names.join(", ")
 }
 
-/// How many pairs each controller has, by controller.
+/// Formats the number of pairs of each controller.
 fn counts_by_controller(pairs: &[ControllerJob]) -> String {
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for pair in pairs {
@@ -132,95 +135,101 @@
     counts.join(", ")
 }
 
-/// Running controllers that are not among the members, in the order given.
+/// Running controllers that are not members, in the order of `running`.
 pub fn non_members(running: &[usize], members: &[usize]) -> Vec<usize> {
     let members: BTreeSet<&usize> = members.iter().collect();
     let missing = running.iter().filter(|node| !members.contains(node));
     missing.copied().collect()
 }
 
-/// What the stored epoch falls short of: a leader that runs, and membership of all running controllers.
-/// That a controller answers `/healthz` shows neither.
-pub fn epoch_shortfalls(leader: Option<usize>, non_members: Vec<usize>) -> Vec<Shortfall> {
-    let no_leader = leader.is_none().then_some(Shortfall::NoLeader);
-    let not_members = (!non_members.is_empty()).then_some(Shortfall::NotMembers(non_members));
+/// Checks that the stored epoch has a running leader and that all running controllers are members. A successful
+/// response of `/healthz` shows neither.
+pub fn epoch_failures(leader: Option<usize>, non_members: Vec<usize>) -> Vec<StageFailure> {
+    let no_leader = leader.is_none().then_some(StageFailure::NoLeader);
+    let not_members = (!non_members.is_empty()).then_some(StageFailure::NotMembers(non_members));
     no_leader.into_iter().chain(not_members).collect()
 }
 
-/// The result of asking every running controller about every completed job.
+/// Result of polling every running controller for every completed job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct DoneAnswers {
-    /// Time from the last task to the last answer that a job is done.
-    pub longest: Duration,
-    /// The pairs without that answer in time.
+pub struct DoneResponses {
+    /// Time from the first poll to the last response that reported a job as done.
+    pub longest_wait: Duration,
+    /// Pairs without such a response in time.
     pub missing: Vec<ControllerJob>,
 }
 
-/// What was measured of the jobs of a stage.
+/// Measurements of the jobs of a stage.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Measured {
-    /// Jobs that users tried to submit.
+pub struct JobMeasurements {
+    /// Number of jobs submitted in the stage, whether accepted or not.
     pub submitted: usize,
-    /// Those of them that a controller accepted.
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// Accepted jobs all tasks of which started.
+    /// Number of accepted jobs with all tasks started.
     pub started: usize,
-    /// Accepted jobs all tasks of which started within [`START_BOUND`].
+    /// Number of accepted jobs with all tasks started within [`START_TIMEOUT`].
     pub started_in_time: usize,
-    /// Accepted jobs all tasks of which completed.
+    /// Number of accepted jobs with all tasks completed.
     pub completed: usize,
-    /// The longest time from a submission to the start of the job's last task.
+    /// Longest time from the first submission of a job to the start of its last task.
     pub longest_start: Duration,
-    /// Tasks of this stage and of those before it that started or completed more than once.
+    /// Number of tasks of this and earlier stages that started or completed more than once.
     pub repeated_tasks: usize,
-    /// The controllers' answers about completed jobs of this stage and of those before it.
-    pub done: DoneAnswers,
+    /// Responses of the controllers for completed jobs of this and earlier stages.
+    pub done_responses: DoneResponses,
 }
 
-impl Measured {
-    /// Measures the jobs from that index on; repeated tasks and answers count for the earlier ones too.
-    pub fn of(
+impl JobMeasurements {
+    /// Measures the jobs from the index `first_job` on; repeated tasks and done responses include earlier jobs.
+    pub fn new(
         jobs: &[Submission],
-        first: usize,
-        histories: &Histories,
-        done: DoneAnswers,
-    ) -> Measured {
-        let stage = &jobs[first..];
-        let accepted: Vec<&Submission> = stage.iter().filter(|job| job.accepted).collect();
-        let starts = accepted
+        first_job: usize,
+        histories: &TaskHistories,
+        done_responses: DoneResponses,
+    ) -> JobMeasurements {
+        let stage_jobs = &jobs[first_job..];
+        let accepted: Vec<&Submission> = stage_jobs.iter().filter(|job| job.is_accepted).collect();
+        let start_times = accepted
             .iter()
             .filter_map(|job| job.time_to_last_start(histories));
-        let starts: Vec<Duration> = starts.collect();
+        let start_times: Vec<Duration> = start_times.collect();
         let completed = accepted.iter().filter(|job| job.is_completed(histories));
-        Measured {
-            submitted: stage.len(),
+        JobMeasurements {
+            submitted: stage_jobs.len(),
             accepted: accepted.len(),
-            started: starts.len(),
-            started_in_time: starts.iter().filter(|after| **after <= START_BOUND).count(),
+            started: start_times.len(),
+            started_in_time: start_times
+                .iter()
+                .filter(|time| **time <= START_TIMEOUT)
+                .count(),
             completed: completed.count(),
-            longest_start: starts.iter().copied().max().unwrap_or_default(),
-            repeated_tasks: jobs.iter().map(|job| job.repeated_tasks(histories)).sum(),
-            done,
+            longest_start: start_times.iter().copied().max().unwrap_or_default(),
+            repeated_tasks: jobs
+                .iter()
+                .map(|job| job.repeated_task_count(histories))
+                .sum(),
+            done_responses,
         }
     }
 
-    /// What the jobs of the stage fell short of; nothing if they passed.
-    pub fn shortfalls(&self) -> Vec<Shortfall> {
-        let some = |count: usize| (count > 0).then_some(count);
-        let all = [
-            some(self.submitted - self.accepted).map(Shortfall::NotAccepted),
-            some(self.accepted - self.started).map(Shortfall::NotStarted),
-            some(self.started - self.started_in_time).map(Shortfall::StartedLate),
-            some(self.accepted - self.completed).map(Shortfall::NotCompleted),
-            some(self.repeated_tasks).map(Shortfall::Repeated),
-            (!self.done.missing.is_empty())
-                .then(|| Shortfall::NotAnsweredDone(self.done.missing.clone())),
+    /// Failed checks of the jobs; empty if they passed.
+    pub fn failures(&self) -> Vec<StageFailure> {
+        let positive = |count: usize| (count > 0).then_some(count);
+        let failures = [
+            positive(self.submitted - self.accepted).map(StageFailure::JobsNotAccepted),
+            positive(self.accepted - self.started).map(StageFailure::JobsNotStarted),
+            positive(self.started - self.started_in_time).map(StageFailure::JobsStartedLate),
+            positive(self.accepted - self.completed).map(StageFailure::JobsNotCompleted),
+            positive(self.repeated_tasks).map(StageFailure::TasksRepeated),
+            (!self.done_responses.missing.is_empty())
+                .then(|| StageFailure::DoneResponsesMissing(self.done_responses.missing.clone())),
         ];
-        all.into_iter().flatten().collect()
+        failures.into_iter().flatten().collect()
     }
 }
 
-impl fmt::Display for Measured {
+impl fmt::Display for JobMeasurements {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -231,17 +240,17 @@
             self.started,
             self.completed,
             self.longest_start.as_secs_f64(),
-            self.done.longest.as_secs_f64(),
+            self.done_responses.longest_wait.as_secs_f64(),
         )
     }
 }
 
-/// The verdict on a stage, for its line.
-pub fn describe(shortfalls: &[Shortfall]) -> String {
-    if shortfalls.is_empty() {
+/// Formats the verdict on a stage: `pass`, or `FAIL` with all failed checks.
+pub fn describe_failures(failures: &[StageFailure]) -> String {
+    if failures.is_empty() {
         return "pass".to_owned();
     }
-    let reasons: Vec<String> = shortfalls.iter().map(Shortfall::to_string).collect();
+    let reasons: Vec<String> = failures.iter().map(StageFailure::to_string).collect();
     format!("FAIL: {}", reasons.join(", "))
 }
 
--- a/crates/worksshunt-measure/src/loopback/wait.rs
+++ b/crates/worksshunt-measure/src/loopback/wait.rs
@@ -1,28 +1,28 @@
-//! Waits until a condition holds. It owns no state; the measurements call it.
+//! Polling until a condition holds.
 
 use std::time::{Duration, Instant};
 
 use async_io::Timer;
 
-/// How often a condition is checked.
+/// Interval between checks of a condition.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Waits until a condition holds; how long that took, none if it did not hold in time.
+/// Waits until a condition holds. Returns the time that this took, or `None` after the timeout.
 pub async fn wait_until(timeout: Duration, condition: impl Fn() -> bool) -> Option<Duration> {
-    let begun_at = Instant::now();
-    while begun_at.elapsed() < timeout {
+    let started_at = Instant::now();
+    while started_at.elapsed() < timeout {
         if condition() {
-            return Some(begun_at.elapsed());
+            return Some(started_at.elapsed());
         }
         Timer::after(POLL_INTERVAL).await;
     }
     None
 }
 
-/// Describes how long a wait took.
-pub fn describe_wait(took: Option<Duration>) -> String {
-    took.map_or("not in time".to_owned(), |took| {
-        format!("{:.1} s", took.as_secs_f64())
+/// Formats the result of [`wait_until`].
+pub fn describe_wait(duration: Option<Duration>) -> String {
+    duration.map_or("not in time".to_owned(), |duration| {
+        format!("{:.1} s", duration.as_secs_f64())
     })
 }
 
--- a/crates/worksshunt-measure/src/loopback/worker.rs
+++ b/crates/worksshunt-measure/src/loopback/worker.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a worker, by the protocol: heartbeats, fencing tokens, leases and direct commands. It owns the worker's
-//! tasks and what it knows of the controllers; the cloud creates it and runs it.
+//! Fake of a worker that follows the protocol: heartbeats, fencing tokens, leases and direct commands. It runs on a
+//! machine of the fake cloud; its tasks do no work.
 
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
@@ -16,54 +16,54 @@
 use worksshunt_wire::{Epoch, Incarnation, MachineId};
 
 use super::cloud::MACHINE_TYPE;
-use super::controllers::CONTROLLERS;
-use super::observer::Observer;
-use super::surroundings::Plan;
-use super::{malformed, Handled};
+use super::controllers::CONTROLLER_COUNT;
+use super::environment::EnvironmentConfig;
+use super::observer::TaskObserver;
+use super::{malformed_request, ResponseFuture};
 
 mod heartbeats;
 mod tasks;
 
 use tasks::Tasks;
 
-/// Port of every worker; each has an address of its own.
-const PORT: u16 = 19_000;
-/// Connections that a worker accepts at once.
+/// Port of all workers; each worker has its own IP address.
+const WORKER_PORT: u16 = 19_000;
+/// Concurrent connections that a worker accepts.
 const MAX_CONNECTIONS: usize = 8;
-/// Values of one byte of a worker's address.
+/// Number of values used for one byte of a worker's IP address.
 const OCTET_VALUES: usize = 250;
 
-/// What changes while a worker runs.
+/// State of a worker that the protocol changes.
 struct WorkerState {
     incarnation: Incarnation,
     /// Sequence number of the last heartbeat in this incarnation.
     sequence: u64,
+    /// Highest epoch of the commands and responses accepted so far.
     fencing_token: Epoch,
     tasks: Tasks,
-    /// When the last heartbeat that was answered was sent.
+    /// Start of the lease: time at which the last answered heartbeat was sent.
     lease_renewed_at: Instant,
 }
 
-/// A worker.
 pub struct Worker {
     id: MachineId,
     address: SocketAddr,
-    /// Its machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether its machine is a spot one.
-    pub spot: bool,
+    /// Whether the machine is a spot instance.
+    pub is_spot: bool,
     state: RefCell<WorkerState>,
-    booted: Cell<bool>,
-    terminated: Cell<bool>,
-    /// Number of the controller that gets its heartbeats.
+    is_booted: Cell<bool>,
+    is_terminated: Cell<bool>,
+    /// Index of the controller to which heartbeats are sent.
     pub controller: Cell<usize>,
-    /// How many of its heartbeats were answered.
+    /// Number of answered heartbeats.
     pub answered_heartbeats: Cell<u64>,
-    /// Asks for a heartbeat before the interval is over.
-    wake: (Sender<()>, Receiver<()>),
+    /// Channel of requests for a heartbeat before the end of the interval; holds at most one.
+    heartbeat_requests: (Sender<()>, Receiver<()>),
 }
 
-/// The address of the worker with that number.
+/// Address of the worker of a machine, by the machine's number.
 fn worker_address(number: usize) -> SocketAddr {
     let octet = |n: usize| u8::try_from(n % OCTET_VALUES + 1).unwrap_or(1);
     let ip = [
@@ -72,17 +72,17 @@
         octet(number / OCTET_VALUES),
         octet(number),
     ];
-    (ip, PORT).into()
+    (ip, WORKER_PORT).into()
 }
 
 impl Worker {
-    /// The worker of the machine of that number.
+    /// Creates the worker of a machine, which does not run yet.
     pub fn new(id: MachineId, number: usize, request: &ProvisionRequest) -> Rc<Worker> {
         Rc::new(Worker {
             id,
             address: worker_address(number),
             zone: request.zone.clone(),
-            spot: request.is_spot,
+            is_spot: request.is_spot,
             state: RefCell::new(WorkerState {
                 incarnation: Incarnation(1),
                 sequence: 0,
@@ -90,32 +90,33 @@
                 tasks: Tasks::default(),
                 lease_renewed_at: Instant::now(),
             }),
-            booted: Cell::new(false),
-            terminated: Cell::new(false),
-            controller: Cell::new(number % CONTROLLERS),
+            is_booted: Cell::new(false),
+            is_terminated: Cell::new(false),
+            controller: Cell::new(number % CONTROLLER_COUNT),
             answered_heartbeats: Cell::new(0),
-            wake: async_channel::bounded(1),
+            heartbeat_requests: async_channel::bounded(1),
         })
     }
 
-    /// Whether its machine has booted.
+    /// Whether the machine has booted.
     pub fn is_booted(&self) -> bool {
-        self.booted.get()
+        self.is_booted.get()
     }
 
-    /// Terminates its machine, and all tasks with it.
-    pub fn terminate(&self, observer: &Observer) {
-        self.terminated.set(true);
-        self.state.borrow_mut().tasks.clear(observer);
+    /// Terminates the machine and all its tasks.
+    pub fn terminate(&self, observer: &TaskObserver) {
+        self.is_terminated.set(true);
+        self.state.borrow_mut().tasks.remove_all(observer);
         self.request_heartbeat();
     }
 
-    /// Ends the wait for the next heartbeat. If one is requested already, the request is not repeated.
+    /// Requests a heartbeat before the end of the interval. A pending request is not repeated.
     fn request_heartbeat(&self) {
-        let _ = self.wake.0.try_send(());
+        let _ = self.heartbeat_requests.0.try_send(());
     }
 
-    fn heartbeat(&self) -> Heartbeat {
+    /// Creates the next heartbeat.
+    fn next_heartbeat(&self) -> Heartbeat {
         let mut state = self.state.borrow_mut();
         state.sequence += 1;
         Heartbeat {
@@ -124,7 +125,7 @@
             addr: self.address.to_string(),
             machine_type: MACHINE_TYPE.into(),
             zone: self.zone.clone(),
-            is_spot: self.spot,
+            is_spot: self.is_spot,
             incarnation: state.incarnation,
             sequence: state.sequence,
             fencing_token: state.fencing_token,
@@ -132,12 +133,12 @@
         }
     }
 
-    /// Lets a lease expire, which begins another incarnation, and tasks complete.
-    fn advance(&self, plan: &Plan, observer: &Observer) {
+    /// Starts a new incarnation without tasks if the lease has expired, and completes tasks that are due.
+    fn expire_lease_and_complete_tasks(&self, config: &EnvironmentConfig, observer: &TaskObserver) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        if now > state.lease_renewed_at + plan.lease {
-            state.tasks.clear(observer);
+        if now > state.lease_renewed_at + config.worker_lease {
+            state.tasks.remove_all(observer);
             state.incarnation.0 += 1;
             state.sequence = 0;
             state.lease_renewed_at = now;
@@ -145,16 +146,16 @@
         state.tasks.complete_due(now, observer);
     }
 
-    /// Executes direct commands if they are for this incarnation and not from an earlier epoch.
+    /// Executes direct commands, unless they are for another incarnation or from an earlier epoch.
     fn handle_commands(
         &self,
         incoming: &HttpRequest,
-        plan: &Plan,
-        observer: &Observer,
+        config: &EnvironmentConfig,
+        observer: &TaskObserver,
     ) -> HttpResponse {
         let body = incoming.body.as_deref().unwrap_or_default();
         let Ok(batch) = serde_json::from_slice::<CommandBatch>(body) else {
-            return malformed();
+            return malformed_request();
         };
         let is_accepted = {
             let state = self.state.borrow();
@@ -164,43 +165,47 @@
             let mut state = self.state.borrow_mut();
             state.fencing_token = batch.fencing_token;
             for command in &batch.commands {
-                state.tasks.execute(command, plan, observer);
+                state.tasks.execute(command, config, observer);
             }
             self.request_heartbeat();
         }
-        HttpResponse::json(if is_accepted { 200 } else { 409 }, &self.heartbeat())
+        HttpResponse::json(if is_accepted { 200 } else { 409 }, &self.next_heartbeat())
     }
 }
 
-/// Boots a worker and runs it until its machine is terminated.
+/// Boots the machine of a worker and runs the worker until the machine is terminated.
 pub async fn run(
     worker: Rc<Worker>,
-    plan: Rc<Plan>,
-    observer: Rc<Observer>,
+    config: Rc<EnvironmentConfig>,
+    observer: Rc<TaskObserver>,
     executor: Rc<Executor>,
 ) {
-    Timer::after(plan.boot_time).await;
+    Timer::after(config.boot_time).await;
     let Ok(listener) = Async::<TcpListener>::bind(worker.address) else {
-        return eprintln!("no socket for {}", worker.id);
+        return eprintln!(
+            "worker {} cannot listen on {}; it does not start",
+            worker.id, worker.address
+        );
     };
     let handler: server::Handler = {
-        let (worker, plan, observer) = (Rc::clone(&worker), Rc::clone(&plan), Rc::clone(&observer));
-        Rc::new(move |incoming| -> Handled {
-            let response = worker.handle_commands(&incoming, &plan, &observer);
+        let (worker, config, observer) =
+            (Rc::clone(&worker), Rc::clone(&config), Rc::clone(&observer));
+        Rc::new(move |incoming| -> ResponseFuture {
+            let response = worker.handle_commands(&incoming, &config, &observer);
             Box::pin(async move { response })
         })
     };
-    let lease = plan.lease;
+    let idle_timeout = config.worker_lease;
     let serving = server::serve(
         Rc::clone(&executor),
         listener,
         MAX_CONNECTIONS,
-        lease,
+        idle_timeout,
         handler,
     );
     let serving = executor.spawn(serving);
-    worker.booted.set(true);
+    worker.is_booted.set(true);
     worker.state.borrow_mut().lease_renewed_at = Instant::now();
-    worker.send_heartbeats(&plan, &observer).await;
+    worker.send_heartbeats(&config, &observer).await;
     serving.cancel().await;
 }
--- a/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
@@ -1,4 +1,4 @@
-//! A worker's heartbeats: sends them, and handles the responses. The state is `Worker`'s; `worker::run` calls this.
+//! Heartbeats of a worker: sends them and handles the responses.
 
 use std::time::{Duration, Instant};
 
@@ -10,98 +10,106 @@
 use worksshunt_wire::Incarnation;
 
 use super::Worker;
-use crate::loopback::observer::Observer;
-use crate::loopback::surroundings::Plan;
+use crate::loopback::environment::EnvironmentConfig;
+use crate::loopback::observer::TaskObserver;
 
-/// How long a worker waits for the response to a heartbeat (protocol).
+/// Time limit for the response to a heartbeat (protocol).
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long a worker waits before it tries the next controller (protocol).
+/// Delay before the next controller is tried (protocol).
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Shortest time between heartbeats (protocol).
+/// Minimum interval between heartbeats (protocol).
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A heartbeat that waits for its response.
+/// Heartbeat whose response is pending.
 struct SentHeartbeat {
     sent_at: Instant,
     incarnation: Incarnation,
 }
 
 impl Worker {
-    /// How long to wait with the next heartbeat after one that was answered.
-    fn heartbeat_delay(&self, plan: &Plan) -> Duration {
+    /// Delay of the next heartbeat after an answered one: until the next completion of a task, within the limits.
+    fn heartbeat_delay(&self, config: &EnvironmentConfig) -> Duration {
         let next_completion_at = self.state.borrow().tasks.next_completion_at();
         let until = |at: Instant| at.saturating_duration_since(Instant::now());
-        let delay = next_completion_at.map_or(plan.heartbeat_interval, until);
-        delay.clamp(MIN_HEARTBEAT_INTERVAL, plan.heartbeat_interval)
+        let delay = next_completion_at.map_or(config.heartbeat_interval, until);
+        delay.clamp(MIN_HEARTBEAT_INTERVAL, config.heartbeat_interval)
     }
 
-    /// Handles the response to a heartbeat; how long to wait with the next one, if the response settles that.
+    /// Handles the response to a heartbeat. Returns the delay of the next one, or `None` for the usual delay.
     fn handle_response(
         &self,
         sent: &SentHeartbeat,
         response: &ClientResponse,
-        plan: &Plan,
-        observer: &Observer,
+        config: &EnvironmentConfig,
+        observer: &TaskObserver,
     ) -> Option<Duration> {
         let body = &response.body;
         match response.status {
             200 => {
-                self.handle_answer(sent, body, plan, observer);
+                self.handle_heartbeat_response(sent, body, config, observer);
                 None
             }
-            421 => Some(self.follow_redirect(body, plan)),
-            _ => Some(self.try_next_controller(plan)),
+            421 => Some(self.follow_redirect(body, config)),
+            _ => Some(self.try_next_controller(config)),
         }
     }
 
-    /// Renews the lease and executes the commands, unless the answer is for an earlier incarnation or from an
-    /// earlier epoch.
-    fn handle_answer(&self, sent: &SentHeartbeat, body: &[u8], plan: &Plan, observer: &Observer) {
-        let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(body) else {
+    /// Renews the lease and executes the commands, unless the response is for an earlier incarnation or from an earlier
+    /// epoch.
+    fn handle_heartbeat_response(
+        &self,
+        sent: &SentHeartbeat,
+        body: &[u8],
+        config: &EnvironmentConfig,
+        observer: &TaskObserver,
+    ) {
+        let Ok(response) = serde_json::from_slice::<HeartbeatResponse>(body) else {
             return;
         };
         let mut state = self.state.borrow_mut();
         let is_current = state.incarnation == sent.incarnation;
-        if !is_current || answer.fencing_token < state.fencing_token {
+        if !is_current || response.fencing_token < state.fencing_token {
             return;
         }
-        state.fencing_token = answer.fencing_token;
+        state.fencing_token = response.fencing_token;
         state.lease_renewed_at = state.lease_renewed_at.max(sent.sent_at);
-        let answered = self.answered_heartbeats.get();
-        self.answered_heartbeats.set(answered + 1);
-        for command in &answer.commands {
-            state.tasks.execute(command, plan, observer);
+        let answered_count = self.answered_heartbeats.get();
+        self.answered_heartbeats.set(answered_count + 1);
+        for command in &response.commands {
+            state.tasks.execute(command, config, observer);
         }
     }
 
-    /// Turns to the controller that a redirect names; to the next one if it names none or the same again.
-    fn follow_redirect(&self, body: &[u8], plan: &Plan) -> Duration {
+    /// Switches to the controller named in a redirect, or to the next one if it names no other. Returns the delay of
+    /// the next heartbeat.
+    fn follow_redirect(&self, body: &[u8], config: &EnvironmentConfig) -> Duration {
         let redirect = serde_json::from_slice::<Redirect>(body).ok();
         let name = redirect.and_then(|redirect| redirect.controller);
-        let named = name.and_then(|name| plan.nodes.iter().position(|node| node.name == name.0));
-        match named.filter(|node| *node != self.controller.get()) {
+        let target = name.and_then(|name| config.nodes.iter().position(|node| node.name == name.0));
+        match target.filter(|node| *node != self.controller.get()) {
             Some(node) => {
                 self.controller.set(node);
                 Duration::ZERO
             }
-            None => self.try_next_controller(plan),
+            None => self.try_next_controller(config),
         }
     }
 
-    fn try_next_controller(&self, plan: &Plan) -> Duration {
+    /// Switches to the next controller. Returns the delay of the next heartbeat.
+    fn try_next_controller(&self, config: &EnvironmentConfig) -> Duration {
         self.controller
-            .set((self.controller.get() + 1) % plan.nodes.len());
+            .set((self.controller.get() + 1) % config.nodes.len());
         RETRY_DELAY
     }
 
-    /// Sends a heartbeat and handles the response; how long to wait with the next one.
+    /// Sends a heartbeat and handles the response. Returns the delay of the next one.
     async fn send_heartbeat(
         &self,
         client: &HttpClient,
-        plan: &Plan,
-        observer: &Observer,
+        config: &EnvironmentConfig,
+        observer: &TaskObserver,
     ) -> Duration {
-        let heartbeat = self.heartbeat();
+        let heartbeat = self.next_heartbeat();
         let sent = SentHeartbeat {
             sent_at: Instant::now(),
             incarnation: heartbeat.incarnation,
@@ -109,26 +117,30 @@
         let body = serde_json::to_string(&heartbeat).unwrap_or_default();
         let call = client.call(Method::Post, "/checkin", Some(body), HEARTBEAT_TIMEOUT);
         let delay = match call.await {
-            Ok(response) => self.handle_response(&sent, &response, plan, observer),
-            Err(_) => Some(self.try_next_controller(plan)),
+            Ok(response) => self.handle_response(&sent, &response, config, observer),
+            Err(_) => Some(self.try_next_controller(config)),
         };
-        delay.unwrap_or_else(|| self.heartbeat_delay(plan))
+        delay.unwrap_or_else(|| self.heartbeat_delay(config))
     }
 
-    /// Sends heartbeats until its machine is terminated.
-    pub(super) async fn send_heartbeats(&self, plan: &Plan, observer: &Observer) {
-        let connect = |node: usize| HttpClient::new(plan.nodes[node].address, 1);
+    /// Sends heartbeats until the machine is terminated.
+    pub(super) async fn send_heartbeats(
+        &self,
+        config: &EnvironmentConfig,
+        observer: &TaskObserver,
+    ) {
+        let connect = |node: usize| HttpClient::new(config.nodes[node].address, 1);
         let mut connected_to = self.controller.get();
         let mut client = connect(connected_to);
-        while !self.terminated.get() {
+        while !self.is_terminated.get() {
             if connected_to != self.controller.get() {
                 connected_to = self.controller.get();
                 client = connect(connected_to);
             }
-            self.advance(plan, observer);
+            self.expire_lease_and_complete_tasks(config, observer);
             let sent_at = Instant::now();
-            let delay = self.send_heartbeat(&client, plan, observer).await;
-            let _ = within(delay, self.wake.1.recv()).await;
+            let delay = self.send_heartbeat(&client, config, observer).await;
+            let _ = within(delay, self.heartbeat_requests.1.recv()).await;
             Timer::at((sent_at + MIN_HEARTBEAT_INTERVAL).min(Instant::now() + delay)).await;
         }
     }
--- a/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
@@ -6,16 +6,16 @@
 
 use super::*;
 
-const RUN: Duration = Duration::from_secs(10);
+const TASK_DURATION: Duration = Duration::from_secs(10);
 
-fn plan() -> Plan {
-    Plan {
-        machines: 1,
+fn config() -> EnvironmentConfig {
+    EnvironmentConfig {
+        max_machines: 1,
         nodes: vec![],
         boot_time: Duration::ZERO,
-        task_run: RUN,
+        task_duration: TASK_DURATION,
         heartbeat_interval: Duration::from_secs(5),
-        lease: Duration::from_secs(20),
+        worker_lease: Duration::from_secs(20),
     }
 }
 
@@ -26,15 +26,15 @@
     }
 }
 
-fn launch(tasks: &mut Tasks, index: u32, observer: &Observer) {
+fn launch(tasks: &mut Tasks, index: u32, observer: &TaskObserver) {
     let command = Command::Launch {
         task: task(index),
         attempt: Attempt(u64::from(index)),
     };
-    tasks.execute(&command, &plan(), observer);
+    tasks.execute(&command, &config(), observer);
 }
 
-fn reasons(tasks: &Tasks) -> Vec<Option<ExitReason>> {
+fn exit_reasons(tasks: &Tasks) -> Vec<Option<ExitReason>> {
     tasks
         .statuses()
         .iter()
@@ -43,50 +43,50 @@
 }
 
 #[test]
-fn a_full_machine_refuses_a_task_and_a_repeated_launch_changes_nothing() {
-    let (mut tasks, observer) = (Tasks::default(), Observer::default());
-    let full = TASKS_PER_MACHINE as u32;
-    (0..=full).for_each(|index| launch(&mut tasks, index, &observer));
+fn full_machine_refuses_task_and_repeated_launch_is_ignored() {
+    let (mut tasks, observer) = (Tasks::default(), TaskObserver::default());
+    let capacity = TASKS_PER_MACHINE as u32;
+    (0..=capacity).for_each(|index| launch(&mut tasks, index, &observer));
     launch(&mut tasks, 0, &observer);
     let mut expected = vec![None; TASKS_PER_MACHINE];
     expected.push(Some(ExitReason::InsufficientResources));
-    assert_eq!(reasons(&tasks), expected);
+    assert_eq!(exit_reasons(&tasks), expected);
     assert_eq!(observer.observations().starts, TASKS_PER_MACHINE);
 }
 
 #[test]
-fn tasks_complete_once_when_they_are_due() {
-    let (mut tasks, observer) = (Tasks::default(), Observer::default());
+fn due_tasks_complete_once() {
+    let (mut tasks, observer) = (Tasks::default(), TaskObserver::default());
     launch(&mut tasks, 0, &observer);
     let due_at = tasks.next_completion_at().expect("a task runs");
     tasks.complete_due(due_at - Duration::from_millis(1), &observer);
-    assert_eq!(reasons(&tasks), [None]);
+    assert_eq!(exit_reasons(&tasks), [None]);
     tasks.complete_due(due_at, &observer);
     tasks.complete_due(due_at, &observer);
-    assert_eq!(reasons(&tasks), [Some(ExitReason::Done)]);
+    assert_eq!(exit_reasons(&tasks), [Some(ExitReason::Done)]);
     assert_eq!(observer.observations().histories[&task(0)].completions, 1);
     assert_eq!(tasks.next_completion_at(), None);
 }
 
 #[test]
-fn an_attempt_stays_until_it_has_ended_and_is_reaped() {
-    let (mut tasks, observer) = (Tasks::default(), Observer::default());
+fn attempt_is_reported_until_ended_and_reaped() {
+    let (mut tasks, observer) = (Tasks::default(), TaskObserver::default());
     launch(&mut tasks, 0, &observer);
     tasks.reap(Attempt(0));
-    assert_eq!(reasons(&tasks), [None]);
+    assert_eq!(exit_reasons(&tasks), [None]);
     tasks.halt(Attempt(0), &observer);
-    assert_eq!(reasons(&tasks), [Some(ExitReason::Stopped)]);
+    assert_eq!(exit_reasons(&tasks), [Some(ExitReason::Stopped)]);
     assert!(observer.observations().running.is_empty());
     assert_eq!(observer.observations().histories[&task(0)].completions, 0);
     tasks.reap(Attempt(0));
-    assert_eq!(reasons(&tasks), []);
+    assert_eq!(exit_reasons(&tasks), []);
 }
 
 #[test]
-fn cleared_tasks_run_no_more() {
-    let (mut tasks, observer) = (Tasks::default(), Observer::default());
+fn removed_tasks_do_not_run() {
+    let (mut tasks, observer) = (Tasks::default(), TaskObserver::default());
     launch(&mut tasks, 0, &observer);
-    tasks.clear(&observer);
-    assert_eq!(reasons(&tasks), []);
+    tasks.remove_all(&observer);
+    assert_eq!(exit_reasons(&tasks), []);
     assert!(observer.observations().running.is_empty());
 }
--- a/crates/worksshunt-measure/src/report.rs
+++ b/crates/worksshunt-measure/src/report.rs
@@ -1,32 +1,33 @@
-//! The report (HTML): a plot and a table for each measurement. It owns no state; the command `report` calls it.
+//! The HTML report of the command `report`, with a plot and tables for each measurement.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
 use crate::plot;
-use crate::series::{Series, Spread};
+use crate::series::{Series, Summary};
 use crate::MeasureError;
 
-/// All before the first measurement.
-const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">\
+/// Start of the page, up to the first measurement.
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">\
 <title>How a controller's work grows with the fleet</title><style>\
 body{font-family:sans-serif;margin:2em;max-width:72em}section{display:inline-block;margin:0 1em 1.5em 0;vertical-align:top}\
 table{border-collapse:collapse;font-size:85%}td,th{border:1px solid #bbb;padding:2px 6px;text-align:right}\
 </style></head><body><h1>How a controller's work grows with the fleet</h1>\
-<p>Simulated cluster on virtual time: the times are those that the decisions really took, without network. Medians, in brackets \
-the least and the most of all runs; growth is the power of the fleet's size from the smallest to the largest.</p>";
+<p>Simulated cluster on virtual time; durations are the measured times of the controllers' decisions, \
+without network. Each value is the median of all runs, with minimum and maximum in parentheses. Growth is the exponent \
+of the value as a power of the fleet size, between the smallest and the largest fleet.</p>";
 
-/// Escapes the special characters of HTML.
-fn escape(text: &str) -> String {
+/// Escapes HTML's special characters in element content.
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
 }
 
-fn cell(spread: &Spread) -> String {
-    let Spread {
+fn format_cell(summary: &Summary) -> String {
+    let Summary {
         min, median, max, ..
-    } = spread;
+    } = summary;
     if min == max {
         format!("{median:.3}")
     } else {
@@ -34,36 +35,40 @@
     }
 }
 
-fn table(series: &Series, name: &str) -> String {
-    let spreads = series.spreads(name);
-    let sizes: String = spreads
+fn render_table(series: &Series, measurement: &str) -> String {
+    let summaries = series.summaries(measurement);
+    let sizes: String = summaries
         .iter()
         .map(|s| format!("<th>{}</th>", s.machines))
         .collect();
-    let values: String = spreads
+    let values: String = summaries
         .iter()
-        .map(|s| format!("<td>{}</td>", cell(s)))
+        .map(|s| format!("<td>{}</td>", format_cell(s)))
         .collect();
     let growth = series
-        .growth(name)
+        .growth_exponent(measurement)
         .map_or("none".to_owned(), |exponent| format!("{exponent:.2}"));
     format!(
         "<table><tr><th>{}</th>{sizes}<th>growth</th></tr><tr><td></td>{values}<td>{growth}</td></tr></table>",
-        escape(&series.label)
+        escape_html(&series.label)
     )
 }
 
-/// The whole report, with its plots inside.
+/// Renders the report as one page with embedded plots.
 ///
 /// # Errors
 /// A plot cannot be drawn.
-pub fn html(all: &[Series]) -> Result<String, MeasureError> {
-    let names: BTreeSet<&String> = all.iter().flat_map(Series::names).collect();
-    let mut page = HEAD.to_owned();
-    for name in names {
-        let plot = plot::svg(all, name)?;
-        let tables: String = all.iter().map(|series| table(series, name)).collect();
-        let title = escape(name);
+pub fn render_html(all_series: &[Series]) -> Result<String, MeasureError> {
+    let measurements: BTreeSet<&String> =
+        all_series.iter().flat_map(Series::measurements).collect();
+    let mut page = PAGE_HEAD.to_owned();
+    for measurement in measurements {
+        let plot = plot::render_svg(all_series, measurement)?;
+        let tables: String = all_series
+            .iter()
+            .map(|series| render_table(series, measurement))
+            .collect();
+        let title = escape_html(measurement);
         let written = write!(page, "<section><h2>{title}</h2>{plot}{tables}</section>");
         written.map_err(|error| MeasureError::Plot(error.into()))?;
     }
--- a/crates/worksshunt-measure/src/report/tests.rs
+++ b/crates/worksshunt-measure/src/report/tests.rs
@@ -4,7 +4,7 @@
 use crate::series::Run;
 
 #[test]
-fn each_measurement_has_a_plot_with_all_versions_and_a_table() {
+fn each_measurement_has_one_plot_and_a_table_per_version() {
     let series = |label: &str, value: f64| Series {
         label: label.into(),
         runs: [(250, value), (500, value * 2.0)]
@@ -15,7 +15,7 @@
             })
             .into(),
     };
-    let page = html(&[series("before", 8.0), series("now", 4.0)]).expect("a page");
+    let page = render_html(&[series("before", 8.0), series("now", 4.0)]).expect("a page");
     assert_eq!(page.matches("<svg").count(), 1);
     assert_eq!(page.matches("<table>").count(), 2);
     assert!(page.contains("<h2>tick: &lt;longest&gt;, ms</h2>"));
--- a/crates/worksshunt-measure/src/series.rs
+++ b/crates/worksshunt-measure/src/series.rs
@@ -1,16 +1,16 @@
-//! Measurements by size of the fleet, as the files of results hold them. `workload` fills them in, `report` and `plot`
-//! read them; the field names in the files stay as they are.
+//! Contents of results files: measurements by fleet size. `workload` records them, `report` and `plot` read them. The
+//! field names in the files must not change, so that earlier files can be read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// The measurements of one run of the workload.
+/// Measurements of one run of the workload.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     /// Size of the fleet.
     pub machines: usize,
-    /// The measurements by their names, which say the units.
+    /// Measured values by name of the measurement; the name includes the unit.
     pub values: BTreeMap<String, f64>,
 }
 
@@ -23,54 +23,54 @@
         }
     }
 
-    /// Records a measurement.
-    pub fn record(&mut self, name: &str, value: f64) {
-        self.values.insert(name.to_owned(), value);
+    /// Records a measurement, replacing one of the same name.
+    pub fn record(&mut self, measurement: &str, value: f64) {
+        self.values.insert(measurement.to_owned(), value);
     }
 }
 
-/// All runs of one version.
+/// Contents of a results file: all runs of one version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// Name of the version.
+    /// Name of the version, as shown in the report.
     pub label: String,
-    /// Its runs.
+    /// Runs in the order of their execution.
     #[serde(rename = "days")]
     pub runs: Vec<Run>,
 }
 
-/// A measurement over all runs of one size.
+/// Statistics of a measurement over all runs of one fleet size.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Spread {
+pub struct Summary {
     /// Size of the fleet.
     pub machines: usize,
-    /// The smallest value.
+    /// Smallest value.
     pub min: f64,
-    /// The median.
+    /// Median; for an even number of runs the upper of the two middle values.
     pub median: f64,
-    /// The largest value.
+    /// Largest value.
     pub max: f64,
 }
 
 impl Series {
-    /// Names of all measurements.
-    pub fn names(&self) -> BTreeSet<&String> {
+    /// Names of all measurements of any run.
+    pub fn measurements(&self) -> BTreeSet<&String> {
         self.runs.iter().flat_map(|run| run.values.keys()).collect()
     }
 
-    /// A measurement by size, the smallest fleet first.
-    pub fn spreads(&self, name: &str) -> Vec<Spread> {
-        let mut by_size: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+    /// Summaries of a measurement, one for each fleet size, in ascending order of size.
+    pub fn summaries(&self, measurement: &str) -> Vec<Summary> {
+        let mut values_by_size: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
         for run in &self.runs {
-            if let Some(value) = run.values.get(name) {
-                by_size.entry(run.machines).or_default().push(*value);
+            if let Some(value) = run.values.get(measurement) {
+                values_by_size.entry(run.machines).or_default().push(*value);
             }
         }
-        by_size
+        values_by_size
             .into_iter()
             .filter_map(|(machines, mut values)| {
                 values.sort_by(f64::total_cmp);
-                Some(Spread {
+                Some(Summary {
                     machines,
                     min: *values.first()?,
                     median: values[values.len() / 2],
@@ -80,14 +80,14 @@
             .collect()
     }
 
-    /// How a measurement grows: the exponent of the fleet's size between the smallest and the largest size; none if a
-    /// median of the two is not positive, or there is one size only.
-    pub fn growth(&self, name: &str) -> Option<f64> {
-        let spreads = self.spreads(name);
-        let (first, last) = (spreads.first()?, spreads.last()?);
+    /// Exponent of the measurement as a power of the fleet size, from the medians of the smallest and the largest
+    /// fleet. `None` if there are fewer than two sizes or one of these medians is not positive.
+    pub fn growth_exponent(&self, measurement: &str) -> Option<f64> {
+        let summaries = self.summaries(measurement);
+        let (first, last) = (summaries.first()?, summaries.last()?);
         let is_defined = first.median > 0.0 && last.median > 0.0 && last.machines > first.machines;
-        let ratio = last.machines as f64 / first.machines as f64;
-        is_defined.then(|| (last.median / first.median).ln() / ratio.ln())
+        let size_ratio = last.machines as f64 / first.machines as f64;
+        is_defined.then(|| (last.median / first.median).ln() / size_ratio.ln())
     }
 }
 
--- a/crates/worksshunt-measure/src/series/tests.rs
+++ b/crates/worksshunt-measure/src/series/tests.rs
@@ -15,39 +15,47 @@
 }
 
 #[test]
-fn runs_of_a_size_are_summed_up_by_minimum_median_and_maximum() {
+fn runs_of_one_size_are_summarized() {
     let series = series(&[(500, 9.0), (250, 3.0), (250, 1.0), (250, 2.0)]);
-    let spreads = series.spreads("m");
-    assert_eq!(spreads.len(), 2);
-    let Spread {
+    let summaries = series.summaries("m");
+    assert_eq!(summaries.len(), 2);
+    let Summary {
         machines,
         min,
         median,
         max,
-    } = spreads[0];
+    } = summaries[0];
     assert_eq!((machines, min, median, max), (250, 1.0, 2.0, 3.0));
-    assert!(series.spreads("unknown").is_empty());
+    assert!(series.summaries("unknown").is_empty());
 }
 
 #[test]
-fn growth_is_the_power_of_the_size() {
-    let near = |found: Option<f64>, power: f64| found.is_some_and(|p| (p - power).abs() < 1e-9);
-    assert!(near(series(&[(100, 2.0), (400, 8.0)]).growth("m"), 1.0));
-    assert!(near(
-        series(&[(100, 2.0), (200, 5.0), (400, 32.0)]).growth("m"),
+fn growth_is_the_exponent_of_the_size() {
+    let is_near = |exponent: Option<f64>, expected: f64| {
+        exponent.is_some_and(|exponent| (exponent - expected).abs() < 1e-9)
+    };
+    assert!(is_near(
+        series(&[(100, 2.0), (400, 8.0)]).growth_exponent("m"),
+        1.0
+    ));
+    assert!(is_near(
+        series(&[(100, 2.0), (200, 5.0), (400, 32.0)]).growth_exponent("m"),
         2.0
     ));
-    assert!(near(series(&[(100, 2.0), (400, 2.0)]).growth("m"), 0.0));
-    assert_eq!(series(&[(100, 0.0), (400, 2.0)]).growth("m"), None);
-    assert_eq!(series(&[(100, 2.0)]).growth("m"), None);
+    assert!(is_near(
+        series(&[(100, 2.0), (400, 2.0)]).growth_exponent("m"),
+        0.0
+    ));
+    assert_eq!(series(&[(100, 0.0), (400, 2.0)]).growth_exponent("m"), None);
+    assert_eq!(series(&[(100, 2.0)]).growth_exponent("m"), None);
 }
 
-/// A file that `run` wrote before the fields had their present names in the sources.
+/// Results file whose field names differ from those in the sources.
 const RESULTS: &str = include_str!("tests/results.json");
 
 #[test]
-fn a_file_of_results_keeps_its_field_names() {
-    let series: Series = serde_json::from_str(RESULTS).expect("a file of results");
+fn results_file_keeps_its_field_names() {
+    let series: Series = serde_json::from_str(RESULTS).expect("a results file");
     assert_eq!(series.label, "before");
     let sizes: Vec<usize> = series.runs.iter().map(|run| run.machines).collect();
     assert_eq!(sizes, [20, 40]);
@@ -60,7 +68,7 @@
         names.map(|(name, _)| name.to_owned()).collect()
     };
     assert_eq!(names(&written), names(RESULTS));
-    // Not the texts: reading a number may change its last digit.
+    // Compares parsed values because the last digit of a number may change on rewriting.
     let value = |text: &str| serde_json::from_str::<serde_json::Value>(text).expect("JSON");
     assert_eq!(value(&written), value(RESULTS));
 }
--- a/crates/worksshunt-measure/src/tests.rs
+++ b/crates/worksshunt-measure/src/tests.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-fn refused(arguments: &[&str]) -> String {
-    let all = ["worksshunt-measure"].iter().chain(arguments);
-    match Arguments::try_parse_from(all) {
-        Ok(_) => panic!("{arguments:?} was taken"),
-        Err(error) => one_line(&error),
+fn parse_error(arguments: &[&str]) -> String {
+    let command_line = ["worksshunt-measure"].iter().chain(arguments);
+    match Arguments::try_parse_from(command_line) {
+        Ok(_) => panic!("{arguments:?} was accepted"),
+        Err(error) => one_line_message(&error),
     }
 }
 
 #[test]
-fn an_upgrade_needs_its_second_program() {
+fn upgrade_requires_second_program() {
     assert_eq!(
-        refused(&["upgrade", "--folder", "f"]),
+        parse_error(&["upgrade", "--folder", "f"]),
         "error: the following required arguments were not provided: --second-program <SECOND_PROGRAM>"
     );
 }
 
 #[test]
-fn a_number_that_is_none_is_refused_on_one_line() {
+fn invalid_number_is_reported_in_one_line() {
     let upgrade = ["upgrade", "--folder", "f", "--second-program", "p"];
-    let message = refused(&[&upgrade[..], &["--machines", "x"]].concat());
+    let message = parse_error(&[&upgrade[..], &["--machines", "x"]].concat());
     assert!(message.starts_with("error: invalid value 'x'"), "{message}");
     assert_eq!(message.lines().count(), 1);
 }
 
 #[test]
-fn an_upgrade_needs_no_more_than_two_arguments() {
-    let taken = Arguments::try_parse_from([
+fn upgrade_has_defaults_for_all_other_arguments() {
+    let parsed = Arguments::try_parse_from([
         "worksshunt-measure",
         "upgrade",
         "--second-program",
@@ -38,17 +38,17 @@
     ]);
     let Ok(Command::Upgrade {
         program, machines, ..
-    }) = taken.map(|arguments| arguments.command)
+    }) = parsed.map(|arguments| arguments.command)
     else {
-        panic!("was refused");
+        panic!("arguments were rejected");
     };
     assert_eq!(program, PathBuf::from("target/release/worksshunt"));
     assert!(machines >= upgrade::arguments::MIN_MACHINES);
 }
 
 #[test]
-fn wrong_arguments_and_failed_stages_have_exit_codes_of_their_own() {
+fn invalid_arguments_and_failed_stages_have_different_exit_codes() {
     let usage = MeasureError::from(UsageError::TooFewMachines(1));
     assert_eq!(usage.exit_code(), 2);
-    assert_eq!(MeasureError::Stage(3).exit_code(), 1);
+    assert_eq!(MeasureError::StageFailed(3).exit_code(), 1);
 }
--- a/crates/worksshunt-search/src/scratch.rs
+++ b/crates/worksshunt-search/src/scratch.rs
@@ -61,7 +61,7 @@
     executable: Option<PathBuf>,
 }
 
-/// Copy of the sources in a folder of its own, with its own build directory.
+/// Copy of the sources in a separate folder, with its own build directory.
 pub struct ScratchCopy {
     folder: PathBuf,
 }
--- a/crates/worksshunt-search/src/search.rs
+++ b/crates/worksshunt-search/src/search.rs
@@ -1,5 +1,5 @@
 //! Search for one mutation: applies it to the scratch copy, builds the copy, and plays random days from several starts.
-//! A start is a search over a range of seeds of its own.
+//! A start is one search over its own range of seeds.
 
 use std::fmt;
 use std::time::{Duration, Instant};
