--- a/crates/worksshunt-core/src/controller/metrics.rs
+++ b/crates/worksshunt-core/src/controller/metrics.rs
@@ -1,9 +1,9 @@
-//! What the controller counts, and its response to a request for the metrics.
+//! Updates of the metrics, and the response to a metrics request.
 
 use crate::job_api::HttpResponse;
 use crate::jobs::FinalStateEvidence;
 use crate::metrics::{EvidenceLabel, EvidenceLabels, Metrics, QueueLabel, METRICS_CONTENT_TYPE};
-use crate::scheduler::ClaimRecord;
+use crate::scheduler::ClaimWriteOutcome;
 
 use super::{Controller, WriteQueueId};
 
@@ -19,8 +19,8 @@
 }
 
 impl Metrics {
-    /// Counts a final state learnt.
-    pub(super) fn final_state_learnt(&self, evidence: FinalStateEvidence) {
+    /// Counts an observed final state by its evidence.
+    pub(super) fn count_final_state(&self, evidence: FinalStateEvidence) {
         let evidence = match evidence {
             FinalStateEvidence::Committed(_) => EvidenceLabel::Committed,
             FinalStateEvidence::Read(_) => EvidenceLabel::Read,
@@ -29,12 +29,12 @@
         self.final_states.get_or_create(&labels).inc();
     }
 
-    /// Counts a claim record learnt.
-    pub(super) fn claim_recorded(&self, record: ClaimRecord) {
+    /// Counts an observed change of a claim record by its evidence.
+    pub(super) fn count_claim_record(&self, record: ClaimWriteOutcome) {
         let evidence = match record {
-            ClaimRecord::Committed(_) => EvidenceLabel::Committed,
-            ClaimRecord::Exists => EvidenceLabel::Exists,
-            ClaimRecord::Deleted(_) => EvidenceLabel::Deleted,
+            ClaimWriteOutcome::Committed(_) => EvidenceLabel::Committed,
+            ClaimWriteOutcome::Exists => EvidenceLabel::Exists,
+            ClaimWriteOutcome::Deleted(_) => EvidenceLabel::Deleted,
         };
         let labels = EvidenceLabels { evidence };
         self.claim_records.get_or_create(&labels).inc();
@@ -42,7 +42,7 @@
 }
 
 impl Controller {
-    /// The metrics as text.
+    /// The response to a metrics request; updates the gauges first.
     pub(super) fn metrics_response(&self) -> HttpResponse {
         let token = i64::try_from(self.membership.fencing_token().0).unwrap_or(i64::MAX);
         self.metrics.fencing_token.set(token);
