--- a/crates/worksshunt-measure/src/workload.rs
+++ b/crates/worksshunt-measure/src/workload.rs
@@ -101,13 +101,13 @@
 
 /// Stops measuring times. Returns the handling times of all events, by kind of event.
 fn take_handling_times(cluster: &mut Cluster) -> BTreeMap<&'static str, Vec<Duration>> {
-    cluster.usage.took.take().unwrap_or_default()
+    cluster.usage.handling_times.take().unwrap_or_default()
 }
 
 /// Resets the measurement of resource usage and starts measuring handling times and bytes.
 fn start_measuring(cluster: &mut Cluster) {
-    cluster.usage.bytes = true;
-    cluster.usage.took = Some(BTreeMap::new());
+    cluster.usage.counts_bytes = true;
+    cluster.usage.handling_times = Some(BTreeMap::new());
     cluster.usage.reset();
 }
 
@@ -127,8 +127,8 @@
     }
     let usage = &cluster.usage;
     for (name, count) in [
-        ("state service: requests a second", usage.requests),
-        ("state service: changes a second", usage.changes),
+        ("state service: requests a second", usage.key_value_requests),
+        ("state service: changes a second", usage.changed_keys),
         ("state service: bytes a second", usage.value_bytes),
         ("exchanges: bytes a second", usage.sync_bytes),
         ("direct orders a second", usage.command_requests),
@@ -163,7 +163,7 @@
     run.record("memory of the leader, MB", memory_mb);
     cluster.crash((remaining + 1) % CONTROLLER_COUNT);
     jobs.run_until(cluster, |cluster| {
-        cluster.workers.keys().count() * 9 / 10 <= cluster.reporting_to(remaining)
+        cluster.workers.keys().count() * 9 / 10 <= cluster.workers_reporting_to(remaining)
     });
     start_measuring(cluster);
     jobs.run(cluster, SINGLE_CONTROLLER_MS);
@@ -184,7 +184,7 @@
     let epoch_before_restart = cluster.epoch();
     (0..CONTROLLER_COUNT).for_each(|node| cluster.start(node));
     let deadline = restarted_at + PHASE_TIMEOUT_MS;
-    while cluster.answered_in(epoch_before_restart + 1) == 0 && cluster.now < deadline {
+    while cluster.workers_with_epoch(epoch_before_restart + 1) == 0 && cluster.now < deadline {
         cluster.run(SUBMISSION_INTERVAL_MS);
     }
     let total: Duration = take_handling_times(cluster).values().flatten().sum();
--- a/crates/worksshunt-search/src/digest.rs
+++ b/crates/worksshunt-search/src/digest.rs
@@ -1,13 +1,13 @@
-//! Digests of the simulated random days of a range of seeds.
+//! Digests of the simulated random runs of a range of seeds.
 
 use std::sync::Mutex;
 
-use worksshunt_simulation::{random_day, DayDigest};
+use worksshunt_simulation::{random_run, RunDigest};
 
 use crate::seeds::SeedRange;
 
-/// Computes the digest of each seed's day, on all processors. The result is sorted by seed.
-pub fn compute_day_digests(seeds: &SeedRange) -> Vec<(u64, DayDigest)> {
+/// Computes the digest of each seed's run, on all processors. The result is sorted by seed.
+pub fn compute_run_digests(seeds: &SeedRange) -> Vec<(u64, RunDigest)> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let remaining_seeds = Mutex::new(seeds.from..seeds.to);
     let digests = Mutex::new(Vec::new());
@@ -15,7 +15,7 @@
         for _ in 0..threads {
             scope.spawn(|| {
                 while let Some(seed) = next_seed(&remaining_seeds) {
-                    let digest = random_day::digest(seed);
+                    let digest = random_run::digest(seed);
                     lock(&digests).push((seed, digest));
                 }
             });
--- a/crates/worksshunt-search/src/main.rs
+++ b/crates/worksshunt-search/src/main.rs
@@ -1,8 +1,8 @@
-//! Mutation testing of the search for invariant violations: counts the simulated random days, one per seed, that it
-//! takes to detect each of a list of mutations. Also prints digests of random days, to compare the behavior of builds.
+//! Mutation testing of the search for invariant violations: counts the simulated random runs, one per seed, that it
+//! takes to detect each of a list of mutations. Also prints digests of random runs, to compare the behavior of builds.
 //!
-//! A mutation is a small change of the sources that introduces a fault; it is applied to a scratch copy. The days are
-//! played by `worksshunt_simulation::random_day`. This file defines the command line and the exit codes.
+//! A mutation is a small change of the sources that introduces a fault; it is applied to a scratch copy. The runs are
+//! simulated by `worksshunt_simulation::random_run`. This file defines the command line and the exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -35,14 +35,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Prints a digest of each random day of a range of seeds to standard output.
+    /// Prints a digest of each random run of a range of seeds to standard output.
     ///
     /// One line for each seed, in their order: the seed, a SHA-256 hash in hexadecimal digits, and the number of
     /// messages.
     ///
     /// The hash covers every message that a controller exchanges with workers, users, the key-value store, the cloud
-    /// and other controllers, in order: its time (ms since the start of the day), the controller, the direction, the
-    /// kind of the message, and its encoded bytes. The last input of the hash is the verdict on the day: all
+    /// and other controllers, in order: its time (ms since the start of the run), the controller, the direction, the
+    /// kind of the message, and its encoded bytes. The last input of the hash is the verdict on the run: all
     /// invariants held, or the names of those violated. Names of Rust types and log lines are not covered.
     ///
     /// Builds with the same behavior print the same lines for the same seeds.
@@ -121,7 +121,7 @@
 }
 
 fn print_digests(seeds: &SeedRange) {
-    for (seed, digest) in digest::compute_day_digests(seeds) {
+    for (seed, digest) in digest::compute_run_digests(seeds) {
         println!("{seed} {digest}");
     }
 }
--- a/crates/worksshunt-search/src/scratch.rs
+++ b/crates/worksshunt-search/src/scratch.rs
@@ -1,6 +1,6 @@
 //! Scratch copy of the sources, in which mutations are applied, built and tested.
 //!
-//! One copy serves all mutations of a run, so that builds after the first are incremental.
+//! One copy serves all mutations of the list, so that builds after the first are incremental.
 
 use std::fs;
 use std::io::{Error, ErrorKind};
@@ -13,13 +13,13 @@
 
 /// Files and folders to copy, relative to the root of the sources.
 const COPIED_PATHS: [&str; 3] = ["Cargo.toml", "Cargo.lock", "crates"];
-/// Prefix of the line `finding: seed SEED: FAILURE` that the test prints for each failed day.
+/// Prefix of the line `finding: seed SEED: FAILURE` that the test prints for each failed run.
 const FINDING_PREFIX: &str = "finding: seed ";
-/// Test that plays random days.
-const RANDOM_DAYS_TEST: &str = "mixed::days_of_mixed_faults";
-/// Environment variable with the range of seeds that the test plays.
+/// Test that simulates random runs.
+const RANDOM_RUNS_TEST: &str = "mixed::days_of_mixed_faults";
+/// Environment variable with the range of seeds that the test simulates.
 const SEEDS_ENV_VAR: &str = "SCENARIOS_MIXED";
-/// Environment variable that, if set, stops the test at the first failed day.
+/// Environment variable that, if set, stops the test at the first failed run.
 const FIRST_ONLY_ENV_VAR: &str = "SCENARIOS_FIRST";
 
 /// Failure to create, change, build or test a scratch copy.
@@ -45,7 +45,7 @@
     NoVerdict(String),
 }
 
-/// The failed day with the lowest seed of a search.
+/// The failed run with the lowest seed of a search.
 #[derive(Debug, Clone)]
 pub struct Finding {
     /// Number of seeds from the first of the range up to this one, inclusive.
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Plays the days of these seeds until one fails. `None` if all pass.
+    /// Simulates the runs of these seeds until one fails. `None` if all pass.
     ///
     /// # Errors
     ///
@@ -160,36 +160,36 @@
         seeds: &SeedRange,
     ) -> Result<Option<Finding>, ScratchError> {
         let output = Command::new(program)
-            .args([RANDOM_DAYS_TEST, "--exact", "--nocapture"])
+            .args([RANDOM_RUNS_TEST, "--exact", "--nocapture"])
             .env(SEEDS_ENV_VAR, format!("{}..{}", seeds.from, seeds.to))
             .env(FIRST_ONLY_ENV_VAR, "1")
             .current_dir(&self.folder)
             .output()
             .map_err(ScratchError::ProcessStart)?;
         let text = String::from_utf8_lossy(&output.stdout);
-        let failed_day = text.lines().filter_map(FailedDay::parse).min();
-        match (output.status.success(), failed_day) {
+        let failed_run = text.lines().filter_map(FailedRun::parse).min();
+        match (output.status.success(), failed_run) {
             (true, None) => Ok(None),
-            (false, Some(day)) => Ok(Some(Finding {
-                seeds_tried: day.seed - seeds.from + 1,
-                violation: describe_violation(&day.failure),
+            (false, Some(run)) => Ok(Some(Finding {
+                seeds_tried: run.seed - seeds.from + 1,
+                violation: describe_violation(&run.failure),
             })),
             _ => Err(ScratchError::NoVerdict(last_line(&output.stderr))),
         }
     }
 }
 
-/// Failed day, parsed from the output of the test. Ordered by seed.
+/// Failed run, parsed from the output of the test. Ordered by seed.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct FailedDay {
+struct FailedRun {
     seed: u64,
     failure: String,
 }
 
-impl FailedDay {
-    fn parse(line: &str) -> Option<FailedDay> {
+impl FailedRun {
+    fn parse(line: &str) -> Option<FailedRun> {
         let (seed, failure) = line.strip_prefix(FINDING_PREFIX)?.split_once(": ")?;
-        Some(FailedDay {
+        Some(FailedRun {
             seed: seed.parse().ok()?,
             failure: failure.to_owned(),
         })
--- a/crates/worksshunt-search/src/search.rs
+++ b/crates/worksshunt-search/src/search.rs
@@ -1,5 +1,5 @@
-//! Search for one mutation: applies it to the scratch copy, builds the copy, and plays random days from several starts.
-//! A start is one search over its own range of seeds.
+//! Search for one mutation: applies it to the scratch copy, builds the copy, and simulates random runs from several
+//! starts. A start is one search over its own range of seeds.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 
 /// Result of the searches from all starts.
 struct SearchOutcome {
-    /// First finding of each start; `None` if all its days passed.
+    /// First finding of each start; `None` if all its runs passed.
     findings: Vec<Option<Finding>>,
     /// Duration of all searches, without the build.
     duration: Duration,
