--- a/crates/worksshunt-core/src/capacity.rs
+++ b/crates/worksshunt-core/src/capacity.rs
@@ -1,7 +1,7 @@
 //! Limits of a controller on connections and requests in flight, derived from the settings, and warnings about limits
 //! that are too low for the fleet.
 //!
-//! [`Capacity`] is computed once at the start, [`shortfalls`] once the catalogue has been read.
+//! [`Capacity`] is computed once at the start, [`shortfalls`] once the catalog has been read.
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::settings::{Facts, Settings};
@@ -39,20 +39,20 @@
         let facts = &settings.facts;
         let sockets = facts.limits.sockets.saturating_sub(RESERVED_SOCKETS);
         let worker_connections = sockets / WORKER_CONNECTION_DIVISOR;
-        let exchanges = max_exchanges(facts);
+        let max_in_flight_requests = max_in_flight_requests(facts);
         Capacity {
             client_connections: sockets - worker_connections,
             worker_connections,
-            direct_commands: exchanges.min(worker_connections),
-            user_requests: exchanges,
+            direct_commands: max_in_flight_requests.min(worker_connections),
+            user_requests: max_in_flight_requests,
             provision_requests: ((facts.cloud.requests_per_s * CLOUD_REQUEST_SHARE / 2.0) as usize)
                 .max(MIN_PENDING_PROVISION_LIMIT),
         }
     }
 }
 
-/// Maximum number of exchanges of one kind in flight, by the memory limit; at least [`MIN_IN_FLIGHT_REQUEST_LIMIT`].
-fn max_exchanges(facts: &Facts) -> usize {
+/// Maximum number of requests of one kind in flight, by the memory limit; at least [`MIN_IN_FLIGHT_REQUEST_LIMIT`].
+fn max_in_flight_requests(facts: &Facts) -> usize {
     let bytes =
         facts.limits.memory_mb.unwrap_or(0.0) * BYTES_PER_MB * IN_FLIGHT_REQUEST_MEMORY_SHARE;
     ((bytes / IN_FLIGHT_REQUEST_BYTES as f64) as usize).max(MIN_IN_FLIGHT_REQUEST_LIMIT)
--- a/crates/worksshunt-core/src/constants/capacity.rs
+++ b/crates/worksshunt-core/src/constants/capacity.rs
@@ -14,8 +14,8 @@
 /// so connections need time to close.
 pub const ACCEPT_RETRY_DELAY_MS: u64 = 20;
 
-/// Idle timeout of a connection, in heartbeat intervals. A worker that is silent longer has failed or has switched to
-/// another controller.
+/// Idle timeout of a connection, in heartbeat intervals. A worker that sends nothing for longer has failed or has
+/// switched to another controller.
 pub const IDLE_CONNECTION_HEARTBEAT_INTERVALS: f64 = 4.0;
 
 /// Minimum idle timeout of a connection, milliseconds: longer than the 5 s between two polls of a user.
--- a/crates/worksshunt-core/src/constants/key_value.rs
+++ b/crates/worksshunt-core/src/constants/key_value.rs
@@ -47,7 +47,7 @@
 /// state within three seconds (protocol).
 pub const FINAL_WRITE_BACKLOG_S: f64 = 10.0;
 
-/// Share of the write limit for the leader's pages: half for completions, half for attempt records of earlier epochs.
+/// Share of the write limit for the leader's pages: half for completions, half for attempt records of previous epochs.
 /// A separate share keeps them from delaying final job states.
 pub const LEADER_PAGE_WRITE_SHARE: f64 = 0.2;
 
--- a/crates/worksshunt-core/src/constants/leases.rs
+++ b/crates/worksshunt-core/src/constants/leases.rs
@@ -11,11 +11,12 @@
 pub const CONTROL_KEYS_READ_INTERVAL_MS: u64 = 1_000;
 
 /// Milliseconds for which a controller may act after it sent a request that confirmed the epoch. Three consecutive
-/// reads of the control keys may fail. A new owner adds this time to a worker's lease before it treats the lease of a
-/// silent machine as expired.
+/// reads of the control keys may fail. A new owner assumes that the previous one may have renewed workers' leases for
+/// this long.
 pub const EPOCH_LEASE_MS: u64 = 4_000;
 
-/// Milliseconds added to every worker lease that is computed here, for late timers.
+/// Milliseconds that a controller adds to a worker's lease before it treats the lease as expired, for timers that fire
+/// late.
 pub const WORKER_LEASE_MARGIN_MS: u64 = 500;
 
 /// Twice the maximum drift rate between two monotonic clocks (0.05%).
--- a/crates/worksshunt-core/src/constants/partition_sync.rs
+++ b/crates/worksshunt-core/src/constants/partition_sync.rs
@@ -8,7 +8,7 @@
 
 /// Milliseconds without a message from a partition's owner after which no task is assigned to the partition: two
 /// synchronizations and a timeout.
-pub const PARTITION_SILENCE_TIMEOUT_MS: u64 = 2_000;
+pub const PARTITION_UNRESPONSIVE_AFTER_MS: u64 = 2_000;
 
 /// Interval at which the leader sends the progress of jobs to each partition owner, milliseconds. It is only for status
 /// responses to users.
--- a/crates/worksshunt-core/src/constants/placement.rs
+++ b/crates/worksshunt-core/src/constants/placement.rs
@@ -1,7 +1,7 @@
-//! Placement by measured speed: parameters of the published design.
+//! Default parameters of placement by measured speed, and the tolerance for rounding errors.
 
-/// Window of the speed measurement, seconds.
-pub const SPEED_WINDOW_S: f64 = 120.0;
+/// Window of a machine's capacity, seconds: a capable machine finishes a task within it.
+pub const CAPACITY_WINDOW_S: f64 = 120.0;
 
 /// Speed of a machine without measurements, seconds of estimated work per second of allocation.
 pub const START_SPEED: f64 = 1.0;
--- a/crates/worksshunt-core/src/constants/scheduling.rs
+++ b/crates/worksshunt-core/src/constants/scheduling.rs
@@ -1,4 +1,4 @@
-//! Order of service: starvation, objectives at risk, preemption, claims and retries of failing jobs.
+//! Scheduling order: starvation, objectives at risk, preemption, claims and retries of failing jobs.
 
 /// Milliseconds without a dispatched task after which a job precedes all others: less than half of the four minutes
 /// within which every job must begin.
@@ -12,7 +12,7 @@
 pub const OLD_JOB_STARVATION_MS: u64 = 25_000;
 
 /// Inverse of the share of its waiting tasks, at least one, that is dispatched for a starved job at a time: few enough
-/// not to reverse the order of service.
+/// not to reverse the scheduling order.
 pub const STARVED_TASK_DIVISOR: u32 = 8;
 
 /// Milliseconds that a task waits without free capacity in any partition before the leader claims a machine for it.
@@ -27,12 +27,12 @@
 /// Milliseconds that a task waits without free capacity in any partition before other tasks are preempted for it.
 pub const PREEMPT_AFTER_MS: u64 = 3_000;
 
-/// Seconds before the latest start that meets a task's objective from which other tasks are preempted for it: enough
-/// for a stop, an image fetch and two heartbeats.
+/// Seconds before the latest start that meets an objective from which the objective counts as at risk, so that other
+/// tasks are preempted: enough for a stop, an image fetch and two heartbeats.
 pub const OBJECTIVE_AT_RISK_S: f64 = 10.0;
 
-/// Seconds before the wait limit of work within a guaranteed quota from which it precedes work of higher priority:
-/// about the time in which a full fleet frees the capacity of a guarantee.
+/// Seconds before the latest start that meets the objective for guarantees from which a guarantee counts as at risk, so
+/// that its tasks precede work of higher priority: about the time in which a full fleet frees its capacity.
 pub const GUARANTEE_AT_RISK_S: f64 = 30.0;
 
 /// Number of failures of a job after which its tasks are retried with a backoff.
--- a/crates/worksshunt-core/src/constants/services.rs
+++ b/crates/worksshunt-core/src/constants/services.rs
@@ -1,21 +1,21 @@
-//! Services: replicas on silent machines, spare capacity, and expected demand.
+//! Services: replicas on unresponsive machines, spare capacity, and expected demand.
 
 use super::workers::PROBE_INTERVAL_MS;
 
-/// Heartbeat intervals for which a machine with replicas is unschedulable before it is released. Machines that became
-/// silent at the same moment are detected by then (see
+/// Heartbeat intervals for which a machine with replicas is unschedulable before it is released. Heartbeats are up to
+/// one interval apart, so the other machines that failed at the same moment are unschedulable by then (see
 /// [`MISSED_HEARTBEAT_INTERVALS`](super::workers::MISSED_HEARTBEAT_INTERVALS)).
-pub const SILENT_RELEASE_HEARTBEAT_INTERVALS: f64 = 1.2;
+pub const UNRESPONSIVE_RELEASE_HEARTBEAT_INTERVALS: f64 = 1.2;
 
 /// Minimum of that time, milliseconds: a machine that only missed a command has answered a probe by then.
-pub const MIN_SILENT_RELEASE_MS: u64 = PROBE_INTERVAL_MS + 1_000;
+pub const MIN_UNRESPONSIVE_RELEASE_MS: u64 = PROBE_INTERVAL_MS + 1_000;
 
-/// Inverse of the share of a zone's machines up to which silent machines are released. More at a time have another
-/// cause than independent failures.
-pub const SILENT_RELEASE_MACHINE_DIVISOR: usize = 12;
+/// Inverse of the maximum share of unschedulable machines in a zone with which such releases take place. A larger share
+/// has another cause than independent failures.
+pub const UNRESPONSIVE_RELEASE_MACHINE_DIVISOR: usize = 12;
 
 /// Minimum interval of such releases, in worker leases. It limits the damage if the machines only seem to have failed.
-pub const SILENT_RELEASE_INTERVAL_LEASES: f64 = 0.25;
+pub const UNRESPONSIVE_RELEASE_INTERVAL_LEASES: f64 = 0.25;
 
 /// Cost of preempting a replica, milliseconds of lost work: more than any task loses.
 pub const REPLICA_PREEMPTION_COST_MS: u64 = 86_400_000;
@@ -34,7 +34,7 @@
 /// delayed boot.
 pub const SPOT_UNAVAILABLE_AFTER_MS: u64 = 60_000;
 
-/// Boot times for whose expected replicas capacity is reserved. Boots may be slow or fail.
+/// Time for whose expected arrivals of replicas capacity is reserved, in boot times. Boots may be slow or fail.
 pub const RESERVED_CAPACITY_BOOT_TIMES: f64 = 2.0;
 
 /// Run time after which a replica counts as stable, milliseconds: several times the time of a start.
--- a/crates/worksshunt-core/src/constants/workers.rs
+++ b/crates/worksshunt-core/src/constants/workers.rs
@@ -6,7 +6,7 @@
 /// Timeout of direct commands, milliseconds. Unanswered commands are sent again in the response to the next heartbeat.
 pub const DIRECT_COMMAND_TIMEOUT_MS: u64 = 2_000;
 
-/// Milliseconds without direct commands to a worker that left some unanswered.
+/// Delay before the next direct commands to a worker after some that could not be sent, milliseconds.
 pub const DIRECT_COMMAND_BACKOFF_MS: u64 = 10_000;
 
 /// Interval of probes of a worker that may be unreachable, milliseconds.
--- a/crates/worksshunt-core/src/controller/readiness.rs
+++ b/crates/worksshunt-core/src/controller/readiness.rs
@@ -1,10 +1,10 @@
 //! Readiness of this controller to own machines. It is published in the member key, and only ready members own machines
 //! in the next epoch.
 
-use crate::constants::partition_sync::PARTITION_SILENCE_TIMEOUT_MS;
+use crate::constants::partition_sync::PARTITION_UNRESPONSIVE_AFTER_MS;
 use crate::constants::readiness::{
-    LEADER_SILENCE_TIMEOUT_MS, MAX_READINESS_RETRY_MS, MIN_LEADER_SILENCE_RECOVERY_MS,
-    READINESS_RETRY_MS,
+    INITIAL_HEARTBEAT_LOSS_DELAY_MS, LEADER_UNRESPONSIVE_AFTER_MS, MAX_HEARTBEAT_LOSS_DELAY_MS,
+    MIN_LEADER_LOSS_DELAY_MS,
 };
 use crate::time::Time;
 
@@ -28,7 +28,7 @@
     /// Earliest return to [`Readiness::Ready`].
     ready_not_before: Time,
     /// Delay before the controller becomes ready again after the next loss of heartbeats, in milliseconds. Doubles with
-    /// each loss, up to [`MAX_READINESS_RETRY_MS`].
+    /// each loss, up to [`MAX_HEARTBEAT_LOSS_DELAY_MS`].
     heartbeat_loss_delay_ms: u64,
     /// Time of the leader's last response, or of the start of the epoch if that is later.
     last_leader_response_at: Time,
@@ -40,7 +40,7 @@
         ReadinessState {
             current: Readiness::Ready,
             ready_not_before: Time::default(),
-            heartbeat_loss_delay_ms: READINESS_RETRY_MS,
+            heartbeat_loss_delay_ms: INITIAL_HEARTBEAT_LOSS_DELAY_MS,
             last_leader_response_at: Time::default(),
         }
     }
@@ -59,13 +59,13 @@
         };
         match self.current {
             Readiness::Ready if is_unreachable => Readiness::NoHeartbeats,
-            Readiness::Ready if since_leader_response_ms >= LEADER_SILENCE_TIMEOUT_MS => {
+            Readiness::Ready if since_leader_response_ms >= LEADER_UNRESPONSIVE_AFTER_MS => {
                 Readiness::NoLeaderResponse
             }
             Readiness::NoHeartbeats if now >= self.ready_not_before => Readiness::Ready,
             Readiness::NoLeaderResponse
                 if now >= self.ready_not_before
-                    && since_leader_response_ms < PARTITION_SILENCE_TIMEOUT_MS =>
+                    && since_leader_response_ms < PARTITION_UNRESPONSIVE_AFTER_MS =>
             {
                 Readiness::Ready
             }
@@ -81,11 +81,9 @@
             Readiness::NoHeartbeats => {
                 self.ready_not_before = now + self.heartbeat_loss_delay_ms;
                 self.heartbeat_loss_delay_ms =
-                    (self.heartbeat_loss_delay_ms * 2).min(MAX_READINESS_RETRY_MS);
-            }
-            Readiness::NoLeaderResponse => {
-                self.ready_not_before = now + MIN_LEADER_SILENCE_RECOVERY_MS
+                    (self.heartbeat_loss_delay_ms * 2).min(MAX_HEARTBEAT_LOSS_DELAY_MS);
             }
+            Readiness::NoLeaderResponse => self.ready_not_before = now + MIN_LEADER_LOSS_DELAY_MS,
         }
         self.current = next;
     }
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -83,7 +83,7 @@
             WriteQueueId::AttemptRecords => self.partition.mark_records_durable(None),
             _ => {
                 if let Some(leader) = &mut self.leader {
-                    leader.scheduler.page_writes_applied(None);
+                    leader.scheduler.mark_pages_durable(None);
                 }
             }
         }
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -20,7 +20,7 @@
         let max_pages = self
             .write_queues
             .page_allowance(WriteQueueId::AttemptRecords, now);
-        add_pages(write, self.partition.next_record_writes(now, max_pages));
+        add_pages(write, self.partition.begin_record_writes(now, max_pages));
     }
 
     pub(super) fn add_leader_page_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
@@ -28,7 +28,7 @@
             .write_queues
             .page_allowance(WriteQueueId::LeaderPages, now);
         if let Some(leader) = &mut self.leader {
-            add_pages(write, leader.scheduler.next_page_writes(now, max_pages));
+            add_pages(write, leader.scheduler.begin_page_writes(now, max_pages));
         }
     }
 
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -95,7 +95,7 @@
             WriteQueueId::AttemptRecords => self.partition.mark_records_durable(Some(revision)),
             WriteQueueId::LeaderPages => {
                 if let Some(leader) = &mut self.leader {
-                    leader.scheduler.page_writes_applied(Some(revision));
+                    leader.scheduler.mark_pages_durable(Some(revision));
                 }
             }
             WriteQueueId::FinalWrites => self.process_committed_final_writes(revision, now),
@@ -129,7 +129,7 @@
                     self.metrics.count_claim_record(record);
                     leader.scheduler.apply_claim_write_outcome(&machine, record);
                 }
-                FinalWrite::RemoveKey(key) => leader.scheduler.key_removed(&key),
+                FinalWrite::RemoveKey(key) => leader.scheduler.mark_key_removed(&key),
             }
         }
     }
@@ -203,7 +203,7 @@
         timer.schedule_next(now, 0);
         self.partition.set_record_page_version(key, version);
         if let Some(leader) = &mut self.leader {
-            leader.scheduler.page_version_read(key, version);
+            leader.scheduler.set_page_version(key, version);
         }
     }
 }
--- a/crates/worksshunt-core/src/fleet/capacity_supply.rs
+++ b/crates/worksshunt-core/src/fleet/capacity_supply.rs
@@ -153,8 +153,8 @@
         slack_s: 0.0,
         zone,
         full_zones: BTreeSet::new(),
-        spot_only: false,
-        has_spot_machines: true,
+        is_spot_only: false,
+        is_spot_available: true,
     }
 }
 
@@ -222,7 +222,7 @@
     job.allows_machine(&offer.machine_type, &offer.zone, offer.is_spot)
         && demand.zone.as_ref().is_none_or(|zone| *zone == offer.zone)
         && !demand.full_zones.contains(&offer.zone)
-        && (offer.is_spot || !demand.spot_only)
+        && (offer.is_spot || !demand.is_spot_only)
 }
 
 /// Number of tasks that fit an empty machine, from the machine's capacity and the resources of each task.
--- a/crates/worksshunt-core/src/fleet/mod.rs
+++ b/crates/worksshunt-core/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use worksshunt_wire::{Epoch, MachineId};
 
 use crate::constants::fleet::FIRST_HEARTBEAT_TIMEOUT_INTERVALS;
-use crate::constants::services::SILENT_RELEASE_INTERVAL_LEASES;
+use crate::constants::services::UNRESPONSIVE_RELEASE_INTERVAL_LEASES;
 use crate::resources::Resources;
 use crate::scheduler::{Demand, Forecast, MachineView};
 use crate::time::Time;
@@ -65,10 +65,10 @@
     provision_not_before: Time,
     /// Maximum lag of the cloud's machine list, milliseconds.
     list_lag_ms: u64,
-    /// Earliest time to release the next silent machine with replicas.
-    silent_release_not_before: Time,
+    /// Earliest time to release the next unresponsive machine with replicas.
+    unresponsive_release_not_before: Time,
     /// Minimum interval of such releases, milliseconds.
-    silent_release_interval_ms: u64,
+    unresponsive_release_interval_ms: u64,
     /// Milliseconds for which a running machine counts as future capacity without a heartbeat.
     first_heartbeat_timeout_ms: u64,
 }
@@ -98,8 +98,10 @@
             listings: Listings::default(),
             provision_not_before: now + provision_delay_ms,
             list_lag_ms,
-            silent_release_not_before: Time::default(),
-            silent_release_interval_ms: (workers.lease_s * 1_000.0 * SILENT_RELEASE_INTERVAL_LEASES)
+            unresponsive_release_not_before: Time::default(),
+            unresponsive_release_interval_ms: (workers.lease_s
+                * 1_000.0
+                * UNRESPONSIVE_RELEASE_INTERVAL_LEASES)
                 as u64,
             first_heartbeat_timeout_ms: (workers.heartbeat_interval_s
                 * 1_000.0
@@ -145,7 +147,7 @@
         let mut unserved = unserved_demand(&mut supply, demand);
         let reservation = reserve_capacity(&mut supply, forecast, catalog);
         unserved.extend(reservation.unserved);
-        self.drain_silent_machine(now, &forecast.silent_machines);
+        self.drain_unresponsive_machine(now, &forecast.unresponsive_machines);
         let release = self.next_release(now, catalog, &machines, &reservation.idle_machines);
         let mut requests: Vec<CloudRequest> =
             release.map(CloudRequest::Release).into_iter().collect();
--- a/crates/worksshunt-core/src/fleet/scale_in.rs
+++ b/crates/worksshunt-core/src/fleet/scale_in.rs
@@ -12,14 +12,14 @@
 use super::{Fleet, MachineStage};
 
 impl Fleet {
-    /// Drains the first of the `silent` machines that is up, so that its replicas are replaced. Only one machine is
-    /// empty_unschedulable per release interval.
-    pub(super) fn drain_silent_machine(&mut self, now: Time, silent: &[MachineId]) {
+    /// Drains the first of the `unresponsive` machines that is up, so that its replicas are replaced. At most one
+    /// machine is drained per release interval.
+    pub(super) fn drain_unresponsive_machine(&mut self, now: Time, unresponsive: &[MachineId]) {
         // The release has to be sent in the same step: the partition's next status marks the machine as reported again.
-        if now < self.silent_release_not_before || self.is_release_in_flight {
+        if now < self.unresponsive_release_not_before || self.is_release_in_flight {
             return;
         }
-        for id in silent {
+        for id in unresponsive {
             let tracked = self.machines.get_mut(id);
             let Some(tracked) = tracked.filter(|tracked| tracked.stage() == MachineStage::Up)
             else {
@@ -27,13 +27,13 @@
             };
             tracing::info!(machine = %id, "machine with replicas missed heartbeats; releasing it");
             tracked.force_drain(id);
-            self.silent_release_not_before = now + self.silent_release_interval_ms;
+            self.unresponsive_release_not_before = now + self.unresponsive_release_interval_ms;
             return;
         }
     }
 
-    /// Drains idle and silent machines and returns the next release request. Idle machines in `reserved` are not
-    /// drained. Returns `None` while a request is in flight or if no machine can be released.
+    /// Drains idle machines and those whose report is overdue, and returns the next release request. Idle machines in
+    /// `reserved` are not drained. Returns `None` while a request is in flight or if no machine can be released.
     pub(super) fn next_release(
         &mut self,
         now: Time,
@@ -58,7 +58,7 @@
         Some(MachineIds { ids })
     }
 
-    /// Drains idle and silent machines. Returns the machines that can be released.
+    /// Drains idle machines and those whose report is overdue. Returns the machines that can be released.
     fn drain_and_select(
         &mut self,
         now: Time,
@@ -80,7 +80,9 @@
                 MachineStage::Up if tracked.is_idle(now, boot_s) && !reserved.contains(id) => {
                     tracked.set_stage(id, MachineStage::Draining);
                 }
-                MachineStage::Booting | MachineStage::Up if tracked.is_silent(now, boot_s) => {
+                MachineStage::Booting | MachineStage::Up
+                    if tracked.is_report_overdue(now, boot_s) =>
+                {
                     tracing::info!(
                         machine = %id, stage = ?tracked.stage(),
                         "machine missed heartbeats; releasing it"
--- a/crates/worksshunt-core/src/fleet/scale_out.rs
+++ b/crates/worksshunt-core/src/fleet/scale_out.rs
@@ -57,7 +57,7 @@
         }
         let machine_type = self.catalog.machine_type(&best.offer.machine_type);
         let cpus_per_machine = machine_type.map_or(0.0, |machine_type| machine_type.cpus);
-        // Lost, unreachable and silent machines are not in the supply.
+        // Machines that are lost, unreachable or miss heartbeats are not in the supply.
         let usable_cpus: f64 = self
             .supplied_cpus
             .iter()
@@ -117,8 +117,8 @@
 
     /// Creates the next provision request, for the offer of which the most machines are missing.
     ///
-    /// A machine is provisioned when the present machines would need longer for the demand than its tasks may wait, and
-    /// the machine could start tasks at once.
+    /// Machines are provisioned if the present ones cannot complete the demand within the slack of its tasks, but not
+    /// more than the waiting tasks within their teams' limits can use.
     fn next_provision_request(&mut self, plan: &ProvisionPlan) -> Option<ProvisionRequest> {
         let zone_machines = self.machines_by_zone();
         let mut selected: BTreeMap<InstanceOffer, f64> = BTreeMap::new();
@@ -290,6 +290,6 @@
 fn should_wait_for_spot(demand: &Demand, machine_type: &MachineType) -> bool {
     demand.job.spec.allows_spot
         && demand.job.spec.deadline_s.is_none()
-        && demand.has_spot_machines
+        && demand.is_spot_available
         && machine_type.spot_price.is_some()
 }
--- a/crates/worksshunt-core/src/fleet/tests.rs
+++ b/crates/worksshunt-core/src/fleet/tests.rs
@@ -63,8 +63,8 @@
         slack_s: 20.0,
         zone: None,
         full_zones: BTreeSet::new(),
-        spot_only: false,
-        has_spot_machines: true,
+        is_spot_only: false,
+        is_spot_available: true,
     }]
 }
 
@@ -126,7 +126,7 @@
 
 // Guards against a new leader that releases running machines before their partitions have reported them.
 #[test]
-fn silence_of_running_machine_counts_from_first_sighting() {
+fn unreported_time_of_running_machine_counts_from_first_sighting() {
     let mut fleet = fleet(2);
     fleet.apply_machine_list(Time(500_000), &listed(ListedState::Running, 400.0));
     for now in [501_000, 520_000, 540_000] {
--- a/crates/worksshunt-core/src/fleet/tracked_machine.rs
+++ b/crates/worksshunt-core/src/fleet/tracked_machine.rs
@@ -112,8 +112,8 @@
         now.since(self.last_reported_at.unwrap_or(self.first_seen_at))
     }
 
-    /// Whether it has gone unreported for longer than the boot timeout of its type.
-    pub(super) fn is_silent(&self, now: Time, boot_s: f64) -> bool {
+    /// Whether it has not been reported for longer than the boot timeout of its type.
+    pub(super) fn is_report_overdue(&self, now: Time, boot_s: f64) -> bool {
         let timeout_ms = ((boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S) * 1_000.0) as u64;
         self.unreported_ms(now) > timeout_ms
     }
--- a/crates/worksshunt-core/src/fleet/tracking.rs
+++ b/crates/worksshunt-core/src/fleet/tracking.rs
@@ -42,8 +42,8 @@
     }
 
     fn track_listed(&mut self, now: Time, machine: &ListedMachine) {
-        // The silence of a running machine is measured from its first sighting: a new leader does not know the time of
-        // the last heartbeat, and the partition may not have reported the machine yet.
+        // The unreported time of a running machine counts from its first sighting: a new leader does not know the time
+        // of the last heartbeat, and the partition may not have reported the machine yet.
         let first_seen_at = match machine.state {
             ListedState::Starting => now - (machine.age_s * 1_000.0) as u64,
             ListedState::Running | ListedState::Failed => now,
--- a/crates/worksshunt-core/src/jobs/job.rs
+++ b/crates/worksshunt-core/src/jobs/job.rs
@@ -91,10 +91,14 @@
                 .is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
     }
 
-    /// Whether the job must not use a machine because it is reserved for services. While services are open and spot
-    /// machines are available, on-demand machines are reserved (`is_on_demand_reserved`) and jobs that allow spot
-    /// machines use only those: services may not run on spot machines and have to start within seconds.
-    pub fn leaves_machine_to_services(&self, is_spot: bool, is_on_demand_reserved: bool) -> bool {
+    /// Whether the job must not use a machine because on-demand machines are reserved for services and for jobs that
+    /// may not use spot machines. They are reserved (`is_on_demand_reserved`) while services are open and spot machines
+    /// are available, so that replicas, which have to start within seconds, find free on-demand machines.
+    pub fn is_excluded_by_on_demand_reservation(
+        &self,
+        is_spot: bool,
+        is_on_demand_reserved: bool,
+    ) -> bool {
         is_on_demand_reserved && !is_spot && self.spec.allows_spot
     }
 
--- a/crates/worksshunt-core/src/machines/assignment_queue.rs
+++ b/crates/worksshunt-core/src/machines/assignment_queue.rs
@@ -35,7 +35,7 @@
         self.is_placement_needed = true;
     }
 
-    /// Has placement tried again, after a change by which a queued assignment may fit a machine.
+    /// Requests another placement round, after a change by which a queued assignment may fit a machine.
     pub fn request_placement(&mut self) {
         self.is_placement_needed = true;
     }
@@ -56,11 +56,11 @@
     ) -> Vec<Assignment> {
         let mut removed = Vec::new();
         self.assignments.retain(|queued| {
-            let remove = condition(queued);
-            if remove {
+            let is_removed = condition(queued);
+            if is_removed {
                 removed.push(queued.assignment.clone());
             }
-            !remove
+            !is_removed
         });
         removed
     }
--- a/crates/worksshunt-core/src/machines/attempt.rs
+++ b/crates/worksshunt-core/src/machines/attempt.rs
@@ -29,7 +29,7 @@
     Inherited,
     /// Waiting for its image.
     Fetching,
-    /// Running, first reported so at the given time.
+    /// Running; holds the time at which it was first reported as running.
     Running(Time),
     /// Saving its checkpoint.
     Saving,
--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -23,7 +23,7 @@
     /// The batch was not sent, so it cannot take effect.
     NotSent,
     /// No response arrived; the commands may have taken effect or still take effect later.
-    NoAnswer,
+    Unknown,
 }
 
 /// A batch of direct commands and its destination.
@@ -129,7 +129,7 @@
                 machine.command_channel.not_before = now + DIRECT_COMMAND_BACKOFF_MS;
                 self.resolve_direct_launches(sent, AttemptState::Recorded);
             }
-            DirectCommandsOutcome::NoAnswer => {
+            DirectCommandsOutcome::Unknown => {
                 machine.reachability.mark_suspect(now);
                 machine.command_channel.not_before = now + PROBE_INTERVAL_MS;
                 self.end_unlaunched_attempts(id, now);
--- a/crates/worksshunt-core/src/machines/heartbeats.rs
+++ b/crates/worksshunt-core/src/machines/heartbeats.rs
@@ -113,7 +113,7 @@
         if kind == MessageKind::Heartbeat {
             machine.assess_reachability(heartbeat, has_current_token, timeouts, now);
         }
-        machine.apply_report(heartbeat, catalog, now);
+        machine.apply_machine_status(heartbeat, catalog, now);
         self.end_attempts_of_older_incarnations(id, heartbeat.incarnation, now);
         self.apply_listed_tasks(heartbeat, now);
         // A worker that has received this epoch's token refuses all commands of previous owners, so a task that it does
@@ -172,7 +172,7 @@
     }
 
     /// Applies the part of a message that is about the machine itself.
-    fn apply_report(&mut self, heartbeat: &Heartbeat, catalog: &Catalog, now: Time) {
+    fn apply_machine_status(&mut self, heartbeat: &Heartbeat, catalog: &Catalog, now: Time) {
         self.unreapable_attempts
             .retain(|_, incarnation| *incarnation >= heartbeat.incarnation);
         self.lease
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -122,8 +122,8 @@
     /// `None` until a message names a machine type of the catalog.
     pub info: Option<MachineInfo>,
     pub lease: WorkerLease,
-    /// The worker's lease has certainly expired or the cloud has terminated the machine, and no later message has
-    /// arrived: no task runs on it.
+    /// The worker's lease has expired by its latest possible renewal, or the cloud has terminated the machine, and no
+    /// later message has arrived: no task runs on it.
     pub is_lost: bool,
     pub reachability: WorkerReachability,
     pub command_channel: CommandChannel,
--- a/crates/worksshunt-core/src/machines/partition.rs
+++ b/crates/worksshunt-core/src/machines/partition.rs
@@ -132,8 +132,9 @@
         self.assignment_queue.request_placement();
     }
 
-    /// Returns the next write of record pages, at most `max_pages`; empty while one is in flight.
-    pub fn next_record_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
+    /// Begins the next write of record pages and returns its pages, at most `max_pages`. Returns none while a write is
+    /// in flight.
+    pub fn begin_record_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.record_pages.begin_writes(now, max_pages)
     }
 
--- a/crates/worksshunt-core/src/machines/queued_placement.rs
+++ b/crates/worksshunt-core/src/machines/queued_placement.rs
@@ -33,7 +33,7 @@
 struct PlacementConstraints {
     job: JobId,
     zone: Option<String>,
-    claimed: Option<MachineId>,
+    claimed_machine: Option<MachineId>,
 }
 
 impl PlacementConstraints {
@@ -41,7 +41,7 @@
         PlacementConstraints {
             job: assignment.task.job,
             zone: assignment.zone.clone(),
-            claimed: assignment.claimed_machine.clone(),
+            claimed_machine: assignment.claimed_machine.clone(),
         }
     }
 }
@@ -188,7 +188,10 @@
                     && machine.is_schedulable(round.now, self.timeouts)
                     && has_failed == (filter == FailureFilter::WithFailures)
                     && job.allows_machine(&info.machine_type, &info.zone, info.is_spot)
-                    && !job.leaves_machine_to_services(info.is_spot, round.is_on_demand_reserved)
+                    && !job.is_excluded_by_on_demand_reservation(
+                        info.is_spot,
+                        round.is_on_demand_reserved,
+                    )
                     && assignment
                         .zone
                         .as_ref()
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -82,13 +82,17 @@
             return;
         };
         if let (Some(job), false) = (&tracked.job, tracked.is_inherited) {
-            let elapsed_s = now.since(tracked.placed_at) as f64 / 1_000.0;
+            let allocated_s = now.since(tracked.placed_at) as f64 / 1_000.0;
             let estimate_s = job.spec.estimated_runtime_s;
-            tracing::debug!(task = %tracked.task, machine = %id, elapsed_s, estimate_s, "attempt completed");
+            tracing::debug!(task = %tracked.task, machine = %id, allocated_s, estimate_s, "attempt completed");
             self.speed_by_machine
                 .entry(id.clone())
                 .or_insert(Speed::UNMEASURED)
-                .record_measurement(estimate_s, elapsed_s, self.placement_parameters.start_speed);
+                .record_measurement(
+                    estimate_s,
+                    allocated_s,
+                    self.placement_parameters.start_speed,
+                );
         }
         if let Some(band) = tracked.over_capacity_band.take() {
             self.over_capacity_counts
--- a/crates/worksshunt-core/src/machines/worker_lease.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease.rs
@@ -98,7 +98,7 @@
         self.newest_heartbeat = last;
     }
 
-    /// Whether the lease has certainly expired, given the upper bound of its duration.
+    /// Whether the lease has expired even if it was renewed at `renewed_at` and lasts `lease_ms`, its maximum duration.
     pub fn has_expired(&self, lease_ms: u64, now: Time) -> bool {
         now > self.renewed_at + lease_ms
     }
--- a/crates/worksshunt-core/src/metrics.rs
+++ b/crates/worksshunt-core/src/metrics.rs
@@ -28,7 +28,7 @@
     AttemptRecords,
     /// Pages of the leader.
     LeaderPages,
-    /// Final job states and claims.
+    /// Final job states, claims, and deletions of keys of previous epochs.
     FinalWrites,
     /// Splitting of submission batches into job keys.
     SubmissionBatches,
--- a/crates/worksshunt-core/src/objectives.rs
+++ b/crates/worksshunt-core/src/objectives.rs
@@ -115,9 +115,9 @@
         }
     }
 
-    /// Time after which a start of the job's tasks meets none of its objectives, milliseconds since 1970; `None` for a
+    /// Latest start of the job's tasks that meets at least one of its objectives, milliseconds since 1970; `None` for a
     /// job without objectives.
-    pub fn last_start_ms(&self, job: &Job) -> Option<u64> {
+    pub fn latest_start_for_any_objective_ms(&self, job: &Job) -> Option<u64> {
         let last_s = self
             .latest_starts_s(job)
             .into_iter()
--- a/crates/worksshunt-core/src/pages.rs
+++ b/crates/worksshunt-core/src/pages.rs
@@ -9,7 +9,7 @@
 //! was applied.
 //!
 //! [`Pages`] holds the pages of one kind of entry and the entries to be written. The owner of a partition uses it for
-//! its [attempt records](crate::records), the leader for completions and for attempt records of earlier epochs.
+//! its [attempt records](crate::records), the leader for completions and for attempt records of previous epochs.
 
 mod page;
 
@@ -68,7 +68,7 @@
     next_page_number: u64,
     pages: Vec<Page<E>>,
     /// Entries to be written that are on no page yet.
-    pending: BTreeMap<E::Key, E>,
+    pending_entries: BTreeMap<E::Key, E>,
     /// Keys of the entries that the write in flight adds.
     entries_being_written: Vec<E::Key>,
 }
@@ -81,7 +81,7 @@
             max_bytes,
             next_page_number: 0,
             pages: Vec::new(),
-            pending: BTreeMap::new(),
+            pending_entries: BTreeMap::new(),
             entries_being_written: Vec::new(),
         }
     }
@@ -117,10 +117,10 @@
 
     /// Adds an entry to be written.
     pub fn add(&mut self, key: E::Key, entry: E) {
-        match self.pending.get_mut(&key) {
-            Some(pending) => pending.merge(entry),
+        match self.pending_entries.get_mut(&key) {
+            Some(pending_entry) => pending_entry.merge(entry),
             None => {
-                self.pending.insert(key, entry);
+                self.pending_entries.insert(key, entry);
             }
         }
     }
@@ -128,7 +128,7 @@
     /// Removes an entry. Its page is rewritten with the next new entries, or after [`PAGE_REWRITE_DELAY_MS`] without
     /// any; if `is_urgent`, as soon as possible, because the stale entry would delay a new leader.
     pub fn remove(&mut self, key: &E::Key, now: Time, is_urgent: bool) {
-        self.pending.remove(key);
+        self.pending_entries.remove(key);
         let (rewrite_at, weight) = if is_urgent {
             (now, URGENT_ENTRY_WEIGHT)
         } else {
@@ -143,7 +143,7 @@
 
     /// The pending entry of a key. `None` if it is already on a page.
     pub fn pending_entry(&self, key: &E::Key) -> Option<&E> {
-        self.pending.get(key)
+        self.pending_entries.get(key)
     }
 
     /// Begins the next write and returns its pages, at most `max_pages`. Returns none while a write is in flight or if
@@ -157,7 +157,7 @@
         {
             return writes;
         }
-        while writes.len() < max_pages && !self.pending.is_empty() {
+        while writes.len() < max_pages && !self.pending_entries.is_empty() {
             let index = self.choose_page();
             self.fill_page(index);
             writes.extend(self.pages[index].begin_write());
@@ -201,9 +201,9 @@
     /// Moves pending entries to a page until it is full.
     fn fill_page(&mut self, index: usize) {
         let page = &mut self.pages[index];
-        while let Some((key, entry)) = self.pending.pop_first() {
+        while let Some((key, entry)) = self.pending_entries.pop_first() {
             if !page.is_empty() && page.size_bytes + entry.size_bytes(&key) > self.max_bytes {
-                self.pending.insert(key, entry);
+                self.pending_entries.insert(key, entry);
                 break;
             }
             self.entries_being_written.push(key.clone());
--- a/crates/worksshunt-core/src/placement.rs
+++ b/crates/worksshunt-core/src/placement.rs
@@ -12,7 +12,7 @@
 use worksshunt_wire::MachineId;
 
 use crate::constants::placement::{
-    SIZE_BANDS_S, SPEED_SMOOTHING_FACTOR, SPEED_WINDOW_S, START_SPEED,
+    CAPACITY_WINDOW_S, SIZE_BANDS_S, SPEED_SMOOTHING_FACTOR, START_SPEED,
 };
 use crate::constants::timers::OVER_CAPACITY_SUMMARY_INTERVAL_MS;
 
@@ -32,7 +32,7 @@
 impl Default for PlacementParameters {
     fn default() -> PlacementParameters {
         PlacementParameters {
-            window_s: SPEED_WINDOW_S,
+            window_s: CAPACITY_WINDOW_S,
             start_speed: START_SPEED,
             size_bands_s: SIZE_BANDS_S.to_vec(),
             summary_interval_ms: OVER_CAPACITY_SUMMARY_INTERVAL_MS,
--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Quota {
     teams: BTreeMap<TeamName, Team>,
-    used: BTreeMap<TeamName, QuotaResources>,
+    usage: BTreeMap<TeamName, QuotaResources>,
     /// Resources reserved for starved tasks.
     reserved: BTreeMap<TeamName, QuotaResources>,
 }
@@ -67,9 +67,9 @@
 /// Formats the processors in use by team, for logs.
 impl std::fmt::Display for Quota {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for (i, (name, used)) in self.used.iter().enumerate() {
-            let separator = if i > 0 { " " } else { "" };
-            write!(f, "{separator}{name}:{:.1}", used.cpus)?;
+        for (index, (name, usage)) in self.usage.iter().enumerate() {
+            let separator = if index > 0 { " " } else { "" };
+            write!(f, "{separator}{name}:{:.1}", usage.cpus)?;
         }
         Ok(())
     }
@@ -112,7 +112,7 @@
 
     /// Number of further tasks of the job that its team's limit admits, besides usage and reservations.
     pub fn tasks_within_limit(&self, job: &Job) -> u32 {
-        let reserved = self.reserved(&job.spec.team);
+        let reserved = self.reservation_of(&job.spec.team);
         self.remaining_tasks(job, reserved, QuotaResources::limit_of)
     }
 
@@ -130,7 +130,7 @@
 
     /// Number of further tasks of the job that its team's guarantee covers, besides usage and reservations.
     pub fn tasks_within_guarantee(&self, job: &Job) -> u32 {
-        let reserved = self.reserved(&job.spec.team);
+        let reserved = self.reservation_of(&job.spec.team);
         self.remaining_tasks(job, reserved, QuotaResources::guarantee_of)
     }
 
@@ -146,19 +146,19 @@
             return 0;
         };
         let maximum = maximum_of(team);
-        let mut used = self.used(&job.spec.team);
-        used.cpus += reserved.cpus;
-        used.gpus += reserved.gpus;
-        let by_cpus = tasks_that_fit(maximum.cpus - used.cpus, job.spec.cpus);
-        let by_gpus = tasks_that_fit(maximum.gpus - used.gpus, job.spec.gpus);
+        let mut usage = self.usage_of(&job.spec.team);
+        usage.cpus += reserved.cpus;
+        usage.gpus += reserved.gpus;
+        let by_cpus = tasks_that_fit(maximum.cpus - usage.cpus, job.spec.cpus);
+        let by_gpus = tasks_that_fit(maximum.gpus - usage.gpus, job.spec.gpus);
         by_cpus.min(by_gpus)
     }
 
-    fn used(&self, team: &TeamName) -> QuotaResources {
-        self.used.get(team).copied().unwrap_or_default()
+    fn usage_of(&self, team: &TeamName) -> QuotaResources {
+        self.usage.get(team).copied().unwrap_or_default()
     }
 
-    fn reserved(&self, team: &TeamName) -> QuotaResources {
+    fn reservation_of(&self, team: &TeamName) -> QuotaResources {
         self.reserved.get(team).copied().unwrap_or_default()
     }
 
@@ -168,12 +168,12 @@
         name: &TeamName,
         stopped_jobs: impl Iterator<Item = &'a Rc<Job>>,
     ) -> bool {
-        let mut used = self.used(name);
+        let mut usage = self.usage_of(name);
         for job in stopped_jobs {
-            used.subtract(job);
+            usage.subtract(job);
         }
         let team = self.teams.get(name);
-        team.is_some_and(|team| used.exceeds(&QuotaResources::guarantee_of(team)))
+        team.is_some_and(|team| usage.exceeds(&QuotaResources::guarantee_of(team)))
     }
 
     /// Reserves the resources of one task of the job within its team's quota.
@@ -200,8 +200,8 @@
 
     /// Charges `tasks` tasks of the job to its team.
     pub fn charge_many(&mut self, job: &Job, tasks: u32) {
-        let used = self.used.entry(job.spec.team.clone()).or_default();
-        used.add(job, tasks);
+        let usage = self.usage.entry(job.spec.team.clone()).or_default();
+        usage.add(job, tasks);
     }
 
     /// Charges all tasks of the job to its team. Returns whether the team's guarantee covers them in addition to
@@ -214,8 +214,8 @@
 
     /// Reverses the charge of one task of the job.
     pub fn refund(&mut self, job: &Job) {
-        let used = self.used.entry(job.spec.team.clone()).or_default();
-        used.subtract(job);
+        let usage = self.usage.entry(job.spec.team.clone()).or_default();
+        usage.subtract(job);
     }
 }
 
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -1,7 +1,7 @@
 //! Format of attempt records in the key-value store: which attempts may be on which machine.
 //!
 //! `a/EPOCH.OWNER.N` is a [page](crate::pages) of attempts that a partition owner wrote in an epoch. No attempt is
-//! launched before it is on a stored page. The leader deletes pages of earlier epochs once none of their attempts can
+//! launched before it is on a stored page. The leader deletes pages of previous epochs once none of their attempts can
 //! be on a machine. The [partition](crate::machines) and the [scheduler](crate::scheduler) hold the pages; the
 //! controller reads them when an epoch begins.
 
@@ -168,8 +168,8 @@
 
 /// Removes all but the latest attempt at each task from the pages. Returns the keys of the pages that contained others.
 ///
-/// An attempt is made only after all earlier attempts at the task have certainly ended. Their records remain until the
-/// pages are rewritten, and may name machines that no longer exist.
+/// An attempt is made only after all earlier attempts at the task are confirmed to have ended. Their records remain
+/// until the pages are rewritten, and may name machines that no longer exist.
 pub fn retain_latest_attempts(pages: &mut [RecordPage]) -> BTreeSet<String> {
     let mut latest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
     for record in pages.iter().flat_map(|page| &page.records) {
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -19,7 +19,7 @@
 use super::partition_view::Directive;
 use super::{PendingWrite, Scheduler};
 
-/// Bounds the exponent of the backoff, which reaches [`MAX_FAILURE_BACKOFF_MS`] long before.
+/// Upper bound of the backoff's exponent, against overflow. The backoff reaches [`MAX_FAILURE_BACKOFF_MS`] earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Scheduler {
@@ -110,7 +110,12 @@
     }
 
     /// Records that an attempt completed its task, in `zone` if that is known.
-    pub(super) fn task_completed(&mut self, attempt: Attempt, task: TaskId, zone: Option<&str>) {
+    pub(super) fn record_task_completion(
+        &mut self,
+        attempt: Attempt,
+        task: TaskId,
+        zone: Option<&str>,
+    ) {
         let Some(job_tasks) = self.open_jobs.get_mut(&task.job) else {
             return;
         };
@@ -143,7 +148,12 @@
     }
 
     /// Records that an attempt failed after running for `ran_ms` milliseconds, and delays retries of a failing job.
-    pub(super) fn task_failed(&mut self, now: Time, ended_attempt: &EndedAttempt, ran_ms: u64) {
+    pub(super) fn record_task_failure(
+        &mut self,
+        now: Time,
+        ended_attempt: &EndedAttempt,
+        ran_ms: u64,
+    ) {
         let Some(job_tasks) = self.open_jobs.get_mut(&ended_attempt.task.job) else {
             return;
         };
--- a/crates/worksshunt-core/src/scheduler/demand.rs
+++ b/crates/worksshunt-core/src/scheduler/demand.rs
@@ -33,13 +33,14 @@
     pub zone: Option<String>,
     /// Zones that may have no more of its tasks.
     pub full_zones: BTreeSet<String>,
-    /// Whether its tasks leave on-demand machines to services.
-    pub spot_only: bool,
+    /// Whether its tasks may use spot machines only, because on-demand machines are reserved (see
+    /// [`Job::is_excluded_by_on_demand_reservation`]).
+    pub is_spot_only: bool,
     /// Whether there are schedulable spot machines, or were within [`SPOT_UNAVAILABLE_AFTER_MS`].
-    pub has_spot_machines: bool,
+    pub is_spot_available: bool,
 }
 
-/// Observations of this epoch from which future demand is estimated.
+/// Classes and spot machines seen in this epoch, for the demand and its forecast.
 #[derive(Debug)]
 pub(super) struct DemandHistory {
     /// Classes of the jobs opened so far.
@@ -49,7 +50,7 @@
 }
 
 impl DemandHistory {
-    /// No observations; `now` is the start of the epoch.
+    /// Empty history; `now` is the start of the epoch.
     pub fn new(now: Time) -> DemandHistory {
         DemandHistory {
             classes_seen: BTreeSet::new(),
@@ -86,8 +87,8 @@
         // and the fleet would be scaled in while they wait.
         quota.clear_reservations();
         let running_by_job = self.running_tasks(now.steady);
-        let has_spot = self.has_spot_machines(now.steady);
-        let reserves_on_demand = self.reserves_on_demand_machines(now.steady);
+        let has_spot = self.is_spot_available(now.steady);
+        let is_on_demand_reserved = self.is_on_demand_reserved(now.steady);
         let mut demand = Vec::new();
         for job_tasks in self.dispatchable_jobs(now, |_| true) {
             let job = &job_tasks.job;
@@ -113,8 +114,9 @@
                     slack_s: self.objectives.slack_s(job),
                     zone: allowed.and_then(|zones| zones.first().cloned()),
                     full_zones: constraints.map_or(BTreeSet::new(), ZoneConstraints::full_zones),
-                    spot_only: job.leaves_machine_to_services(false, reserves_on_demand),
-                    has_spot_machines: has_spot,
+                    is_spot_only: job
+                        .is_excluded_by_on_demand_reservation(false, is_on_demand_reserved),
+                    is_spot_available: has_spot,
                 });
             }
         }
@@ -147,13 +149,13 @@
     }
 
     /// Whether there are schedulable spot machines, or were within [`SPOT_UNAVAILABLE_AFTER_MS`].
-    fn has_spot_machines(&self, now: Time) -> bool {
+    fn is_spot_available(&self, now: Time) -> bool {
         now.since(self.demand_history.spot_last_seen_at) < SPOT_UNAVAILABLE_AFTER_MS
     }
 
-    /// Whether jobs that may use spot machines leave on-demand machines to services.
-    pub(super) fn reserves_on_demand_machines(&self, now: Time) -> bool {
-        !self.services.open_jobs.is_empty() && self.has_spot_machines(now)
+    /// Whether on-demand machines are reserved for services and for jobs that may not use spot machines.
+    pub(super) fn is_on_demand_reserved(&self, now: Time) -> bool {
+        !self.services.open_jobs.is_empty() && self.is_spot_available(now)
     }
 
     /// Whether a replica has become unschedulable since the last preemption.
--- a/crates/worksshunt-core/src/scheduler/forecast.rs
+++ b/crates/worksshunt-core/src/scheduler/forecast.rs
@@ -20,8 +20,8 @@
     pub classes: Vec<ExpectedDemand>,
     /// Processors of spare capacity for classes without any job so far.
     pub spare_cpus: f64,
-    /// Silent machines with replicas, to be replaced before their leases expire.
-    pub silent_machines: Vec<MachineId>,
+    /// Unresponsive machines with replicas, to be replaced before their leases expire.
+    pub unresponsive_machines: Vec<MachineId>,
 }
 
 /// Past arrivals of services of one class, from which future ones are estimated.
@@ -54,7 +54,7 @@
         Forecast {
             classes: self.expected_demand(now),
             spare_cpus: self.quota.guaranteed_cpus() * spare_share,
-            silent_machines: self.silent_machines_to_release(now.steady),
+            unresponsive_machines: self.unresponsive_machines_to_release(now.steady),
         }
     }
 
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -50,9 +50,9 @@
     pub(super) job: Rc<Job>,
     /// Deadline or latest start, milliseconds since 1970; `u64::MAX` if there is none.
     ordering_time_ms: u64,
-    /// Latest start with which a task still meets any of the job's objectives, milliseconds since 1970; `u64::MAX` if
-    /// the job has no objectives.
-    last_start_ms: u64,
+    /// Latest start with which a task meets at least one of the job's objectives, milliseconds since 1970; `u64::MAX`
+    /// if the job has no objectives.
+    latest_start_for_any_objective_ms: u64,
     /// Completed tasks, whether or not their completions are stored.
     pub(super) completed_tasks: CompletedTasks,
     /// Completed tasks whose completions are not stored yet.
@@ -80,7 +80,9 @@
     /// A job without dispatched tasks.
     pub(super) fn new(job: Rc<Job>, objectives: &ServiceLevelObjectives) -> JobTasks {
         JobTasks {
-            last_start_ms: objectives.last_start_ms(&job).unwrap_or(u64::MAX),
+            latest_start_for_any_objective_ms: objectives
+                .latest_start_for_any_objective_ms(&job)
+                .unwrap_or(u64::MAX),
             ordering_time_ms: objectives.ordering_time_ms(&job).unwrap_or(u64::MAX),
             completed_tasks: CompletedTasks::new(job.spec.task_count),
             job,
@@ -96,11 +98,11 @@
         }
     }
 
-    /// Its position in the scheduling order. `wall_ms` is the time of day, milliseconds since 1970.
+    /// Its position in the scheduling order. `wall_ms` is the wall-clock time, milliseconds since 1970.
     pub(super) fn rank(&self, wall_ms: u64) -> Rank {
         Rank {
             priority: Reverse(self.job.spec.priority),
-            has_missed_objectives: wall_ms > self.last_start_ms,
+            has_missed_objectives: wall_ms > self.latest_start_for_any_objective_ms,
             ordering_time_ms: self.ordering_time_ms,
             accepted_ms: self.job.accepted_ms,
             id: self.job.spec.id,
--- a/crates/worksshunt-core/src/scheduler/machine_view.rs
+++ b/crates/worksshunt-core/src/scheduler/machine_view.rs
@@ -50,14 +50,14 @@
     }
 
     /// Reserves the resources that a dispatched task needs.
-    pub(super) fn reserve(&mut self, need: &Resources) {
-        self.reserved += *need;
+    pub(super) fn reserve(&mut self, required: &Resources) {
+        self.reserved += *required;
         self.recompute_free();
     }
 
     /// Releases the reservation for a task.
-    pub(super) fn release_reservation(&mut self, need: &Resources) {
-        self.reserved -= *need;
+    pub(super) fn release_reservation(&mut self, required: &Resources) {
+        self.reserved -= *required;
         self.recompute_free();
     }
 
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -27,8 +27,8 @@
 mod preemption_candidates;
 mod round;
 mod services;
-mod silent_machines;
 mod stored_pages;
+mod unresponsive_machines;
 mod workload_log;
 mod zone_constraints;
 
--- a/crates/worksshunt-core/src/scheduler/partition_sync.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync.rs
@@ -47,7 +47,7 @@
         let ran_ms = active.map_or(0, |active| active.running_ms(now));
         let removed = self.remove_attempt(ended_attempt.attempt, ended_attempt.outcome, now);
         if removed.is_some() && ended_attempt.outcome == AttemptOutcome::Failed {
-            self.task_failed(now, ended_attempt, ran_ms);
+            self.record_task_failure(now, ended_attempt, ran_ms);
         }
     }
 
@@ -64,13 +64,13 @@
             attempt,
             ActiveAttempt::new(reported.task, status.owner.clone()),
         );
-        self.attempt_placed(attempt, &reported.machine);
+        self.record_placement(attempt, &reported.machine);
         let active = self.active_attempts.get(&attempt);
         let was_completed = active.is_some_and(ActiveAttempt::is_completed);
         self.set_phase(attempt, reported.phase, reported.running_ms, now);
         if reported.phase == AttemptPhase::Completed {
             if !was_completed {
-                self.attempt_completed(attempt, status);
+                self.record_completion(attempt, status);
             }
             if self.is_completion_durable(reported.task) {
                 self.send_directive(Directive::MarkDurable(attempt));
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Cancels the assignments that were never sent to partitions whose owners are silent, so that their tasks can be
-    /// dispatched to other partitions.
+    /// Cancels the assignments that were never sent to partitions whose owners are unresponsive, so that their tasks
+    /// can be dispatched to other partitions.
     pub fn reassign_unsent_attempts(&mut self, now: Time) {
         let unsent: Vec<Attempt> = self
             .partitions
@@ -95,7 +95,7 @@
     }
 
     /// Records the machine on which an attempt was placed.
-    fn attempt_placed(&mut self, attempt: Attempt, machine: &MachineId) {
+    fn record_placement(&mut self, attempt: Attempt, machine: &MachineId) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
         };
@@ -114,7 +114,7 @@
     }
 
     /// Records a completion that was reported for the first time.
-    fn attempt_completed(&mut self, attempt: Attempt, status: &PartitionStatus) {
+    fn record_completion(&mut self, attempt: Attempt, status: &PartitionStatus) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
         };
@@ -123,14 +123,14 @@
         }
         if active.zone.is_none() {
             // The same message may contain the status of its machine.
-            let described = status
+            let machine_status = status
                 .machines
                 .iter()
                 .find(|machine| Some(&machine.id) == active.machine.as_ref());
-            active.zone = described.map(|machine| machine.zone.clone());
+            active.zone = machine_status.map(|machine| machine.zone.clone());
         }
         let (task, zone) = (active.task, active.zone.clone());
-        self.task_completed(attempt, task, zone.as_deref());
+        self.record_task_completion(attempt, task, zone.as_deref());
     }
 
     /// The response to the last message from `to`. `terminated` are the machines that the fleet knows to be
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -10,7 +10,7 @@
 use worksshunt_wire::{Attempt, MachineId};
 
 use crate::constants::partition_sync::{
-    MAX_CHANGES_PER_SYNC, PARTITION_SILENCE_TIMEOUT_MS, PROGRESS_SYNC_INTERVAL_MS,
+    MAX_CHANGES_PER_SYNC, PARTITION_UNRESPONSIVE_AFTER_MS, PROGRESS_SYNC_INTERVAL_MS,
 };
 use crate::constants::placement::ROUNDING_TOLERANCE;
 use crate::jobs::Job;
@@ -97,9 +97,9 @@
         self.outbox.insert(directive, None);
     }
 
-    /// Whether a message from the owner was received within [`PARTITION_SILENCE_TIMEOUT_MS`].
+    /// Whether a message from the owner was received within [`PARTITION_UNRESPONSIVE_AFTER_MS`].
     pub fn is_responsive(&self, now: Time) -> bool {
-        now.since(self.last_message_at) < PARTITION_SILENCE_TIMEOUT_MS
+        now.since(self.last_message_at) < PARTITION_UNRESPONSIVE_AFTER_MS
     }
 
     /// Whether the owner has sent its status, and the leader has responded, in this epoch.
@@ -214,11 +214,14 @@
 
     /// Machines with at least `cpus` free processors, those with the fewest first.
     pub fn machines_with_free_cpus(&self, cpus: f64) -> impl Iterator<Item = &MachineView> {
-        let from = (
+        let lower_bound = (
             FreeCpus::of(cpus - ROUNDING_TOLERANCE),
             MachineId(String::new()),
         );
-        let ids = self.machines_by_free_cpus.range(from..).map(|(_, id)| id);
+        let ids = self
+            .machines_by_free_cpus
+            .range(lower_bound..)
+            .map(|(_, id)| id);
         ids.filter_map(|id| self.machines.get(id))
     }
 
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -28,7 +28,7 @@
     }
 
     /// Records that a key of a previous epoch was deleted.
-    pub fn key_removed(&mut self, key: &str) {
+    pub fn mark_key_removed(&mut self, key: &str) {
         self.pending_writes
             .remove(&PendingWrite::RemoveKey(key.to_owned()));
     }
@@ -38,13 +38,13 @@
         self.pending_writes.remove(&PendingWrite::FinishJob(id));
     }
 
-    /// The next write of completions and of attempt records of previous epochs, with at most `max_pages` pages.
-    pub fn next_page_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
-        self.pages.next_writes(now, max_pages)
+    /// Begins the next write of completions and of attempt records of previous epochs, of at most `max_pages` pages.
+    pub fn begin_page_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
+        self.pages.begin_writes(now, max_pages)
     }
 
     /// Records that the page writes in flight are durable, at `revision` if that is known.
-    pub fn page_writes_applied(&mut self, revision: Option<Revision>) {
+    pub fn mark_pages_durable(&mut self, revision: Option<Revision>) {
         self.pages
             .previous_epoch_records
             .mark_write_applied(revision);
@@ -105,8 +105,8 @@
         self.pages.uncertain_keys().cloned().collect()
     }
 
-    /// Applies the version read for a page.
-    pub fn page_version_read(&mut self, key: &str, version: Revision) {
-        self.pages.version_read(key, version);
+    /// Sets the version of a page, as read from the store.
+    pub fn set_page_version(&mut self, key: &str, version: Revision) {
+        self.pages.set_page_version(key, version);
     }
 }
--- a/crates/worksshunt-core/src/scheduler/placement_targets.rs
+++ b/crates/worksshunt-core/src/scheduler/placement_targets.rs
@@ -28,22 +28,23 @@
     free: Resources,
 }
 
-/// The machines of a partition that fit a job's tasks, those with most free processors first. `free_cpus` is the sum
-/// of their free processors.
+/// The machines of a partition that fit a job's tasks.
 struct PartitionCandidates<'a> {
     owner: &'a ControllerName,
+    /// Sum of the free processors of `machines`.
     free_cpus: f64,
+    /// Those with most free processors first.
     machines: Vec<FreeMachine<'a>>,
 }
 
 impl<'a> PartitionCandidates<'a> {
     /// Allocates one task on the machine with the fewest free processors.
-    fn allocate(&mut self, need: &Resources) -> Option<&'a MachineId> {
+    fn allocate(&mut self, required: &Resources) -> Option<&'a MachineId> {
         let fullest = self.machines.last_mut()?;
         let id = fullest.id;
-        fullest.free.allocate(need);
-        self.free_cpus -= need.cpus;
-        if !fullest.free.fits(need) {
+        fullest.free.allocate(required);
+        self.free_cpus -= required.cpus;
+        if !fullest.free.fits(required) {
             self.free_cpus -= fullest.free.cpus;
             self.machines.pop();
         }
@@ -62,7 +63,7 @@
         let zones = self.allowed_zones(job);
         let mut targets: Vec<PlacementTarget> = Vec::new();
         targets.extend(self.claimed_target(job, zones.as_ref()));
-        let need = job.resources();
+        let required = job.resources();
         let mut candidates: Vec<PartitionCandidates> = self
             .partitions
             .iter()
@@ -77,7 +78,7 @@
                 .filter(|partition| !partition.machines.is_empty())
                 .reduce(|a, b| if b.free_cpus > a.free_cpus { b } else { a });
             let Some(partition) = most_free else { break };
-            let Some(machine) = partition.allocate(&need) else {
+            let Some(machine) = partition.allocate(&required) else {
                 break;
             };
             let zone = zones.as_ref();
@@ -99,19 +100,19 @@
         job: &Job,
         zones: Option<&BTreeSet<String>>,
     ) -> PartitionCandidates<'a> {
-        let need = job.resources();
-        let reserves_on_demand = job.spec.allows_spot && self.reserves_on_demand_machines(now);
+        let required = job.resources();
+        let is_on_demand_reserved = job.spec.allows_spot && self.is_on_demand_reserved(now);
         let is_candidate = |view: &&MachineView| {
             let status = &view.status;
-            view.free.fits(&need)
-                && !job.leaves_machine_to_services(status.is_spot, reserves_on_demand)
+            view.free.fits(&required)
+                && !job.is_excluded_by_on_demand_reservation(status.is_spot, is_on_demand_reserved)
                 && job.allows_machine(&status.machine_type, &status.zone, status.is_spot)
                 && zones.is_none_or(|zones| zones.contains(&status.zone))
                 && !self.claims.contains_key(&status.id)
                 && !self.draining_machines.contains(&status.id)
         };
         let mut machines: Vec<FreeMachine> = partition
-            .machines_with_free_cpus(need.cpus)
+            .machines_with_free_cpus(required.cpus)
             .filter(is_candidate)
             .map(|view| FreeMachine {
                 id: &view.status.id,
@@ -132,14 +133,14 @@
         job: &Job,
         zones: Option<&BTreeSet<String>>,
     ) -> Option<PlacementTarget> {
-        let need = job.resources();
+        let required = job.resources();
         self.unused_claims_of(job.spec.id).find_map(|machine| {
             let (owner, view) = self
                 .partitions
                 .iter()
                 .find_map(|(owner, partition)| Some((owner, partition.machines.get(machine)?)))?;
             let is_usable = view.status.is_schedulable
-                && view.free.fits(&need)
+                && view.free.fits(&required)
                 && zones.is_none_or(|zones| zones.contains(&view.status.zone));
             is_usable.then(|| PlacementTarget {
                 owner: owner.clone(),
--- a/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
+++ b/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
@@ -55,7 +55,8 @@
     }
 }
 
-/// Decides, together with the usage of the team's guarantee, whether an attempt may be stopped for a task.
+/// The properties of an attempt's job that, with the usage of its team's guarantee, decide whether the attempt may be
+/// stopped for a task.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionClass {
     team: TeamName,
@@ -120,12 +121,12 @@
         preemptible_classes: &[bool],
         quota: &Quota,
     ) -> Option<PreemptionPlan> {
-        let need = preemptor.job.resources();
+        let required = preemptor.job.resources();
         let mut free = self.free;
         let mut lost_work_ms = 0;
         let mut victims: Vec<usize> = Vec::new();
         for (index, attempt) in self.attempts.iter().enumerate() {
-            if free.fits(&need) {
+            if free.fits(&required) {
                 break;
             }
             if !preemptible_classes[attempt.class_index] {
@@ -144,7 +145,7 @@
                 victims.push(index);
             }
         }
-        free.fits(&need).then(|| PreemptionPlan {
+        free.fits(&required).then(|| PreemptionPlan {
             lost_work_ms,
             machine: self.machine.id.clone(),
             victims,
@@ -224,9 +225,10 @@
     /// Whether a task of the job may fit at all. For most jobs that wait on a full fleet this is false, which saves
     /// the examination of every machine.
     fn may_fit(&self, job: &Job, preemptible_classes: &[bool]) -> bool {
-        let need = job.resources();
+        let required = job.resources();
         let mut machines = self.machines.values();
-        preemptible_classes.contains(&true) || machines.any(|candidate| candidate.free.fits(&need))
+        preemptible_classes.contains(&true)
+            || machines.any(|candidate| candidate.free.fits(&required))
     }
 
     /// Adds an attempt to its machine if that is a candidate.
--- a/crates/worksshunt-core/src/scheduler/round.rs
+++ b/crates/worksshunt-core/src/scheduler/round.rs
@@ -16,8 +16,8 @@
 use super::job_tasks::JobTasks;
 use super::Scheduler;
 
-/// A pass of a round over the waiting jobs. `Starved` and `GuaranteeAtRisk` are first; the other two follow in turn
-/// for each priority.
+/// A pass of a round over the waiting jobs. `Starved` and `GuaranteeAtRisk` come first; then, for each priority from
+/// the highest, `WithinGuarantee` and `WithinLimit`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Pass {
     /// Dispatches a share of the tasks of jobs that have waited too long, before all others.
@@ -30,7 +30,7 @@
     WithinLimit,
 }
 
-/// One job's turn in a pass.
+/// A step of a round: one job in one pass.
 #[derive(Debug, Clone, Copy)]
 struct Turn {
     pass: Pass,
--- a/crates/worksshunt-core/src/scheduler/stored_pages.rs
+++ b/crates/worksshunt-core/src/scheduler/stored_pages.rs
@@ -32,9 +32,10 @@
         }
     }
 
-    /// The next write, of at most `max_pages` pages. The two sets take turns in going first: under high load there are
-    /// always completions to write, and records that are never rewritten would list ended attempts to the next epoch.
-    pub fn next_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
+    /// Begins the next write, of at most `max_pages` pages. The two sets take turns in going first: under high load
+    /// there are always completions to write, and records that are never rewritten would list ended attempts to the
+    /// next epoch.
+    pub fn begin_writes(&mut self, now: Time, max_pages: usize) -> Vec<PageWrite> {
         self.previous_epoch_records_first = !self.previous_epoch_records_first;
         if self.previous_epoch_records_first {
             let mut writes = self.previous_epoch_records.begin_writes(now, max_pages);
@@ -58,8 +59,8 @@
         completions.chain(self.previous_epoch_records.uncertain_keys())
     }
 
-    /// Applies the version read for a page.
-    pub fn version_read(&mut self, key: &str, version: Revision) {
+    /// Sets the version of a page, as read from the store.
+    pub fn set_page_version(&mut self, key: &str, version: Revision) {
         self.completions.set_page_version(key, version);
         self.previous_epoch_records.set_page_version(key, version);
     }
--- a/crates/worksshunt-core/src/scheduler/silent_machines.rs
+++ b/crates/worksshunt-core/src/scheduler/unresponsive_machines.rs
@@ -1,10 +1,10 @@
-//! Determines which silent machines with replicas the fleet should release before their leases expire.
+//! Determines which unresponsive machines with replicas the fleet should release before their leases expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use worksshunt_wire::MachineId;
 
-use crate::constants::services::SILENT_RELEASE_MACHINE_DIVISOR;
+use crate::constants::services::UNRESPONSIVE_RELEASE_MACHINE_DIVISOR;
 use crate::time::Time;
 
 use super::{MachineView, Scheduler};
@@ -20,25 +20,25 @@
 impl ZoneMachineCounts {
     /// Whether so few machines are unschedulable that failures of single machines explain it.
     fn has_isolated_failures(&self) -> bool {
-        self.unschedulable * SILENT_RELEASE_MACHINE_DIVISOR <= self.machines
+        self.unschedulable * UNRESPONSIVE_RELEASE_MACHINE_DIVISOR <= self.machines
     }
 }
 
 impl Scheduler {
-    /// Machines with replicas that have been unschedulable for so long that the fleet should release them: the
-    /// response of the cloud proves that nothing runs there any more, well before their leases expire. Several silent
-    /// machines may also be due to a network partition or a slow key-value store, so only machines are chosen in whose
-    /// zone nearly all others are schedulable.
-    pub(super) fn silent_machines_to_release(&self, now: Time) -> Vec<MachineId> {
+    /// Machines with replicas that have been unschedulable for the release delay, so that the fleet should release
+    /// them: the response of the cloud proves that nothing runs there any more, before their leases expire. A network
+    /// partition or a slow key-value store makes many machines unschedulable, so a machine is chosen only if nearly all
+    /// others in its zone are schedulable.
+    pub(super) fn unresponsive_machines_to_release(&self, now: Time) -> Vec<MachineId> {
         if self.services.open_jobs.is_empty() {
             return Vec::new();
         }
         let with_replicas = self.machines_with_replicas();
         let zones = self.machine_counts_by_zone(now);
-        let is_silent = |view: &&MachineView| {
-            view.unschedulable_since
-                .is_some_and(|since| now.since(since) >= self.services.silent_release_delay_ms)
-                && !view.status.has_reclaim_notice
+        let is_unresponsive = |view: &&MachineView| {
+            view.unschedulable_since.is_some_and(|since| {
+                now.since(since) >= self.services.unresponsive_release_delay_ms
+            }) && !view.status.has_reclaim_notice
                 && with_replicas.contains(&view.status.id)
         };
         let is_isolated = |view: &&MachineView| {
@@ -46,7 +46,7 @@
             counts.is_some_and(ZoneMachineCounts::has_isolated_failures)
         };
         self.responsive_machines(now)
-            .filter(is_silent)
+            .filter(is_unresponsive)
             .filter(is_isolated)
             .map(|view| view.status.id.clone())
             .collect()
--- a/crates/worksshunt-core/src/scheduler/zone_constraints.rs
+++ b/crates/worksshunt-core/src/scheduler/zone_constraints.rs
@@ -28,9 +28,9 @@
         if !self.allowed_zones.as_ref().is_none_or(contains_zone) {
             return 0;
         }
-        let known_tasks = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
+        let tasks_in_zone = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
         self.max_tasks_per_zone
-            .saturating_sub(known_tasks + self.tasks_in_unknown_zones)
+            .saturating_sub(tasks_in_zone + self.tasks_in_unknown_zones)
     }
 
     /// Zones that may have no more of the job's tasks.
@@ -121,7 +121,7 @@
     fn zone_of_attempt(&self, attempt: Attempt) -> Option<String> {
         let active = self.active_attempts.get(&attempt)?;
         // The machine may have been reported only after the attempt.
-        let described = || self.zone_of(&active.owner, active.machine.as_ref()?);
-        active.zone.clone().or_else(described)
+        let machine_zone = || self.zone_of(&active.owner, active.machine.as_ref()?);
+        active.zone.clone().or_else(machine_zone)
     }
 }
--- a/crates/worksshunt-core/src/time.rs
+++ b/crates/worksshunt-core/src/time.rs
@@ -36,7 +36,7 @@
 pub struct Now {
     /// Monotonic clock.
     pub steady: Time,
-    /// Wall clock, milliseconds since the Unix epoch.
+    /// Wall clock, milliseconds since 1970.
     pub wall_ms: u64,
 }
 
@@ -96,7 +96,7 @@
 pub struct PeriodicTimer {
     /// Earliest time of the next request.
     pub next_at: Time,
-    /// Whether a request is in flight, that is neither answered nor timed out.
+    /// Whether a request is in flight: sent, and neither answered nor timed out.
     pub is_in_flight: bool,
 }
 
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -48,7 +48,7 @@
             Err(RequestError::Call(CallError::Connect(_))) => DirectCommandsOutcome::NotSent,
             Err(error) => {
                 tracing::debug!(%machine, %error, "direct commands failed");
-                DirectCommandsOutcome::NoAnswer
+                DirectCommandsOutcome::Unknown
             }
         }
     }
--- a/crates/worksshunt-net/src/worker/tests.rs
+++ b/crates/worksshunt-net/src/worker/tests.rs
@@ -43,8 +43,8 @@
     let answered = DirectCommandsOutcome::Answered(heartbeat);
     assert_eq!(outcome(200, HEARTBEAT), answered);
     assert_eq!(outcome(409, HEARTBEAT), answered);
-    assert_eq!(outcome(500, HEARTBEAT), DirectCommandsOutcome::NoAnswer);
-    assert_eq!(outcome(200, "{}"), DirectCommandsOutcome::NoAnswer);
+    assert_eq!(outcome(500, HEARTBEAT), DirectCommandsOutcome::Unknown);
+    assert_eq!(outcome(200, "{}"), DirectCommandsOutcome::Unknown);
 }
 
 #[test]
@@ -62,5 +62,5 @@
         let workers = Workers::new(1);
         workers.call(&commands(address.to_string()), DEADLINE).await
     });
-    assert_eq!(unanswered, DirectCommandsOutcome::NoAnswer);
+    assert_eq!(unanswered, DirectCommandsOutcome::Unknown);
 }
--- a/crates/worksshunt-simulation/src/commands.rs
+++ b/crates/worksshunt-simulation/src/commands.rs
@@ -35,15 +35,15 @@
     ) -> DirectCommandsOutcome {
         let is_linked = self.is_linked(&commands.machine, from);
         if self.faults.cut_from_workers.contains(&from) || !is_linked {
-            return DirectCommandsOutcome::NoAnswer;
+            return DirectCommandsOutcome::Unknown;
         }
         if self.faults.are_commands_held {
             self.held_commands.push(commands.clone());
-            return DirectCommandsOutcome::NoAnswer;
+            return DirectCommandsOutcome::Unknown;
         }
         match self.execute_commands(commands) {
             Some(heartbeat) => DirectCommandsOutcome::Answered(heartbeat),
-            None => DirectCommandsOutcome::NoAnswer,
+            None => DirectCommandsOutcome::Unknown,
         }
     }
 
@@ -67,7 +67,7 @@
         commands: DirectCommands,
         deadline_at: u64,
     ) {
-        let outcome = DirectCommandsOutcome::NoAnswer;
+        let outcome = DirectCommandsOutcome::Unknown;
         self.deliver_at(
             deadline_at,
             from,
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -141,7 +141,7 @@
                 Message::json("command response", heartbeat)
             }
             DirectCommandsOutcome::NotSent => Message::json("command not sent", &commands.machine),
-            DirectCommandsOutcome::NoAnswer => {
+            DirectCommandsOutcome::Unknown => {
                 Message::json("command unanswered", &commands.machine)
             }
         },
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -55,7 +55,7 @@
     pub is_spot: bool,
     /// Whether it may get new tasks.
     pub is_schedulable: bool,
-    /// Milliseconds for which the machine has certainly had no tasks; `None` if a task may be on it.
+    /// Milliseconds for which it has had no attempts other than durably completed ones; `None` while it has some.
     pub idle_ms: Option<u64>,
     /// Free processors.
     pub free_cpus: f64,
@@ -67,7 +67,7 @@
     pub has_reclaim_notice: bool,
     /// Whether its worker sends heartbeats but has not answered commands for several leases.
     pub is_unreachable: bool,
-    /// Whether the lease of its worker has certainly expired.
+    /// Whether no task runs on it because the lease of its worker has expired or the cloud has terminated it.
     pub is_lost: bool,
 }
 
@@ -80,13 +80,13 @@
     Stopped,
     /// Lost with its machine.
     Lost,
-    /// Returned because the partition had no machine for it.
+    /// Not placed on a machine: none was found in time, or the assignment was cancelled before.
     Unplaced,
     /// Completed durably and removed from the heartbeats of its worker.
     Acknowledged,
 }
 
-/// An attempt that has certainly ended.
+/// An attempt that is confirmed to have ended, or that was not placed.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct EndedAttempt {
     /// Id of the task.
@@ -116,7 +116,7 @@
     pub removed_machines: Vec<MachineId>,
     /// Attempts whose status changed.
     pub attempts: Vec<AttemptStatus>,
-    /// Attempts that have certainly ended.
+    /// Attempts that are confirmed to have ended, or that were not placed.
     pub ended_attempts: Vec<EndedAttempt>,
 }
 
--- a/crates/worksshunt-wire/src/settings.rs
+++ b/crates/worksshunt-wire/src/settings.rs
@@ -159,7 +159,7 @@
     pub max_transaction_changes: usize,
     /// Announced limits, which come into force later without notice; `None` if there are none.
     #[serde(rename = "next", default)]
-    pub announced: Option<NextKeyValueLimits>,
+    pub announced: Option<AnnouncedKeyValueLimits>,
 }
 
 impl KeyValueLimits {
@@ -188,7 +188,7 @@
 
 /// Announced limits of the key-value store; `None` for limits that don't change.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct NextKeyValueLimits {
+pub struct AnnouncedKeyValueLimits {
     /// Requests per second.
     #[serde(rename = "rps", default)]
     pub requests_per_s: Option<f64>,
--- a/crates/worksshunt-wire/tests/wire_format/settings.rs
+++ b/crates/worksshunt-wire/tests/wire_format/settings.rs
@@ -1,7 +1,7 @@
 //! Encoding of the settings file.
 
 use worksshunt_wire::settings::{
-    CloudLimits, Facts, KeyValueLimits, NextKeyValueLimits, Objective, Peer, ProcessLimits,
+    AnnouncedKeyValueLimits, CloudLimits, Facts, KeyValueLimits, Objective, Peer, ProcessLimits,
     Services, Settings, Team, Workers,
 };
 
@@ -17,7 +17,7 @@
     }
 }
 
-fn facts(objectives: Vec<Objective>, announced: Option<NextKeyValueLimits>) -> Facts {
+fn facts(objectives: Vec<Objective>, announced: Option<AnnouncedKeyValueLimits>) -> Facts {
     Facts {
         teams: vec![team("red", 10.5), team("blue", 20.5)],
         objectives,
@@ -44,7 +44,7 @@
     }
 }
 
-fn settings(objectives: Vec<Objective>, announced: Option<NextKeyValueLimits>) -> Settings {
+fn settings(objectives: Vec<Objective>, announced: Option<AnnouncedKeyValueLimits>) -> Settings {
     let peer = |name: &str, zone: &str, endpoint: &str| Peer {
         host_name: name.into(),
         zone: zone.into(),
@@ -82,7 +82,7 @@
             objective("wait", None, None, None),
         ]
     };
-    let announced = NextKeyValueLimits {
+    let announced = AnnouncedKeyValueLimits {
         requests_per_s: Some(400.5),
         changes_per_s: Some(50.5),
         max_value_kib: Some(32.5),
@@ -91,7 +91,7 @@
     let mut full = settings(objectives(), Some(announced));
     full.facts.limits.memory_mb = Some(512.5);
     fixtures.assert_round_trip("settings", full);
-    let empty = Some(NextKeyValueLimits::default());
+    let empty = Some(AnnouncedKeyValueLimits::default());
     fixtures.assert_round_trip(
         "settings, fields null",
         settings(objectives(), empty.clone()),
