--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -18,7 +18,7 @@
 /// Outcome of a batch of direct commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectCommandsOutcome {
-    /// The worker responded with its status after executing them.
+    /// The worker responded with its status, after it executed or rejected them.
     Answered(Heartbeat),
     /// The batch was not sent, so it cannot take effect.
     NotSent,
