--- a/crates/worksshunt-core/src/capacity/tests.rs
+++ b/crates/worksshunt-core/src/capacity/tests.rs
@@ -24,7 +24,7 @@
         {"Name": "m", "Cores": cpus, "Gpus": 0, "RamGb": 16, "Rate": 1.0, "LowPrice": 0.4,
          "ReadyS": 25.0, "PullGbPerS": 1.0, "Patios": ["a"]}
     ]}))
-    .expect("a catalogue")
+    .expect("a catalog")
 }
 
 #[test]
--- a/crates/worksshunt-core/src/fleet/listing/tests.rs
+++ b/crates/worksshunt-core/src/fleet/listing/tests.rs
@@ -3,13 +3,14 @@
 use super::*;
 
 /// A page of the machine list, from names and ages in seconds.
-fn page(machines: &[(&str, f64)], more: bool) -> MachineList {
+fn page(machines: &[(&str, f64)], has_more: bool) -> MachineList {
     let machine = |(id, age_s): &(&str, f64)| {
         serde_json::json!({"Ref": id, "Modelo": "m4", "Patio": "a", "Prestados": true,
             "Estado": "running", "AgeS": age_s})
     };
     let machines: Vec<_> = machines.iter().map(machine).collect();
-    serde_json::from_value(serde_json::json!({"Estibas": machines, "More": more})).expect("a page")
+    serde_json::from_value(serde_json::json!({"Estibas": machines, "More": has_more}))
+        .expect("a page")
 }
 
 // Guards against treating a machine as terminated because an older list or another page does not list it.
--- a/crates/worksshunt-core/src/fleet/tracked_machine.rs
+++ b/crates/worksshunt-core/src/fleet/tracked_machine.rs
@@ -98,8 +98,8 @@
         matches!(self.stage, MachineStage::Draining | MachineStage::Releasing)
     }
 
-    /// Whether it is booting and likely to come up. It is unlikely to if the cloud has listed it as running for
-    /// `first_heartbeat_timeout_ms` without a heartbeat.
+    /// Whether it is booting and counts as future capacity. It no longer does once the cloud has listed it as running
+    /// for `first_heartbeat_timeout_ms` without a heartbeat.
     pub(super) fn is_expected_to_boot(&self, now: Time, first_heartbeat_timeout_ms: u64) -> bool {
         self.stage == MachineStage::Booting
             && self
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -240,7 +240,7 @@
         MachineSummary {
             is_reported: self.info.is_some() && (is_assessed || is_unreachable),
             is_schedulable: self.is_schedulable(now, timeouts),
-            // A worker may list a durably completed attempt for long; that does not prevent the machine's release.
+            // A worker may still list durably completed attempts; that does not prevent the machine's release.
             is_empty: self
                 .attempts
                 .values()
--- a/crates/worksshunt-core/src/machines/pending_updates/tests.rs
+++ b/crates/worksshunt-core/src/machines/pending_updates/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-fn attempt_ended(n: usize) -> EndedAttempt {
+fn ended_attempt(n: usize) -> EndedAttempt {
     EndedAttempt {
         task: TaskId {
             job: JobId(1),
@@ -25,7 +25,7 @@
             .map(|n| MachineId(format!("i-{n:06}")))
             .collect(),
         attempts: (0..changes).map(|n| Attempt(n as u64)).collect(),
-        ended_attempts: (0..changes).map(attempt_ended).collect(),
+        ended_attempts: (0..changes).map(ended_attempt).collect(),
         ..PendingUpdates::default()
     };
     let batch = pending.take_batch();
@@ -67,8 +67,8 @@
     assert_eq!(
         second.ended_attempts,
         vec![
-            attempt_ended(MAX_CHANGES_PER_SYNC),
-            attempt_ended(MAX_CHANGES_PER_SYNC + 1)
+            ended_attempt(MAX_CHANGES_PER_SYNC),
+            ended_attempt(MAX_CHANGES_PER_SYNC + 1)
         ]
     );
 }
@@ -79,6 +79,6 @@
     remaining.in_flight = Some(first);
     remaining.requeue_unacknowledged();
     assert_eq!(remaining.machines.len(), MAX_MACHINES_PER_SYNC + 1);
-    let all: Vec<EndedAttempt> = (0..MAX_CHANGES_PER_SYNC + 2).map(attempt_ended).collect();
+    let all: Vec<EndedAttempt> = (0..MAX_CHANGES_PER_SYNC + 2).map(ended_attempt).collect();
     assert_eq!(remaining.ended_attempts, all);
 }
--- a/crates/worksshunt-core/src/machines/worker_lease.rs
+++ b/crates/worksshunt-core/src/machines/worker_lease.rs
@@ -68,7 +68,7 @@
         } else if heartbeat > self.newest_heartbeat
             && now.since(self.last_message_at) < HEARTBEAT_TIMEOUT_MS
         {
-            // It was sent before the newest message, so it has been in flight for longer than since that arrived.
+            // It was sent before the newest message arrived, so it has been in flight for longer than the time since.
             ArrivalOrder::OutOfOrder
         } else {
             ArrivalOrder::Stale
--- a/crates/worksshunt-core/src/quota.rs
+++ b/crates/worksshunt-core/src/quota.rs
@@ -110,14 +110,14 @@
         self.tasks_within_limit(job) > 0
     }
 
-    /// Number of further tasks of the job that its team's limit admits, besides usage and reservations.
+    /// Number of further tasks of the job that its team's limit admits, in addition to usage and reservations.
     pub fn tasks_within_limit(&self, job: &Job) -> u32 {
         let reserved = self.reservation_of(&job.spec.team);
         self.remaining_tasks(job, reserved, QuotaResources::limit_of)
     }
 
-    /// Number of further tasks of the job that its team's limit admits, besides usage only. For a job that has a
-    /// reservation itself.
+    /// Number of further tasks of the job that its team's limit admits, in addition to usage only. For a job that
+    /// has a reservation itself.
     pub fn tasks_within_limit_ignoring_reservations(&self, job: &Job) -> u32 {
         let no_reservation = QuotaResources::default();
         self.remaining_tasks(job, no_reservation, QuotaResources::limit_of)
@@ -128,14 +128,14 @@
         self.tasks_within_guarantee(job) > 0
     }
 
-    /// Number of further tasks of the job that its team's guarantee covers, besides usage and reservations.
+    /// Number of further tasks of the job that its team's guarantee covers, in addition to usage and reservations.
     pub fn tasks_within_guarantee(&self, job: &Job) -> u32 {
         let reserved = self.reservation_of(&job.spec.team);
         self.remaining_tasks(job, reserved, QuotaResources::guarantee_of)
     }
 
-    /// Number of further tasks of the job that fit into the team's maximum, besides its usage and `reserved`; 0 for an
-    /// unknown team.
+    /// Number of further tasks of the job that fit into the team's maximum, in addition to its usage and `reserved`; 0
+    /// for an unknown team.
     fn remaining_tasks(
         &self,
         job: &Job,
--- a/crates/worksshunt-core/src/scheduler/claims.rs
+++ b/crates/worksshunt-core/src/scheduler/claims.rs
@@ -43,8 +43,8 @@
 }
 
 impl Scheduler {
-    /// Claims machines for jobs whose next task has been unschedulable for a while: a claimed machine takes no other
-    /// tasks until that one fits. Before that, releases the claims that are no longer needed.
+    /// Claims machines for jobs whose next task has been unschedulable for [`CLAIM_AFTER_MS`]: a claimed machine takes
+    /// no other tasks until that one fits. Before that, releases the claims that are no longer needed.
     pub fn claim_machines(&mut self, now: Time) {
         self.release_idle_claims();
         let max_claims = MIN_CLAIMS.max(self.machines().count() / CLAIM_MACHINE_DIVISOR);
