--- a/crates/worksshunt-net/src/worker/tests.rs
+++ b/crates/worksshunt-net/src/worker/tests.rs
@@ -45,8 +45,8 @@
     let answered = DirectCommandsOutcome::Answered(heartbeat);
     assert_eq!(outcome(200, HEARTBEAT), answered);
     assert_eq!(outcome(409, HEARTBEAT), answered);
-    assert_eq!(outcome(500, HEARTBEAT), DirectCommandsOutcome::NoAnswer);
-    assert_eq!(outcome(200, "{}"), DirectCommandsOutcome::NoAnswer);
+    assert_eq!(outcome(500, HEARTBEAT), DirectCommandsOutcome::Unknown);
+    assert_eq!(outcome(200, "{}"), DirectCommandsOutcome::Unknown);
 }
 
 #[test]
@@ -66,5 +66,5 @@
             .send_commands(&commands(address.to_string()), TIMEOUT)
             .await
     });
-    assert_eq!(unanswered, DirectCommandsOutcome::NoAnswer);
+    assert_eq!(unanswered, DirectCommandsOutcome::Unknown);
 }
