--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -33,7 +33,7 @@
             tokens.take(write.changes.len());
             actions.push(hedge_action(KvPurpose::AcceptSubmissions(number), write));
         }
-        if !accept.timer.is_due(now) || !self.job_api.requests.needs_write() {
+        if !accept.timer.is_due(now) || !self.job_api.queues.needs_write() {
             return;
         }
         let limits = &self.settings.facts.key_value_store;
@@ -45,8 +45,8 @@
                 submission_batch_key(own_name, lease, *last_batch_number)
             }
         });
-        let requests = &mut self.job_api.requests;
-        if let Some(write) = requests.next_write(max_changes, limits, next_batch_key) {
+        let queues = &mut self.job_api.queues;
+        if let Some(write) = queues.next_write(max_changes, limits, next_batch_key) {
             tokens.take(write.changes.len());
             accept.timer.mark_sent(now, 0);
             let number = accept.hedge.start_write(now);
@@ -73,36 +73,38 @@
             return;
         }
         accept.timer.schedule_next(now, 0);
-        let jobs = self.job_api.requests.write_answered();
+        let submissions = self.job_api.queues.finish_write();
         match response {
             // Only this process writes this key, so another copy of the write was applied.
-            KvResponse::Conflict(failed)
-                if failed.iter().any(|key| is_submission_batch_key(key)) =>
+            KvResponse::Conflict(failed_keys)
+                if failed_keys.iter().any(|key| is_submission_batch_key(key)) =>
             {
-                accept_all(jobs, actions);
+                accept_all(submissions, actions);
             }
-            KvResponse::Committed(_) => accept_all(jobs, actions),
-            KvResponse::Conflict(failed) => self.requeue_conflicting(now, jobs, &failed),
-            KvResponse::TooLarge if jobs.len() > 1 => {
+            KvResponse::Committed(_) => accept_all(submissions, actions),
+            KvResponse::Conflict(failed_keys) => {
+                self.requeue_conflicting(now, submissions, &failed_keys)
+            }
+            KvResponse::TooLarge if submissions.len() > 1 => {
                 self.lower_limits();
-                self.retry_accept_write(now, jobs);
+                self.retry_accept_write(now, submissions);
             }
             // Not executed, most likely because of the rate limit, so it is safe to retry.
             KvResponse::Refused if !self.store_health.is_unresponsive(now) => {
-                self.retry_accept_write(now, jobs);
+                self.retry_accept_write(now, submissions);
             }
             _ => {
-                ask_to_resubmit(jobs, actions);
+                ask_to_resubmit(submissions, actions);
                 self.fail_job_requests(actions);
             }
         }
     }
 
     /// Requeues the submissions of a write that was not executed. The next write follows after [`KV_RETRY_DELAY_MS`].
-    fn retry_accept_write(&mut self, now: Time, jobs: Vec<PendingSubmission>) {
+    fn retry_accept_write(&mut self, now: Time, submissions: Vec<PendingSubmission>) {
         let accept = &mut self.job_api.accept_write;
         accept.timer.schedule_next(now, KV_RETRY_DELAY_MS);
-        self.job_api.requests.requeue_submissions(jobs);
+        self.job_api.queues.requeue_submissions(submissions);
     }
 
     /// Requeues the submissions of a conflicting write. Jobs whose ID already exists wait for a read of their state,
@@ -110,40 +112,40 @@
     fn requeue_conflicting(
         &mut self,
         now: Time,
-        jobs: Vec<PendingSubmission>,
+        submissions: Vec<PendingSubmission>,
         failed_keys: &[String],
     ) {
-        for submission in jobs {
+        for submission in submissions {
             let PendingSubmission {
                 request_id, job, ..
             } = submission;
             let id = job.spec.id;
-            let is_known = failed_keys.contains(&open_job_key(id))
+            let exists = failed_keys.contains(&open_job_key(id))
                 || failed_keys.contains(&final_state_key(id));
-            if is_known {
-                self.job_api.requests.queue_request(JobRequest {
+            if exists {
+                self.job_api.queues.queue_request(JobRequest {
                     request_id,
                     id,
                     operation: JobOperation::Submit(job),
                     was_in_batch: false,
                 });
             } else {
-                self.job_api.requests.queue_submission(now, request_id, job);
+                self.job_api.queues.queue_submission(now, request_id, job);
             }
         }
     }
 }
 
-fn accept_all(jobs: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
-    for submission in jobs {
+fn accept_all(submissions: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
+    for submission in submissions {
         let response = accepted_response(submission.job.spec.id);
         actions.push(Action::Respond(submission.request_id, response));
     }
 }
 
 /// Asks the users to submit again. Whether the jobs were accepted is unknown, but submissions are idempotent.
-fn ask_to_resubmit(jobs: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
-    for submission in jobs {
+fn ask_to_resubmit(submissions: Vec<PendingSubmission>, actions: &mut Vec<Action>) {
+    for submission in submissions {
         let response = HttpResponse::retry_later("not accepted yet");
         actions.push(Action::Respond(submission.request_id, response));
     }
--- a/crates/worksshunt-core/src/controller/epoch_start.rs
+++ b/crates/worksshunt-core/src/controller/epoch_start.rs
@@ -33,7 +33,7 @@
             };
             self.begin_leading(now, &epoch, &owners, &stored, load.previous_fleet);
         }
-        self.membership.epoch_loaded();
+        self.membership.start_serving();
     }
 
     fn begin_partition(
--- a/crates/worksshunt-core/src/controller/epochs.rs
+++ b/crates/worksshunt-core/src/controller/epochs.rs
@@ -37,7 +37,7 @@
 
     /// Gives up the lease, the leadership and the partition. The controller then joins again as a new member.
     pub(super) fn leave_epoch(&mut self, now: Time) {
-        self.membership.lease_lost();
+        self.membership.drop_lease();
         self.leader = None;
         self.drop_partition(now);
     }
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -124,8 +124,8 @@
         /// Key of the page.
         key: String,
     },
-    /// Read a final state after its lookup was deferred by the read limit.
-    LookUpFinalState(JobId),
+    /// Read a final state into the job cache, after the read limit deferred the lookup of a user request.
+    CacheFinalState(JobId),
     /// Accept submissions; the number of the write.
     AcceptSubmissions(u64),
     /// Write the cancellation of a job.
@@ -234,11 +234,11 @@
     /// A peer sends a request.
     PeerRequest(RequestId, PeerRequest),
     /// The leader's response to a partition status; `None` if the request failed or timed out.
-    PeerResponse(Option<PeerResponse>),
+    PeerSyncResponse(Option<PeerResponse>),
     /// A peer's response on whether it reaches the key-value store.
     PeerKeyValueHealth(bool),
-    /// A peer's response with the newest epoch that it knows.
-    PeerKnownEpoch(ControllerName, EpochPollResponse),
+    /// A peer's response to an epoch poll.
+    PeerEpochPollResponse(ControllerName, EpochPollResponse),
 }
 
 /// An action that the caller of [`Controller::handle`](super::Controller::handle) executes.
@@ -252,13 +252,13 @@
         purpose: KvPurpose,
         /// Request to send.
         request: KvRequest,
-        /// Time limit for the response, in milliseconds.
-        deadline_ms: u64,
+        /// Time after which the request fails with [`KvResponse::OutcomeUnknown`], in milliseconds.
+        timeout_ms: u64,
     },
     /// Send a request to the cloud.
     CallCloud(CloudRequest),
     /// Send commands directly to a worker.
-    SendCommands(DirectCommands),
+    SendDirectCommands(DirectCommands),
     /// Send a request to a peer.
     SendToPeer(ControllerName, PeerRequest),
     /// Respond to a peer.
--- a/crates/worksshunt-core/src/controller/final_state_lookups.rs
+++ b/crates/worksshunt-core/src/controller/final_state_lookups.rs
@@ -54,7 +54,7 @@
             };
             job_api.read_tokens.take(1);
             let request = KvRequest::Get(final_state_key(id));
-            call_store(actions, KvPurpose::LookUpFinalState(id), request);
+            call_store(actions, KvPurpose::CacheFinalState(id), request);
         }
     }
 
--- a/crates/worksshunt-core/src/controller/hedged_request.rs
+++ b/crates/worksshunt-core/src/controller/hedged_request.rs
@@ -58,13 +58,13 @@
     }
 }
 
-/// The action that sends the second copy of a write. Its deadline ends together with that of the first copy.
+/// The action that sends the second copy of a write. It times out at the same time as the first copy.
 pub(super) fn hedge_action(purpose: KvPurpose, write: &CompareAndSwap) -> Action {
-    let deadline_ms = KV_REQUEST_TIMEOUT_MS - KV_HEDGE_DELAY_MS;
+    let timeout_ms = KV_REQUEST_TIMEOUT_MS - KV_HEDGE_DELAY_MS;
     let request = KvRequest::CompareAndSwap(write.clone());
     Action::CallKeyValueStore {
         purpose,
         request,
-        deadline_ms,
+        timeout_ms,
     }
 }
--- a/crates/worksshunt-core/src/controller/job_cache_reads.rs
+++ b/crates/worksshunt-core/src/controller/job_cache_reads.rs
@@ -62,7 +62,7 @@
                         since,
                         wait_ms,
                     },
-                    deadline_ms: wait_ms + KV_REQUEST_TIMEOUT_MS,
+                    timeout_ms: wait_ms + KV_REQUEST_TIMEOUT_MS,
                 });
             }
             _ => {}
@@ -76,7 +76,7 @@
             .schedule_next(times.answered_at, KV_RETRY_DELAY_MS);
         if let KvResponse::Listing(listing) = response {
             if !self.job_cache.is_loaded() {
-                self.membership.open_jobs_read(times.sent_at);
+                self.membership.record_open_jobs_read(times.sent_at);
                 let changes = self.job_cache.load(&listing);
                 self.apply_job_changes(times.answered_at, changes);
             }
@@ -107,7 +107,7 @@
     /// Applies changes of the open jobs to the job cache, the partition and the scheduler.
     pub(super) fn apply_watch_response(&mut self, times: RequestTimes, changes: &WatchResponse) {
         if self.job_cache.is_loaded() {
-            self.membership.open_jobs_read(times.sent_at);
+            self.membership.record_open_jobs_read(times.sent_at);
         }
         let changes = self.job_cache.apply_changes(changes);
         self.apply_job_changes(times.answered_at, changes);
@@ -118,8 +118,10 @@
         for change in changes {
             match change {
                 JobCacheChange::Opened(id) => {
-                    if let (Some(leader), Some(open)) = (&mut self.leader, self.job_cache.get(id)) {
-                        leader.scheduler.open_job(id, &open.job);
+                    if let (Some(leader), Some(open_job)) =
+                        (&mut self.leader, self.job_cache.get(id))
+                    {
+                        leader.scheduler.open_job(id, &open_job.job);
                     }
                 }
                 JobCacheChange::Closed(id) => {
@@ -136,7 +138,7 @@
     /// changes after the cached revision.
     pub(super) fn reload_job_cache(&mut self, actions: &mut Vec<Action>) {
         self.job_cache.mark_outdated();
-        for job_request in self.job_api.requests.read_answered() {
+        for job_request in self.job_api.queues.finish_read() {
             let response = HttpResponse::retry_later("reading jobs again");
             actions.push(Action::Respond(job_request.request_id, response));
         }
--- a/crates/worksshunt-core/src/controller/job_requests.rs
+++ b/crates/worksshunt-core/src/controller/job_requests.rs
@@ -11,8 +11,8 @@
 
 use crate::constants::key_value::USER_READ_SHARE;
 use crate::job_api::{
-    final_state_response, resolve, HttpResponse, JobApi, JobOperation, JobRequest, JobRequestStep,
-    RequestId,
+    final_state_response, resolve, HttpResponse, JobApiQueues, JobOperation, JobRequest,
+    JobRequestStep, RequestId,
 };
 use crate::jobs::{FinalStateEvidence, JobCacheChange, OPEN_JOBS_PREFIX};
 use crate::time::{PeriodicTimer, Time, TokenBucket};
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(super) struct JobApiState {
     /// Requests that wait for the key-value store.
-    pub requests: JobApi,
+    pub queues: JobApiQueues,
     /// Whether the limit of pending requests was reached at the last check.
     was_full: bool,
     /// Rate limit of reads for users, [`USER_READ_SHARE`] of the key-value store's request limit.
@@ -42,7 +42,7 @@
     pub fn new(max_requests: usize, limits: &KeyValueLimits) -> JobApiState {
         let read_rate = limits.requests_per_s * USER_READ_SHARE;
         JobApiState {
-            requests: JobApi::new(max_requests),
+            queues: JobApiQueues::new(max_requests),
             was_full: false,
             read_tokens: TokenBucket::new(read_rate, read_rate.max(1.0)),
             catch_up_timer: PeriodicTimer::default(),
@@ -63,11 +63,11 @@
     fn advance_catch_up_read(&mut self, now: Time, actions: &mut Vec<Action>) {
         let job_api = &mut self.job_api;
         let may_read = job_api.read_tokens.available(now) > 0;
-        if !job_api.catch_up_timer.is_due(now) || !job_api.requests.needs_read() || !may_read {
+        if !job_api.catch_up_timer.is_due(now) || !job_api.queues.needs_read() || !may_read {
             return;
         }
         if let Some(since) = self.job_cache.revision() {
-            job_api.requests.read_sent();
+            job_api.queues.start_read();
             job_api.read_tokens.take(1);
             job_api.catch_up_timer.mark_sent(now, 0);
             let request = KvRequest::Watch {
@@ -127,13 +127,13 @@
         if self.is_job_api_full() {
             return Err(HttpResponse::retry_later("too many requests wait"));
         }
-        self.job_api.requests.queue_request(job_request);
+        self.job_api.queues.queue_request(job_request);
         Ok(())
     }
 
     /// Whether the limit of pending requests is reached. Logs when it becomes so.
     pub(super) fn is_job_api_full(&mut self) -> bool {
-        let is_full = self.job_api.requests.is_full();
+        let is_full = self.job_api.queues.is_full();
         let was_full = std::mem::replace(&mut self.job_api.was_full, is_full);
         if is_full && !was_full {
             let limit = self.capacity.user_requests;
@@ -158,14 +158,14 @@
         match response {
             KvResponse::WatchResponse(changes) if self.job_cache.is_loaded() => {
                 self.apply_watch_response(times, &changes);
-                for job_request in self.job_api.requests.read_answered() {
-                    let step = resolve(job_request, &self.job_cache, &self.progress);
+                for job_request in self.job_api.queues.finish_read() {
+                    let step = resolve(job_request, &self.job_cache, &self.job_progress);
                     self.apply_job_request_step(now, step, actions);
                 }
             }
             KvResponse::RevisionCompacted => self.reload_job_cache(actions),
             _ => {
-                for job_request in self.job_api.requests.read_answered() {
+                for job_request in self.job_api.queues.finish_read() {
                     let response = HttpResponse::retry_later(STORE_UNRESPONSIVE);
                     actions.push(Action::Respond(job_request.request_id, response));
                 }
@@ -191,10 +191,10 @@
                 self.write_cancellation(job_request, write, actions);
             }
             JobRequestStep::ResolveAgain(job_request) => {
-                self.job_api.requests.queue_request(job_request);
+                self.job_api.queues.queue_request(job_request);
             }
             JobRequestStep::Accept(request_id, job) => {
-                self.job_api.requests.queue_submission(now, request_id, job);
+                self.job_api.queues.queue_submission(now, request_id, job);
             }
         }
     }
@@ -230,7 +230,7 @@
                 let response = final_state_response(&job_request, JobState::Cancelled);
                 actions.push(Action::Respond(job_request.request_id, response));
             }
-            KvResponse::Conflict(_) => self.job_api.requests.queue_request(job_request),
+            KvResponse::Conflict(_) => self.job_api.queues.queue_request(job_request),
             _ => actions.push(Action::Respond(
                 job_request.request_id,
                 HttpResponse::retry_later("not cancelled yet"),
@@ -240,7 +240,7 @@
 
     /// Rejects all pending requests because the key-value store does not respond.
     pub(super) fn fail_job_requests(&mut self, actions: &mut Vec<Action>) {
-        for request in self.job_api.requests.take_queued() {
+        for request in self.job_api.queues.take_queued() {
             let response = HttpResponse::retry_later(STORE_UNRESPONSIVE);
             actions.push(Action::Respond(request, response));
         }
--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -50,7 +50,7 @@
             | KvPurpose::ReadPageVersion { .. } => {
                 self.process_epoch_response(times, purpose, response, actions);
             }
-            KvPurpose::LookUpFinalState(id) => self.process_deferred_lookup_response(id, response),
+            KvPurpose::CacheFinalState(id) => self.process_deferred_lookup_response(id, response),
             KvPurpose::AcceptSubmissions(number) => {
                 self.process_accept_write_response(number, answered_at, response, actions);
             }
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -256,7 +256,7 @@
         if state != Some(JobState::Done) {
             // Final states written by an older release do not contain the job.
             let stored = read_cancelled_job(&pair.value).map(Rc::new);
-            let job = stored.or_else(|| self.job_cache.recently_closed(id).cloned());
+            let job = stored.or_else(|| self.job_cache.recently_closed_job(id).cloned());
             let cancelled = &mut self.epoch_load.cancelled_jobs;
             cancelled.extend(job.map(|job| (id, job)));
         }
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -50,7 +50,7 @@
             return call_store(actions, KvPurpose::RenewLease(lease), request);
         }
         // The write is conditional on the key's version, so it waits until that has been read.
-        if let Some(write) = self.membership.member_key_write() {
+        if let Some(write) = self.membership.next_member_key_write() {
             timer.mark_sent(now, KV_RETRY_DELAY_MS);
             let request = KvRequest::CompareAndSwap(write);
             call_store(actions, KvPurpose::WriteMemberKey, request);
@@ -65,7 +65,7 @@
         };
         self.membership_timers.lease.schedule_next(now, wait_ms);
         if let KvResponse::LeaseGranted(lease) = response {
-            self.membership.lease_granted(lease);
+            self.membership.apply_lease_grant(lease);
             self.read_control_keys_at(now);
         }
     }
@@ -76,16 +76,16 @@
             KvResponse::Committed(version) => {
                 lease_timer.schedule_next(now, 0);
                 self.read_control_keys_at(now);
-                self.membership.member_key_written(version);
+                self.membership.record_member_key_write(version);
             }
             KvResponse::Conflict(_) => {
                 lease_timer.schedule_next(now, KV_RETRY_DELAY_MS);
                 self.read_control_keys_at(now);
-                self.membership.member_key_conflict();
+                self.membership.reset_member_key_version();
             }
             KvResponse::NoSuchLease => {
                 lease_timer.schedule_next(now, 0);
-                self.membership.lease_lost();
+                self.membership.drop_lease();
             }
             _ => lease_timer.schedule_next(now, KV_RETRY_DELAY_MS),
         }
--- a/crates/worksshunt-core/src/controller/metrics.rs
+++ b/crates/worksshunt-core/src/controller/metrics.rs
@@ -29,9 +29,9 @@
         self.final_states.get_or_create(&labels).inc();
     }
 
-    /// Counts an observed change of a claim record by its evidence.
-    pub(super) fn count_claim_record(&self, record: ClaimWriteOutcome) {
-        let evidence = match record {
+    /// Counts the outcome of a claim record's write by its evidence.
+    pub(super) fn count_claim_write_outcome(&self, outcome: ClaimWriteOutcome) {
+        let evidence = match outcome {
             ClaimWriteOutcome::Committed(_) => EvidenceLabel::Committed,
             ClaimWriteOutcome::Exists => EvidenceLabel::Exists,
             ClaimWriteOutcome::Deleted(_) => EvidenceLabel::Deleted,
--- a/crates/worksshunt-core/src/controller/mod.rs
+++ b/crates/worksshunt-core/src/controller/mod.rs
@@ -94,7 +94,7 @@
     job_cache: JobCache,
     job_cache_reads: JobCacheReads,
     job_api: JobApiState,
-    progress: ProgressByJob,
+    job_progress: ProgressByJob,
     catalog: CatalogState,
     epoch_load: EpochLoad,
     partition: Partition,
@@ -136,7 +136,7 @@
             job_cache: JobCache::default(),
             job_cache_reads: JobCacheReads::new(cancellation_staleness_ms),
             job_api: JobApiState::new(capacity.user_requests, &facts.key_value_store),
-            progress: ProgressByJob::new(),
+            job_progress: ProgressByJob::new(),
             catalog: CatalogState::default(),
             epoch_load: EpochLoad::default(),
             over_capacity_summary: OverCapacitySummary::new(parameters.summary_interval_ms),
@@ -215,11 +215,13 @@
             Event::PeerRequest(request, peer_request) => {
                 self.handle_peer_request(now, request, peer_request, budget, actions);
             }
-            Event::PeerResponse(response) => self.process_sync_response(steady, response),
+            Event::PeerSyncResponse(response) => self.process_sync_response(steady, response),
             Event::PeerKeyValueHealth(is_reachable) => {
                 self.store_health.record_peer_report(steady, is_reachable);
             }
-            Event::PeerKnownEpoch(from, known) => self.process_known_epoch(&from, &known),
+            Event::PeerEpochPollResponse(from, response) => {
+                self.process_epoch_poll_response(&from, &response);
+            }
         }
     }
 
@@ -245,7 +247,7 @@
         let token = self.membership.fencing_token();
         let batches = self.partition.next_direct_commands(now, token, max_batches);
         self.direct_commands_in_flight += batches.len();
-        actions.extend(batches.into_iter().map(Action::SendCommands));
+        actions.extend(batches.into_iter().map(Action::SendDirectCommands));
     }
 
     /// Processes the outcome of direct commands. The outcome of commands of an earlier epoch only frees their slot.
@@ -267,11 +269,11 @@
     }
 }
 
-/// Adds a request to the key-value store with the default deadline [`KV_REQUEST_TIMEOUT_MS`].
+/// Adds a request to the key-value store with the default timeout [`KV_REQUEST_TIMEOUT_MS`].
 fn call_store(actions: &mut Vec<Action>, purpose: KvPurpose, request: KvRequest) {
     actions.push(Action::CallKeyValueStore {
         purpose,
         request,
-        deadline_ms: KV_REQUEST_TIMEOUT_MS,
+        timeout_ms: KV_REQUEST_TIMEOUT_MS,
     });
 }
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -104,9 +104,15 @@
     fn apply_leader_directives(&mut self, now: Time, directives: LeaderDirectives) {
         self.partition.apply_directives(&directives, now);
         if let Some(progress) = directives.progress {
-            self.progress = progress
+            self.job_progress = progress
                 .into_iter()
-                .map(|(id, done, running)| (id, JobProgress { done, running }))
+                .map(|(id, completed_tasks, running_tasks)| {
+                    let progress = JobProgress {
+                        completed_tasks,
+                        running_tasks,
+                    };
+                    (id, progress)
+                })
                 .collect::<BTreeMap<_, _>>();
         }
     }
--- a/crates/worksshunt-core/src/controller/peer_requests.rs
+++ b/crates/worksshunt-core/src/controller/peer_requests.rs
@@ -24,8 +24,8 @@
             PeerRequest::KeyValueHealth => {
                 PeerResponse::KeyValueHealth(self.store_health.is_reachable(now.steady))
             }
-            PeerRequest::EpochPoll { poll_number: poll } => {
-                PeerResponse::EpochPoll(self.known_epoch(now.steady, poll))
+            PeerRequest::EpochPoll { poll_number } => {
+                PeerResponse::EpochPoll(self.epoch_poll_response(now.steady, poll_number))
             }
         };
         actions.push(Action::RespondToPeer(request, response));
--- a/crates/worksshunt-core/src/controller/reconciliation.rs
+++ b/crates/worksshunt-core/src/controller/reconciliation.rs
@@ -23,8 +23,8 @@
                 ?removed_final_state,
                 "job closed by the scheduler is still open in the store; scheduling it again"
             );
-            if let (Some(leader), Some(open)) = (&mut self.leader, self.job_cache.get(id)) {
-                leader.scheduler.open_job(id, &open.job);
+            if let (Some(leader), Some(open_job)) = (&mut self.leader, self.job_cache.get(id)) {
+                leader.scheduler.open_job(id, &open_job.job);
             }
         }
     }
@@ -37,8 +37,9 @@
             return Vec::new();
         };
         let scheduler = &leader.scheduler;
-        let open = self.job_cache.open_jobs().map(|(id, _)| *id);
-        open.filter(|id| !scheduler.has_job(*id))
+        let open_ids = self.job_cache.open_jobs().map(|(id, _)| *id);
+        open_ids
+            .filter(|id| !scheduler.has_job(*id))
             .filter(|id| !self.job_cache.has_newer_final_state(*id))
             .filter(|id| !scheduler.has_attempts_of(*id))
             .collect()
--- a/crates/worksshunt-core/src/controller/store_outage.rs
+++ b/crates/worksshunt-core/src/controller/store_outage.rs
@@ -27,24 +27,24 @@
     peer_query_timer: PeriodicTimer,
     epoch_confirmation: EpochConfirmation,
     /// When a peer last reported that it reaches the key-value store; `None` if none has.
-    peer_reachable_at: Option<Time>,
+    reachable_report_at: Option<Time>,
     /// When a peer last reported that it does not reach the key-value store; `None` if none has.
-    peer_unreachable_at: Option<Time>,
+    unreachable_report_at: Option<Time>,
 }
 
 impl StoreHealth {
     /// Records a response of the key-value store to this controller.
     pub fn record_response(&mut self, now: Time) {
         self.last_response_at = now;
-        self.epoch_confirmation.key_value_store_answered();
+        self.epoch_confirmation.end_outage();
     }
 
     /// Records whether a peer reaches the key-value store.
     pub fn record_peer_report(&mut self, now: Time, is_reachable: bool) {
         if is_reachable {
-            self.peer_reachable_at = Some(now);
+            self.reachable_report_at = Some(now);
         } else {
-            self.peer_unreachable_at = Some(now);
+            self.unreachable_report_at = Some(now);
         }
     }
 
@@ -71,9 +71,9 @@
             reported_at.is_some_and(|at| now.since(at) < PEER_HEALTH_VALIDITY_MS)
         };
         self.is_reachable(now)
-            || (!is_recent(self.peer_reachable_at)
+            || (!is_recent(self.reachable_report_at)
                 && (since_response_ms < KV_UNHEALTHY_AFTER_MS
-                    || is_recent(self.peer_unreachable_at)))
+                    || is_recent(self.unreachable_report_at)))
     }
 }
 
@@ -104,7 +104,7 @@
         self.poll_peer_epochs(now, actions);
     }
 
-    /// Polls all other controllers for the newest epoch that they know. While no controller reaches the key-value
+    /// Polls all other controllers for the newest epoch that they have read. While no controller reaches the key-value
     /// store, agreement of all of them confirms the epoch as safely as a read of the store.
     fn poll_peer_epochs(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.membership.state() != MemberState::Serving {
@@ -113,39 +113,43 @@
         let peers = self.settings.peers.iter();
         let others: BTreeSet<ControllerName> = peers.map(|peer| peer.host_name.clone()).collect();
         let epoch = self.membership.fencing_token();
-        let poll = self
-            .store_health
-            .epoch_confirmation
-            .begin_poll(now, epoch, others.clone());
+        let poll_number =
+            self.store_health
+                .epoch_confirmation
+                .begin_poll(now, epoch, others.clone());
         for peer in others {
             actions.push(Action::SendToPeer(
                 peer,
-                PeerRequest::EpochPoll { poll_number: poll },
+                PeerRequest::EpochPoll { poll_number },
             ));
         }
     }
 
-    /// The response to a peer's poll of the epoch.
-    pub(super) fn known_epoch(&self, now: Time, poll: u64) -> EpochPollResponse {
+    /// The response to a peer's epoch poll: the newest epoch that this controller has read.
+    pub(super) fn epoch_poll_response(&self, now: Time, poll_number: u64) -> EpochPollResponse {
         EpochPollResponse {
-            poll_number: poll,
+            poll_number,
             epoch: self.membership.fencing_token(),
             is_key_value_store_reachable: self.store_health.is_reachable(now),
         }
     }
 
-    /// Processes a peer's response to a poll. Extends the epoch lease once all other controllers have confirmed the
-    /// epoch.
-    pub(super) fn process_known_epoch(&mut self, from: &ControllerName, known: &EpochPollResponse) {
+    /// Processes a peer's response to an epoch poll. Extends the epoch lease once all other controllers have confirmed
+    /// the epoch.
+    pub(super) fn process_epoch_poll_response(
+        &mut self,
+        from: &ControllerName,
+        response: &EpochPollResponse,
+    ) {
         let confirmation = &mut self.store_health.epoch_confirmation;
-        confirmation.record_response(from, known);
+        confirmation.record_response(from, response);
         let epoch = self.membership.fencing_token();
-        let Some(sent_at) = confirmation.confirmed_at(epoch) else {
+        let Some(sent_at) = confirmation.confirmed_poll_sent_at(epoch) else {
             return;
         };
         if confirmation.mark_confirmed() {
             tracing::info!(%epoch, "key-value store unavailable; epoch confirmed by all other controllers");
         }
-        self.membership.epoch_confirmed(sent_at);
+        self.membership.extend_epoch_lease(sent_at);
     }
 }
--- a/crates/worksshunt-core/src/controller/submissions.rs
+++ b/crates/worksshunt-core/src/controller/submissions.rs
@@ -79,15 +79,15 @@
             accepted_ms: now.wall_ms,
         });
         let final_state = self.job_cache.final_state(id);
-        let is_known =
+        let may_exist =
             self.job_cache.get(id).is_some() || self.job_cache.is_in_submission_batch(id);
-        if final_state.is_none() && !is_known {
-            let refusal = self.refuse_new_job(now.steady, job.is_service());
-            if refusal.is_none() {
-                let requests = &mut self.job_api.requests;
-                requests.queue_submission(now.steady, request_id, job);
+        if final_state.is_none() && !may_exist {
+            let rejection = self.new_job_rejection(now.steady, job.is_service());
+            if rejection.is_none() {
+                let queues = &mut self.job_api.queues;
+                queues.queue_submission(now.steady, request_id, job);
             }
-            return refusal;
+            return rejection;
         }
         let job_request = JobRequest {
             request_id,
@@ -102,7 +102,7 @@
     }
 
     /// The response that rejects a new job, if it cannot be queued now.
-    fn refuse_new_job(&mut self, now: Time, is_service: bool) -> Option<HttpResponse> {
+    fn new_job_rejection(&mut self, now: Time, is_service: bool) -> Option<HttpResponse> {
         let reason = if is_service && !self.membership.accepts_services() {
             // A controller of a release without services would report the job as unknown.
             "controllers that do not know services may be left"
--- a/crates/worksshunt-core/src/controller/tick.rs
+++ b/crates/worksshunt-core/src/controller/tick.rs
@@ -58,7 +58,7 @@
     /// Rejects submissions that have waited too long, and all pending requests while the key-value store is
     /// unresponsive.
     fn expire_job_requests(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for request in self.job_api.requests.take_overdue_submissions(now) {
+        for request in self.job_api.queues.take_overdue_submissions(now) {
             let response = HttpResponse::retry_later("not accepted yet");
             actions.push(Action::Respond(request, response));
         }
--- a/crates/worksshunt-core/src/controller/write_conflicts.rs
+++ b/crates/worksshunt-core/src/controller/write_conflicts.rs
@@ -100,19 +100,21 @@
             match final_write {
                 // The user cancelled the job, or another copy was applied. The final state shows which, once the job
                 // cache has the job as closed.
-                FinalWrite::FinishJob(id) if has_failed(&open_job_key(id)) => {
-                    leader.scheduler.finish_job_refused(id);
+                FinalWrite::CompleteJob(id) if has_failed(&open_job_key(id)) => {
+                    leader.scheduler.drop_job_completion(id);
                 }
                 // The key is unique to this claim, so another copy created it.
                 FinalWrite::UpdateClaim {
                     machine,
                     change: ClaimChange::Put { key },
                 } if has_failed(&key) => {
-                    let record = ClaimWriteOutcome::Exists;
-                    self.metrics.count_claim_record(record);
-                    leader.scheduler.apply_claim_write_outcome(&machine, record);
+                    let outcome = ClaimWriteOutcome::Exists;
+                    self.metrics.count_claim_write_outcome(outcome);
+                    leader
+                        .scheduler
+                        .apply_claim_write_outcome(&machine, outcome);
                 }
-                FinalWrite::FinishJob(_)
+                FinalWrite::CompleteJob(_)
                 | FinalWrite::UpdateClaim { .. }
                 | FinalWrite::RemoveKey(_) => {}
             }
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -52,7 +52,7 @@
                 break;
             }
             let final_write = match pending_write {
-                PendingWrite::FinishJob(id) => self.add_job_completion(id, write),
+                PendingWrite::CompleteJob(id) => self.add_job_completion(id, write),
                 PendingWrite::UpdateClaim(machine) => self.add_claim_update(machine, write),
                 PendingWrite::RemoveKey(key) => {
                     write.changes.push(Change::Delete { key: key.clone() });
@@ -65,17 +65,17 @@
     }
 
     fn add_job_completion(&mut self, id: JobId, write: &mut CompareAndSwap) -> Option<FinalWrite> {
-        let Some(open) = self.job_cache.get(id) else {
+        let Some(open_job) = self.job_cache.get(id) else {
             // The job is no longer open, so there is nothing to complete.
             if let Some(leader) = &mut self.leader {
-                leader.scheduler.finish_job_refused(id);
+                leader.scheduler.drop_job_completion(id);
             }
             return None;
         };
         let key = open_job_key(id);
         write.expected.push(ExpectedRevision {
             key: key.clone(),
-            version: open.version,
+            version: open_job.version,
         });
         write.changes.push(Change::Delete { key });
         write.changes.push(Change::Put {
@@ -83,7 +83,7 @@
             value: final_state_value(JobState::Done),
             lease_id: None,
         });
-        Some(FinalWrite::FinishJob(id))
+        Some(FinalWrite::CompleteJob(id))
     }
 
     fn add_claim_update(
--- a/crates/worksshunt-core/src/controller/write_outcomes.rs
+++ b/crates/worksshunt-core/src/controller/write_outcomes.rs
@@ -71,14 +71,14 @@
     fn write_outcome(&mut self, times: RequestTimes, response: KvResponse) -> WriteOutcome {
         match response {
             KvResponse::Committed(revision) => {
-                self.membership.epoch_confirmed(times.sent_at);
+                self.membership.extend_epoch_lease(times.sent_at);
                 WriteOutcome::Committed(revision)
             }
-            KvResponse::Conflict(failed) if failed.iter().any(|key| key == EPOCH_KEY) => {
+            KvResponse::Conflict(failed_keys) if failed_keys.iter().any(|key| key == EPOCH_KEY) => {
                 self.read_control_keys_at(times.answered_at);
                 WriteOutcome::Unknown
             }
-            KvResponse::Conflict(failed) => WriteOutcome::Conflict(failed),
+            KvResponse::Conflict(failed_keys) => WriteOutcome::Conflict(failed_keys),
             _ => WriteOutcome::Unknown,
         }
     }
@@ -114,7 +114,7 @@
                 return;
             };
             match final_write {
-                FinalWrite::FinishJob(id) => {
+                FinalWrite::CompleteJob(id) => {
                     let evidence = FinalStateEvidence::Committed(revision);
                     self.metrics.count_final_state(evidence);
                     self.job_cache
@@ -122,12 +122,14 @@
                     leader.scheduler.close_job(id, now);
                 }
                 FinalWrite::UpdateClaim { machine, change } => {
-                    let record = match change {
+                    let outcome = match change {
                         ClaimChange::Put { .. } => ClaimWriteOutcome::Committed(revision),
                         ClaimChange::Delete => ClaimWriteOutcome::Deleted(revision),
                     };
-                    self.metrics.count_claim_record(record);
-                    leader.scheduler.apply_claim_write_outcome(&machine, record);
+                    self.metrics.count_claim_write_outcome(outcome);
+                    leader
+                        .scheduler
+                        .apply_claim_write_outcome(&machine, outcome);
                 }
                 FinalWrite::RemoveKey(key) => leader.scheduler.key_removed(&key),
             }
--- a/crates/worksshunt-core/src/controller/write_queues.rs
+++ b/crates/worksshunt-core/src/controller/write_queues.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum FinalWrite {
     /// Completes a job: deletes its open key and writes its final state.
-    FinishJob(JobId),
+    CompleteJob(JobId),
     /// Changes the claim record of a machine.
     UpdateClaim {
         machine: MachineId,
@@ -103,9 +103,9 @@
     /// When the key-value store last refused a write, most likely because of its rate limit; `None` if it has not.
     last_refusal_at: Option<Time>,
     /// Write limit of the key-value store, in changes per second.
-    write_rps: f64,
+    changes_per_s: f64,
     /// Maximum number of changes in a transaction.
-    txn_ops: usize,
+    max_transaction_changes: usize,
     /// Rate limit of submissions and cancellations, in changes.
     pub user_write_tokens: TokenBucket,
 }
@@ -129,8 +129,8 @@
             final_writes_in_flight: Vec::new(),
             has_final_write_backlog: false,
             last_refusal_at: None,
-            write_rps: limits.changes_per_s,
-            txn_ops: limits.max_transaction_changes,
+            changes_per_s: limits.changes_per_s,
+            max_transaction_changes: limits.max_transaction_changes,
             user_write_tokens: share(USER_WRITE_SHARE, limits.max_transaction_changes),
         }
     }
@@ -138,7 +138,7 @@
     /// Drops all writes in flight at the start of an epoch. The share of attempt records is divided by `owner_count`,
     /// the number of partition owners.
     pub fn begin_epoch(&mut self, owner_count: usize) {
-        let rate = self.write_rps * ATTEMPT_RECORD_WRITE_SHARE / owner_count.max(1) as f64;
+        let rate = self.changes_per_s * ATTEMPT_RECORD_WRITE_SHARE / owner_count.max(1) as f64;
         self.attempt_records = WriteQueue::new(TokenBucket::new(rate, PAGES_PER_WRITE as f64));
         self.leader_pages.begin_epoch();
         self.final_writes.begin_epoch();
@@ -151,7 +151,7 @@
 
     /// Maximum number of pages in a write of the queue now.
     pub fn page_allowance(&mut self, queue_id: WriteQueueId, now: Time) -> usize {
-        let max_pages = PAGES_PER_WRITE.min(self.txn_ops);
+        let max_pages = PAGES_PER_WRITE.min(self.max_transaction_changes);
         let tokens = &mut self.queue(queue_id).change_tokens;
         tokens.available(now).min(max_pages)
     }
@@ -159,7 +159,7 @@
     /// Maximum number of changes in a write of submission batches now.
     pub fn submission_batch_allowance(&mut self, now: Time) -> usize {
         let tokens = &mut self.submission_batches.change_tokens;
-        tokens.available(now).min(self.txn_ops)
+        tokens.available(now).min(self.max_transaction_changes)
     }
 
     /// Records that the key-value store refused a write.
@@ -183,10 +183,11 @@
 
     /// Logs when the backlog of final writes exceeds [`FINAL_WRITE_BACKLOG_S`], and when it no longer does.
     pub fn warn_of_final_write_backlog(&mut self, pending: usize) {
-        let writes_per_s = self.write_rps * FINAL_WRITE_SHARE / CHANGES_PER_JOB_COMPLETION as f64;
+        let writes_per_s =
+            self.changes_per_s * FINAL_WRITE_SHARE / CHANGES_PER_JOB_COMPLETION as f64;
         let has_backlog = pending as f64 > writes_per_s * FINAL_WRITE_BACKLOG_S;
         let had_backlog = std::mem::replace(&mut self.has_final_write_backlog, has_backlog);
-        let write_rps = self.write_rps;
+        let write_rps = self.changes_per_s;
         match (had_backlog, has_backlog) {
             (false, true) => {
                 tracing::warn!(
@@ -208,7 +209,8 @@
         } else {
             self.submission_batches.change_tokens.available(now)
         };
-        (self.final_writes.change_tokens.available(now) + borrowed).min(self.txn_ops)
+        (self.final_writes.change_tokens.available(now) + borrowed)
+            .min(self.max_transaction_changes)
     }
 
     /// Takes tokens for the changes of a write. The changes of a final write that exceed its own share are taken from
--- a/crates/worksshunt-core/src/epoch_confirmation.rs
+++ b/crates/worksshunt-core/src/epoch_confirmation.rs
@@ -24,7 +24,7 @@
     sent_at: Time,
     epoch: Epoch,
     /// Controllers that have not answered the poll.
-    unanswered: BTreeSet<ControllerName>,
+    pending_peers: BTreeSet<ControllerName>,
     /// Whether a response has made the poll fail.
     has_failed: bool,
     /// Whether a poll has confirmed the epoch since the key-value store last answered.
@@ -38,7 +38,7 @@
         self.poll_number += 1;
         self.sent_at = now;
         self.epoch = epoch;
-        self.unanswered = others;
+        self.pending_peers = others;
         self.has_failed = false;
         self.poll_number
     }
@@ -50,13 +50,13 @@
             return;
         }
         self.has_failed |= response.epoch > self.epoch || response.is_key_value_store_reachable;
-        self.unanswered.remove(from);
+        self.pending_peers.remove(from);
     }
 
     /// Time at which the last poll was sent, if it was about `epoch` and all peers have confirmed it.
-    pub fn confirmed_at(&self, epoch: Epoch) -> Option<Time> {
+    pub fn confirmed_poll_sent_at(&self, epoch: Epoch) -> Option<Time> {
         let is_polled = self.poll_number > 0 && self.epoch == epoch;
-        let is_confirmed = is_polled && self.unanswered.is_empty() && !self.has_failed;
+        let is_confirmed = is_polled && self.pending_peers.is_empty() && !self.has_failed;
         is_confirmed.then_some(self.sent_at)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Records a response of the key-value store, which ends the outage.
-    pub fn key_value_store_answered(&mut self) {
+    pub fn end_outage(&mut self) {
         self.is_confirmed_in_outage = false;
     }
 }
--- a/crates/worksshunt-core/src/job_api/mod.rs
+++ b/crates/worksshunt-core/src/job_api/mod.rs
@@ -3,15 +3,15 @@
 //! Reads are linearizable: a request is answered only after the [`JobCache`](crate::jobs::JobCache) has caught up with
 //! the store by a read that was sent after the request arrived. One such catch-up read serves all waiting requests.
 //!
-//! [`JobApi`] queues requests and submissions. The controller sends the reads and writes that it needs, and passes
-//! each request to [`resolve`] once its read is answered.
+//! [`JobApiQueues`] holds waiting requests and submissions. The controller sends the reads and writes that they need,
+//! and passes each request to [`resolve`] once its read is answered.
 
 mod http_response;
 mod queue;
 mod resolution;
 
 pub use http_response::{accepted_response, final_state_response, HttpResponse};
-pub use queue::{JobApi, PendingSubmission};
+pub use queue::{JobApiQueues, PendingSubmission};
 pub use resolution::{
     resolve, resolve_without_final_state, JobOperation, JobProgress, JobRequest, JobRequestStep,
     ProgressByJob,
--- a/crates/worksshunt-core/src/job_api/queue.rs
+++ b/crates/worksshunt-core/src/job_api/queue.rs
@@ -31,63 +31,63 @@
 
 /// Queues of requests and submissions. At most one catch-up read and one write are in flight at a time.
 #[derive(Debug)]
-pub struct JobApi {
+pub struct JobApiQueues {
     /// Maximum number of requests and submissions, queued or in flight.
     capacity: usize,
     /// Requests queued for the next catch-up read.
-    awaiting_read: Vec<JobRequest>,
+    queued_requests: Vec<JobRequest>,
     /// Requests waiting for the catch-up read in flight.
-    in_read: Vec<JobRequest>,
+    requests_in_read: Vec<JobRequest>,
     /// Submissions queued for the next write.
-    awaiting_write: VecDeque<PendingSubmission>,
+    queued_submissions: VecDeque<PendingSubmission>,
     /// Submissions in the write in flight.
-    in_write: Vec<PendingSubmission>,
+    submissions_in_write: Vec<PendingSubmission>,
 }
 
-impl JobApi {
+impl JobApiQueues {
     /// Empty queues for at most `capacity` requests and submissions together.
-    pub fn new(capacity: usize) -> JobApi {
-        JobApi {
+    pub fn new(capacity: usize) -> JobApiQueues {
+        JobApiQueues {
             capacity,
-            awaiting_read: Vec::new(),
-            in_read: Vec::new(),
-            awaiting_write: VecDeque::new(),
-            in_write: Vec::new(),
+            queued_requests: Vec::new(),
+            requests_in_read: Vec::new(),
+            queued_submissions: VecDeque::new(),
+            submissions_in_write: Vec::new(),
         }
     }
 
     /// Whether the queues are at capacity. The caller refuses further requests.
     pub fn is_full(&self) -> bool {
-        self.awaiting_read.len()
-            + self.in_read.len()
-            + self.awaiting_write.len()
-            + self.in_write.len()
+        self.queued_requests.len()
+            + self.requests_in_read.len()
+            + self.queued_submissions.len()
+            + self.submissions_in_write.len()
             >= self.capacity
     }
 
     /// Queues a request for the next catch-up read.
     pub fn queue_request(&mut self, job_request: JobRequest) {
-        self.awaiting_read.push(job_request);
+        self.queued_requests.push(job_request);
     }
 
     /// Whether a catch-up read should be sent: requests are queued for one, and none is in flight.
     pub fn needs_read(&self) -> bool {
-        !self.awaiting_read.is_empty() && self.in_read.is_empty()
+        !self.queued_requests.is_empty() && self.requests_in_read.is_empty()
     }
 
     /// Records that a catch-up read was sent for all queued requests.
-    pub fn read_sent(&mut self) {
-        self.in_read = std::mem::take(&mut self.awaiting_read);
+    pub fn start_read(&mut self) {
+        self.requests_in_read = std::mem::take(&mut self.queued_requests);
     }
 
     /// Records that the catch-up read was answered or failed. Returns its requests, to be resolved or refused.
-    pub fn read_answered(&mut self) -> Vec<JobRequest> {
-        std::mem::take(&mut self.in_read)
+    pub fn finish_read(&mut self) -> Vec<JobRequest> {
+        std::mem::take(&mut self.requests_in_read)
     }
 
     /// Queues a submission for the next write.
     pub fn queue_submission(&mut self, now: Time, request_id: RequestId, job: Box<Job>) {
-        self.awaiting_write.push_back(PendingSubmission {
+        self.queued_submissions.push_back(PendingSubmission {
             queued_at: now,
             request_id,
             job,
@@ -97,7 +97,7 @@
     /// Returns submissions whose write was not executed to the front of the queue, in their original order.
     pub fn requeue_submissions(&mut self, submissions: Vec<PendingSubmission>) {
         for submission in submissions.into_iter().rev() {
-            self.awaiting_write.push_front(submission);
+            self.queued_submissions.push_front(submission);
         }
     }
 
@@ -105,7 +105,7 @@
     /// a retry.
     pub fn take_overdue_submissions(&mut self, now: Time) -> Vec<RequestId> {
         let mut overdue = Vec::new();
-        self.awaiting_write.retain(|submission| {
+        self.queued_submissions.retain(|submission| {
             let is_overdue = now.since(submission.queued_at) >= SUBMISSION_TIMEOUT_MS;
             if is_overdue {
                 overdue.push(submission.request_id);
@@ -117,11 +117,11 @@
 
     /// Whether a write should be sent: submissions are queued for one, and none is in flight.
     pub fn needs_write(&self) -> bool {
-        !self.awaiting_write.is_empty() && self.in_write.is_empty()
+        !self.queued_submissions.is_empty() && self.submissions_in_write.is_empty()
     }
 
     /// Next compare-and-swap that accepts jobs, with at most `max_changes` changes; `None` if there is nothing to
-    /// write. It is conditional on every job's id being neither open nor closed.
+    /// write. It is conditional on every job's ID being neither open nor closed.
     ///
     /// Above [`SUBMISSION_BATCH_THRESHOLD`] queued submissions the jobs are batched under shared keys, which saves
     /// changes. `next_batch_key` returns the key of the next batch; without it (a controller without a lease) every job
@@ -134,7 +134,9 @@
     ) -> Option<CompareAndSwap> {
         let mut write = CompareAndSwap::default();
         match next_batch_key {
-            Some(mut next_batch_key) if self.awaiting_write.len() > SUBMISSION_BATCH_THRESHOLD => {
+            Some(mut next_batch_key)
+                if self.queued_submissions.len() > SUBMISSION_BATCH_THRESHOLD =>
+            {
                 while write.changes.len() < max_changes.min(PAGES_PER_WRITE) {
                     if !self.add_submission_batch(&mut write, limits, &mut next_batch_key) {
                         break;
@@ -151,7 +153,7 @@
         while write.changes.len() < max_changes
             && self.add_next_submission(write, usize::MAX).is_some()
         {
-            let Some(PendingSubmission { job, .. }) = self.in_write.last() else {
+            let Some(PendingSubmission { job, .. }) = self.submissions_in_write.last() else {
                 break;
             };
             write.changes.push(Change::Put {
@@ -174,10 +176,10 @@
         let max_jobs = (limits.max_transaction_changes * BATCHED_JOBS_PER_CHANGE)
             .saturating_sub(PAGES_PER_WRITE)
             .max(1);
-        let first = self.in_write.len();
+        let first = self.submissions_in_write.len();
         // The first job is added regardless of its size, the others while the page has space.
         let mut free_bytes = usize::MAX;
-        while self.in_write.len() < max_jobs {
+        while self.submissions_in_write.len() < max_jobs {
             let Some(job_bytes) = self.add_next_submission(write, free_bytes) else {
                 break;
             };
@@ -185,7 +187,7 @@
                 .min(max_page_bytes(limits))
                 .saturating_sub(job_bytes);
         }
-        let submissions = self.in_write[first..].iter();
+        let submissions = self.submissions_in_write[first..].iter();
         let jobs: Vec<&Job> = submissions.map(|submission| &*submission.job).collect();
         if jobs.is_empty() {
             return false;
@@ -204,20 +206,21 @@
     }
 
     /// Moves the next queued submission into the write and adds its conditions. Returns its size in bytes; `None` if
-    /// none is queued, its size exceeds `max_bytes`, or a job with the same id is in the write.
+    /// none is queued, its size exceeds `max_bytes`, or a job with the same ID is in the write.
     fn add_next_submission(
         &mut self,
         write: &mut CompareAndSwap,
         max_bytes: usize,
     ) -> Option<usize> {
-        let job = &self.awaiting_write.front()?.job;
+        let job = &self.queued_submissions.front()?.job;
         let id = job.spec.id;
         // One more byte for the comma between jobs.
         let bytes = serde_json::to_string(job).map_or(usize::MAX, |text| text.len() + 1);
         if self.is_being_written(id) || bytes > max_bytes {
             return None;
         }
-        self.in_write.extend(self.awaiting_write.pop_front());
+        self.submissions_in_write
+            .extend(self.queued_submissions.pop_front());
         for key in [open_job_key(id), final_state_key(id)] {
             write.expected.push(ExpectedRevision {
                 key,
@@ -228,19 +231,20 @@
     }
 
     fn is_being_written(&self, id: JobId) -> bool {
-        let mut submissions = self.in_write.iter();
+        let mut submissions = self.submissions_in_write.iter();
         submissions.any(|submission| submission.job.spec.id == id)
     }
 
     /// Records that the write was answered or failed. Returns its submissions.
-    pub fn write_answered(&mut self) -> Vec<PendingSubmission> {
-        std::mem::take(&mut self.in_write)
+    pub fn finish_write(&mut self) -> Vec<PendingSubmission> {
+        std::mem::take(&mut self.submissions_in_write)
     }
 
-    /// Removes all requests and submissions that are not in flight. Returns their ids, to be answered with a retry.
+    /// Removes all requests and submissions that are not in flight. Returns their request IDs, to be answered with a
+    /// retry.
     pub fn take_queued(&mut self) -> Vec<RequestId> {
-        let job_requests = self.awaiting_read.drain(..);
-        let submissions = self.awaiting_write.drain(..);
+        let job_requests = self.queued_requests.drain(..);
+        let submissions = self.queued_submissions.drain(..);
         job_requests
             .map(|job_request| job_request.request_id)
             .chain(submissions.map(|submission| submission.request_id))
--- a/crates/worksshunt-core/src/job_api/resolution.rs
+++ b/crates/worksshunt-core/src/job_api/resolution.rs
@@ -19,9 +19,9 @@
     Status,
     /// Cancel the job.
     Cancel,
-    /// Submit a job whose id may exist already, in which case the request is idempotent and returns its state.
+    /// Submit a job whose ID may exist already, in which case the request is idempotent and returns its state.
     Submit(Box<Job>),
-    /// Submit an invalid job: refused, unless the id exists, in which case the job's state is returned.
+    /// Submit an invalid job: refused, unless the ID exists, in which case the job's state is returned.
     SubmitInvalid(Refusal),
 }
 
@@ -30,7 +30,7 @@
 pub struct JobRequest {
     /// Request to respond to.
     pub request_id: RequestId,
-    /// Id of the job.
+    /// ID of the job.
     pub id: JobId,
     /// Operation on the job.
     pub operation: JobOperation,
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
     /// Number of completed tasks.
-    pub done: u32,
+    pub completed_tasks: u32,
     /// Number of running tasks.
-    pub running: u32,
+    pub running_tasks: u32,
 }
 
 /// Progress by job, as of the leader's last message.
@@ -84,13 +84,13 @@
             HttpResponse::retry_later("job was written by another version of the controller"),
         );
     }
-    let Some(open) = job_cache.get(id) else {
+    let Some(open_job) = job_cache.get(id) else {
         job_request.was_in_batch |= job_cache.is_in_submission_batch(id);
         return JobRequestStep::LookUpFinalState(job_request);
     };
     match &job_request.operation {
         JobOperation::Cancel => {
-            let write = cancellation_write(id, Some(open));
+            let write = cancellation_write(id, Some(open_job));
             JobRequestStep::Cancel(job_request, write)
         }
         JobOperation::Status | JobOperation::Submit(_) | JobOperation::SubmitInvalid(_) => {
@@ -139,7 +139,7 @@
 }
 
 fn open_job_response(id: JobId, progress: JobProgress) -> HttpResponse {
-    let state = if progress.running > 0 {
+    let state = if progress.running_tasks > 0 {
         JobState::Running
     } else {
         JobState::Pending
@@ -147,15 +147,15 @@
     let status = JobStatus {
         id,
         state,
-        done_tasks: Some(progress.done),
-        running_tasks: Some(progress.running),
+        done_tasks: Some(progress.completed_tasks),
+        running_tasks: Some(progress.running_tasks),
     };
     HttpResponse::json(200, &status)
 }
 
-/// Compare-and-swap that cancels a job; `open` is `None` for a job that is in a submission batch only.
-fn cancellation_write(id: JobId, open: Option<&OpenJob>) -> CompareAndSwap {
-    let version = open.map_or(Revision(0), |open| open.version);
+/// Compare-and-swap that cancels a job; `open_job` is `None` for a job that is in a submission batch only.
+fn cancellation_write(id: JobId, open_job: Option<&OpenJob>) -> CompareAndSwap {
+    let version = open_job.map_or(Revision(0), |open_job| open_job.version);
     let condition = |key: String, version| ExpectedRevision { key, version };
     let mut write = CompareAndSwap {
         expected: vec![
@@ -164,11 +164,11 @@
         ],
         changes: vec![Change::Put {
             key: final_state_key(id),
-            value: cancelled_state_value(open.map(|open| &*open.job)),
+            value: cancelled_state_value(open_job.map(|open_job| &*open_job.job)),
             lease_id: None,
         }],
     };
-    if open.is_some() {
+    if open_job.is_some() {
         write.changes.push(Change::Delete {
             key: open_job_key(id),
         });
--- a/crates/worksshunt-core/src/job_api/tests.rs
+++ b/crates/worksshunt-core/src/job_api/tests.rs
@@ -11,12 +11,12 @@
 
 use super::*;
 
-fn job_api_with_submissions(count: u64) -> JobApi {
-    let mut job_api = JobApi::new(MIN_IN_FLIGHT_REQUEST_LIMIT);
+fn queues_with_submissions(count: u64) -> JobApiQueues {
+    let mut queues = JobApiQueues::new(MIN_IN_FLIGHT_REQUEST_LIMIT);
     for id in 1..=count {
-        job_api.queue_submission(Time(0), RequestId(id), small_job(id));
+        queues.queue_submission(Time(0), RequestId(id), small_job(id));
     }
-    job_api
+    queues
 }
 
 fn small_job(id: u64) -> Box<Job> {
@@ -40,9 +40,9 @@
 
 #[test]
 fn many_submissions_are_batched_within_the_transaction_limits() {
-    let mut job_api = job_api_with_submissions(200);
+    let mut queues = queues_with_submissions(200);
     let mut batches = 0;
-    let write = job_api.next_write(
+    let write = queues.next_write(
         20,
         &limits(),
         Some(|| {
@@ -53,20 +53,20 @@
     let write = write.expect("a transaction");
     assert!(write.changes.len() <= PAGES_PER_WRITE && write.expected.len() <= 80);
     assert!(serde_json::json!(write).to_string().len() < 64 * 1024);
-    let written = job_api.write_answered().len();
+    let written = queues.finish_write().len();
     assert!((30..200).contains(&written), "{written} in one write");
-    assert!(job_api.needs_write(), "the others are still queued");
+    assert!(queues.needs_write(), "the others are still queued");
 }
 
 // Guards against submissions that are never written by a controller without a lease, which has no batch keys.
 #[test]
 fn without_a_batch_key_each_job_has_its_own_key() {
-    let mut job_api = job_api_with_submissions(30);
-    let write = job_api.next_write(20, &limits(), None::<fn() -> String>);
+    let mut queues = queues_with_submissions(30);
+    let write = queues.next_write(20, &limits(), None::<fn() -> String>);
     assert_eq!(write.map(|write| write.changes.len()), Some(20));
-    assert_eq!(job_api.write_answered().len(), 20);
+    assert_eq!(queues.finish_write().len(), 20);
     assert_eq!(
-        job_api
+        queues
             .take_overdue_submissions(Time(SUBMISSION_TIMEOUT_MS))
             .len(),
         10
@@ -75,12 +75,12 @@
 
 #[test]
 fn requests_are_refused_only_at_capacity() {
-    let mut job_api = job_api_with_submissions(MIN_IN_FLIGHT_REQUEST_LIMIT as u64 - 1);
-    assert!(!job_api.is_full());
-    job_api.requeue_submissions(vec![PendingSubmission {
+    let mut queues = queues_with_submissions(MIN_IN_FLIGHT_REQUEST_LIMIT as u64 - 1);
+    assert!(!queues.is_full());
+    queues.requeue_submissions(vec![PendingSubmission {
         queued_at: Time(0),
         request_id: RequestId(0),
         job: small_job(999_999),
     }]);
-    assert!(job_api.is_full());
+    assert!(queues.is_full());
 }
--- a/crates/worksshunt-core/src/jobs/completions.rs
+++ b/crates/worksshunt-core/src/jobs/completions.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Adds to the number of tasks completed in a zone; called for jobs with a zone constraint only.
-    pub fn count_zone(&mut self, zone: &str, tasks: u32) {
+    /// Adds `tasks` to the number of tasks completed in a zone; called for jobs with a zone constraint only.
+    pub fn add_tasks_in_zone(&mut self, zone: &str, tasks: u32) {
         *self.tasks_by_zone.entry(zone.to_owned()).or_default() += tasks;
     }
 
--- a/crates/worksshunt-core/src/jobs/job_cache.rs
+++ b/crates/worksshunt-core/src/jobs/job_cache.rs
@@ -48,18 +48,18 @@
 /// A controller's cache of open jobs, submission batches and final states.
 #[derive(Debug, Default)]
 pub struct JobCache {
-    open: BTreeMap<JobId, OpenJob>,
+    open_jobs: BTreeMap<JobId, OpenJob>,
     /// Submission batches by key.
     submission_batches: BTreeMap<String, SubmissionBatch>,
     /// Open jobs whose values this version of the program cannot read. It does not schedule or change them.
-    unreadable: BTreeSet<JobId>,
+    unreadable_jobs: BTreeSet<JobId>,
     /// Revision of the store that the open jobs are current at; `None` until loaded and while outdated.
     revision: Option<Revision>,
     final_states: HashMap<JobId, CachedFinalState>,
     /// Keys of `final_states`, oldest entry first, for eviction.
     final_states_order: VecDeque<JobId>,
-    /// Closed jobs that were in `open`, most recently closed last.
-    recently_closed: VecDeque<Rc<Job>>,
+    /// Closed jobs that were in `open_jobs`, most recently closed last.
+    recently_closed_jobs: VecDeque<Rc<Job>>,
 }
 
 impl JobCache {
@@ -79,14 +79,14 @@
         self.revision = None;
     }
 
-    /// The open job with this id.
+    /// The open job with this ID.
     pub fn get(&self, id: JobId) -> Option<&OpenJob> {
-        self.open.get(&id)
+        self.open_jobs.get(&id)
     }
 
     /// Whether the job is open but this version of the program cannot read it.
     pub fn is_unreadable(&self, id: JobId) -> bool {
-        self.unreadable.contains(&id)
+        self.unreadable_jobs.contains(&id)
     }
 
     /// All submission batches, with their keys.
@@ -103,14 +103,16 @@
         jobs.any(|job| job.spec.id == id)
     }
 
-    /// All readable open jobs, in the order of their ids.
+    /// All readable open jobs, in the order of their IDs.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&JobId, &OpenJob)> {
-        self.open.iter()
+        self.open_jobs.iter()
     }
 
     /// Whether any open job is a service.
     pub fn has_open_service(&self) -> bool {
-        self.open.values().any(|open| open.job.is_service())
+        self.open_jobs
+            .values()
+            .any(|open_job| open_job.job.is_service())
     }
 
     /// The cached final state of a job; `None` if it is not cached, although the store may have one.
@@ -146,22 +148,22 @@
     }
 
     /// A job closed since this controller started, if it is among the last [`MAX_CACHED_CLOSED_JOBS`] ones.
-    pub fn recently_closed(&self, id: JobId) -> Option<&Rc<Job>> {
-        let mut newest_first = self.recently_closed.iter().rev();
+    pub fn recently_closed_job(&self, id: JobId) -> Option<&Rc<Job>> {
+        let mut newest_first = self.recently_closed_jobs.iter().rev();
         newest_first.find(|job| job.spec.id == id)
     }
 
-    fn cache_closed_job(&mut self, open: OpenJob) {
-        self.recently_closed.push_back(open.job);
-        if self.recently_closed.len() > MAX_CACHED_CLOSED_JOBS {
-            self.recently_closed.pop_front();
+    fn cache_closed_job(&mut self, open_job: OpenJob) {
+        self.recently_closed_jobs.push_back(open_job.job);
+        if self.recently_closed_jobs.len() > MAX_CACHED_CLOSED_JOBS {
+            self.recently_closed_jobs.pop_front();
         }
     }
 
     /// Replaces the open jobs and submission batches by a full listing. Returns the changes of the open jobs.
     pub fn load(&mut self, listing: &Listing) -> Vec<JobCacheChange> {
         let listed = read_open_jobs(listing);
-        self.unreadable = job_ids(listing)
+        self.unreadable_jobs = job_ids(listing)
             .filter(|id| !listed.contains_key(id))
             .collect();
         let changes = self.replace_open(listed);
@@ -171,14 +173,17 @@
     }
 
     fn replace_open(&mut self, listed: BTreeMap<JobId, OpenJob>) -> Vec<JobCacheChange> {
-        let previous = std::mem::replace(&mut self.open, listed);
-        let opened = self.open.keys().filter(|id| !previous.contains_key(id));
+        let previous = std::mem::replace(&mut self.open_jobs, listed);
+        let opened = self
+            .open_jobs
+            .keys()
+            .filter(|id| !previous.contains_key(id));
         let mut changes: Vec<JobCacheChange> =
             opened.map(|id| JobCacheChange::Opened(*id)).collect();
-        for (id, open) in previous {
-            if !self.open.contains_key(&id) {
+        for (id, open_job) in previous {
+            if !self.open_jobs.contains_key(&id) {
                 changes.push(JobCacheChange::Closed(id));
-                self.cache_closed_job(open);
+                self.cache_closed_job(open_job);
             }
         }
         changes
@@ -217,12 +222,12 @@
             return None;
         }
         let id = parse_job_key(key, OPEN_JOBS_PREFIX)?;
-        let Some(open) = read_open_job(id, value, version) else {
-            self.unreadable.insert(id);
+        let Some(open_job) = read_open_job(id, value, version) else {
+            self.unreadable_jobs.insert(id);
             return None;
         };
-        self.unreadable.remove(&id);
-        let is_new = self.open.insert(id, open).is_none();
+        self.unreadable_jobs.remove(&id);
+        let is_new = self.open_jobs.insert(id, open_job).is_none();
         is_new.then_some(JobCacheChange::Opened(id))
     }
 
@@ -231,14 +236,14 @@
             return None;
         }
         let id = parse_job_key(key, OPEN_JOBS_PREFIX)?;
-        self.unreadable.remove(&id);
-        let closed = self.open.remove(&id)?;
+        self.unreadable_jobs.remove(&id);
+        let closed = self.open_jobs.remove(&id)?;
         self.cache_closed_job(closed);
         Some(JobCacheChange::Closed(id))
     }
 }
 
-/// Ids of all open jobs in a listing, including unreadable ones.
+/// IDs of all open jobs in a listing, including unreadable ones.
 fn job_ids(listing: &Listing) -> impl Iterator<Item = JobId> + '_ {
     let pairs = listing.pairs.iter();
     pairs.filter_map(|pair| parse_job_key(&pair.key, OPEN_JOBS_PREFIX))
--- a/crates/worksshunt-core/src/jobs/stored.rs
+++ b/crates/worksshunt-core/src/jobs/stored.rs
@@ -42,12 +42,12 @@
     key.starts_with(SUBMISSION_BATCH_PREFIX)
 }
 
-/// Id of the job whose open job or final state has this key; `None` for other keys.
+/// ID of the job whose open job or final state has this key; `None` for other keys.
 pub fn job_id_of_key(key: &str) -> Option<JobId> {
     parse_job_key(key, OPEN_JOBS_PREFIX).or_else(|| parse_job_key(key, FINAL_STATES_PREFIX))
 }
 
-/// Job id in a key that consists of `prefix` and the id; `None` for other keys.
+/// Job ID in a key that consists of `prefix` and the ID; `None` for other keys.
 pub(super) fn parse_job_key(key: &str, prefix: &str) -> Option<JobId> {
     key.strip_prefix(prefix)?.parse().ok()
 }
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -70,7 +70,7 @@
     epoch_lease_until: Time,
     /// Time until which the last read of the open jobs, and so of cancellations, is recent enough to act on.
     cancellations_fresh_until: Time,
-    /// Maximum age of that read, ms.
+    /// Maximum age of the last read of the open jobs that is recent enough to act on, ms.
     cancellation_staleness_ms: u64,
     /// Whether this controller is ready to own machines; set by the controller.
     is_ready: bool,
@@ -96,7 +96,7 @@
 impl Membership {
     /// State of a controller that has just started; `others` are the other controllers of the deployment.
     ///
-    /// `cancellation_staleness_ms` is the time for which it may act after a read of the open jobs, ms.
+    /// `cancellation_staleness_ms` is the time for which the controller may act after a read of the open jobs, ms.
     pub fn new(
         name: ControllerName,
         others: impl Iterator<Item = ControllerName>,
@@ -201,15 +201,15 @@
         self.cancellations_fresh_until.since(now)
     }
 
-    /// Processes the response to a read of the open jobs that was sent at `sent_at`.
-    pub fn open_jobs_read(&mut self, sent_at: Time) {
+    /// Records a successful read of the open jobs that was sent at `sent_at`.
+    pub fn record_open_jobs_read(&mut self, sent_at: Time) {
         self.cancellations_fresh_until = self
             .cancellations_fresh_until
             .max(sent_at + self.cancellation_staleness_ms);
     }
 
     /// Extends the epoch lease: a request sent at `sent_at` confirmed that the epoch is still current.
-    pub fn epoch_confirmed(&mut self, sent_at: Time) {
+    pub fn extend_epoch_lease(&mut self, sent_at: Time) {
         if self.is_in_epoch() {
             self.epoch_lease_until = self.epoch_lease_until.max(sent_at + EPOCH_LEASE_MS);
         }
@@ -226,15 +226,16 @@
         }
     }
 
-    /// Processes the grant of a lease.
-    pub fn lease_granted(&mut self, lease: u64) {
+    /// Starts joining with a granted lease.
+    pub fn apply_lease_grant(&mut self, lease: u64) {
         self.lease = Some(lease);
         self.member_key_version = None;
         self.set_state(MemberState::Joining);
     }
 
-    /// Processes the loss of the lease: it has expired, or its member key is missing or could not be written.
-    pub fn lease_lost(&mut self) {
+    /// Drops the lease, and leaves the epoch: the lease has expired, or its member key is missing or could not be
+    /// written.
+    pub fn drop_lease(&mut self) {
         self.lease = None;
         self.published_readiness = None;
         self.member_key_version = None;
@@ -242,7 +243,7 @@
     }
 
     /// Compare-and-swap that writes the member key; `None` until the key's version is read.
-    pub fn member_key_write(&mut self) -> Option<CompareAndSwap> {
+    pub fn next_member_key_write(&mut self) -> Option<CompareAndSwap> {
         let (lease, version) = (self.lease?, self.member_key_version?);
         self.readiness_being_written = self.is_ready;
         let value = serde_json::json!({
@@ -254,8 +255,8 @@
         Some(put_if_unchanged(key, version, value, Some(lease)))
     }
 
-    /// Processes the commit of the write that [`Membership::member_key_write`] last returned.
-    pub fn member_key_written(&mut self, version: Revision) {
+    /// Records the commit of the write that [`Membership::next_member_key_write`] last returned.
+    pub fn record_member_key_write(&mut self, version: Revision) {
         self.published_readiness = Some(self.readiness_being_written);
         self.member_key_version = Some(version);
         if self.state == MemberState::Joining {
@@ -263,20 +264,20 @@
         }
     }
 
-    /// Processes a conflict of the write of the member key: its version has to be read again.
-    pub fn member_key_conflict(&mut self) {
+    /// Discards the version of the member key after a conflict of its write, so that it is read again.
+    pub fn reset_member_key_version(&mut self) {
         self.member_key_version = None;
     }
 
     /// Starts serving, once all records of the epoch are loaded.
-    pub fn epoch_loaded(&mut self) {
+    pub fn start_serving(&mut self) {
         if self.state == MemberState::Loading {
             self.set_state(MemberState::Serving);
         }
     }
 
     /// This incarnation of the controller; `None` without a lease.
-    fn member(&self) -> Option<Member> {
+    fn own_member(&self) -> Option<Member> {
         self.lease.map(|lease| Member {
             name: self.name.clone(),
             lease,
--- a/crates/worksshunt-core/src/membership/control_keys.rs
+++ b/crates/worksshunt-core/src/membership/control_keys.rs
@@ -42,18 +42,18 @@
         {
             return MembershipAction::Unchanged;
         }
-        let Some(me) = self.member() else {
+        let Some(own_member) = self.own_member() else {
             return MembershipAction::Unchanged;
         };
         let live = self.read_members(listing);
-        if !live.all.contains(&me) {
+        if !live.all.contains(&own_member) {
             return MembershipAction::MemberKeyMissing;
         }
-        match self.process_epoch(sent_at, listing, &me) {
+        match self.process_epoch(sent_at, listing, &own_member) {
             EpochRead::Outdated => MembershipAction::Unchanged,
             EpochRead::New => MembershipAction::NewEpoch,
             EpochRead::Unchanged => self
-                .propose_epoch(&me, &live)
+                .propose_epoch(&own_member, &live)
                 .map_or(MembershipAction::Unchanged, MembershipAction::Propose),
         }
     }
@@ -110,7 +110,12 @@
     }
 
     /// Applies the epoch in the listing.
-    fn process_epoch(&mut self, sent_at: Time, listing: &Listing, me: &Member) -> EpochRead {
+    fn process_epoch(
+        &mut self,
+        sent_at: Time,
+        listing: &Listing,
+        own_member: &Member,
+    ) -> EpochRead {
         let Some(stored) = read_epoch(listing) else {
             return EpochRead::Unchanged;
         };
@@ -120,10 +125,10 @@
             return EpochRead::Outdated;
         }
         if current_version != Some(stored.version) {
-            self.enter_epoch(sent_at, stored, me);
+            self.enter_epoch(sent_at, stored, own_member);
             return EpochRead::New;
         }
-        self.epoch_confirmed(sent_at);
+        self.extend_epoch_lease(sent_at);
         tracing::debug!(
             epoch = %self.fencing_token(), is_leader = self.is_leader(), revision = ?listing.revision, ?sent_at,
             "epoch confirmed by a read of the control keys"
@@ -131,13 +136,13 @@
         EpochRead::Unchanged
     }
 
-    fn enter_epoch(&mut self, sent_at: Time, stored: StoredEpoch, me: &Member) {
+    fn enter_epoch(&mut self, sent_at: Time, stored: StoredEpoch, own_member: &Member) {
         let record = &stored.record;
         tracing::info!(
             epoch = %record.number, leader = %record.leader.name,
             members = record.members.len(), accepts_services = record.accepts_services, "new epoch read"
         );
-        let is_member = record.members.contains(me);
+        let is_member = record.members.contains(own_member);
         self.epoch = Some(stored);
         self.epoch_lease_until = Time::default();
         // Records are loaded anew in every epoch, also after Loading or Serving.
@@ -147,7 +152,7 @@
             MemberState::NotInEpoch
         };
         self.set_state(next_state);
-        self.epoch_confirmed(sent_at);
+        self.extend_epoch_lease(sent_at);
     }
 }
 
--- a/crates/worksshunt-core/src/membership/proposals.rs
+++ b/crates/worksshunt-core/src/membership/proposals.rs
@@ -22,7 +22,7 @@
     /// the current leader's member key is missing, or this controller leads and the epoch's record is out of date.
     pub(super) fn propose_epoch(
         &mut self,
-        me: &Member,
+        own_member: &Member,
         live: &LiveMembers,
     ) -> Option<CompareAndSwap> {
         let (number, version, accepts_services) = match &self.epoch {
@@ -30,7 +30,7 @@
             Some(epoch) => {
                 let current = &epoch.record;
                 let is_leader_alive = live.all.contains(&current.leader);
-                if is_leader_alive && current.leader != *me {
+                if is_leader_alive && current.leader != *own_member {
                     return None;
                 }
                 self.candidates = next_candidates(&self.candidates, current, live);
@@ -43,7 +43,7 @@
         };
         let record = EpochRecord {
             number,
-            leader: me.clone(),
+            leader: own_member.clone(),
             members: live.all.clone(),
             without_partition: live.without_partition.clone(),
             accepts_services,
@@ -93,18 +93,18 @@
     current: &EpochRecord,
     live: &LiveMembers,
 ) -> Vec<Candidate> {
-    let reads_before = |member: &Member| {
+    let previous_reads = |member: &Member| {
         let mut candidates = candidates.iter();
         let candidate = candidates.find(|candidate| candidate.member == *member);
         candidate.map_or(0, |candidate| candidate.consecutive_reads)
     };
-    let not_in_epoch = |member: &&Member| !current.members.contains(member);
+    let is_not_in_epoch = |member: &&Member| !current.members.contains(member);
     live.all
         .iter()
-        .filter(not_in_epoch)
+        .filter(is_not_in_epoch)
         .map(|member| Candidate {
             member: member.clone(),
-            consecutive_reads: reads_before(member) + 1,
+            consecutive_reads: previous_reads(member) + 1,
         })
         .collect()
 }
--- a/crates/worksshunt-core/src/membership/tests.rs
+++ b/crates/worksshunt-core/src/membership/tests.rs
@@ -16,14 +16,14 @@
 #[test]
 fn a_read_older_than_the_member_key_is_ignored() {
     let mut membership = Membership::new("estiba-0".into(), std::iter::empty(), 10_000);
-    membership.lease_granted(7);
+    membership.apply_lease_grant(7);
     assert!(
-        membership.member_key_write().is_none(),
+        membership.next_member_key_write().is_none(),
         "the version of the key is not read yet"
     );
     membership.process_control_keys(Time(10), &listing(4, Vec::new()));
-    assert!(membership.member_key_write().is_some());
-    membership.member_key_written(Revision(5));
+    assert!(membership.next_member_key_write().is_some());
+    membership.record_member_key_write(Revision(5));
     let older = membership.process_control_keys(Time(20), &listing(4, Vec::new()));
     assert_eq!(older, MembershipAction::Unchanged);
     let newer = membership.process_control_keys(Time(30), &listing(6, Vec::new()));
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -124,13 +124,13 @@
             tasks_by_zone: BTreeMap::new(),
         };
         if let (true, Some(zone)) = (job_tasks.job.has_zone_constraint(), zone) {
-            job_tasks.completed_tasks.count_zone(zone, 1);
+            job_tasks.completed_tasks.add_tasks_in_zone(zone, 1);
             completions.tasks_by_zone.insert(zone.to_owned(), 1);
         }
         let attempts = job_tasks.attempts_by_task.get(&task.index).cloned();
         if job_tasks.all_tasks_completed() {
             self.pending_writes
-                .insert(PendingWrite::FinishJob(task.job));
+                .insert(PendingWrite::CompleteJob(task.job));
         } else {
             self.pages
                 .completions
--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -141,7 +141,7 @@
             job_tasks.mark_completed(*task);
         }
         for (zone, tasks) in &entry.tasks_by_zone {
-            job_tasks.completed_tasks.count_zone(zone, *tasks);
+            job_tasks.completed_tasks.add_tasks_in_zone(zone, *tasks);
         }
         job_tasks.last_dispatch_at = Some(now);
         true
@@ -198,6 +198,6 @@
             .iter()
             .filter(|(_, tasks)| tasks.all_tasks_completed());
         self.pending_writes
-            .extend(completed_jobs.map(|(id, _)| PendingWrite::FinishJob(*id)));
+            .extend(completed_jobs.map(|(id, _)| PendingWrite::CompleteJob(*id)));
     }
 }
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -125,7 +125,7 @@
         self.services.open_jobs.remove(&id);
         self.remove_completions(id, closed.job.spec.task_count, now);
         self.release_attempts_of_closed_job(closed);
-        self.pending_writes.remove(&PendingWrite::FinishJob(id));
+        self.pending_writes.remove(&PendingWrite::CompleteJob(id));
         self.release_claims_of_job(id);
         self.round.request();
     }
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
     /// Stores the final state of a job whose tasks are all completed.
-    FinishJob(JobId),
+    CompleteJob(JobId),
     /// Puts or deletes the claim record of the machine.
     UpdateClaim(MachineId),
     /// Deletes a key of a previous epoch.
@@ -34,8 +34,8 @@
     }
 
     /// Drops the pending final state of a job that already has one: its user cancelled it first, or it is done.
-    pub fn finish_job_refused(&mut self, id: JobId) {
-        self.pending_writes.remove(&PendingWrite::FinishJob(id));
+    pub fn drop_job_completion(&mut self, id: JobId) {
+        self.pending_writes.remove(&PendingWrite::CompleteJob(id));
     }
 
     /// The next write of completions and of attempt records of previous epochs, with at most `max_pages` pages.
--- a/crates/worksshunt-core/src/submissions.rs
+++ b/crates/worksshunt-core/src/submissions.rs
@@ -65,12 +65,12 @@
     NoMachineType,
 }
 
-/// A refused submission. The id is included because a submission with the id of an existing job returns the job's
+/// A refused submission. The ID is included because a submission with the ID of an existing job returns the job's
 /// state, whatever else it contains.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{refusal}")]
 pub struct RefusedSubmission {
-    /// Id of the job; `None` if it cannot be read from the body.
+    /// ID of the job; `None` if it cannot be read from the body.
     pub id: Option<JobId>,
     /// Reason of the refusal.
     pub refusal: Refusal,
--- a/crates/worksshunt-core/src/submissions/tests.rs
+++ b/crates/worksshunt-core/src/submissions/tests.rs
@@ -19,7 +19,7 @@
     submission
 }
 
-/// Job id and error text of the refusal of a body.
+/// Job ID and error text of the refusal of a body.
 fn parse_error(body: &str) -> (Option<JobId>, String) {
     let refused = parse_submission(body.as_bytes()).expect_err("a refusal");
     assert_eq!(refused.to_string(), refused.refusal.to_string());
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -136,9 +136,9 @@
     let nothing = empty_listing();
     let mut not_ready = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
     not_ready.set_ready(false);
-    not_ready.lease_granted(73);
+    not_ready.apply_lease_grant(73);
     not_ready.process_control_keys(Time(1), &nothing);
-    let write = not_ready.member_key_write().expect("a member key");
+    let write = not_ready.next_member_key_write().expect("a member key");
     let (key, value) = put(&write.changes);
     written(key, value);
 }
@@ -149,13 +149,13 @@
     let nothing = empty_listing();
     let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
     reader.set_ready(true);
-    reader.lease_granted(71);
+    reader.apply_lease_grant(71);
     reader.process_control_keys(Time(1), &nothing);
-    let write = reader.member_key_write().expect("a member key");
+    let write = reader.next_member_key_write().expect("a member key");
     let (own_key, own_value) = put(&write.changes);
     let own = r#"{"hold":71,"reached":true,"standing":true}"#;
     assert_eq!(own_value.to_string(), own);
-    reader.member_key_written(Revision(2));
+    reader.record_member_key_write(Revision(2));
     let own = KeyValue {
         key: own_key.to_owned(),
         value: own_value.clone(),
@@ -320,8 +320,8 @@
     };
     let found = |others: &[&str]| {
         let mut reader = Membership::new("n2".into(), std::iter::empty(), 1_000);
-        reader.lease_granted(73);
-        reader.member_key_written(Revision(1));
+        reader.apply_lease_grant(73);
+        reader.record_member_key_write(Revision(1));
         let listing = Listing {
             pairs: others.iter().map(|other| key(other)).collect(),
             has_more: false,
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -117,7 +117,7 @@
         Action::Respond(_, response) => client_response(response),
         Action::CallKeyValueStore { request, .. } => key_value_request_arrives(request),
         Action::CallCloud(request) => cloud_request(request),
-        Action::SendCommands(commands) => {
+        Action::SendDirectCommands(commands) => {
             Message::json("command request", &(&commands.machine, &commands.batch))
         }
         Action::SendToPeer(to, request) => Message::borsh("peer request", &(to, request)),
@@ -146,9 +146,9 @@
             }
         },
         Event::PeerRequest(_, request) => Message::borsh("peer request received", request),
-        Event::PeerResponse(response) => Message::borsh("peer response", response),
+        Event::PeerSyncResponse(response) => Message::borsh("peer response", response),
         Event::PeerKeyValueHealth(healthy) => Message::borsh("peer health", healthy),
-        Event::PeerKnownEpoch(from, known) => Message::borsh("peer epoch", &(from, known)),
+        Event::PeerEpochPollResponse(from, known) => Message::borsh("peer epoch", &(from, known)),
     })
 }
 
--- a/crates/worksshunt-simulation/src/network.rs
+++ b/crates/worksshunt-simulation/src/network.rs
@@ -89,13 +89,13 @@
             Action::CallKeyValueStore {
                 purpose,
                 request,
-                deadline_ms,
+                timeout_ms,
             } => {
                 let caller = KeyValueCaller {
                     instance: from,
                     purpose,
                     sent_at: clock,
-                    deadline_at: self.now + deadline_ms,
+                    deadline_at: self.now + timeout_ms,
                 };
                 let arrives_at = self.arrival_time(Link::Other);
                 let arrival = SimulationEvent::KeyValueRequestArrives { caller, request };
@@ -106,7 +106,7 @@
                 let arrival = SimulationEvent::CloudRequestArrives { from, request };
                 self.schedule_at(arrives_at, arrival);
             }
-            Action::SendCommands(commands) => self.send_commands(from, commands),
+            Action::SendDirectCommands(commands) => self.send_commands(from, commands),
             Action::SendToPeer(to, request) => self.send_to_peer(from, &to, request),
             Action::RespondToPeer(request, response) => {
                 self.respond_to_peer(from, request, response);
--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -26,7 +26,7 @@
             if self.usage.count_sync(&request) > MAX_FRAME_BYTES {
                 // The receiver rejects an oversized frame without a response.
                 self.usage.frames_dropped += 1;
-                self.deliver_at(deadline_at, from, Event::PeerResponse(None));
+                self.deliver_at(deadline_at, from, Event::PeerSyncResponse(None));
                 return;
             }
         }
@@ -54,7 +54,7 @@
         let Some(receiver) = self.current_instance(to).filter(|_| is_reachable) else {
             if let PeerRequest::Sync(_) = request {
                 let deadline_at = self.now + SYNC_TIMEOUT_MS;
-                self.deliver_at(deadline_at, from, Event::PeerResponse(None));
+                self.deliver_at(deadline_at, from, Event::PeerSyncResponse(None));
             }
             return;
         };
@@ -76,9 +76,9 @@
         let event = match response {
             PeerResponse::KeyValueHealth(healthy) => Event::PeerKeyValueHealth(healthy),
             PeerResponse::EpochPoll(known) => {
-                Event::PeerKnownEpoch(format!("n{}", from.index).as_str().into(), known)
+                Event::PeerEpochPollResponse(format!("n{}", from.index).as_str().into(), known)
             }
-            response => Event::PeerResponse(Some(response)),
+            response => Event::PeerSyncResponse(Some(response)),
         };
         let arrives_at = self.arrival_time(Link::Other);
         self.deliver_at(arrives_at, to, event);
@@ -87,7 +87,7 @@
     /// Notifies the sender of a sync request that no response arrived in time.
     pub(crate) fn peer_deadline(&mut self, from: ControllerInstance, id: RequestId) {
         if self.pending_requests.remove_peer_request(from, id) {
-            self.dispatch(from, Event::PeerResponse(None));
+            self.dispatch(from, Event::PeerSyncResponse(None));
         }
     }
 }
--- a/crates/worksshunt-simulation/src/resource_usage.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -56,7 +56,7 @@
         match event {
             Event::Tick => "tick",
             Event::Heartbeat { .. } => "report",
-            Event::PeerRequest(_, PeerRequest::Sync(_)) | Event::PeerResponse(_) => "sync",
+            Event::PeerRequest(_, PeerRequest::Sync(_)) | Event::PeerSyncResponse(_) => "sync",
             Event::KeyValueResponse { .. } => "state service",
             Event::CloudResponse(..) => "cloud",
             Event::DirectCommandsOutcome(..) => "orders",
--- a/crates/worksshunt/src/service.rs
+++ b/crates/worksshunt/src/service.rs
@@ -181,12 +181,12 @@
             Action::CallKeyValueStore {
                 purpose,
                 request,
-                deadline_ms,
+                timeout_ms,
             } => {
-                self.call_key_value_store(purpose, request, Duration::from_millis(deadline_ms));
+                self.call_key_value_store(purpose, request, Duration::from_millis(timeout_ms));
             }
             Action::CallCloud(request) => self.call_cloud(request),
-            Action::SendCommands(commands) => self.send_commands(commands),
+            Action::SendDirectCommands(commands) => self.send_commands(commands),
             Action::SendToPeer(peer, request) => self.send_to_peer(peer, request),
         }
     }
@@ -283,12 +283,12 @@
     response: Option<PeerResponse>,
 ) -> Option<Event> {
     match (request, response) {
-        (PeerRequest::Sync(_), response) => Some(Event::PeerResponse(response)),
+        (PeerRequest::Sync(_), response) => Some(Event::PeerSyncResponse(response)),
         (PeerRequest::KeyValueHealth, Some(PeerResponse::KeyValueHealth(is_healthy))) => {
             Some(Event::PeerKeyValueHealth(is_healthy))
         }
         (PeerRequest::EpochPoll { .. }, Some(PeerResponse::EpochPoll(known))) => {
-            Some(Event::PeerKnownEpoch(peer, known))
+            Some(Event::PeerEpochPollResponse(peer, known))
         }
         (PeerRequest::KeyValueHealth | PeerRequest::EpochPoll { .. }, _) => None,
     }
