--- a/crates/worksshunt-core/src/controller/accept_write.rs
+++ b/crates/worksshunt-core/src/controller/accept_write.rs
@@ -39,10 +39,10 @@
         let limits = &self.settings.facts.key_value_store;
         let max_changes = tokens.available(now).min(limits.max_transaction_changes);
         let (own_name, last_batch_number) = (self.membership.name(), &mut accept.last_batch_number);
-        let next_batch_key = self.membership.lease().map(|lease| {
+        let next_batch_key = self.membership.lease_id().map(|lease_id| {
             move || {
                 *last_batch_number += 1;
-                submission_batch_key(own_name, lease, *last_batch_number)
+                submission_batch_key(own_name, lease_id, *last_batch_number)
             }
         });
         let queues = &mut self.job_api.queues;
--- a/crates/worksshunt-core/src/controller/events.rs
+++ b/crates/worksshunt-core/src/controller/events.rs
@@ -141,7 +141,7 @@
 /// A queue of conditional writes of an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteQueueId {
-    /// Attempt records of the own partition.
+    /// Attempt records of this controller's partition.
     AttemptRecords,
     /// Pages of completions, and attempt records of earlier epochs (leader only).
     LeaderPages,
--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -34,8 +34,8 @@
             KvPurpose::WriteMemberKey => {
                 self.process_member_key_write_response(answered_at, response)
             }
-            KvPurpose::RenewLease(lease) => {
-                self.process_lease_renewal_response(answered_at, lease, response)
+            KvPurpose::RenewLease(lease_id) => {
+                self.process_lease_renewal_response(answered_at, lease_id, response)
             }
             KvPurpose::ReadControlKeys => {
                 self.process_control_keys_response(times, response, actions)
--- a/crates/worksshunt-core/src/controller/loading.rs
+++ b/crates/worksshunt-core/src/controller/loading.rs
@@ -47,8 +47,8 @@
 }
 
 impl EpochLoad {
-    /// Returns the initial state of another load. Keeps `current_fleet`, which is `None` unless this controller led
-    /// until now, or else the previous fleet.
+    /// Returns the initial state for loading another epoch. `current_fleet` is the fleet of the epoch that ends, or
+    /// `None` if this controller did not lead it; in that case the fleet of an earlier epoch is kept.
     pub fn restart(&mut self, current_fleet: Option<Fleet>) -> EpochLoad {
         EpochLoad {
             previous_fleet: current_fleet.or(self.previous_fleet.take()),
--- a/crates/worksshunt-core/src/controller/member_lease.rs
+++ b/crates/worksshunt-core/src/controller/member_lease.rs
@@ -37,17 +37,17 @@
     /// Sends the next request for the lease: grant it, write the member key, or renew it.
     fn advance_lease(&mut self, now: Time, actions: &mut Vec<Action>) {
         let timer = &mut self.membership_timers.lease;
-        let lease = match (self.membership.state(), self.membership.lease()) {
+        let lease_id = match (self.membership.state(), self.membership.lease_id()) {
             (MemberState::NoLease, _) | (_, None) => {
                 timer.mark_sent(now, KV_RETRY_DELAY_MS);
                 return call_store(actions, KvPurpose::GrantLease, KvRequest::GrantLease);
             }
-            (_, Some(lease)) => lease,
+            (_, Some(lease_id)) => lease_id,
         };
         if !self.membership.needs_member_key_write() {
             timer.mark_sent(now, MEMBER_LEASE_RENEWAL_INTERVAL_MS);
-            let request = KvRequest::RenewLease(lease);
-            return call_store(actions, KvPurpose::RenewLease(lease), request);
+            let request = KvRequest::RenewLease(lease_id);
+            return call_store(actions, KvPurpose::RenewLease(lease_id), request);
         }
         // The write is conditional on the key's version, so it waits until that has been read.
         if let Some(write) = self.membership.next_member_key_write() {
@@ -64,8 +64,8 @@
             KV_RETRY_DELAY_MS
         };
         self.membership_timers.lease.schedule_next(now, wait_ms);
-        if let KvResponse::LeaseGranted(lease) = response {
-            self.membership.apply_lease_grant(lease);
+        if let KvResponse::LeaseGranted(lease_id) = response {
+            self.membership.apply_lease_grant(lease_id);
             self.read_control_keys_at(now);
         }
     }
@@ -94,15 +94,15 @@
     pub(super) fn process_lease_renewal_response(
         &mut self,
         now: Time,
-        lease: u64,
+        lease_id: u64,
         response: KvResponse,
     ) {
         let lease_timer = &mut self.membership_timers.lease;
         lease_timer.is_in_flight = false;
         match response {
-            KvResponse::NoSuchLease if self.membership.lease() == Some(lease) => {
+            KvResponse::NoSuchLease if self.membership.lease_id() == Some(lease_id) => {
                 tracing::info!(
-                    lease,
+                    lease_id,
                     "membership lease expired; joining again with a new lease"
                 );
                 lease_timer.next_at = now;
--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -74,13 +74,13 @@
             return None;
         }
         let leader = self.leader.as_mut()?;
-        let from = status.owner.clone();
+        let owner = status.owner.clone();
         leader.scheduler.apply_status(now.steady, status);
         leader.scheduler.run_round(now, budget);
         let terminated = leader.fleet.terminated_machines();
         let directives = leader
             .scheduler
-            .directives_for(now.steady, &from, terminated);
+            .directives_for(now.steady, &owner, terminated);
         Some(directives)
     }
 
--- a/crates/worksshunt-core/src/controller/write_contents.rs
+++ b/crates/worksshunt-core/src/controller/write_contents.rs
@@ -13,7 +13,7 @@
 use super::{Controller, WriteQueueId};
 
 /// The version of a key that does not exist.
-const MISSING: Revision = Revision(0);
+const MISSING_KEY_VERSION: Revision = Revision(0);
 
 impl Controller {
     pub(super) fn add_record_writes(&mut self, now: Time, write: &mut CompareAndSwap) {
@@ -164,7 +164,7 @@
 fn expect_missing(key: String) -> ExpectedRevision {
     ExpectedRevision {
         key,
-        version: MISSING,
+        version: MISSING_KEY_VERSION,
     }
 }
 
--- a/crates/worksshunt-core/src/jobs/stored.rs
+++ b/crates/worksshunt-core/src/jobs/stored.rs
@@ -32,9 +32,9 @@
     format!("{FINAL_STATES_PREFIX}{id}")
 }
 
-/// Key of a submission batch. The lease identifies the controller's incarnation, within which `number` is unique.
-pub fn submission_batch_key(controller: &ControllerName, lease: u64, number: u64) -> String {
-    format!("{SUBMISSION_BATCH_PREFIX}{controller}.{lease}.{number}")
+/// Key of a submission batch. The lease ID identifies the controller's incarnation, within which `number` is unique.
+pub fn submission_batch_key(controller: &ControllerName, lease_id: u64, number: u64) -> String {
+    format!("{SUBMISSION_BATCH_PREFIX}{controller}.{lease_id}.{number}")
 }
 
 /// Whether the key belongs to a submission batch.
--- a/crates/worksshunt-core/src/membership.rs
+++ b/crates/worksshunt-core/src/membership.rs
@@ -64,7 +64,7 @@
 pub struct Membership {
     name: ControllerName,
     state: MemberState,
-    lease: Option<u64>,
+    lease_id: Option<u64>,
     epoch: Option<StoredEpoch>,
     /// Expiry of the epoch lease.
     epoch_lease_until: Time,
@@ -107,7 +107,7 @@
             service_supporters: BTreeSet::new(),
             name,
             state: MemberState::NoLease,
-            lease: None,
+            lease_id: None,
             epoch: None,
             epoch_lease_until: Time::default(),
             cancellations_fresh_until: Time::default(),
@@ -135,7 +135,7 @@
     /// Whether the member key has to be written, for the first time or with a changed readiness.
     pub fn needs_member_key_write(&self) -> bool {
         self.state == MemberState::Joining
-            || (self.lease.is_some() && self.published_readiness != Some(self.is_ready))
+            || (self.lease_id.is_some() && self.published_readiness != Some(self.is_ready))
     }
 
     /// Name of this controller.
@@ -148,9 +148,9 @@
         self.state
     }
 
-    /// Lease that the member key is attached to; `None` in [`MemberState::NoLease`].
-    pub fn lease(&self) -> Option<u64> {
-        self.lease
+    /// ID of the lease that the member key is attached to; `None` in [`MemberState::NoLease`].
+    pub fn lease_id(&self) -> Option<u64> {
+        self.lease_id
     }
 
     /// The newest epoch read; `None` before the first.
@@ -227,8 +227,8 @@
     }
 
     /// Starts joining with a granted lease.
-    pub fn apply_lease_grant(&mut self, lease: u64) {
-        self.lease = Some(lease);
+    pub fn apply_lease_grant(&mut self, lease_id: u64) {
+        self.lease_id = Some(lease_id);
         self.member_key_version = None;
         self.set_state(MemberState::Joining);
     }
@@ -236,7 +236,7 @@
     /// Drops the lease, and leaves the epoch: the lease has expired, or its member key is missing or could not be
     /// written.
     pub fn drop_lease(&mut self) {
-        self.lease = None;
+        self.lease_id = None;
         self.published_readiness = None;
         self.member_key_version = None;
         self.set_state(MemberState::NoLease);
@@ -244,15 +244,15 @@
 
     /// Compare-and-swap that writes the member key; `None` until the key's version is read.
     pub fn next_member_key_write(&mut self) -> Option<CompareAndSwap> {
-        let (lease, version) = (self.lease?, self.member_key_version?);
+        let (lease_id, version) = (self.lease_id?, self.member_key_version?);
         self.readiness_being_written = self.is_ready;
         let value = serde_json::json!({
-            LEASE_FIELD: lease,
+            LEASE_FIELD: lease_id,
             READY_FIELD: self.readiness_being_written,
             SERVICES_FIELD: true,
         });
         let key = member_key(&self.name);
-        Some(put_if_unchanged(key, version, value, Some(lease)))
+        Some(put_if_unchanged(key, version, value, Some(lease_id)))
     }
 
     /// Records the commit of the write that [`Membership::next_member_key_write`] last returned.
@@ -278,9 +278,9 @@
 
     /// This incarnation of the controller; `None` without a lease.
     fn own_member(&self) -> Option<Member> {
-        self.lease.map(|lease| Member {
+        self.lease_id.map(|lease_id| Member {
             name: self.name.clone(),
-            lease,
+            lease_id,
         })
     }
 }
--- a/crates/worksshunt-core/src/membership/control_keys.rs
+++ b/crates/worksshunt-core/src/membership/control_keys.rs
@@ -66,7 +66,7 @@
 
     /// Takes the version of this controller's member key from the listing, if the next write needs it.
     fn read_member_key_version(&mut self, listing: &Listing) {
-        if self.member_key_version.is_none() && self.lease.is_some() {
+        if self.member_key_version.is_none() && self.lease_id.is_some() {
             let pair = find_pair(listing, &member_key(&self.name));
             self.member_key_version = Some(pair.map_or(Revision(0), |pair| pair.version));
         }
@@ -164,7 +164,7 @@
 fn read_member(pair: &KeyValue) -> Option<Member> {
     Some(Member {
         name: pair.key.strip_prefix(MEMBERS_PREFIX)?.into(),
-        lease: pair.value.get(LEASE_FIELD)?.as_u64()?,
+        lease_id: pair.value.get(LEASE_FIELD)?.as_u64()?,
     })
 }
 
--- a/crates/worksshunt-core/src/membership/records.rs
+++ b/crates/worksshunt-core/src/membership/records.rs
@@ -15,7 +15,7 @@
 /// release joins no epoch while such keys exist.
 pub(super) const FIRST_RELEASE_MEMBERS_PREFIX: &str = "c/m/";
 
-/// Field of a member key: the lease that it is attached to.
+/// Field of a member key: the ID of the lease that it is attached to.
 pub(super) const LEASE_FIELD: &str = "hold";
 /// Field of a member key: whether the controller is ready to own machines.
 pub(super) const READY_FIELD: &str = "reached";
@@ -27,12 +27,13 @@
     format!("{MEMBERS_PREFIX}{name}")
 }
 
-/// Compare-and-swap of one key, conditional on its version; 0 if it must not exist. Attaches it to `lease`, if any.
+/// Compare-and-swap that writes one key if its version is still `version`, which is 0 for a key that must not exist.
+/// Attaches the key to the lease `lease_id`, if any.
 pub(super) fn put_if_unchanged(
     key: String,
     version: Revision,
     value: Value,
-    lease: Option<u64>,
+    lease_id: Option<u64>,
 ) -> CompareAndSwap {
     CompareAndSwap {
         expected: vec![ExpectedRevision {
@@ -42,7 +43,7 @@
         changes: vec![Change::Put {
             key,
             value,
-            lease_id: lease,
+            lease_id,
         }],
     }
 }
@@ -52,9 +53,9 @@
 pub struct Member {
     /// Controller name.
     pub name: ControllerName,
-    /// Lease of the key-value store that the member key is attached to.
+    /// ID of the lease that the member key is attached to.
     #[serde(rename = "hold")]
-    pub lease: u64,
+    pub lease_id: u64,
 }
 
 /// Stored form of an epoch.
--- a/crates/worksshunt-core/tests/stored_records/forms.rs
+++ b/crates/worksshunt-core/tests/stored_records/forms.rs
@@ -70,10 +70,10 @@
     job
 }
 
-fn member(name: &str, lease: u64) -> Member {
+fn member(name: &str, lease_id: u64) -> Member {
     Member {
         name: name.into(),
-        lease,
+        lease_id,
     }
 }
 
