--- a/crates/worksshunt-core/src/jobs/stored.rs
+++ b/crates/worksshunt-core/src/jobs/stored.rs
@@ -32,9 +32,9 @@
     format!("{FINAL_STATES_PREFIX}{id}")
 }
 
-/// Key of a submission batch. The lease identifies the controller's incarnation, within which `number` is unique.
-pub fn submission_batch_key(controller: &ControllerName, lease: u64, number: u64) -> String {
-    format!("{SUBMISSION_BATCH_PREFIX}{controller}.{lease}.{number}")
+/// Key of a submission batch. The lease ID identifies the controller's incarnation, within which `number` is unique.
+pub fn submission_batch_key(controller: &ControllerName, lease_id: u64, number: u64) -> String {
+    format!("{SUBMISSION_BATCH_PREFIX}{controller}.{lease_id}.{number}")
 }
 
 /// Whether the key belongs to a submission batch.
@@ -42,12 +42,12 @@
     key.starts_with(SUBMISSION_BATCH_PREFIX)
 }
 
-/// Id of the job whose open job or final state has this key; `None` for other keys.
+/// ID of the job whose open job or final state has this key; `None` for other keys.
 pub fn job_id_of_key(key: &str) -> Option<JobId> {
     parse_job_key(key, OPEN_JOBS_PREFIX).or_else(|| parse_job_key(key, FINAL_STATES_PREFIX))
 }
 
-/// Job id in a key that consists of `prefix` and the id; `None` for other keys.
+/// Job ID in a key that consists of `prefix` and the ID; `None` for other keys.
 pub(super) fn parse_job_key(key: &str, prefix: &str) -> Option<JobId> {
     key.strip_prefix(prefix)?.parse().ok()
 }
