--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -122,8 +122,8 @@
     /// `None` until a message names a machine type of the catalog.
     pub info: Option<MachineInfo>,
     pub lease: WorkerLease,
-    /// The worker's lease has certainly expired or the cloud has terminated the machine, and no later message has
-    /// arrived: no task runs on it.
+    /// The worker's lease has expired by its latest possible renewal, or the cloud has terminated the machine, and no
+    /// later message has arrived: no task runs on it.
     pub is_lost: bool,
     pub reachability: WorkerReachability,
     pub command_channel: CommandChannel,
@@ -240,7 +240,7 @@
         MachineSummary {
             is_reported: self.info.is_some() && (is_assessed || is_unreachable),
             is_schedulable: self.is_schedulable(now, timeouts),
-            // A worker may list a durably completed attempt for long; that does not prevent the machine's release.
+            // A worker may still list durably completed attempts; that does not prevent the machine's release.
             is_empty: self
                 .attempts
                 .values()
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -27,8 +27,8 @@
 mod preemption_candidates;
 mod round;
 mod services;
-mod silent_machines;
 mod stored_pages;
+mod unresponsive_machines;
 mod workload_log;
 mod zone_constraints;
 
@@ -125,7 +125,7 @@
         self.services.open_jobs.remove(&id);
         self.remove_completions(id, closed.job.spec.task_count, now);
         self.release_attempts_of_closed_job(closed);
-        self.pending_writes.remove(&PendingWrite::FinishJob(id));
+        self.pending_writes.remove(&PendingWrite::CompleteJob(id));
         self.release_claims_of_job(id);
         self.round.request();
     }
