--- a/crates/worksshunt-core/src/scheduler/dispatch.rs
+++ b/crates/worksshunt-core/src/scheduler/dispatch.rs
@@ -1,6 +1,6 @@
-//! Dispatch of a job's waiting tasks: how many of them a pass admits, and the creation of their attempts.
+//! Dispatch of a job's waiting tasks: how many of them a tier admits, and the creation of their attempts.
 //!
-//! `round` calls it for each job's turn; `placement_targets` determines where the tasks may go.
+//! `round` calls it for each entry of a round; `placement_targets` determines where the tasks may go.
 
 use std::rc::Rc;
 
@@ -13,12 +13,12 @@
 use super::active_attempt::ActiveAttempt;
 use super::partition_view::Directive;
 use super::placement_targets::PlacementTarget;
-use super::round::Pass;
+use super::round::SchedulingTier;
 use super::Scheduler;
 
 impl Scheduler {
-    /// Dispatches waiting tasks of a job, as many as the pass admits and free resources allow.
-    pub(super) fn dispatch_job(&mut self, now: Now, pass: Pass, id: JobId) {
+    /// Dispatches waiting tasks of a job, as many as the tier admits and free resources allow.
+    pub(super) fn dispatch_job(&mut self, now: Now, tier: SchedulingTier, id: JobId) {
         let Some(job_tasks) = self.open_jobs.get_mut(&id) else {
             return;
         };
@@ -28,10 +28,10 @@
             job_tasks.unschedulable_since = None;
         }
         let mut remaining_tasks = self
-            .admitted_tasks(pass, &job, waiting_tasks)
+            .admitted_tasks(tier, &job, waiting_tasks)
             .min(waiting_tasks);
         // Reserves quota for a starved job, since smaller tasks of its team would always take what becomes free.
-        let mut has_reservation = pass == Pass::Starved && waiting_tasks > 0;
+        let mut has_reservation = tier == SchedulingTier::Starved && waiting_tasks > 0;
         if has_reservation {
             self.quota.reserve(&job);
         }
@@ -58,15 +58,17 @@
         }
     }
 
-    /// How many of a job's waiting tasks the pass admits, given the usage of its team.
-    fn admitted_tasks(&self, pass: Pass, job: &Job, waiting_tasks: u32) -> u32 {
-        match pass {
-            Pass::Starved => self
+    /// How many of a job's waiting tasks the tier admits, given the usage of its team.
+    fn admitted_tasks(&self, tier: SchedulingTier, job: &Job, waiting_tasks: u32) -> u32 {
+        match tier {
+            SchedulingTier::Starved => self
                 .quota
                 .tasks_within_limit_ignoring_reservations(job)
                 .min((waiting_tasks / STARVED_TASK_DIVISOR).max(1)),
-            Pass::GuaranteeAtRisk | Pass::WithinGuarantee => self.quota.tasks_within_guarantee(job),
-            Pass::WithinLimit => self.quota.tasks_within_limit(job),
+            SchedulingTier::GuaranteeAtRisk | SchedulingTier::WithinGuarantee => {
+                self.quota.tasks_within_guarantee(job)
+            }
+            SchedulingTier::WithinLimit => self.quota.tasks_within_limit(job),
         }
     }
 
--- a/crates/worksshunt-core/src/scheduler/round.rs
+++ b/crates/worksshunt-core/src/scheduler/round.rs
@@ -16,10 +16,10 @@
 use super::job_tasks::JobTasks;
 use super::Scheduler;
 
-/// A pass of a round over the waiting jobs. `Starved` and `GuaranteeAtRisk` come first; then, for each priority from
+/// Scheduling tier of a job in a round. `Starved` and `GuaranteeAtRisk` come first; then, for each priority from
 /// the highest, `WithinGuarantee` and `WithinLimit`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Pass {
+pub(super) enum SchedulingTier {
     /// Dispatches a share of the tasks of jobs that have waited too long, before all others.
     Starved,
     /// Dispatches tasks within their team's guarantee that have waited nearly as long as it allows.
@@ -30,18 +30,18 @@
     WithinLimit,
 }
 
-/// A step of a round: one job in one pass.
+/// Entry of a round: a job to dispatch and the tier it is dispatched in.
 #[derive(Debug, Clone, Copy)]
-struct Turn {
-    pass: Pass,
+struct RoundEntry {
+    tier: SchedulingTier,
     job: JobId,
 }
 
-/// A round in progress: the jobs' turns in scheduling order, and the position in them.
+/// A round in progress: its entries in scheduling order, and the position in them.
 #[derive(Debug, Default)]
 pub(super) struct SchedulingRound {
-    turns: Vec<Turn>,
-    turn_index: usize,
+    entries: Vec<RoundEntry>,
+    entry_index: usize,
     began_at: Option<Time>,
     /// Whether another round is requested.
     is_requested: bool,
@@ -61,7 +61,7 @@
     }
 
     fn is_finished(&self) -> bool {
-        self.turn_index >= self.turns.len()
+        self.entry_index >= self.entries.len()
     }
 
     /// Whether to start a new round: one is requested, and the last started at least [`ROUND_INTERVAL_MS`] ago.
@@ -72,8 +72,8 @@
                 .is_none_or(|began_at| now.since(began_at) >= ROUND_INTERVAL_MS)
     }
 
-    fn current_turn(&self) -> Option<Turn> {
-        self.turns.get(self.turn_index).copied()
+    fn current_entry(&self) -> Option<RoundEntry> {
+        self.entries.get(self.entry_index).copied()
     }
 }
 
@@ -89,30 +89,30 @@
             }
             self.begin_round(now);
         }
-        while let Some(turn) = self.round.current_turn() {
+        while let Some(entry) = self.round.current_entry() {
             if budget.is_exhausted() || self.are_attempt_numbers_exhausted() {
                 return;
             }
-            self.dispatch_job(now, turn.pass, turn.job);
-            self.round.turn_index += 1;
+            self.dispatch_job(now, entry.tier, entry.job);
+            self.round.entry_index += 1;
         }
     }
 
     fn begin_round(&mut self, now: Now) {
         let waiting_jobs = self.dispatchable_jobs(now, |tasks| tasks.waiting_tasks() > 0);
         let at_risk = self.jobs_with_guarantee_at_risk(&waiting_jobs, now);
-        let mut turns = turns_for(Pass::Starved, &starved_jobs(&waiting_jobs, now));
-        turns.extend(turns_for(Pass::GuaranteeAtRisk, &at_risk));
+        let mut entries = entries_for(SchedulingTier::Starved, &starved_jobs(&waiting_jobs, now));
+        entries.extend(entries_for(SchedulingTier::GuaranteeAtRisk, &at_risk));
         for same_priority in
             waiting_jobs.chunk_by(|a, b| a.job.spec.priority == b.job.spec.priority)
         {
-            turns.extend(turns_for(Pass::WithinGuarantee, same_priority));
-            turns.extend(turns_for(Pass::WithinLimit, same_priority));
+            entries.extend(entries_for(SchedulingTier::WithinGuarantee, same_priority));
+            entries.extend(entries_for(SchedulingTier::WithinLimit, same_priority));
         }
         self.round = SchedulingRound {
             at_risk_jobs: at_risk.iter().map(|tasks| tasks.job.spec.id).collect(),
-            turns,
-            turn_index: 0,
+            entries,
+            entry_index: 0,
             began_at: Some(now.steady),
             is_requested: false,
         };
@@ -173,10 +173,10 @@
     }
 }
 
-fn turns_for(pass: Pass, jobs: &[&JobTasks]) -> Vec<Turn> {
+fn entries_for(tier: SchedulingTier, jobs: &[&JobTasks]) -> Vec<RoundEntry> {
     jobs.iter()
-        .map(|tasks| Turn {
-            pass,
+        .map(|tasks| RoundEntry {
+            tier,
             job: tasks.job.spec.id,
         })
         .collect()
