--- a/crates/worksshunt-core/src/machines/assignment_queue.rs
+++ b/crates/worksshunt-core/src/machines/assignment_queue.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use worksshunt_wire::peer::Assignment;
-use worksshunt_wire::Attempt;
+use worksshunt_wire::AttemptId;
 
 use crate::time::Time;
 
@@ -41,7 +41,7 @@
     }
 
     /// Removes and returns the assignment of an attempt, if it is queued.
-    pub fn remove(&mut self, attempt: Attempt) -> Option<Assignment> {
+    pub fn remove(&mut self, attempt: AttemptId) -> Option<Assignment> {
         let index = self
             .assignments
             .iter()
--- a/crates/worksshunt-core/src/machines/attempts.rs
+++ b/crates/worksshunt-core/src/machines/attempts.rs
@@ -4,7 +4,7 @@
 //! indexes, the record pages and the pending updates for the leader consistent with the attempts.
 
 use worksshunt_wire::peer::{Assignment, AttemptOutcome, EndedAttempt};
-use worksshunt_wire::{Attempt, JobId, MachineId};
+use worksshunt_wire::{AttemptId, JobId, MachineId};
 
 use crate::placement::OverCapacityOutcome;
 use crate::time::Time;
@@ -14,7 +14,7 @@
 
 impl Partition {
     /// Adds an attempt to a machine.
-    pub(super) fn track(&mut self, id: &MachineId, attempt: Attempt, tracked: TrackedAttempt) {
+    pub(super) fn track(&mut self, id: &MachineId, attempt: AttemptId, tracked: TrackedAttempt) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -24,7 +24,7 @@
     }
 
     /// Adds an attempt to the indexes and queues its status for the leader.
-    pub(super) fn index_attempt(&mut self, id: &MachineId, attempt: Attempt, job: JobId) {
+    pub(super) fn index_attempt(&mut self, id: &MachineId, attempt: AttemptId, job: JobId) {
         self.machine_by_attempt.insert(attempt, id.clone());
         self.attempts_by_job.entry(job).or_default().insert(attempt);
         self.pending_updates.attempts.insert(attempt);
@@ -34,7 +34,7 @@
     pub(super) fn untrack(
         &mut self,
         id: &MachineId,
-        attempt: Attempt,
+        attempt: AttemptId,
         outcome: AttemptOutcome,
         now: Time,
     ) -> Option<TrackedAttempt> {
@@ -62,7 +62,7 @@
     pub(super) fn end_attempt(
         &mut self,
         id: &MachineId,
-        attempt: Attempt,
+        attempt: AttemptId,
         outcome: AttemptOutcome,
         now: Time,
     ) {
@@ -114,7 +114,7 @@
     }
 
     /// Stops an attempt, with `grace_s` seconds for a checkpoint. One that has not been launched ends immediately.
-    pub(super) fn request_stop(&mut self, attempt: Attempt, grace_s: f64, now: Time) {
+    pub(super) fn request_stop(&mut self, attempt: AttemptId, grace_s: f64, now: Time) {
         let Some((id, tracked)) = self.tracked_attempt_mut(attempt) else {
             return;
         };
--- a/crates/worksshunt-core/src/machines/commands.rs
+++ b/crates/worksshunt-core/src/machines/commands.rs
@@ -5,7 +5,7 @@
 
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::worker::{Command, CommandBatch, Heartbeat};
-use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId};
+use worksshunt_wire::{AttemptId, Epoch, Incarnation, MachineId};
 
 use crate::constants::workers::{DIRECT_COMMAND_BACKOFF_MS, PROBE_INTERVAL_MS};
 use crate::time::Time;
@@ -197,7 +197,7 @@
 }
 
 impl TrackedAttempt {
-    fn launch_directly(&mut self, attempt: Attempt, now: Time) -> Command {
+    fn launch_directly(&mut self, attempt: AttemptId, now: Time) -> Command {
         self.transition_to(AttemptState::DirectlyLaunched);
         self.has_unanswered_launch = true;
         self.placed_at = now;
@@ -208,7 +208,7 @@
     }
 
     /// The stop command, if a stop is requested and unsent, and the worker has listed the task as fetching or running.
-    fn stop_directly(&mut self, attempt: Attempt) -> Option<Command> {
+    fn stop_directly(&mut self, attempt: AttemptId) -> Option<Command> {
         if !matches!(
             self.state,
             AttemptState::Fetching | AttemptState::Running(_)
--- a/crates/worksshunt-core/src/machines/epoch_transition.rs
+++ b/crates/worksshunt-core/src/machines/epoch_transition.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use worksshunt_wire::peer::{AttemptOutcome, EndedAttempt};
-use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
+use worksshunt_wire::{AttemptId, ControllerName, Epoch, MachineId};
 
 use crate::constants::leases::EPOCH_LEASE_MS;
 use crate::jobs::JobCache;
@@ -139,7 +139,7 @@
         records: &[&AttemptRecord],
         now: Time,
     ) -> Machine {
-        let recorded: BTreeSet<Attempt> = records.iter().map(|record| record.attempt).collect();
+        let recorded: BTreeSet<AttemptId> = records.iter().map(|record| record.attempt).collect();
         machine
             .attempts
             .retain(|attempt, _| recorded.contains(attempt));
--- a/crates/worksshunt-core/src/machines/machine.rs
+++ b/crates/worksshunt-core/src/machines/machine.rs
@@ -8,7 +8,7 @@
 use worksshunt_wire::cloud::Catalog;
 use worksshunt_wire::settings::Workers;
 use worksshunt_wire::worker::Heartbeat;
-use worksshunt_wire::{Attempt, Incarnation, JobId};
+use worksshunt_wire::{AttemptId, Incarnation, JobId};
 
 use crate::constants::readiness::UNREACHABLE_HEARTBEAT_INTERVALS;
 use crate::constants::workers::{
@@ -129,7 +129,7 @@
     pub command_channel: CommandChannel,
     /// Ended attempts that must not be reaped: an unanswered direct launch could still arrive and start them again. The
     /// value is the incarnation to which the launch was sent.
-    pub unreapable_attempts: BTreeMap<Attempt, Incarnation>,
+    pub unreapable_attempts: BTreeMap<AttemptId, Incarnation>,
     /// When the cloud reclaims the machine; `None` without a reclaim notice.
     pub reclaim_at: Option<Time>,
     pub directive: LeaderDirective,
@@ -137,7 +137,7 @@
     pub has_unknown_tasks: bool,
     /// Jobs of which tasks have failed on it since the last completion of any task on it.
     pub failing_jobs: BTreeSet<JobId>,
-    pub attempts: BTreeMap<Attempt, TrackedAttempt>,
+    pub attempts: BTreeMap<AttemptId, TrackedAttempt>,
     /// Since when `summary.is_empty` holds; `None` while it does not.
     pub empty_since: Option<Time>,
     /// As computed by the last `Partition::refresh_summary`.
@@ -176,7 +176,7 @@
     }
 
     /// The attempts that satisfy a condition, in ascending order.
-    pub fn attempts_where(&self, condition: impl Fn(&TrackedAttempt) -> bool) -> Vec<Attempt> {
+    pub fn attempts_where(&self, condition: impl Fn(&TrackedAttempt) -> bool) -> Vec<AttemptId> {
         self.attempts
             .iter()
             .filter(|(_, tracked)| condition(tracked))
--- a/crates/worksshunt-core/src/machines/partition.rs
+++ b/crates/worksshunt-core/src/machines/partition.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use worksshunt_wire::settings::{KeyValueLimits, Workers};
-use worksshunt_wire::{Attempt, JobId, MachineId, Revision};
+use worksshunt_wire::{AttemptId, JobId, MachineId, Revision};
 
 use crate::pages::{max_page_bytes, PageWrite, Pages};
 use crate::placement::{OverCapacityCounts, PlacementParameters, Speed};
@@ -35,8 +35,8 @@
     pub(super) machines: BTreeMap<MachineId, Machine>,
     /// The last machine that the previous tick examined; `None` if the next tick starts from the first machine.
     pub(super) sweep_cursor: Option<MachineId>,
-    pub(super) machine_by_attempt: BTreeMap<Attempt, MachineId>,
-    pub(super) attempts_by_job: BTreeMap<JobId, BTreeSet<Attempt>>,
+    pub(super) machine_by_attempt: BTreeMap<AttemptId, MachineId>,
+    pub(super) attempts_by_job: BTreeMap<JobId, BTreeSet<AttemptId>>,
     /// Schedulable machines whose latest summary has free processors.
     pub(super) machines_with_free_capacity: BTreeSet<UtilizationRank>,
     pub(super) heartbeat_history: HeartbeatHistory,
@@ -86,7 +86,7 @@
     /// Returns an attempt and the machine it is on.
     pub(super) fn tracked_attempt(
         &self,
-        attempt: Attempt,
+        attempt: AttemptId,
     ) -> Option<(&MachineId, &TrackedAttempt)> {
         let id = self.machine_by_attempt.get(&attempt)?;
         let tracked = self.machines.get(id)?.attempts.get(&attempt)?;
@@ -95,7 +95,7 @@
 
     pub(super) fn tracked_attempt_mut(
         &mut self,
-        attempt: Attempt,
+        attempt: AttemptId,
     ) -> Option<(&MachineId, &mut TrackedAttempt)> {
         let id = self.machine_by_attempt.get(&attempt)?;
         let tracked = self.machines.get_mut(id)?.attempts.get_mut(&attempt)?;
--- a/crates/worksshunt-core/src/machines/partition_sync.rs
+++ b/crates/worksshunt-core/src/machines/partition_sync.rs
@@ -8,7 +8,7 @@
 use worksshunt_wire::peer::{
     AttemptStatus, LeaderDirectives, MachineDirectives, MachineStatus, PartitionStatus,
 };
-use worksshunt_wire::{Attempt, ControllerName, Epoch, MachineId};
+use worksshunt_wire::{AttemptId, ControllerName, Epoch, MachineId};
 
 use crate::time::Time;
 
@@ -57,7 +57,7 @@
         status
     }
 
-    fn attempt_status(&self, attempt: Attempt, now: Time) -> Option<AttemptStatus> {
+    fn attempt_status(&self, attempt: AttemptId, now: Time) -> Option<AttemptStatus> {
         let (id, tracked) = self.tracked_attempt(attempt)?;
         Some(AttemptStatus {
             task: tracked.task,
@@ -101,7 +101,7 @@
     }
 
     /// Returns an attempt that is on no machine yet to the leader, or stops it with the grace needed for a checkpoint.
-    fn stop_as_directed(&mut self, attempt: Attempt, now: Time) {
+    fn stop_as_directed(&mut self, attempt: AttemptId, now: Time) {
         if let Some(assignment) = self.assignment_queue.remove(attempt) {
             self.return_to_leader(&assignment);
         }
--- a/crates/worksshunt-core/src/machines/pending_updates.rs
+++ b/crates/worksshunt-core/src/machines/pending_updates.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use worksshunt_wire::peer::EndedAttempt;
-use worksshunt_wire::{Attempt, MachineId};
+use worksshunt_wire::{AttemptId, MachineId};
 
 use crate::constants::partition_sync::{MAX_CHANGES_PER_SYNC, MAX_MACHINES_PER_SYNC};
 
@@ -14,7 +14,7 @@
 pub(super) struct PendingUpdates {
     pub machines: BTreeSet<MachineId>,
     pub removed_machines: BTreeSet<MachineId>,
-    pub attempts: BTreeSet<Attempt>,
+    pub attempts: BTreeSet<AttemptId>,
     pub ended_attempts: Vec<EndedAttempt>,
     /// Sequence number of the last status sent.
     pub last_status_sequence: u64,
@@ -29,7 +29,7 @@
 pub(super) struct UpdateBatch {
     pub machines: BTreeSet<MachineId>,
     pub removed_machines: BTreeSet<MachineId>,
-    pub attempts: BTreeSet<Attempt>,
+    pub attempts: BTreeSet<AttemptId>,
     pub ended_attempts: Vec<EndedAttempt>,
 }
 
--- a/crates/worksshunt-core/src/machines/pending_updates/tests.rs
+++ b/crates/worksshunt-core/src/machines/pending_updates/tests.rs
@@ -11,7 +11,7 @@
             job: JobId(1),
             index: n as u32,
         },
-        attempt: Attempt(n as u64),
+        attempt: AttemptId(n as u64),
         machine: None,
         outcome: AttemptOutcome::Unplaced,
     }
@@ -24,7 +24,7 @@
         machines: (0..machines)
             .map(|n| MachineId(format!("i-{n:06}")))
             .collect(),
-        attempts: (0..changes).map(|n| Attempt(n as u64)).collect(),
+        attempts: (0..changes).map(|n| AttemptId(n as u64)).collect(),
         ended_attempts: (0..changes).map(ended_attempt).collect(),
         ..PendingUpdates::default()
     };
--- a/crates/worksshunt-core/src/machines/task_status.rs
+++ b/crates/worksshunt-core/src/machines/task_status.rs
@@ -7,7 +7,7 @@
 
 use worksshunt_wire::peer::AttemptOutcome;
 use worksshunt_wire::worker::{ExitReason, Heartbeat, TaskState, TaskStatus};
-use worksshunt_wire::{Attempt, MachineId};
+use worksshunt_wire::{AttemptId, MachineId};
 
 use crate::placement::{OverCapacityOutcome, Speed};
 use crate::time::Time;
@@ -73,7 +73,7 @@
     }
 
     /// Records a completion on a machine: resets the machine's failing jobs and updates its measured speed.
-    fn record_completion(&mut self, id: &MachineId, attempt: Attempt, now: Time) {
+    fn record_completion(&mut self, id: &MachineId, attempt: AttemptId, now: Time) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -188,7 +188,7 @@
 }
 
 /// The attempts of the tasks that a message lists.
-pub(super) fn listed_attempts(heartbeat: &Heartbeat) -> BTreeSet<Attempt> {
+pub(super) fn listed_attempts(heartbeat: &Heartbeat) -> BTreeSet<AttemptId> {
     heartbeat
         .tasks
         .iter()
--- a/crates/worksshunt-core/src/records.rs
+++ b/crates/worksshunt-core/src/records.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use worksshunt_wire::key_value::KeyValue;
-use worksshunt_wire::{Attempt, ControllerName, Epoch, Incarnation, MachineId, TaskId};
+use worksshunt_wire::{AttemptId, ControllerName, Epoch, Incarnation, MachineId, TaskId};
 
 use crate::pages::PageEntry;
 
@@ -42,7 +42,7 @@
     /// Task of the attempt.
     pub task: TaskId,
     /// Number of the attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// Incarnation of the worker that the attempt is launched on.
     pub incarnation: Incarnation,
 }
@@ -58,11 +58,11 @@
 
 /// A record in its stored form.
 #[derive(Serialize, Deserialize)]
-struct StoredRecord(MachineId, TaskId, Attempt, Incarnation);
+struct StoredRecord(MachineId, TaskId, AttemptId, Incarnation);
 
 /// A record in format version 1, which has one key per machine.
 #[derive(Deserialize)]
-struct RecordV1(TaskId, Attempt, Incarnation);
+struct RecordV1(TaskId, AttemptId, Incarnation);
 
 impl From<&AttemptRecord> for StoredRecord {
     fn from(record: &AttemptRecord) -> StoredRecord {
@@ -92,9 +92,9 @@
 }
 
 impl PageEntry for AttemptRecord {
-    type Key = Attempt;
+    type Key = AttemptId;
 
-    fn size_bytes(&self, _: &Attempt) -> usize {
+    fn size_bytes(&self, _: &AttemptId) -> usize {
         let job_digits = digits(self.task.job.0).max(MIN_JOB_DIGITS);
         let task_bytes = job_digits + digits(self.task.index.into()) + TASK_ID_PUNCTUATION_BYTES;
         let number_bytes = digits(self.attempt.0) + digits(self.incarnation.0);
@@ -105,7 +105,7 @@
         *self = later;
     }
 
-    fn encode_page(entries: &BTreeMap<Attempt, AttemptRecord>) -> Value {
+    fn encode_page(entries: &BTreeMap<AttemptId, AttemptRecord>) -> Value {
         serde_json::json!(StoredPage {
             version: RECORD_FORMAT_VERSION,
             records: entries.values().map(StoredRecord::from).collect(),
@@ -171,7 +171,7 @@
 /// An attempt is made only after all earlier attempts at the task are confirmed to have ended. Their records remain
 /// until the pages are rewritten, and may name machines that no longer exist.
 pub fn retain_latest_attempts(pages: &mut [RecordPage]) -> BTreeSet<String> {
-    let mut latest: BTreeMap<TaskId, Attempt> = BTreeMap::new();
+    let mut latest: BTreeMap<TaskId, AttemptId> = BTreeMap::new();
     for record in pages.iter().flat_map(|page| &page.records) {
         let newest = latest.entry(record.task).or_insert(record.attempt);
         *newest = record.attempt.max(*newest);
--- a/crates/worksshunt-core/src/records/tests.rs
+++ b/crates/worksshunt-core/src/records/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn records_round_trip_within_estimated_size() {
-    let entries: BTreeMap<Attempt, AttemptRecord> = (0..300u64)
+    let entries: BTreeMap<AttemptId, AttemptRecord> = (0..300u64)
         .map(|n| {
             let record = AttemptRecord {
                 machine: MachineId(format!("i-{n:06}")),
@@ -22,7 +22,7 @@
                     job: JobId(n * n * n),
                     index: n as u32 * 300,
                 },
-                attempt: Attempt(n << 40),
+                attempt: AttemptId(n << 40),
                 incarnation: Incarnation(n),
             };
             (record.attempt, record)
@@ -47,7 +47,7 @@
             job: JobId(1),
             index,
         },
-        attempt: Attempt(attempt),
+        attempt: AttemptId(attempt),
         incarnation: Incarnation(1),
     };
     let page = |records| RecordPage {
@@ -71,7 +71,7 @@
     let version_1 = serde_json::json!([["j-000412/3", 16777217, 2]]);
     let records = read(&pair(version_1)).expect("records");
     assert_eq!(records[0].machine, "i-000007".into());
-    assert_eq!(records[0].attempt, Attempt(16_777_217));
+    assert_eq!(records[0].attempt, AttemptId(16_777_217));
     let unknown = [
         serde_json::json!({"v": 3, "on": []}),
         serde_json::json!({"v": 2, "on": [["i-000001"]]}),
--- a/crates/worksshunt-core/src/scheduler/active_attempt.rs
+++ b/crates/worksshunt-core/src/scheduler/active_attempt.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use worksshunt_wire::peer::{Assignment, AttemptPhase};
-use worksshunt_wire::{Attempt, ControllerName, MachineId, TaskId};
+use worksshunt_wire::{AttemptId, ControllerName, MachineId, TaskId};
 
 use crate::jobs::Job;
 use crate::time::Time;
@@ -60,7 +60,7 @@
     }
 
     /// The assignment for its partition's owner; `None` once it is placed.
-    pub fn assignment(&self, attempt: Attempt) -> Option<Assignment> {
+    pub fn assignment(&self, attempt: AttemptId) -> Option<Assignment> {
         self.machine.is_none().then(|| Assignment {
             task: self.task,
             attempt,
--- a/crates/worksshunt-core/src/scheduler/attempt_numbers.rs
+++ b/crates/worksshunt-core/src/scheduler/attempt_numbers.rs
@@ -1,7 +1,7 @@
 //! Allocation of attempt numbers. The numbers of an epoch are greater than those of all epochs before, so a later
 //! attempt always has the greater number.
 
-use worksshunt_wire::{Attempt, Epoch};
+use worksshunt_wire::{AttemptId, Epoch};
 
 use crate::constants::leases::ATTEMPTS_PER_EPOCH;
 
@@ -34,8 +34,8 @@
     }
 
     /// Allocates the next number. The caller has checked [`is_exhausted`](Self::is_exhausted).
-    pub fn allocate(&mut self) -> Attempt {
+    pub fn allocate(&mut self) -> AttemptId {
         self.allocated += 1;
-        Attempt(self.epoch.0 * ATTEMPTS_PER_EPOCH + self.allocated)
+        AttemptId(self.epoch.0 * ATTEMPTS_PER_EPOCH + self.allocated)
     }
 }
--- a/crates/worksshunt-core/src/scheduler/attempts.rs
+++ b/crates/worksshunt-core/src/scheduler/attempts.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use worksshunt_wire::peer::{AttemptOutcome, AttemptPhase, EndedAttempt};
-use worksshunt_wire::{Attempt, JobId, TaskId};
+use worksshunt_wire::{AttemptId, JobId, TaskId};
 
 use crate::constants::scheduling::{
     FAILURES_BEFORE_BACKOFF, INITIAL_FAILURE_BACKOFF_MS, MAX_FAILURE_BACKOFF_MS,
@@ -24,7 +24,7 @@
 
 impl Scheduler {
     /// Adds an active attempt and charges its resources to its team's quota, unless the attempt is active already.
-    pub(super) fn insert_attempt(&mut self, attempt: Attempt, mut active: ActiveAttempt) {
+    pub(super) fn insert_attempt(&mut self, attempt: AttemptId, mut active: ActiveAttempt) {
         if self.active_attempts.contains_key(&attempt) {
             return;
         }
@@ -41,7 +41,7 @@
     /// Removes an attempt that is confirmed to have ended, or whose assignment was never sent.
     pub(super) fn remove_attempt(
         &mut self,
-        attempt: Attempt,
+        attempt: AttemptId,
         outcome: AttemptOutcome,
         now: Time,
     ) -> Option<ActiveAttempt> {
@@ -70,7 +70,7 @@
     /// Changes the phase of an attempt; all changes go through here. A completed attempt stays completed.
     pub(super) fn set_phase(
         &mut self,
-        attempt: Attempt,
+        attempt: AttemptId,
         phase: AttemptPhase,
         ran_ms: u64,
         now: Time,
@@ -112,7 +112,7 @@
     /// Records that an attempt completed its task, in `zone` if that is known.
     pub(super) fn record_task_completion(
         &mut self,
-        attempt: Attempt,
+        attempt: AttemptId,
         task: TaskId,
         zone: Option<&str>,
     ) {
--- a/crates/worksshunt-core/src/scheduler/job_tasks.rs
+++ b/crates/worksshunt-core/src/scheduler/job_tasks.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use worksshunt_wire::user::Priority;
-use worksshunt_wire::{Attempt, JobId};
+use worksshunt_wire::{AttemptId, JobId};
 
 use crate::jobs::{CompletedTasks, Job};
 use crate::objectives::ServiceLevelObjectives;
@@ -58,7 +58,7 @@
     /// Completed tasks whose completions are not stored yet.
     pub(super) completions_not_durable: BTreeSet<u32>,
     /// Active attempts by task index; a task without attempts has no entry.
-    pub(super) attempts_by_task: BTreeMap<u32, Vec<Attempt>>,
+    pub(super) attempts_by_task: BTreeMap<u32, Vec<AttemptId>>,
     /// Tasks with active attempts that are not completed.
     active_incomplete_tasks: u32,
     /// Attempts reported as running.
@@ -143,7 +143,7 @@
     }
 
     /// Adds an active attempt at a task.
-    pub(super) fn add_attempt(&mut self, index: u32, attempt: Attempt) {
+    pub(super) fn add_attempt(&mut self, index: u32, attempt: AttemptId) {
         let attempts = self.attempts_by_task.entry(index).or_default();
         if attempts.is_empty() && !self.completed_tasks.contains(index) {
             self.active_incomplete_tasks += 1;
@@ -152,7 +152,7 @@
     }
 
     /// Removes an attempt at a task. Unless the task is completed or has other attempts, it waits again.
-    pub(super) fn remove_attempt(&mut self, index: u32, attempt: Attempt) {
+    pub(super) fn remove_attempt(&mut self, index: u32, attempt: AttemptId) {
         let Some(attempts) = self.attempts_by_task.get_mut(&index) else {
             return;
         };
--- a/crates/worksshunt-core/src/scheduler/mod.rs
+++ b/crates/worksshunt-core/src/scheduler/mod.rs
@@ -35,7 +35,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use worksshunt_wire::{Attempt, ControllerName, Epoch, JobId, MachineId};
+use worksshunt_wire::{AttemptId, ControllerName, Epoch, JobId, MachineId};
 
 use crate::jobs::Job;
 use crate::objectives::ServiceLevelObjectives;
@@ -66,7 +66,7 @@
     quota: Quota,
     objectives: ServiceLevelObjectives,
     open_jobs: BTreeMap<JobId, JobTasks>,
-    active_attempts: BTreeMap<Attempt, ActiveAttempt>,
+    active_attempts: BTreeMap<AttemptId, ActiveAttempt>,
     /// Partitions by owner, one for each member of the epoch.
     partitions: BTreeMap<ControllerName, PartitionView>,
     claims: BTreeMap<MachineId, Claim>,
--- a/crates/worksshunt-core/src/scheduler/partition_sync.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, AttemptPhase, AttemptStatus, EndedAttempt, LeaderDirectives, MachineDirectives,
     PartitionStatus,
 };
-use worksshunt_wire::{Attempt, ControllerName, MachineId};
+use worksshunt_wire::{AttemptId, ControllerName, MachineId};
 
 use crate::time::Time;
 
@@ -83,7 +83,7 @@
     /// Cancels the assignments that were never sent to partitions whose owners are unresponsive, so that their tasks
     /// can be dispatched to other partitions.
     pub fn reassign_unsent_attempts(&mut self, now: Time) {
-        let unsent: Vec<Attempt> = self
+        let unsent: Vec<AttemptId> = self
             .partitions
             .values_mut()
             .filter(|partition| !partition.is_responsive(now))
@@ -95,7 +95,7 @@
     }
 
     /// Records the machine on which an attempt was placed.
-    fn record_placement(&mut self, attempt: Attempt, machine: &MachineId) {
+    fn record_placement(&mut self, attempt: AttemptId, machine: &MachineId) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
         };
@@ -114,7 +114,7 @@
     }
 
     /// Records a completion that was reported for the first time.
-    fn record_completion(&mut self, attempt: Attempt, status: &PartitionStatus) {
+    fn record_completion(&mut self, attempt: AttemptId, status: &PartitionStatus) {
         let Some(active) = self.active_attempts.get_mut(&attempt) else {
             return;
         };
--- a/crates/worksshunt-core/src/scheduler/partition_sync/tests.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_sync/tests.rs
@@ -47,8 +47,8 @@
     let mut scheduler = scheduler(&owner);
     let partition = scheduler.partitions.get_mut(&owner).expect("partition");
     for n in 0..(MAX_CHANGES_PER_SYNC + 3) as u64 {
-        partition.enqueue(Directive::Stop(Attempt(n)));
-        partition.enqueue(Directive::MarkDurable(Attempt(n)));
+        partition.enqueue(Directive::Stop(AttemptId(n)));
+        partition.enqueue(Directive::MarkDurable(AttemptId(n)));
     }
     let none = || std::iter::empty();
     scheduler.apply_status(Time(1), status(&owner, 1, 0));
--- a/crates/worksshunt-core/src/scheduler/partition_view.rs
+++ b/crates/worksshunt-core/src/scheduler/partition_view.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use worksshunt_wire::peer::{LeaderDirectives, MachineDirectives, MachineStatus, PartitionStatus};
-use worksshunt_wire::{Attempt, MachineId};
+use worksshunt_wire::{AttemptId, MachineId};
 
 use crate::constants::partition_sync::{
     MAX_CHANGES_PER_SYNC, PARTITION_UNRESPONSIVE_AFTER_MS, PROGRESS_SYNC_INTERVAL_MS,
@@ -34,16 +34,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Directive {
     /// Place the attempt.
-    Assign(Attempt),
+    Assign(AttemptId),
     /// Stop the attempt.
-    Stop(Attempt),
+    Stop(AttemptId),
     /// Drop the attempt, whose completion is stored.
-    MarkDurable(Attempt),
+    MarkDurable(AttemptId),
 }
 
 impl Directive {
     /// The attempt concerned.
-    pub fn attempt(self) -> Attempt {
+    pub fn attempt(self) -> AttemptId {
         match self {
             Directive::Assign(attempt)
             | Directive::Stop(attempt)
@@ -123,7 +123,7 @@
     }
 
     /// Removes the assignments that were never sent, and returns their attempts.
-    pub fn take_unsent_assignments(&mut self) -> Vec<Attempt> {
+    pub fn take_unsent_assignments(&mut self) -> Vec<AttemptId> {
         let mut unsent = Vec::new();
         self.outbox.retain(
             |directive, sent_sequence| match (directive, *sent_sequence) {
@@ -151,7 +151,7 @@
     /// assignments; the rest is left for the next message.
     pub fn add_directives(
         &mut self,
-        attempts: &BTreeMap<Attempt, ActiveAttempt>,
+        attempts: &BTreeMap<AttemptId, ActiveAttempt>,
         message: &mut LeaderDirectives,
     ) {
         for (directive, sent_sequence) in &mut self.outbox {
--- a/crates/worksshunt-core/src/scheduler/pending_writes.rs
+++ b/crates/worksshunt-core/src/scheduler/pending_writes.rs
@@ -1,7 +1,7 @@
 //! The leader's pending writes, and the effects once they are durable. The controller takes the next writes from here
 //! and reports their outcomes.
 
-use worksshunt_wire::{Attempt, JobId, MachineId, Revision, TaskId};
+use worksshunt_wire::{AttemptId, JobId, MachineId, Revision, TaskId};
 
 use crate::jobs::{completions_key, CompletionsKey};
 use crate::pages::PageWrite;
@@ -64,7 +64,7 @@
     }
 
     /// Marks the written completions of a chunk durable and returns the active attempts at their tasks.
-    fn take_durable_attempts(&mut self, key: CompletionsKey) -> Vec<Attempt> {
+    fn take_durable_attempts(&mut self, key: CompletionsKey) -> Vec<AttemptId> {
         let job = key.job;
         // Tasks completed since the write began are pending again and not durable yet.
         let pending_entry = self.pages.completions.pending_entry(&key);
--- a/crates/worksshunt-core/src/scheduler/preempt.rs
+++ b/crates/worksshunt-core/src/scheduler/preempt.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use worksshunt_wire::Attempt;
+use worksshunt_wire::AttemptId;
 
 use crate::constants::scheduling::PREEMPT_AFTER_MS;
 use crate::jobs::Job;
@@ -31,7 +31,7 @@
 struct VictimSelection<'a> {
     candidates: PreemptionCandidates<'a>,
     quota: Quota,
-    chosen: Vec<Attempt>,
+    chosen: Vec<AttemptId>,
 }
 
 impl VictimSelection<'_> {
@@ -113,7 +113,7 @@
         unschedulable: &[UnschedulableJob],
         now: Now,
         budget: &Budget,
-    ) -> Vec<Attempt> {
+    ) -> Vec<AttemptId> {
         let mut selection = VictimSelection {
             candidates: self.preemption_candidates(now.steady),
             quota: self.quota.clone(),
--- a/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
+++ b/crates/worksshunt-core/src/scheduler/preemption_candidates.rs
@@ -6,7 +6,7 @@
 
 use worksshunt_wire::peer::MachineStatus;
 use worksshunt_wire::user::Priority;
-use worksshunt_wire::{Attempt, MachineId, TeamName};
+use worksshunt_wire::{AttemptId, MachineId, TeamName};
 
 use crate::constants::services::REPLICA_PREEMPTION_COST_MS;
 use crate::jobs::Job;
@@ -88,7 +88,7 @@
 pub(super) struct PreemptibleAttempt {
     /// Work lost if it is stopped, milliseconds.
     lost_work_ms: u64,
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     pub job: Rc<Job>,
     /// Index of its class in [`PreemptionClasses`].
     class_index: usize,
@@ -232,7 +232,7 @@
     }
 
     /// Adds an attempt to its machine if that is a candidate.
-    fn add_attempt(&mut self, attempt: Attempt, active: &ActiveAttempt, now: Time) {
+    fn add_attempt(&mut self, attempt: AttemptId, active: &ActiveAttempt, now: Time) {
         let (Some(machine), Some(job)) = (&active.machine, &active.job) else {
             return;
         };
--- a/crates/worksshunt-core/src/scheduler/zone_constraints.rs
+++ b/crates/worksshunt-core/src/scheduler/zone_constraints.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use worksshunt_wire::Attempt;
+use worksshunt_wire::AttemptId;
 
 use crate::jobs::Job;
 
@@ -118,7 +118,7 @@
         zones
     }
 
-    fn zone_of_attempt(&self, attempt: Attempt) -> Option<String> {
+    fn zone_of_attempt(&self, attempt: AttemptId) -> Option<String> {
         let active = self.active_attempts.get(&attempt)?;
         // The machine may have been reported only after the attempt.
         let machine_zone = || self.zone_of(&active.owner, active.machine.as_ref()?);
--- a/crates/worksshunt-core/tests/stored_records/formats.rs
+++ b/crates/worksshunt-core/tests/stored_records/formats.rs
@@ -19,7 +19,7 @@
 use worksshunt_wire::cloud::{Catalog, MachineType};
 use worksshunt_wire::key_value::{Change, KeyValue, Listing};
 use worksshunt_wire::user::{JobKind, JobSpec, JobState, Priority};
-use worksshunt_wire::{Attempt, ControllerName, Epoch, Incarnation, JobId, Revision};
+use worksshunt_wire::{AttemptId, ControllerName, Epoch, Incarnation, JobId, Revision};
 
 use crate::{pair, store, stored, task};
 
@@ -237,7 +237,7 @@
     let attempt_record = |machine: &str, task, attempt, incarnation| AttemptRecord {
         machine: machine.into(),
         task,
-        attempt: Attempt(attempt),
+        attempt: AttemptId(attempt),
         incarnation: Incarnation(incarnation),
     };
     assert_eq!(page_prefix(Epoch(4), &"n1".into()), "a/4.n1.");
@@ -246,7 +246,7 @@
         attempt_record("i-000000", task(7, 1), 67_108_868, 1),
     ];
     assert_eq!(records::read(&pair("a/4.n1.3")).expect("a page"), page);
-    let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<Attempt, AttemptRecord> {
+    let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<AttemptId, AttemptRecord> {
         page.iter().map(|r| (r.attempt, r.clone())).collect()
     };
     check_encoded("a/4.n1.3", &AttemptRecord::encode_page(&by_attempt(&page)));
--- a/crates/worksshunt-measure/src/loopback/worker/tasks.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/tasks.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use worksshunt_wire::worker::{Command, ExitReason, TaskState, TaskStatus};
-use worksshunt_wire::{Attempt, TaskId};
+use worksshunt_wire::{AttemptId, TaskId};
 
 use crate::loopback::environment::EnvironmentConfig;
 use crate::loopback::observer::TaskObserver;
@@ -26,7 +26,7 @@
 
 /// Running and ended tasks by attempt.
 #[derive(Default)]
-pub struct Tasks(BTreeMap<Attempt, Task>);
+pub struct Tasks(BTreeMap<AttemptId, Task>);
 
 impl Tasks {
     /// Executes a controller's command.
@@ -47,7 +47,7 @@
     fn launch(
         &mut self,
         task: TaskId,
-        attempt: Attempt,
+        attempt: AttemptId,
         config: &EnvironmentConfig,
         observer: &TaskObserver,
     ) {
@@ -65,7 +65,7 @@
         });
     }
 
-    fn halt(&mut self, attempt: Attempt, observer: &TaskObserver) {
+    fn halt(&mut self, attempt: AttemptId, observer: &TaskObserver) {
         let running = self.0.get_mut(&attempt).filter(|task| task.is_running());
         if let Some(task) = running {
             task.exit_reason = Some(ExitReason::Stopped);
@@ -74,7 +74,7 @@
     }
 
     /// Removes an attempt that has ended.
-    fn reap(&mut self, attempt: Attempt) {
+    fn reap(&mut self, attempt: AttemptId) {
         if self.0.get(&attempt).is_some_and(|task| !task.is_running()) {
             self.0.remove(&attempt);
         }
@@ -107,7 +107,7 @@
 
     /// Status of every attempt, for a heartbeat.
     pub fn statuses(&self) -> Vec<TaskStatus> {
-        let status = |(attempt, task): (&Attempt, &Task)| TaskStatus {
+        let status = |(attempt, task): (&AttemptId, &Task)| TaskStatus {
             task: task.task,
             attempt: *attempt,
             state: if task.is_running() {
--- a/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
@@ -29,7 +29,7 @@
 fn launch(tasks: &mut Tasks, index: u32, observer: &TaskObserver) {
     let command = Command::Launch {
         task: task(index),
-        attempt: Attempt(u64::from(index)),
+        attempt: AttemptId(u64::from(index)),
     };
     tasks.execute(&command, &config(), observer);
 }
@@ -72,13 +72,13 @@
 fn attempt_is_reported_until_ended_and_reaped() {
     let (mut tasks, observer) = (Tasks::default(), TaskObserver::default());
     launch(&mut tasks, 0, &observer);
-    tasks.reap(Attempt(0));
+    tasks.reap(AttemptId(0));
     assert_eq!(exit_reasons(&tasks), [None]);
-    tasks.halt(Attempt(0), &observer);
+    tasks.halt(AttemptId(0), &observer);
     assert_eq!(exit_reasons(&tasks), [Some(ExitReason::Stopped)]);
     assert!(observer.observations().running.is_empty());
     assert_eq!(observer.observations().histories[&task(0)].completions, 0);
-    tasks.reap(Attempt(0));
+    tasks.reap(AttemptId(0));
     assert_eq!(exit_reasons(&tasks), []);
 }
 
--- a/crates/worksshunt-net/src/worker/tests.rs
+++ b/crates/worksshunt-net/src/worker/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `worker`: the bytes of a request, and the outcome of each response.
 
 use worksshunt_wire::worker::{Command, CommandBatch};
-use worksshunt_wire::{Attempt, Epoch, Incarnation, JobId, TaskId};
+use worksshunt_wire::{AttemptId, Epoch, Incarnation, JobId, TaskId};
 
 use super::*;
 use crate::test_server::{with_exchanges, Exchange, TIMEOUT};
@@ -14,7 +14,7 @@
             job: JobId(412),
             index: 1,
         },
-        attempt: Attempt(301),
+        attempt: AttemptId(301),
     };
     DirectCommands {
         machine: "i-41".into(),
--- a/crates/worksshunt-simulation/src/lib.rs
+++ b/crates/worksshunt-simulation/src/lib.rs
@@ -34,7 +34,7 @@
 use worksshunt_core::time::TokenBucket;
 use worksshunt_wire::settings::Settings;
 use worksshunt_wire::worker::Heartbeat;
-use worksshunt_wire::{Attempt, MachineId};
+use worksshunt_wire::{AttemptId, MachineId};
 
 pub use digest::{RunDigest, TrafficDigest};
 pub use failure::Failure;
@@ -139,7 +139,7 @@
     /// Machines that controllers released, in order of time.
     pub released_machines: Vec<MachineId>,
     /// Launch commands sent, by attempt.
-    launches_by_attempt: BTreeMap<Attempt, Launch>,
+    launches_by_attempt: BTreeMap<AttemptId, Launch>,
     /// Target machine of each direct command request, in order of arrival.
     commands_sent_to: Vec<MachineId>,
     /// Digest of all messages that controllers send and receive; `None` if not requested.
--- a/crates/worksshunt-simulation/src/worker.rs
+++ b/crates/worksshunt-simulation/src/worker.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use worksshunt_wire::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
-use worksshunt_wire::{Attempt, Epoch, Incarnation, MachineId, TaskId};
+use worksshunt_wire::{AttemptId, Epoch, Incarnation, MachineId, TaskId};
 
 use crate::LEASE_MS;
 
@@ -32,7 +32,7 @@
     pub(crate) incarnation: u64,
     pub(crate) sequence: u64,
     pub(crate) fencing_token: Epoch,
-    pub(crate) tasks: BTreeMap<Attempt, Task>,
+    pub(crate) tasks: BTreeMap<AttemptId, Task>,
     /// Index of the controller that receives the next heartbeat.
     pub(crate) controller: usize,
     /// When the last acknowledged heartbeat was sent, ms; the lease runs from then.
@@ -81,7 +81,7 @@
     /// Creates the next heartbeat; increments the sequence number.
     pub(crate) fn next_heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.sequence += 1;
-        let status = |(attempt, task): (&Attempt, &Task)| TaskStatus {
+        let status = |(attempt, task): (&AttemptId, &Task)| TaskStatus {
             task: task.id,
             attempt: *attempt,
             state: task.state,
@@ -111,7 +111,7 @@
     }
 
     /// Adds a task; on a full machine it ends at once. A repeated launch of an attempt has no effect.
-    pub(crate) fn launch(&mut self, task: TaskId, attempt: Attempt) {
+    pub(crate) fn launch(&mut self, task: TaskId, attempt: AttemptId) {
         let tasks = self.tasks.values();
         let active_tasks = tasks.filter(|task| task.state != TaskState::Ended).count();
         let is_full = active_tasks >= MAX_TASKS_PER_MACHINE;
@@ -128,7 +128,7 @@
         });
     }
 
-    fn halt(&mut self, attempt: Attempt) {
+    fn halt(&mut self, attempt: AttemptId) {
         let task = self.tasks.get_mut(&attempt);
         if let Some(task) = task.filter(|task| task.state != TaskState::Ended) {
             task.state = TaskState::Ended;
@@ -136,7 +136,7 @@
         }
     }
 
-    fn reap(&mut self, attempt: Attempt) {
+    fn reap(&mut self, attempt: AttemptId) {
         let task = self.tasks.get(&attempt);
         if task.is_some_and(|task| task.state == TaskState::Ended) {
             self.tasks.remove(&attempt);
--- a/crates/worksshunt-simulation/src/workers.rs
+++ b/crates/worksshunt-simulation/src/workers.rs
@@ -5,7 +5,7 @@
 use worksshunt_core::machines::DirectCommands;
 use worksshunt_wire::user::JobKind;
 use worksshunt_wire::worker::{Command, ExitReason, Heartbeat, TaskState};
-use worksshunt_wire::{Attempt, MachineId, TaskId};
+use worksshunt_wire::{AttemptId, MachineId, TaskId};
 
 use crate::events::SimulationEvent;
 use crate::task_snapshot::{ObservedTask, TaskSnapshot};
@@ -234,6 +234,6 @@
     /// The machine does not exist.
     pub fn inject_task(&mut self, id: &MachineId, task: TaskId, attempt: u64) {
         let worker = self.workers.get_mut(id).expect("a worker");
-        worker.launch(task, Attempt(attempt));
+        worker.launch(task, AttemptId(attempt));
     }
 }
--- a/crates/worksshunt-wire/src/ids.rs
+++ b/crates/worksshunt-wire/src/ids.rs
@@ -54,8 +54,8 @@
 }
 
 number_newtype!(
-    /// Number of an attempt at a task, unique among the attempts at all tasks.
-    Attempt
+    /// Id of an attempt at a task, unique among the attempts at all tasks.
+    AttemptId
 );
 number_newtype!(
     /// Number of a leadership epoch, which also serves as the fencing token for workers.
--- a/crates/worksshunt-wire/src/lib.rs
+++ b/crates/worksshunt-wire/src/lib.rs
@@ -127,5 +127,5 @@
 pub mod worker;
 
 pub use ids::{
-    Attempt, ControllerName, Epoch, Incarnation, JobId, MachineId, Revision, TaskId, TeamName,
+    AttemptId, ControllerName, Epoch, Incarnation, JobId, MachineId, Revision, TaskId, TeamName,
 };
--- a/crates/worksshunt-wire/src/peer.rs
+++ b/crates/worksshunt-wire/src/peer.rs
@@ -8,7 +8,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-use crate::ids::{Attempt, ControllerName, Epoch, JobId, MachineId, TaskId};
+use crate::ids::{AttemptId, ControllerName, Epoch, JobId, MachineId, TaskId};
 
 /// State of an attempt, as reported by the owner of its partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -29,7 +29,7 @@
     /// Id of the task.
     pub task: TaskId,
     /// Number of the attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// Machine that the attempt is placed on.
     pub machine: MachineId,
     /// Present state.
@@ -92,7 +92,7 @@
     /// Id of the task.
     pub task: TaskId,
     /// Number of the attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// Machine that it was placed on; `None` if it was never placed.
     pub machine: Option<MachineId>,
     /// Outcome of the attempt.
@@ -126,7 +126,7 @@
     /// Id of the task.
     pub task: TaskId,
     /// Number of the attempt to launch.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// Required zone, if the zone constraints of the job determine it.
     pub zone: Option<String>,
     /// Required machine, if the leader has claimed one for the task.
@@ -156,9 +156,9 @@
     /// New assignments that the owner has not acknowledged.
     pub assignments: Vec<Assignment>,
     /// Attempts that the owner has to stop.
-    pub stop_attempts: Vec<Attempt>,
+    pub stop_attempts: Vec<AttemptId>,
     /// Attempts whose completion is durable.
-    pub durable_attempts: Vec<Attempt>,
+    pub durable_attempts: Vec<AttemptId>,
     /// Directives for the machines; `None` if the owner has acknowledged the present ones.
     pub machine_directives: Option<MachineDirectives>,
     /// Completed and running tasks of open jobs, for status responses; `None` in most messages.
--- a/crates/worksshunt-wire/src/worker.rs
+++ b/crates/worksshunt-wire/src/worker.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Attempt, ControllerName, Epoch, Incarnation, MachineId, TaskId};
+use crate::ids::{AttemptId, ControllerName, Epoch, Incarnation, MachineId, TaskId};
 
 /// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
     pub task: TaskId,
     /// Number of the attempt.
     #[serde(rename = "Intento")]
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// Present state.
     #[serde(rename = "Estado")]
     pub state: TaskState,
@@ -110,7 +110,7 @@
         task: TaskId,
         /// Number of the attempt.
         #[serde(rename = "Intento")]
-        attempt: Attempt,
+        attempt: AttemptId,
     },
     /// Stops an attempt.
     Halt {
@@ -119,7 +119,7 @@
         task: TaskId,
         /// Number of the attempt.
         #[serde(rename = "Intento")]
-        attempt: Attempt,
+        attempt: AttemptId,
         /// Time allowed to save a checkpoint, seconds.
         #[serde(rename = "GraciaS")]
         grace_s: f64,
@@ -131,7 +131,7 @@
         task: TaskId,
         /// Number of the attempt.
         #[serde(rename = "Intento")]
-        attempt: Attempt,
+        attempt: AttemptId,
     },
 }
 
--- a/crates/worksshunt-wire/tests/wire_format/peer.rs
+++ b/crates/worksshunt-wire/tests/wire_format/peer.rs
@@ -4,7 +4,7 @@
     Assignment, AttemptOutcome, AttemptPhase, AttemptStatus, EndedAttempt, EpochPollResponse,
     LeaderDirectives, MachineDirectives, MachineStatus, PartitionStatus, PeerRequest, PeerResponse,
 };
-use worksshunt_wire::{Attempt, ControllerName, Epoch, JobId, MachineId};
+use worksshunt_wire::{AttemptId, ControllerName, Epoch, JobId, MachineId};
 
 use crate::fixtures::Fixtures;
 use crate::{machines, task};
@@ -50,14 +50,14 @@
 fn partition_status() -> PartitionStatus {
     let attempt_status = |index, phase| AttemptStatus {
         task: task(412, index),
-        attempt: Attempt(300 + u64::from(index)),
+        attempt: AttemptId(300 + u64::from(index)),
         machine: "i-000042".into(),
         phase,
         running_ms: 1_234,
     };
     let ended = |index, machine: Option<&str>, outcome| EndedAttempt {
         task: task(413, index),
-        attempt: Attempt(400 + u64::from(index)),
+        attempt: AttemptId(400 + u64::from(index)),
         machine: machine.map(MachineId::from),
         outcome,
     };
@@ -87,7 +87,7 @@
 fn leader_directives() -> LeaderDirectives {
     let assignment = |index, zone: Option<&str>, claimed_machine: Option<&str>| Assignment {
         task: task(412, index),
-        attempt: Attempt(500 + u64::from(index)),
+        attempt: AttemptId(500 + u64::from(index)),
         zone: zone.map(str::to_owned),
         claimed_machine: claimed_machine.map(MachineId::from),
     };
@@ -99,8 +99,8 @@
             assignment(4, Some("b"), Some("i-000070")),
             assignment(5, None, None),
         ],
-        stop_attempts: vec![Attempt(601), Attempt(602)],
-        durable_attempts: vec![Attempt(603)],
+        stop_attempts: vec![AttemptId(601), AttemptId(602)],
+        durable_attempts: vec![AttemptId(603)],
         machine_directives: Some(MachineDirectives {
             draining: machines(&["i-000080", "i-000081"]),
             claimed: machines(&["i-000082"]),
--- a/crates/worksshunt-wire/tests/wire_format/worker.rs
+++ b/crates/worksshunt-wire/tests/wire_format/worker.rs
@@ -4,7 +4,7 @@
     Command, CommandBatch, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState,
     TaskStatus,
 };
-use worksshunt_wire::{Attempt, Epoch, Incarnation};
+use worksshunt_wire::{AttemptId, Epoch, Incarnation};
 
 use crate::fixtures::Fixtures;
 use crate::task;
@@ -12,7 +12,7 @@
 fn heartbeat(is_spot: bool, reclaim_notice_s: Option<f64>) -> Heartbeat {
     let task_status = |index, state, exit_reason, is_checkpoint_saved| TaskStatus {
         task: task(412, index),
-        attempt: Attempt(300 + u64::from(index)),
+        attempt: AttemptId(300 + u64::from(index)),
         state,
         exit_reason,
         is_checkpoint_saved,
@@ -52,16 +52,16 @@
 fn commands() -> Vec<Command> {
     let launch = Command::Launch {
         task: task(412, 1),
-        attempt: Attempt(301),
+        attempt: AttemptId(301),
     };
     let halt = Command::Halt {
         task: task(412, 2),
-        attempt: Attempt(302),
+        attempt: AttemptId(302),
         grace_s: 4.5,
     };
     let reap = Command::Reap {
         task: task(412, 3),
-        attempt: Attempt(303),
+        attempt: AttemptId(303),
     };
     vec![launch, halt, reap]
 }
