--- a/crates/worksshunt-core/src/scheduler/loading.rs
+++ b/crates/worksshunt-core/src/scheduler/loading.rs
@@ -50,8 +50,8 @@
         stored: &StoredState,
     ) -> Scheduler {
         let mut scheduler = Scheduler::empty(now, epoch, members, facts);
-        for (id, open) in job_cache.open_jobs() {
-            scheduler.open_job(*id, &open.job);
+        for (id, open_job) in job_cache.open_jobs() {
+            scheduler.open_job(*id, &open_job.job);
         }
         for pair in &stored.completion_pages {
             scheduler.load_completions(now, pair);
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -148,7 +148,9 @@
         Event::PeerRequest(_, request) => Message::borsh("peer request received", request),
         Event::PeerSyncResponse(response) => Message::borsh("peer response", response),
         Event::PeerKeyValueHealth(healthy) => Message::borsh("peer health", healthy),
-        Event::PeerEpochPollResponse(from, known) => Message::borsh("peer epoch", &(from, known)),
+        Event::PeerEpochPollResponse(from, response) => {
+            Message::borsh("peer epoch", &(from, response))
+        }
     })
 }
 
--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -75,8 +75,8 @@
         };
         let event = match response {
             PeerResponse::KeyValueHealth(healthy) => Event::PeerKeyValueHealth(healthy),
-            PeerResponse::EpochPoll(known) => {
-                Event::PeerEpochPollResponse(format!("n{}", from.index).as_str().into(), known)
+            PeerResponse::EpochPoll(response) => {
+                Event::PeerEpochPollResponse(format!("n{}", from.index).as_str().into(), response)
             }
             response => Event::PeerSyncResponse(Some(response)),
         };
