--- a/crates/worksshunt-measure/src/loopback/controllers.rs
+++ b/crates/worksshunt-measure/src/loopback/controllers.rs
@@ -58,42 +58,42 @@
     }
 
     /// Sets the program of a controller, from its next start on.
-    pub fn set_program(&mut self, node: usize, program: &Path) {
-        self.controllers[node].program = program.to_owned();
+    pub fn set_program(&mut self, controller: usize, program: &Path) {
+        self.controllers[controller].program = program.to_owned();
     }
 
     /// Starts a controller and appends its output to its log.
     ///
     /// # Errors
     /// The log cannot be opened, or the program cannot be started.
-    pub fn start(&mut self, node: usize) -> Result<(), MeasureError> {
-        let log = self.folder.join(format!("n{node}.log"));
+    pub fn start(&mut self, controller: usize) -> Result<(), MeasureError> {
+        let log = self.folder.join(format!("n{controller}.log"));
         let file = File::options().create(true).append(true).open(&log);
         let file = file.map_err(|error| MeasureError::File(log, error))?;
-        let controller = &mut self.controllers[node];
-        let child = Command::new(&controller.program)
+        let process = &mut self.controllers[controller];
+        let child = Command::new(&process.program)
             .arg("--config")
-            .arg(self.folder.join(format!("n{node}.json")))
+            .arg(self.folder.join(format!("n{controller}.json")))
             .env("LOG_LEVEL", "info")
             .stderr(file)
             .stdout(Stdio::null())
             .spawn()
-            .map_err(|error| MeasureError::File(controller.program.clone(), error))?;
-        controller.child = Some(child);
+            .map_err(|error| MeasureError::File(process.program.clone(), error))?;
+        process.child = Some(child);
         Ok(())
     }
 
     /// Kills a controller's process with SIGKILL, if it was started, and waits for its exit.
-    pub fn kill(&mut self, node: usize) {
-        if let Some(mut child) = self.controllers[node].child.take() {
+    pub fn kill(&mut self, controller: usize) {
+        if let Some(mut child) = self.controllers[controller].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
     /// Whether a controller was started and not killed since. It may have exited by itself.
-    pub fn is_started(&self, node: usize) -> bool {
-        self.controllers[node].child.is_some()
+    pub fn is_started(&self, controller: usize) -> bool {
+        self.controllers[controller].child.is_some()
     }
 
     /// Resource usage of each controller; zero for those that do not run.
@@ -110,20 +110,20 @@
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        (0..self.controllers.len()).for_each(|node| self.kill(node));
+        (0..self.controllers.len()).for_each(|controller| self.kill(controller));
     }
 }
 
 /// Writes the settings file of each controller: those of a large deployment, on the loopback interface.
 fn write_settings(folder: &Path, machines: usize, sockets: usize) -> Result<(), MeasureError> {
-    let port = |node: usize| FIRST_CONTROLLER_PORT + node as u16;
-    for node in 0..CONTROLLER_COUNT {
-        let mut settings = large_settings(node, machines);
-        settings.client_listen = address(port(node)).to_string();
-        settings.internal_addr = address(port(node) + PEER_PORT_OFFSET).to_string();
+    let port = |controller: usize| FIRST_CONTROLLER_PORT + controller as u16;
+    for controller in 0..CONTROLLER_COUNT {
+        let mut settings = large_settings(controller, machines);
+        settings.client_listen = address(port(controller)).to_string();
+        settings.internal_addr = address(port(controller) + PEER_PORT_OFFSET).to_string();
         for peer in &mut settings.peers {
-            let peer_node: usize = peer.host_name.0[1..].parse().unwrap_or(0);
-            peer.endpoint = address(port(peer_node) + PEER_PORT_OFFSET).to_string();
+            let peer_index: usize = peer.host_name.0[1..].parse().unwrap_or(0);
+            peer.endpoint = address(port(peer_index) + PEER_PORT_OFFSET).to_string();
         }
         settings.services.key_value_store = address(KV_STORE_PORT).to_string();
         settings.services.cloud = address(CLOUD_PORT).to_string();
@@ -131,7 +131,7 @@
         settings.facts.workers.lease_s = WORKER_LEASE.as_secs_f64();
         settings.facts.workers.cancel_s = CANCEL_S;
         settings.facts.limits.sockets = sockets;
-        let path = folder.join(format!("n{node}.json"));
+        let path = folder.join(format!("n{controller}.json"));
         let text = json!(settings).to_string();
         std::fs::write(&path, text).map_err(|error| MeasureError::File(path, error))?;
     }
--- a/crates/worksshunt-measure/src/loopback/environment.rs
+++ b/crates/worksshunt-measure/src/loopback/environment.rs
@@ -33,7 +33,7 @@
 const BOOT_TIME: Duration = Duration::from_secs(5);
 
 /// Name and address of a controller.
-pub struct Node {
+pub struct ControllerAddress {
     /// Host name, as in the settings of all controllers and in the epoch.
     pub name: String,
     /// Address for users and workers.
@@ -45,7 +45,7 @@
     /// Maximum number of machines that the cloud provisions.
     pub max_machines: usize,
     /// Controllers by index.
-    pub nodes: Vec<Node>,
+    pub controllers: Vec<ControllerAddress>,
     /// Time from the provisioning of a machine until its worker runs.
     pub boot_time: Duration,
     /// Time from the launch of a task to its completion.
@@ -97,13 +97,13 @@
     /// # Errors
     /// A port is in use.
     pub fn new(max_machines: usize, task_duration: Duration) -> Result<Environment, MeasureError> {
-        let node = |index: u16| Node {
+        let controller = |index: u16| ControllerAddress {
             name: format!("n{index}"),
             address: address(FIRST_CONTROLLER_PORT + index),
         };
         let config = Rc::new(EnvironmentConfig {
             max_machines,
-            nodes: (0..CONTROLLER_COUNT as u16).map(node).collect(),
+            controllers: (0..CONTROLLER_COUNT as u16).map(controller).collect(),
             boot_time: BOOT_TIME,
             task_duration,
             heartbeat_interval: HEARTBEAT_INTERVAL,
--- a/crates/worksshunt-measure/src/loopback/measurement.rs
+++ b/crates/worksshunt-measure/src/loopback/measurement.rs
@@ -25,7 +25,7 @@
 /// Duration of a measurement of resource usage.
 const USAGE_WINDOW: Duration = Duration::from_secs(15);
 /// Controller that is not killed.
-const REMAINING_NODE: usize = 2;
+const REMAINING_CONTROLLER: usize = 2;
 
 struct Measurement<'a> {
     environment: &'a Environment,
@@ -42,10 +42,10 @@
 
     /// Submits all jobs, each to one of the controllers in turn; retries until the job is accepted.
     async fn submit_jobs(&self) {
-        let nodes = &self.environment.config.nodes;
+        let controllers = &self.environment.config.controllers;
         for id in 1..=self.job_count {
             let request = unlimited_job(id, TASKS_PER_JOB, TASK_ESTIMATE_S);
-            let address = nodes[id as usize % CONTROLLER_COUNT].address;
+            let address = controllers[id as usize % CONTROLLER_COUNT].address;
             while !submit(address, &request).await {
                 Timer::after(POLL_INTERVAL).await;
             }
@@ -57,10 +57,10 @@
         let before = self.controllers.usage();
         Timer::after(USAGE_WINDOW).await;
         let after = self.controllers.usage();
-        for (node, (after, before)) in after.iter().zip(&before).enumerate() {
+        for (controller, (after, before)) in after.iter().zip(&before).enumerate() {
             if is_running(after) {
                 println!(
-                    "{phase}: n{node} {}",
+                    "{phase}: n{controller} {}",
                     after.describe_since(before, USAGE_WINDOW)
                 );
             }
@@ -100,23 +100,26 @@
 
     /// Whether 99% of the workers send their heartbeats to the remaining controller and got a response since `before`
     /// was counted.
-    fn has_remaining_node_answered_workers(&self, before: &[u64]) -> bool {
+    fn has_remaining_controller_answered_workers(&self, before: &[u64]) -> bool {
         let machines = self.environment.cloud.machines.borrow();
         let workers = machines.values().map(|machine| &machine.worker);
         let answered = workers.zip(before).filter(|(worker, before)| {
-            worker.controller.get() == REMAINING_NODE && worker.answered_heartbeats.get() > **before
+            worker.controller.get() == REMAINING_CONTROLLER
+                && worker.answered_heartbeats.get() > **before
         });
         answered.count() >= machines.len() * 99 / 100
     }
 
     /// Kills two controllers and measures the remaining one. Returns the time of the kill.
-    async fn measure_remaining_node(&mut self) -> Instant {
-        for node in (0..CONTROLLER_COUNT).filter(|node| *node != REMAINING_NODE) {
-            self.controllers.kill(node);
+    async fn measure_remaining_controller(&mut self) -> Instant {
+        for controller in
+            (0..CONTROLLER_COUNT).filter(|controller| *controller != REMAINING_CONTROLLER)
+        {
+            self.controllers.kill(controller);
         }
         let killed_at = Instant::now();
         let before = self.answered_heartbeats();
-        let has_answered = || self.has_remaining_node_answered_workers(&before);
+        let has_answered = || self.has_remaining_controller_answered_workers(&before);
         println!(
             "one controller answers 99% of the workers: {}",
             describe_wait(wait_until(PHASE_TIMEOUT, has_answered).await)
@@ -127,8 +130,10 @@
 
     /// Restarts the killed controllers, waits until all tasks have completed, and prints the counts of tasks.
     async fn recover(&mut self, killed_at: Instant) -> Result<(), MeasureError> {
-        for node in (0..CONTROLLER_COUNT).filter(|node| *node != REMAINING_NODE) {
-            self.controllers.start(node)?;
+        for controller in
+            (0..CONTROLLER_COUNT).filter(|controller| *controller != REMAINING_CONTROLLER)
+        {
+            self.controllers.start(controller)?;
         }
         let observer = &self.environment.observer;
         let task_count = self.job_count as usize * TASKS_PER_JOB as usize;
@@ -139,7 +144,7 @@
         );
         let observations = observer.observations();
         println!(
-            "starts {}, completed {}, ran twice {}, {:.0} s after the two ended",
+            "starts {}, completed {}, ran twice {}, {:.0} s after the two were killed",
             observations.starts,
             observations.completed.len(),
             observations.concurrent_starts,
@@ -149,9 +154,9 @@
     }
 
     async fn run_all(mut self) -> Result<(), MeasureError> {
-        (0..CONTROLLER_COUNT).try_for_each(|node| self.controllers.start(node))?;
+        (0..CONTROLLER_COUNT).try_for_each(|controller| self.controllers.start(controller))?;
         self.fill_machines().await;
-        let killed_at = self.measure_remaining_node().await;
+        let killed_at = self.measure_remaining_controller().await;
         self.recover(killed_at).await
     }
 }
--- a/crates/worksshunt-measure/src/loopback/upgrade.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade.rs
@@ -57,27 +57,29 @@
 }
 
 impl Upgrade<'_> {
-    fn address(&self, node: usize) -> SocketAddr {
-        self.environment.config.nodes[node].address
+    fn address(&self, controller: usize) -> SocketAddr {
+        self.environment.config.controllers[controller].address
     }
 
     /// Index of the controller with this name.
-    fn node_named(&self, name: &str) -> Option<usize> {
-        let mut nodes = self.environment.config.nodes.iter();
-        nodes.position(|node| node.name == name)
+    fn controller_named(&self, name: &str) -> Option<usize> {
+        let mut controllers = self.environment.config.controllers.iter();
+        controllers.position(|controller| controller.name == name)
     }
 
-    fn running_nodes(&self) -> Vec<usize> {
-        let all_nodes = 0..CONTROLLER_COUNT;
-        all_nodes
-            .filter(|node| self.controllers.is_started(*node))
+    fn running_controllers(&self) -> Vec<usize> {
+        let all_controllers = 0..CONTROLLER_COUNT;
+        all_controllers
+            .filter(|controller| self.controllers.is_started(*controller))
             .collect()
     }
 
     /// Leader in the stored epoch; `None` if it does not run.
     fn leader(&self) -> Option<usize> {
-        let node = self.node_named(&self.environment.store.leader()?)?;
-        self.controllers.is_started(node).then_some(node)
+        let controller = self.controller_named(&self.environment.store.leader()?)?;
+        self.controllers
+            .is_started(controller)
+            .then_some(controller)
     }
 
     /// Running controllers that are not members of the stored epoch.
@@ -85,44 +87,44 @@
         let members = self.environment.store.members();
         let members: Vec<usize> = members
             .iter()
-            .filter_map(|name| self.node_named(name))
+            .filter_map(|name| self.controller_named(name))
             .collect();
-        verdict::non_members(&self.running_nodes(), &members)
+        verdict::non_members(&self.running_controllers(), &members)
     }
 
     /// Kills a controller and submits a job to the others; if it was the leader, waits for a failover.
-    async fn kill(&mut self, node: usize) -> Result<(), StageFailure> {
-        let was_leader = self.leader() == Some(node);
-        self.controllers.kill(node);
-        self.submit_to(&self.running_nodes()).await;
+    async fn kill(&mut self, controller: usize) -> Result<(), StageFailure> {
+        let was_leader = self.leader() == Some(controller);
+        self.controllers.kill(controller);
+        self.submit_to(&self.running_controllers()).await;
         let has_leader = || !was_leader || self.leader().is_some();
         match wait_until(START_TIMEOUT, has_leader).await {
             Some(_) => Ok(()),
-            None => Err(StageFailure::NoFailover(node)),
+            None => Err(StageFailure::NoFailover(controller)),
         }
     }
 
     /// Starts a controller of a build and waits until it is ready for requests.
-    async fn start(&mut self, node: usize, build: Build) -> Result<(), StageError> {
+    async fn start(&mut self, controller: usize, build: Build) -> Result<(), StageError> {
         let program = build.program(self.programs);
-        self.controllers.set_program(node, program);
-        self.builds[node] = build;
-        self.controllers.start(node)?;
+        self.controllers.set_program(controller, program);
+        self.builds[controller] = build;
+        self.controllers.start(controller)?;
         let started_at = Instant::now();
         while started_at.elapsed() < START_TIMEOUT {
-            let response = poll(self.address(node), "/healthz").await;
+            let response = poll(self.address(controller), "/healthz").await;
             if response.is_some_and(|response| response.status == 200) {
                 return Ok(());
             }
             Timer::after(POLL_INTERVAL).await;
         }
-        Err(StageFailure::NotReady(node).into())
+        Err(StageFailure::NotReady(controller).into())
     }
 
     /// Kills a controller and starts it with a build.
-    async fn replace(&mut self, node: usize, build: Build) -> Result<(), StageError> {
-        self.kill(node).await?;
-        self.start(node, build).await
+    async fn replace(&mut self, controller: usize, build: Build) -> Result<(), StageError> {
+        self.kill(controller).await?;
+        self.start(controller, build).await
     }
 
     /// Returns the leader once it runs this build. Until then kills the leader and restarts it with its own build, at
@@ -142,9 +144,9 @@
     async fn make_change(&mut self, stage: Stage) -> Result<(), StageError> {
         let Stage { change, from, to } = stage;
         let no_controller = StageFailure::NoControllerOfBuild(from.name());
-        let node = match change {
+        let controller = match change {
             Change::None => {
-                self.submit_to(&self.running_nodes()).await;
+                self.submit_to(&self.running_controllers()).await;
                 return Ok(());
             }
             Change::ReplaceFollower => {
@@ -156,7 +158,7 @@
                 find_controller(&self.builds, from, None).ok_or(no_controller)?
             }
         };
-        self.replace(node, to).await
+        self.replace(controller, to).await
     }
 
     /// Waits until all running controllers are members of the epoch, and returns the failures of the epoch's checks.
@@ -175,8 +177,8 @@
             Err(StageError::Measure(error)) => return Err(error),
         };
         if failures.is_empty() {
-            for node in self.running_nodes() {
-                self.submit_to(&[node]).await;
+            for controller in self.running_controllers() {
+                self.submit_to(&[controller]).await;
             }
         }
         let timeout = START_TIMEOUT + COMPLETION_TIMEOUT;
@@ -204,14 +206,14 @@
 
     /// Formats the leader and the running controllers with their builds.
     fn describe_controllers(&self) -> String {
-        let name = |node: usize| format!("n{node} {}", self.builds[node].name());
-        let running: Vec<String> = self.running_nodes().into_iter().map(name).collect();
-        let leader = self.leader().map_or("nobody".to_owned(), name);
-        format!("{leader} leads of {}", running.join(", "))
+        let name = |controller: usize| format!("n{controller} {}", self.builds[controller].name());
+        let running: Vec<String> = self.running_controllers().into_iter().map(name).collect();
+        let leader = self.leader().map_or("none".to_owned(), name);
+        format!("leader {leader}, running {}", running.join(", "))
     }
 
     async fn run_all(mut self) -> Result<(), MeasureError> {
-        (0..CONTROLLER_COUNT).try_for_each(|node| self.controllers.start(node))?;
+        (0..CONTROLLER_COUNT).try_for_each(|controller| self.controllers.start(controller))?;
         let stages = stage::stages();
         for (number, stage) in (1..).zip(&stages) {
             let result = self.run_stage(*stage).await?;
--- a/crates/worksshunt-measure/src/loopback/upgrade/jobs.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/jobs.rs
@@ -21,13 +21,13 @@
 
 impl Upgrade<'_> {
     /// Submits a job to these controllers in turn until one accepts it or [`START_TIMEOUT`] has passed.
-    pub(super) async fn submit_to(&mut self, nodes: &[usize]) {
+    pub(super) async fn submit_to(&mut self, controllers: &[usize]) {
         let job = JobId(self.jobs.len() as u64 + 1);
         let request = unlimited_job(job.0, TASKS_PER_JOB, TASK_DURATION.as_secs_f64());
         let started_at = Instant::now();
         let mut is_accepted = false;
-        for node in nodes.iter().cycle() {
-            is_accepted = submit(self.address(*node), &request).await;
+        for controller in controllers.iter().cycle() {
+            is_accepted = submit(self.address(*controller), &request).await;
             if is_accepted || started_at.elapsed() > START_TIMEOUT {
                 break;
             }
@@ -60,7 +60,7 @@
     pub(super) async fn submit_before_change(&mut self) {
         let first_job = self.jobs.len();
         for _ in 0..JOBS_BEFORE_CHANGE {
-            self.submit_to(&self.running_nodes()).await;
+            self.submit_to(&self.running_controllers()).await;
         }
         let has_started = |job: &Submission, histories: &TaskHistories| {
             job.time_to_last_start(histories).is_some()
@@ -79,7 +79,7 @@
             let mut still_missing = Vec::new();
             for expected in missing {
                 let path = format!("/v2/runs/{}", expected.job);
-                match poll(self.address(expected.node), &path).await {
+                match poll(self.address(expected.controller), &path).await {
                     Some(response) if is_done_response(response.status, &response.body) => {
                         longest_wait = started_at.elapsed();
                     }
@@ -103,13 +103,15 @@
             .iter()
             .filter(|job| job.is_accepted && job.is_completed(&observations.histories));
         let jobs: Vec<JobId> = completed_jobs.map(|job| job.job).collect();
-        let pairs_of_node = |node| {
-            jobs.iter()
-                .map(move |job| ControllerJob { node, job: *job })
+        let pairs_of_controller = |controller| {
+            jobs.iter().map(move |job| ControllerJob {
+                controller,
+                job: *job,
+            })
         };
-        self.running_nodes()
+        self.running_controllers()
             .into_iter()
-            .flat_map(pairs_of_node)
+            .flat_map(pairs_of_controller)
             .collect()
     }
 }
--- a/crates/worksshunt-measure/src/loopback/upgrade/stage.rs
+++ b/crates/worksshunt-measure/src/loopback/upgrade/stage.rs
@@ -102,8 +102,8 @@
 
 /// First controller of a build, other than `excluded`.
 pub fn find_controller(builds: &[Build], build: Build, excluded: Option<usize>) -> Option<usize> {
-    let is_candidate = |(node, candidate): (usize, &Build)| {
-        (*candidate == build && Some(node) != excluded).then_some(node)
+    let is_candidate = |(controller, candidate): (usize, &Build)| {
+        (*candidate == build && Some(controller) != excluded).then_some(controller)
     };
     builds.iter().enumerate().find_map(is_candidate)
 }
--- a/crates/worksshunt-measure/src/loopback/verdict.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict.rs
@@ -113,12 +113,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ControllerJob {
     /// Index of the controller.
-    pub node: usize,
+    pub controller: usize,
     pub job: JobId,
 }
 
-fn controller_names(nodes: &[usize]) -> String {
-    let names: Vec<String> = nodes.iter().map(|node| format!("n{node}")).collect();
+fn controller_names(controllers: &[usize]) -> String {
+    let names: Vec<String> = controllers
+        .iter()
+        .map(|controller| format!("n{controller}"))
+        .collect();
     names.join(", ")
 }
 
@@ -126,11 +129,11 @@
 fn counts_by_controller(pairs: &[ControllerJob]) -> String {
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for pair in pairs {
-        *counts.entry(pair.node).or_default() += 1;
+        *counts.entry(pair.controller).or_default() += 1;
     }
     let counts: Vec<String> = counts
         .iter()
-        .map(|(node, count)| format!("n{node}: {count}"))
+        .map(|(controller, count)| format!("n{controller}: {count}"))
         .collect();
     counts.join(", ")
 }
@@ -138,7 +141,9 @@
 /// Running controllers that are not members, in the order of `running`.
 pub fn non_members(running: &[usize], members: &[usize]) -> Vec<usize> {
     let members: BTreeSet<&usize> = members.iter().collect();
-    let missing = running.iter().filter(|node| !members.contains(node));
+    let missing = running
+        .iter()
+        .filter(|controller| !members.contains(controller));
     missing.copied().collect()
 }
 
--- a/crates/worksshunt-measure/src/loopback/verdict/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/verdict/tests.rs
@@ -4,7 +4,7 @@
 
 const TASKS: u32 = 2;
 
-/// Job first submitted at a time.
+/// Submission of a job, made first at `submission_started_at`.
 fn job(id: u64, submission_started_at: Instant, is_accepted: bool) -> Submission {
     Submission {
         job: JobId(id),
@@ -14,7 +14,7 @@
     }
 }
 
-/// TaskHistories of all tasks of a job, each started once, `start_delay_s` after the submission.
+/// Histories of all tasks of a job, each started once, `start_delay_s` after the submission.
 fn task_histories(
     id: u64,
     submission_started_at: Instant,
@@ -109,8 +109,8 @@
 }
 
 fn pairs(pairs: &[(usize, u64)]) -> Vec<ControllerJob> {
-    let pair = |(node, job): &(usize, u64)| ControllerJob {
-        node: *node,
+    let pair = |(controller, job): &(usize, u64)| ControllerJob {
+        controller: *controller,
         job: JobId(*job),
     };
     pairs.iter().map(pair).collect()
--- a/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/heartbeats.rs
@@ -85,10 +85,15 @@
     fn follow_redirect(&self, body: &[u8], config: &EnvironmentConfig) -> Duration {
         let redirect = serde_json::from_slice::<Redirect>(body).ok();
         let name = redirect.and_then(|redirect| redirect.controller);
-        let target = name.and_then(|name| config.nodes.iter().position(|node| node.name == name.0));
-        match target.filter(|node| *node != self.controller.get()) {
-            Some(node) => {
-                self.controller.set(node);
+        let target = name.and_then(|name| {
+            config
+                .controllers
+                .iter()
+                .position(|controller| controller.name == name.0)
+        });
+        match target.filter(|controller| *controller != self.controller.get()) {
+            Some(controller) => {
+                self.controller.set(controller);
                 Duration::ZERO
             }
             None => self.try_next_controller(config),
@@ -98,7 +103,7 @@
     /// Switches to the next controller. Returns the delay of the next heartbeat.
     fn try_next_controller(&self, config: &EnvironmentConfig) -> Duration {
         self.controller
-            .set((self.controller.get() + 1) % config.nodes.len());
+            .set((self.controller.get() + 1) % config.controllers.len());
         RETRY_DELAY
     }
 
@@ -129,7 +134,8 @@
         config: &EnvironmentConfig,
         observer: &TaskObserver,
     ) {
-        let connect = |node: usize| HttpClient::new(config.nodes[node].address, 1);
+        let connect =
+            |controller: usize| HttpClient::new(config.controllers[controller].address, 1);
         let mut connected_to = self.controller.get();
         let mut client = connect(connected_to);
         while !self.is_terminated.get() {
--- a/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
+++ b/crates/worksshunt-measure/src/loopback/worker/tasks/tests.rs
@@ -11,7 +11,7 @@
 fn config() -> EnvironmentConfig {
     EnvironmentConfig {
         max_machines: 1,
-        nodes: vec![],
+        controllers: vec![],
         boot_time: Duration::ZERO,
         task_duration: TASK_DURATION,
         heartbeat_interval: Duration::from_secs(5),
--- a/crates/worksshunt-measure/src/workload.rs
+++ b/crates/worksshunt-measure/src/workload.rs
@@ -50,14 +50,14 @@
     }
 
     /// Submits the due jobs to a controller.
-    fn submit(&mut self, cluster: &mut Cluster, node: usize) {
+    fn submit(&mut self, cluster: &mut Cluster, controller: usize) {
         while self.due_jobs >= 1.0 {
             self.due_jobs -= 1.0;
             self.submitted_jobs += 1;
             let mut request = job(self.submitted_jobs, TASKS_PER_JOB);
             request["Cuadrilla"] = json!("white");
             request["CalculoS"] = json!(TASK_ESTIMATE_S);
-            cluster.send_submit(node, &request);
+            cluster.send_submit(controller, &request);
         }
     }
 
@@ -66,10 +66,10 @@
         let ends_at = cluster.now + duration_ms;
         while cluster.now < ends_at {
             self.due_jobs += self.jobs_per_interval;
-            let node = (0..CONTROLLER_COUNT)
-                .find(|node| cluster.is_up(*node))
+            let controller = (0..CONTROLLER_COUNT)
+                .find(|controller| cluster.is_up(*controller))
                 .unwrap_or(0);
-            self.submit(cluster, node);
+            self.submit(cluster, controller);
             cluster.run(SUBMISSION_INTERVAL_MS);
         }
     }
@@ -92,9 +92,9 @@
 }
 
 /// Crashes a controller and returns the memory that this frees, in MB.
-fn crash_and_measure_memory_mb(cluster: &mut Cluster, node: usize) -> f64 {
+fn crash_and_measure_memory_mb(cluster: &mut Cluster, controller: usize) -> f64 {
     let region = Region::new(crate::ALLOCATOR);
-    cluster.crash(node);
+    cluster.crash(controller);
     let change = region.change();
     (change.bytes_deallocated as f64 - change.bytes_allocated as f64) / 1e6
 }
@@ -182,7 +182,7 @@
     start_measuring(cluster);
     let restarted_at = cluster.now;
     let epoch_before_restart = cluster.epoch();
-    (0..CONTROLLER_COUNT).for_each(|node| cluster.start(node));
+    (0..CONTROLLER_COUNT).for_each(|controller| cluster.start(controller));
     let deadline = restarted_at + PHASE_TIMEOUT_MS;
     while cluster.workers_with_epoch(epoch_before_restart + 1) == 0 && cluster.now < deadline {
         cluster.run(SUBMISSION_INTERVAL_MS);
--- a/crates/worksshunt-simulation/src/digest.rs
+++ b/crates/worksshunt-simulation/src/digest.rs
@@ -101,7 +101,7 @@
                 self.add_field(b"failed");
                 failure
                     .invariants()
-                    .for_each(|rule| self.add_field(rule.as_bytes()));
+                    .for_each(|invariant| self.add_field(invariant.as_bytes()));
             }
         }
         let hash = self.hash.finalize();
@@ -115,7 +115,7 @@
 fn action_message(action: &Action) -> Message {
     match action {
         Action::Respond(_, response) => client_response(response),
-        Action::CallKeyValueStore { request, .. } => key_value_request_arrives(request),
+        Action::CallKeyValueStore { request, .. } => key_value_request(request),
         Action::CallCloud(request) => cloud_request(request),
         Action::SendCommands(commands) => {
             Message::json("command request", &(&commands.machine, &commands.batch))
@@ -148,7 +148,7 @@
         Event::PeerRequest(_, request) => Message::borsh("peer request received", request),
         Event::PeerResponse(response) => Message::borsh("peer response", response),
         Event::PeerKeyValueHealth(healthy) => Message::borsh("peer health", healthy),
-        Event::PeerKnownEpoch(from, known) => Message::borsh("peer epoch", &(from, known)),
+        Event::PeerKnownEpoch(from, response) => Message::borsh("peer epoch", &(from, response)),
     })
 }
 
@@ -159,7 +159,7 @@
     )
 }
 
-fn key_value_request_arrives(request: &KvRequest) -> Message {
+fn key_value_request(request: &KvRequest) -> Message {
     match request {
         KvRequest::GrantLease => Message::empty("lease grant"),
         KvRequest::RenewLease(lease) => Message::json("lease renewal", lease),
--- a/crates/worksshunt-simulation/src/failure.rs
+++ b/crates/worksshunt-simulation/src/failure.rs
@@ -3,7 +3,7 @@
 /// The reason for which a simulated run failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// Invariants were violated: one text `RULE: DETAILS` for each violation.
+    /// Invariants were violated: one text `INVARIANT: DETAILS` for each violation.
     #[error("{0:?}")]
     InvariantsViolated(Vec<String>),
     /// A condition, described by the text, did not hold before its timeout.
@@ -12,15 +12,15 @@
 }
 
 impl Failure {
-    /// Returns the names of the violated rules, in order of the violations.
+    /// Returns the names of the violated invariants, in order of the violations.
     pub fn invariants(&self) -> impl Iterator<Item = &str> {
         let violations: &[String] = match self {
             Failure::InvariantsViolated(violations) => violations,
             Failure::TimedOut(_) => &[],
         };
-        let rule_length = |text: &'_ String| -> usize { text.find(':').unwrap_or(text.len()) };
+        let name_length = |text: &'_ String| -> usize { text.find(':').unwrap_or(text.len()) };
         violations
             .iter()
-            .map(move |text| &text[..rule_length(text)])
+            .map(move |text| &text[..name_length(text)])
     }
 }
--- a/crates/worksshunt-simulation/src/faults.rs
+++ b/crates/worksshunt-simulation/src/faults.rs
@@ -131,7 +131,7 @@
     /// Machines whose heartbeats are held back until
     /// [`Cluster::release_heartbeats`](crate::Cluster::release_heartbeats).
     pub held_from: BTreeSet<MachineId>,
-    /// Every heartbeat is duplicated to every controller after each of these delays, ms.
+    /// Delays after each of which a copy of every heartbeat is delivered to every controller, ms.
     pub copies_after_ms: Vec<u64>,
     /// Whether copies of all heartbeats are collected, and delivered to every controller when the next epoch begins.
     pub is_copied_for_next_leader: bool,
--- a/crates/worksshunt-simulation/src/heartbeats.rs
+++ b/crates/worksshunt-simulation/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Delivery of heartbeats and their duplicates to controllers, and of the responses to workers.
+//! Delivery of heartbeats and copies of them to controllers, and of the responses to workers.
 
 use worksshunt_core::controller::Event;
 use worksshunt_core::job_api::HttpResponse;
@@ -22,7 +22,7 @@
 const STATUS_MISDIRECTED: u16 = 421;
 
 impl Cluster {
-    /// Sends a heartbeat to a controller, and schedules its duplicates according to the faults.
+    /// Sends a heartbeat to a controller, and schedules copies of it according to the faults.
     pub(crate) fn send_heartbeat(&mut self, controller: usize, heartbeat: Heartbeat) {
         let now = self.now;
         let sent = SentHeartbeat {
@@ -49,7 +49,7 @@
         self.schedule_at(arrives_at, arrival);
     }
 
-    /// Schedules the delivery of a duplicate of a heartbeat to each controller.
+    /// Schedules the delivery of a copy of a heartbeat to each controller.
     fn schedule_copies(&mut self, due_at: u64, heartbeat: &Heartbeat) {
         for to in 0..CONTROLLER_COUNT {
             let heartbeat = heartbeat.clone();
@@ -101,7 +101,7 @@
         self.dispatch_heartbeat(receiver, &heartbeat, Some(PendingRequest::Heartbeat(sent)));
     }
 
-    /// Delivers a duplicate of a heartbeat, whose response is discarded.
+    /// Delivers a copy of a heartbeat, whose response is discarded.
     pub(crate) fn heartbeat_copy_arrives(&mut self, to: usize, heartbeat: &Heartbeat) {
         if let Some(receiver) = self.current_instance(to) {
             self.record_effect("heartbeat copy");
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Delivers a duplicate of a heartbeat to a controller.
+    /// Delivers a copy of a heartbeat to a controller.
     pub fn deliver_heartbeat_copy(&mut self, controller: usize, heartbeat: Heartbeat) {
         let to = controller;
         let arrival = SimulationEvent::HeartbeatCopyArrives { to, heartbeat };
--- a/crates/worksshunt-simulation/src/invariants/mod.rs
+++ b/crates/worksshunt-simulation/src/invariants/mod.rs
@@ -2,6 +2,20 @@
 //!
 //! The checker is independent of the controllers' state. [`Cluster`](crate::Cluster) owns one, and passes it the users'
 //! requests and responses and the actual state of the machines, including those that no controller can reach.
+//!
+//! Names of the invariants, and when each is violated. Digests and the search's table contain the names.
+//! - `attempts`: an attempt is launched for a second task or on a second machine.
+//! - `forgotten`: an accepted job is reported as unknown or rejected, or queries about it stay unanswered without
+//!   faults.
+//! - `invented`: a task starts, or a state is reported, of a job that no user has submitted.
+//! - `not_done`: a job is reported as done before all its tasks have completed.
+//! - `quota`: a team's tasks use more CPUs than its limit.
+//! - `ran_cancelled`: a task still runs when the cancellation timeout of its job has passed.
+//! - `ran_twice`: a task starts on a machine while it runs on another.
+//! - `waits`: a job waits for too long despite free capacity.
+//! - `went_back`: a reported final state changes, or a job is reported as cancelled without a user's request.
+//! - `wrong_place`: a task runs on a machine of a kind or in a zone that its job excludes, or the zones of the job's
+//!   tasks violate its constraint.
 
 mod tasks;
 mod users;
@@ -68,7 +82,7 @@
     start_counts: BTreeMap<JobId, usize>,
     /// Sequence number of the last request or response; both share one sequence.
     last_sequence: u64,
-    /// Violations as `RULE: DETAILS`, each text once.
+    /// Violations as `INVARIANT: DETAILS`, each text once.
     pub violations: Vec<String>,
     /// Number of starts of tasks after a response had reported their job as cancelled.
     pub starts_after_cancel: usize,
@@ -87,9 +101,9 @@
         self.team_limits = limited.map(limit).collect();
     }
 
-    /// Records a violation of a rule, unless the same text is recorded already.
-    pub fn record_violation(&mut self, rule: &str, details: &str) {
-        let text = format!("{rule}: {details}");
+    /// Records a violation of an invariant, given by its name, unless the same text is recorded already.
+    pub fn record_violation(&mut self, invariant: &str, details: &str) {
+        let text = format!("{invariant}: {details}");
         if !self.violations.contains(&text) {
             self.violations.push(text);
         }
--- a/crates/worksshunt-simulation/src/invariants/users.rs
+++ b/crates/worksshunt-simulation/src/invariants/users.rs
@@ -46,7 +46,7 @@
     status: u16,
 }
 
-/// Names of the violated rules, with details.
+/// Names of the violated invariants, with details.
 type Violations = Vec<(&'static str, String)>;
 
 impl Invariants {
@@ -126,8 +126,8 @@
             self.check_unknown_job(&response, &mut violations);
             false
         };
-        for (rule, text) in violations {
-            self.record_violation(rule, &text);
+        for (invariant, text) in violations {
+            self.record_violation(invariant, &text);
         }
         has_new_state
     }
--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -75,8 +75,8 @@
         };
         let event = match response {
             PeerResponse::KeyValueHealth(healthy) => Event::PeerKeyValueHealth(healthy),
-            PeerResponse::EpochPoll(known) => {
-                Event::PeerKnownEpoch(format!("n{}", from.index).as_str().into(), known)
+            PeerResponse::EpochPoll(poll_response) => {
+                Event::PeerKnownEpoch(format!("n{}", from.index).as_str().into(), poll_response)
             }
             response => Event::PeerResponse(Some(response)),
         };
--- a/crates/worksshunt-simulation/src/random_run/faults.rs
+++ b/crates/worksshunt-simulation/src/random_run/faults.rs
@@ -12,7 +12,7 @@
     Cluster, DelayRange, DelayedWrites, Faults, SlowLinks, ZonePartition, CONTROLLER_COUNT,
 };
 
-/// Number of fault numbers; a fault with several numbers is more likely.
+/// Faults are drawn as numbers below this; a fault with several numbers is more likely.
 const FAULT_NUMBER_COUNT: u32 = 27;
 
 /// Parameters that are drawn for every fault, before its number.
--- a/crates/worksshunt-simulation/src/resource_usage.rs
+++ b/crates/worksshunt-simulation/src/resource_usage.rs
@@ -51,7 +51,8 @@
         };
     }
 
-    /// Returns the kind of an event, the key of [`ResourceUsage::handling_times`].
+    /// Returns the kind of an event, the key of [`ResourceUsage::handling_times`]. Names of measurements in results
+    /// files begin with it, so it must not change.
     pub(crate) fn event_kind(event: &Event) -> &'static str {
         match event {
             Event::Tick => "tick",
--- a/crates/worksshunt-simulation/src/task_snapshot.rs
+++ b/crates/worksshunt-simulation/src/task_snapshot.rs
@@ -30,8 +30,8 @@
     pub is_spot: bool,
 }
 
-/// The tasks that run at a time, ms. Tasks that start later in the same millisecond are added. Those that end in it are
-/// not removed, since no controller can be aware of their end yet.
+/// The tasks that run at one point in virtual time. Tasks that start later in the same millisecond are added. Those
+/// that end in it are not removed, since no controller can be aware of their end yet.
 #[derive(Debug, Default)]
 pub struct TaskSnapshot {
     taken_at: u64,
--- a/crates/worksshunt-simulation/src/verdict.rs
+++ b/crates/worksshunt-simulation/src/verdict.rs
@@ -48,12 +48,12 @@
     /// Returns the free capacity of the machines without faults. `jobs` are the specs of all jobs.
     fn free_capacity(&self, jobs: &BTreeMap<JobId, JobSpec>) -> Vec<FreeCapacity<'_>> {
         let is_service = |spec: &JobSpec| spec.kind == JobKind::Service;
-        let any_service = jobs.values().any(is_service);
+        let has_service = jobs.values().any(is_service);
         let workers = self.workers.iter();
         workers
             .filter(|(id, worker)| self.is_available(id, worker))
             // On-demand machines may be reserved for services.
-            .filter(|(_, worker)| worker.is_spot || !any_service)
+            .filter(|(_, worker)| worker.is_spot || !has_service)
             .map(|(_, worker)| FreeCapacity {
                 zone: &worker.zone,
                 is_spot: worker.is_spot,
