--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -48,7 +48,7 @@
             Err(RequestError::Call(CallError::Connect(_))) => DirectCommandsOutcome::NotSent,
             Err(error) => {
                 tracing::debug!(%machine, %error, "direct commands failed; the worker may still execute them");
-                DirectCommandsOutcome::NoAnswer
+                DirectCommandsOutcome::Unknown
             }
         }
     }
