--- a/crates/worksshunt-core/src/controller/partition_sync.rs
+++ b/crates/worksshunt-core/src/controller/partition_sync.rs
@@ -74,13 +74,13 @@
             return None;
         }
         let leader = self.leader.as_mut()?;
-        let from = status.owner.clone();
+        let owner = status.owner.clone();
         leader.scheduler.apply_status(now.steady, status);
         leader.scheduler.run_round(now, budget);
         let terminated = leader.fleet.terminated_machines();
         let directives = leader
             .scheduler
-            .directives_for(now.steady, &from, terminated);
+            .directives_for(now.steady, &owner, terminated);
         Some(directives)
     }
 
@@ -104,9 +104,15 @@
     fn apply_leader_directives(&mut self, now: Time, directives: LeaderDirectives) {
         self.partition.apply_directives(&directives, now);
         if let Some(progress) = directives.progress {
-            self.progress = progress
+            self.job_progress = progress
                 .into_iter()
-                .map(|(id, done, running)| (id, JobProgress { done, running }))
+                .map(|(id, completed_tasks, running_tasks)| {
+                    let progress = JobProgress {
+                        completed_tasks,
+                        running_tasks,
+                    };
+                    (id, progress)
+                })
                 .collect::<BTreeMap<_, _>>();
         }
     }
