--- a/crates/worksshunt-simulation/src/peers.rs
+++ b/crates/worksshunt-simulation/src/peers.rs
@@ -75,9 +75,10 @@
         };
         let event = match response {
             PeerResponse::KeyValueHealth(healthy) => Event::PeerKeyValueHealth(healthy),
-            PeerResponse::EpochPoll(known) => {
-                Event::PeerEpochPollResponse(format!("n{}", from.index).as_str().into(), known)
-            }
+            PeerResponse::EpochPoll(poll_response) => Event::PeerEpochPollResponse(
+                format!("n{}", from.index).as_str().into(),
+                poll_response,
+            ),
             response => Event::PeerSyncResponse(Some(response)),
         };
         let arrives_at = self.arrival_time(Link::Other);
