--- a/crates/worksshunt-core/tests/scale/completions.rs
+++ b/crates/worksshunt-core/tests/scale/completions.rs
@@ -3,10 +3,11 @@
 use serde_json::json;
 use worksshunt_simulation::{job, Cluster};
 
-/// Jobs submitted per second. Their final states need 18 changes, three quarters of them from the share of submissions.
+/// Jobs submitted per second. Their final states need 18 changes per second. The write share of final states covers a
+/// quarter of these; the others use the share of submissions.
 const JOBS_PER_S: u64 = 9;
 
-// Guards against a growing backlog of final states, whose own share is a fifth of the limit.
+// Guards against a growing backlog of final states, whose write share is a fifth of the limit.
 #[test]
 fn final_states_are_written_as_fast_as_jobs_are_submitted() {
     let mut cluster = Cluster::large(1_000);
@@ -27,7 +28,7 @@
         submit(&mut cluster, JOBS_PER_S);
         cluster.run(1_000);
     }
-    // Running jobs, and the final states of about one second.
+    // At most the running jobs and the jobs whose final states were pending for about one second.
     let open_jobs = cluster.keys("j/j").len() as u64;
     assert!(open_jobs <= JOBS_PER_S * 10, "{open_jobs} jobs are open");
     cluster.check();
--- a/crates/worksshunt-core/tests/scale/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scale/key_value_store.rs
@@ -11,7 +11,7 @@
     let mut users = Users::default();
     cluster.faults.key_value.is_down = true;
     users.query_for(&mut cluster, 20);
-    let restarted_workers = |cluster: &Cluster| {
+    let workers_with_new_incarnations = |cluster: &Cluster| {
         cluster
             .workers
             .keys()
@@ -19,7 +19,7 @@
             .count()
     };
     assert_eq!(
-        restarted_workers(&cluster),
+        workers_with_new_incarnations(&cluster),
         0,
         "a worker lease expired in the outage"
     );
--- a/crates/worksshunt-core/tests/scale/loss.rs
+++ b/crates/worksshunt-core/tests/scale/loss.rs
@@ -1,4 +1,4 @@
-//! Machines that fall silent together, and cancellations and completions during a leader change.
+//! Machines that disconnect together, and cancellations and completions during a leader change.
 
 use std::collections::BTreeSet;
 
--- a/crates/worksshunt-core/tests/scale/restart.rs
+++ b/crates/worksshunt-core/tests/scale/restart.rs
@@ -15,26 +15,26 @@
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     let starts_before = cluster.task_starts.len();
-    let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
-    let remaining = (cluster.leader() + 1) % 3;
-    let others: Vec<usize> = (0..3)
-        .filter(|controller| *controller != remaining)
+    let running_tasks: BTreeSet<TaskId> = cluster.running().into_iter().collect();
+    let remaining_controller = (cluster.leader() + 1) % 3;
+    let crashed_controllers: Vec<usize> = (0..3)
+        .filter(|controller| *controller != remaining_controller)
         .collect();
-    others
+    crashed_controllers
         .iter()
         .for_each(|controller| cluster.crash(*controller));
     users.query_for(&mut cluster, 15);
     assert!(
-        cluster.workers_reporting_to(remaining) >= MACHINE_COUNT * 9 / 10,
-        "all workers send their heartbeats to it"
+        cluster.workers_reporting_to(remaining_controller) >= MACHINE_COUNT * 9 / 10,
+        "all workers send their heartbeats to the remaining controller"
     );
-    others
+    crashed_controllers
         .iter()
         .for_each(|controller| cluster.start(*controller));
     users.query_for(&mut cluster, 20);
     let restarted = cluster.task_starts[starts_before..]
         .iter()
-        .filter(|start| running.contains(&start.task));
+        .filter(|start| running_tasks.contains(&start.task));
     assert_eq!(restarted.count(), 0, "no running task was started again");
     let (max_sync_bytes, frames_dropped) =
         (cluster.usage.max_sync_bytes, cluster.usage.frames_dropped);
@@ -87,17 +87,23 @@
     let mut cluster = full_deployment(60_000);
     let mut users = Users::default();
     cancel_and_crash(&mut cluster);
-    let running: BTreeSet<TaskId> = cluster.running().into_iter().collect();
-    let orphans = running.iter().filter(|task| is_orphaned(task)).count();
+    let running_tasks: BTreeSet<TaskId> = cluster.running().into_iter().collect();
+    let orphans = running_tasks
+        .iter()
+        .filter(|task| is_orphaned(task))
+        .count();
     assert!(orphans > 400, "{orphans} orphans");
     remove_machines(&mut cluster);
     let surviving_tasks: BTreeSet<TaskId> = cluster
         .running()
         .into_iter()
-        .filter(|t| !is_orphaned(t))
+        .filter(|task| !is_orphaned(task))
         .collect();
-    let lost_count =
-        running.iter().filter(|task| !is_orphaned(task)).count() - surviving_tasks.len();
+    let lost_count = running_tasks
+        .iter()
+        .filter(|task| !is_orphaned(task))
+        .count()
+        - surviving_tasks.len();
     users.query_for(&mut cluster, 5);
     cluster.usage.reset();
     let starts_before = cluster.task_starts.len();
@@ -120,8 +126,8 @@
     complete_jobs(&mut cluster, 3..=FLEET_JOB_COUNT + 8, 180_000);
 }
 
-/// Checks that since the first `starts_before` starts few more commands were sent than the orphans and the slots not
-/// used by `surviving_count` tasks need.
+/// Checks that after the first `starts_before` starts no more halts and launches were sent than the orphans and the slots
+/// not used by `surviving_count` tasks need.
 fn check_commands(cluster: &Cluster, orphans: usize, starts_before: usize, surviving_count: usize) {
     // Each halt is sent both in the response to a heartbeat and as a direct command.
     let halts = cluster.usage.halts as usize;
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/requested.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/cancellations.rs
@@ -1,4 +1,4 @@
-//! Combinations of faults requested by users.
+//! Combinations of faults with cancellations, status queries and leader changes.
 
 use worksshunt_wire::JobId;
 
@@ -27,7 +27,7 @@
             cluster.run(outage_ms);
             assert!(
                 cluster.invariants.any_cancelled(),
-                "{case}: none was confirmed"
+                "{case}: no cancellation was confirmed"
             );
             assert!(cluster.effects("refused") > 0, "{case}");
             cluster.faults.key_value.is_down = false;
@@ -159,12 +159,13 @@
                 cluster.send_cancel(other_controllers(leader)[0], JobId(id));
             }
             cluster.run(crash_ms);
-            let crashed: Vec<usize> = (0..3).filter(|n| all_crash || *n == leader).collect();
-            crashed
+            let crashed_controllers: Vec<usize> =
+                (0..3).filter(|n| all_crash || *n == leader).collect();
+            crashed_controllers
                 .iter()
                 .for_each(|controller| cluster.crash(*controller));
             cluster.run(300);
-            crashed
+            crashed_controllers
                 .iter()
                 .for_each(|controller| cluster.start(*controller));
             let epoch = cluster.epoch();
@@ -234,21 +235,27 @@
             let case = format!("leader: {is_leader}, cancelled after {cancel_ms}");
             let mut cluster = with_running_jobs(6, 120_000);
             let leader = cluster.leader();
-            let restarted = if is_leader {
+            let restarted_controller = if is_leader {
                 leader
             } else {
                 other_controllers(leader)[0]
             };
-            let owned_machines = cluster.workers_reporting_to(restarted);
-            cluster.restart(restarted, 2_000);
+            let owned_machines = cluster.workers_reporting_to(restarted_controller);
+            cluster.restart(restarted_controller, 2_000);
             cluster.run(cancel_ms);
             for id in 1..=6 {
-                cluster.send_cancel(other_controllers(restarted)[id as usize % 2], JobId(id));
+                cluster.send_cancel(
+                    other_controllers(restarted_controller)[id as usize % 2],
+                    JobId(id),
+                );
             }
             cluster.run(6_000);
             // Repeats requests that may not have been answered.
             for id in 1..=6 {
-                cluster.send_cancel(other_controllers(restarted)[id as usize % 2], JobId(id));
+                cluster.send_cancel(
+                    other_controllers(restarted_controller)[id as usize % 2],
+                    JobId(id),
+                );
             }
             cluster.run(45_000);
             assert!(cluster.invariants.any_cancelled(), "{case}");
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/controllers.rs
@@ -30,8 +30,8 @@
 #[test]
 fn leader_changes_twice_then_all_crash_and_one_restarts() {
     for restart_ms in [40, 130, 300, 700, 1_100, 2_500, 5_000] {
-        for restarted_first in 0..3 {
-            let case = format!("{restarted_first} restarted after {restart_ms}");
+        for restarted_controller in 0..3 {
+            let case = format!("{restarted_controller} restarted after {restart_ms}");
             let mut cluster = with_running_jobs(5, 40_000);
             let leader = cluster.leader();
             cluster.restart(leader, restart_ms);
@@ -45,16 +45,16 @@
                     .expect("a running controller"),
                 &long_job(9, 4),
             );
-            cluster.send_cancel(restarted_first, JobId(1));
+            cluster.send_cancel(restarted_controller, JobId(1));
             cluster.run(restart_ms);
             (0..3).for_each(|controller| cluster.crash(controller));
             cluster.run(restart_ms);
-            cluster.start(restarted_first);
+            cluster.start(restarted_controller);
             cluster.run(9_000);
-            assert_eq!(cluster.leader(), restarted_first, "{case}");
-            cluster.start((restarted_first + 1) % 3);
+            assert_eq!(cluster.leader(), restarted_controller, "{case}");
+            cluster.start((restarted_controller + 1) % 3);
             cluster.run(restart_ms);
-            cluster.start((restarted_first + 2) % 3);
+            cluster.start((restarted_controller + 2) % 3);
             cluster.run(20_000);
             settle(&mut cluster, &case);
         }
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/machines.rs
@@ -81,7 +81,7 @@
     }
 }
 
-// Guards against commands that take effect after their sender has given up on them.
+// Guards against commands that take effect after their sender's timeout.
 #[test]
 fn commands_are_delayed_for_seconds() {
     for release_ms in (200..14_000).step_by(600) {
@@ -152,9 +152,9 @@
     cluster.capacity = 1;
     cluster.faults.cloud.is_down = true;
     cluster.create_machine("a", true, 0);
-    let mut spread = long_job(1, 6);
-    spread["Spread"] = json!(true);
-    cluster.submit(0, &spread);
+    let mut spread_job = long_job(1, 6);
+    spread_job["Spread"] = json!(true);
+    cluster.submit(0, &spread_job);
     cluster.until("half of the tasks", 30_000, |cluster| {
         cluster.task_starts.len() >= 3
     });
@@ -214,9 +214,10 @@
 // Guards against tasks that run twice or exceed a limit because a partitioned zone keeps running them.
 #[test]
 fn a_zone_with_workers_and_a_controller_is_partitioned() {
-    for inside_controller in 0..3 {
+    for partitioned_controller in 0..3 {
         for partition_ms in [8_000, 15_000, 19_000, 26_000] {
-            let case = format!("controller {inside_controller} partitioned for {partition_ms}");
+            let case =
+                format!("controller {partitioned_controller} partitioned for {partition_ms}");
             let mut cluster = ready_with_boot_time(50.0);
             cluster.task_run_ms = 60_000;
             for zone in ["a", "b", "a", "b", "a", "b"] {
@@ -228,10 +229,10 @@
             cluster.until("tasks", 30_000, |cluster| cluster.running().len() == 20);
             cluster.faults.partitioned_zone = Some(ZonePartition {
                 zone: "b".to_owned(),
-                controllers: [inside_controller].into(),
+                controllers: [partitioned_controller].into(),
             });
             cluster.run(2_000);
-            let controller = other_controllers(inside_controller)[0];
+            let controller = other_controllers(partitioned_controller)[0];
             cluster.send_cancel(controller, JobId(2));
             cluster.submit(controller, &red_job(3, 8));
             cluster.run(partition_ms);
--- a/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
+++ b/crates/worksshunt-core/tests/scenarios/combined_faults/mod.rs
@@ -3,9 +3,9 @@
 //! Each scenario sweeps the times of its faults, or uses fixed seeds, and asserts that the faults took effect.
 //! `docs/combined-faults.md` describes which guarantees each combination relies on.
 
+mod cancellations;
 mod controllers;
 mod machines;
-mod requested;
 mod users;
 
 use serde_json::{json, Value};
--- a/crates/worksshunt-core/tests/scenarios/controllers.rs
+++ b/crates/worksshunt-core/tests/scenarios/controllers.rs
@@ -192,8 +192,8 @@
     cluster.until("machines", 10_000, |cluster| cluster.workers.len() == 2);
     cluster.crash((leader + 1) % 3);
     cluster.run(6_000);
-    let remaining = (leader + 2) % 3;
-    cluster.submit(remaining, &long_job(2, 12));
+    let remaining_controller = (leader + 2) % 3;
+    cluster.submit(remaining_controller, &long_job(2, 12));
     cluster.until("more machines", 3_000, |cluster| cluster.workers.len() == 5);
     cluster.run(10_000);
     assert_eq!(cluster.workers.len(), 5, "more machines than needed");
@@ -255,7 +255,7 @@
     cluster.crash(other_controller);
     cluster.faults.key_value.writes_held_from.clear();
     cluster.start(other_controller);
-    cluster.until("its epoch", 3_000, |cluster| {
+    cluster.until("an epoch with all controllers", 3_000, |cluster| {
         let members = &cluster.stored("c/epoch").expect("an epoch")["members"];
         members.as_array().map(Vec::len) == Some(3)
     });
@@ -302,7 +302,7 @@
     cluster.limit_attempts(16);
     cluster.run(4_000);
     let first_epoch = cluster.epoch();
-    let reincarnated_workers = |cluster: &Cluster| {
+    let workers_with_new_incarnations = |cluster: &Cluster| {
         cluster
             .workers
             .keys()
@@ -317,7 +317,11 @@
         "16, 32 and 48 of 50 attempts"
     );
     assert_eq!(cluster.task_starts.len(), 50, "each task started once");
-    assert_eq!(reincarnated_workers(&cluster), 0, "no lease expired");
+    assert_eq!(
+        workers_with_new_incarnations(&cluster),
+        0,
+        "no lease expired"
+    );
     cluster.run(3_000);
     cluster.check();
 }
--- a/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_outage.rs
@@ -32,7 +32,7 @@
     cluster
 }
 
-fn outage(cluster: &mut Cluster, ms: u64) {
+fn run_outage(cluster: &mut Cluster, ms: u64) {
     cluster.faults.key_value.is_down = true;
     cluster.run(ms);
     cluster.faults.key_value.is_down = false;
@@ -52,7 +52,7 @@
 #[test]
 fn tasks_survive_a_long_outage_if_all_controllers_confirm_the_epoch() {
     let mut cluster = with_eight_running_tasks();
-    outage(&mut cluster, LONG_OUTAGE_MS);
+    run_outage(&mut cluster, LONG_OUTAGE_MS);
     cluster.run(10_000);
     assert_eq!(start_count(&cluster), 8, "no task started twice");
     assert_eq!(cluster.running().len(), 8);
@@ -80,7 +80,7 @@
 fn leases_expire_if_one_controller_does_not_answer_the_poll() {
     let mut cluster = with_eight_running_tasks();
     cluster.faults.cut_from_peers.insert(2);
-    outage(&mut cluster, LONG_OUTAGE_MS);
+    run_outage(&mut cluster, LONG_OUTAGE_MS);
     assert_eq!(cluster.running().len(), 0, "all leases have expired");
     settle(&mut cluster, "after the outage");
 }
@@ -89,10 +89,16 @@
 #[test]
 fn a_controller_that_only_the_store_refuses_releases_its_workers() {
     let mut cluster = with_eight_running_tasks();
-    let refused = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    cluster.faults.key_value.refused_controllers.insert(refused);
+    let refused_controller = (0..3)
+        .find(|n| *n != cluster.leader())
+        .expect("a controller that does not lead");
+    cluster
+        .faults
+        .key_value
+        .refused_controllers
+        .insert(refused_controller);
     cluster.run(WORKER_AND_EPOCH_LEASE_MS);
-    assert_eq!(cluster.workers_reporting_to(refused), 0);
+    assert_eq!(cluster.workers_reporting_to(refused_controller), 0);
     assert_eq!(start_count(&cluster), 8, "no task started twice");
     settle(&mut cluster, "after the refusals");
 }
@@ -101,21 +107,23 @@
 /// reaches the store, and the isolated one can poll its peers again, which may have restarted.
 fn isolated_owner_polls_its_peers(delay_ms: u64, peers_restart: bool) {
     let mut cluster = with_eight_running_tasks();
-    let isolated = (0..3).find(|n| *n != cluster.leader()).expect("another");
-    let others: Vec<usize> = (0..3).filter(|n| *n != isolated).collect();
+    let isolated_controller = (0..3)
+        .find(|n| *n != cluster.leader())
+        .expect("a controller that does not lead");
+    let peers: Vec<usize> = (0..3).filter(|n| *n != isolated_controller).collect();
     cluster
         .faults
         .key_value
         .refused_controllers
-        .insert(isolated);
-    cluster.faults.cut_from_peers.insert(isolated);
+        .insert(isolated_controller);
+    cluster.faults.cut_from_peers.insert(isolated_controller);
     // Its workers' heartbeats reach no other controller.
-    cluster.faults.cut_from_workers.extend(&others);
+    cluster.faults.cut_from_workers.extend(&peers);
     cluster.run(5_000 + delay_ms);
     cluster.faults.key_value.is_down = true;
     cluster.faults.cut_from_peers.clear();
     if peers_restart {
-        for controller in others {
+        for controller in peers {
             cluster.restart(controller, 100);
         }
     }
--- a/crates/worksshunt-core/tests/scenarios/key_value_store.rs
+++ b/crates/worksshunt-core/tests/scenarios/key_value_store.rs
@@ -26,7 +26,7 @@
             cluster.send_and_wait(leader, |request_id| Event::Heartbeat { request_id, body });
         assert_ne!(
             response.status, 200,
-            "it answered a worker after its epoch lease had expired"
+            "the controller answered a worker after its epoch lease had expired"
         );
     }
     let response = cluster.submit(leader, &job(2, 1));
--- a/crates/worksshunt-core/tests/scenarios/leases.rs
+++ b/crates/worksshunt-core/tests/scenarios/leases.rs
@@ -150,7 +150,8 @@
 #[test]
 fn copies_of_an_out_of_order_heartbeat_do_not_extend_a_lease() {
     let (mut cluster, mut target) = two_machines_with_jobs();
-    cluster.faults.heartbeats.copies_after_ms = (4..120).map(|half| half * 500).collect();
+    cluster.faults.heartbeats.copies_after_ms =
+        (4..120).map(|half_seconds| half_seconds * 500).collect();
     delay_heartbeat_past_command_response(&mut cluster, &mut target);
     cluster.faults.heartbeats.copies_after_ms.clear();
     // The cloud still lists the machine, so only the lease shows that its tasks have ended.
--- a/crates/worksshunt-core/tests/scenarios/machines.rs
+++ b/crates/worksshunt-core/tests/scenarios/machines.rs
@@ -97,7 +97,7 @@
     cluster.until("all tasks", 90_000, |cluster| {
         (1..=20).all(|id| cluster.all_done(id, 3))
     });
-    cluster.until("its release", 90_000, |cluster| {
+    cluster.until("the release of the faulty machine", 90_000, |cluster| {
         cluster.released_machines.contains(&faulty)
     });
     let starts = cluster
@@ -105,7 +105,10 @@
         .iter()
         .filter(|start| start.machine == faulty)
         .count();
-    assert!((3..=8).contains(&starts), "{starts} starts on it");
+    assert!(
+        (3..=8).contains(&starts),
+        "{starts} starts on the faulty machine"
+    );
     cluster.check();
 }
 
@@ -138,13 +141,15 @@
     assert_eq!(
         cluster.launches_on(&unreachable),
         launches_before,
-        "tasks were placed on it"
+        "tasks were placed on the unreachable machine"
     );
     let commands = cluster.commands_sent_count(&unreachable);
     assert!(commands < 40, "{commands} commands instead of a few probes");
-    cluster.until("its release", 90_000, |cluster| {
-        cluster.released_machines.contains(&unreachable)
-    });
+    cluster.until(
+        "the release of the unreachable machine",
+        90_000,
+        |cluster| cluster.released_machines.contains(&unreachable),
+    );
     cluster.check();
 }
 
@@ -184,7 +189,7 @@
     cluster.run(25_000);
     cluster.faults.unreachable_machines.clear();
     let starts_before = starts_on(&cluster, &unreachable);
-    cluster.until("tasks on it again", 15_000, |cluster| {
+    cluster.until("new tasks on the machine", 15_000, |cluster| {
         starts_on(cluster, &unreachable) > starts_before
     });
     cluster.until("all tasks", 200_000, |cluster| cluster.all_done(1, 60));
@@ -227,7 +232,10 @@
         .iter()
         .filter(|start| start.task == task)
         .count();
-    assert_eq!(start_count, 2, "it restarts 2 s before the lease expires");
+    assert_eq!(
+        start_count, 2,
+        "the task restarts 2 s before the lease expires"
+    );
     cluster.check();
 }
 
--- a/crates/worksshunt-core/tests/scenarios/messages.rs
+++ b/crates/worksshunt-core/tests/scenarios/messages.rs
@@ -89,7 +89,7 @@
     let id = cluster.task_starts[0].machine.clone();
     cluster.run(3_000);
     let mut copy = cluster.next_heartbeat_of(&id);
-    // The last heartbeat of the machine, whose original never arrived.
+    // A copy of the machine's last heartbeat, whose original never arrived: newer than all received ones.
     copy.sequence += 1_000;
     copy.tasks.clear();
     cluster.until("an empty fleet", 120_000, |cluster| {
@@ -111,7 +111,7 @@
         assert_eq!(
             cluster.commands_sent_count(&id),
             commands_before,
-            "a command was sent to it"
+            "a command was sent to the released machine"
         );
         (0..3).for_each(|controller| cluster.crash(controller));
         (0..3).for_each(|controller| cluster.start(controller));
--- a/crates/worksshunt-core/tests/scenarios/placement.rs
+++ b/crates/worksshunt-core/tests/scenarios/placement.rs
@@ -50,13 +50,13 @@
         cluster.create_machine(zone, true, 0);
     }
     cluster.run(4_000);
-    let mut single_zone = job(1, 8);
-    single_zone["SamePlace"] = json!(true);
-    let mut spread = job(2, 6);
-    spread["Spread"] = json!(true);
-    let mut in_zone_b = job(3, 4);
-    in_zone_b["Patio"] = json!("b");
-    for job in [&single_zone, &spread, &in_zone_b] {
+    let mut single_zone_job = job(1, 8);
+    single_zone_job["SamePlace"] = json!(true);
+    let mut spread_job = job(2, 6);
+    spread_job["Spread"] = json!(true);
+    let mut zone_b_job = job(3, 4);
+    zone_b_job["Patio"] = json!("b");
+    for job in [&single_zone_job, &spread_job, &zone_b_job] {
         assert_eq!(cluster.submit(0, job).status, 201);
     }
     cluster.until("all tasks", 120_000, |cluster| {
@@ -73,9 +73,9 @@
     cluster.faults.cloud.is_down = true;
     cluster.task_run_ms = 20_000;
     cluster.create_machine("b", true, 0);
-    let mut single_zone = long_job(1, 6);
-    single_zone["SamePlace"] = json!(true);
-    cluster.submit(0, &single_zone);
+    let mut single_zone_job = long_job(1, 6);
+    single_zone_job["SamePlace"] = json!(true);
+    cluster.submit(0, &single_zone_job);
     cluster.until("a full machine", 20_000, |cluster| {
         cluster.running().len() == 4
     });
@@ -158,13 +158,15 @@
     cluster.run(20_000);
     cluster.submit(1, &wide_job);
     let submitted_at = cluster.now;
-    cluster.until("its first task", 130_000, |cluster| {
+    cluster.until("the first task of the wide job", 130_000, |cluster| {
         cluster
             .task_starts
             .iter()
             .any(|start| start.task.job == JobId(1))
     });
-    cluster.until("all its tasks", 250_000, |cluster| cluster.all_done(1, 4));
+    cluster.until("all tasks of the wide job", 250_000, |cluster| {
+        cluster.all_done(1, 4)
+    });
     assert!(cluster.now < submitted_at + 330_000);
     assert!(!cluster.all_done(2, 400), "narrow tasks were still waiting");
     cluster.check();
@@ -184,11 +186,11 @@
     let mut cluster = ready();
     cluster.capacity = 2;
     cluster.task_run_ms = 5_000;
-    let mut large = job(1, 200);
-    large["Turno"] = json!("low");
-    large["EntregaS"] = json!(5_000.0);
+    let mut large_job = job(1, 200);
+    large_job["Turno"] = json!("low");
+    large_job["EntregaS"] = json!(5_000.0);
     cluster.submit(0, &urgent_job(2));
-    cluster.submit(1, &large);
+    cluster.submit(1, &large_job);
     let submitted_at = cluster.now;
     let has_started = |cluster: &Cluster| {
         cluster
@@ -227,8 +229,8 @@
     cluster.check();
 }
 
-// Guards against no demand for machines: the quota reserved for starved jobs must not be counted in addition to their
-// own demand, or it uses up the team's limit.
+// Guards against missing demand for machines: if the quota reserved for starved jobs were counted in addition to their
+// own demand, it would use up the team's limit.
 #[test]
 fn starved_jobs_beyond_their_teams_limit_get_machines() {
     let mut cluster = ready();
--- a/crates/worksshunt-core/tests/scenarios/preemption.rs
+++ b/crates/worksshunt-core/tests/scenarios/preemption.rs
@@ -82,8 +82,8 @@
 fn a_guarantee_precedes_urgent_jobs_only_when_it_is_at_risk() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
-        let within = json!({"kind": "guarantee", "within_s": 60.0, "share": 0.9});
-        settings.facts.objectives = serde_json::from_value(json!([within])).expect("objectives");
+        let objective = json!({"kind": "guarantee", "within_s": 60.0, "share": 0.9});
+        settings.facts.objectives = serde_json::from_value(json!([objective])).expect("objectives");
     }
     (0..3).for_each(|controller| cluster.start(controller));
     // Just enough capacity for both teams' guarantees of 8 and 4 CPUs.
@@ -117,8 +117,8 @@
 fn jobs_with_an_objective_are_ordered_by_latest_start_time() {
     let mut cluster = Cluster::new();
     for settings in &mut cluster.settings {
-        let wait = json!({"kind": "wait", "class": "c", "within_s": 100.0, "share": 0.9});
-        settings.facts.objectives = serde_json::from_value(json!([wait])).expect("objectives");
+        let objective = json!({"kind": "wait", "class": "c", "within_s": 100.0, "share": 0.9});
+        settings.facts.objectives = serde_json::from_value(json!([objective])).expect("objectives");
     }
     (0..3).for_each(|controller| cluster.start(controller));
     cluster.run(3_000);
--- a/crates/worksshunt-core/tests/scenarios/service_capacity.rs
+++ b/crates/worksshunt-core/tests/scenarios/service_capacity.rs
@@ -71,9 +71,9 @@
         cluster.running().len() == 4
     });
     cluster.task_run_ms = 40_000;
-    let mut with_deadline = long_job(2, 8);
-    with_deadline["EntregaS"] = json!(200.0);
-    cluster.submit(1, &with_deadline);
+    let mut job_with_deadline = long_job(2, 8);
+    job_with_deadline["EntregaS"] = json!(200.0);
+    cluster.submit(1, &job_with_deadline);
     cluster.until("the job with a deadline", 120_000, |cluster| {
         cluster.all_done(2, 8)
     });
@@ -93,9 +93,12 @@
 fn spare_machines_are_kept_for_classes_with_short_waits() {
     let mut cluster = Cluster::new();
     for controller in 0..3 {
-        let wait = json!({"kind": "wait", "class": "till", "within_s": 2.0});
-        let wait = serde_json::from_value(wait).expect("an objective");
-        cluster.settings[controller].facts.objectives.push(wait);
+        let objective = json!({"kind": "wait", "class": "till", "within_s": 2.0});
+        let objective = serde_json::from_value(objective).expect("an objective");
+        cluster.settings[controller]
+            .facts
+            .objectives
+            .push(objective);
         cluster.start(controller);
     }
     cluster.until("machines", 20_000, |cluster| cluster.workers.len() >= 2);
--- a/crates/worksshunt-core/tests/scenarios/services.rs
+++ b/crates/worksshunt-core/tests/scenarios/services.rs
@@ -12,7 +12,7 @@
     let accepts_services = |cluster: &Cluster| {
         cluster
             .stored("c/epoch")
-            .is_some_and(|e| e["standing"] == json!(true))
+            .is_some_and(|epoch| epoch["standing"] == json!(true))
     };
     cluster.until("an epoch that accepts services", 10_000, accepts_services);
     cluster.run(1_500);
@@ -121,9 +121,9 @@
 // Guards against unknown zones of replicas after an epoch change, which block restarts of a service spread over zones.
 #[test]
 fn a_spread_replica_restarts_after_an_epoch_change() {
-    let mut spread = service(1, 6);
-    spread["Spread"] = json!(true);
-    let mut cluster = with_running_service(&spread, 6);
+    let mut spread_service = service(1, 6);
+    spread_service["Spread"] = json!(true);
+    let mut cluster = with_running_service(&spread_service, 6);
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.until("another leader", 10_000, |cluster| {
@@ -157,7 +157,7 @@
 
 fn running_replicas(cluster: &Cluster) -> usize {
     let running = cluster.running();
-    running.iter().filter(|t| t.job == JobId(1)).count()
+    running.iter().filter(|task| task.job == JobId(1)).count()
 }
 
 // Guards against replicas that restart only when the lease of their dead machine expires, although the cloud
@@ -175,7 +175,7 @@
         .get_mut(&dead_machine)
         .expect("a worker")
         .is_hung = true;
-    cluster.until("its release", 13_000, |cluster| {
+    cluster.until("the release of the dead machine", 13_000, |cluster| {
         cluster.released_machines.contains(&dead_machine)
     });
     cluster.until("all replicas running again", 3_000, |cluster| {
@@ -186,13 +186,13 @@
 
 // Guards against releasing machines as dead when a zone is disconnected or a controller is cut off from its workers.
 #[test]
-fn machines_that_fall_silent_together_are_not_released() {
+fn machines_disconnected_together_are_not_released() {
     let mut cluster = service_beside_other_jobs();
-    let busy = |cluster: &Cluster| -> Vec<MachineId> {
-        let all = cluster.workers.keys().filter(|id| cluster.is_busy(id));
-        all.cloned().collect()
+    let busy_machines = |cluster: &Cluster| -> Vec<MachineId> {
+        let busy_ids = cluster.workers.keys().filter(|id| cluster.is_busy(id));
+        busy_ids.cloned().collect()
     };
-    let mut zone_machines = busy(&cluster);
+    let mut zone_machines = busy_machines(&cluster);
     zone_machines.retain(|id| cluster.workers[id].zone == "a");
     let set_hung = |cluster: &mut Cluster, is_hung| {
         for id in &zone_machines {
@@ -206,19 +206,22 @@
     };
     set_hung(&mut cluster, true);
     cluster.run(15_000);
-    assert!(!any_released(&cluster, &zone_machines), "a zone");
+    assert!(
+        !any_released(&cluster, &zone_machines),
+        "machines of a hung zone"
+    );
     set_hung(&mut cluster, false);
     cluster.until("all replicas running again", 60_000, |cluster| {
         running_replicas(cluster) == 4
     });
     cluster.run(10_000);
-    let busy = busy(&cluster);
+    let busy_machines = busy_machines(&cluster);
     let other_controller = (cluster.leader() + 1) % 3;
     cluster.faults.cut_from_workers.insert(other_controller);
     cluster.run(15_000);
     assert!(
-        !any_released(&cluster, &busy),
-        "a controller cut from its workers"
+        !any_released(&cluster, &busy_machines),
+        "machines of a controller that is cut off from its workers"
     );
     cluster.check();
 }
@@ -231,7 +234,7 @@
     assert_eq!(
         cluster.submit(0, &service_job).status,
         422,
-        "9 of at most 8 CPUs"
+        "the service needs 9 CPUs, the team's limit is 8"
     );
     service_job["Piezas"] = json!(8);
     assert_eq!(cluster.submit(0, &service_job).status, 201);
--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -59,10 +59,18 @@
             && status.machines[0].is_spot
             && !status.machines[0].has_reclaim_notice
     );
-    let phases: Vec<AttemptPhase> = status.attempts.iter().map(|a| a.phase).collect();
+    let phases: Vec<AttemptPhase> = status
+        .attempts
+        .iter()
+        .map(|attempt| attempt.phase)
+        .collect();
     use AttemptPhase::{Completed, Placed, Queued, Running};
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
-    let outcomes: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
+    let outcomes: Vec<AttemptOutcome> = status
+        .ended_attempts
+        .iter()
+        .map(|ended_attempt| ended_attempt.outcome)
+        .collect();
     use AttemptOutcome::{Acknowledged, Failed, Lost, Stopped, Unplaced};
     assert_eq!(outcomes, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
     let PeerResponse::Sync(directives) = &responses[0] else {
@@ -73,7 +81,11 @@
     let encoded: Vec<Vec<u8>> = requests
         .iter()
         .map(|request| borsh::to_vec(request).expect("bytes"))
-        .chain(responses.iter().map(|a| borsh::to_vec(a).expect("bytes")))
+        .chain(
+            responses
+                .iter()
+                .map(|response| borsh::to_vec(response).expect("bytes")),
+        )
         .collect();
     assert_eq!(encoded, frames);
 }
@@ -84,7 +96,10 @@
     match kind {
         "a/" => {
             let records = records::read(pair).expect("records");
-            let entries = records.into_iter().map(|r| (r.attempt, r)).collect();
+            let entries = records
+                .into_iter()
+                .map(|record| (record.attempt, record))
+                .collect();
             let encoded = worksshunt_core::pages::PageEntry::encode_page(&entries);
             assert_eq!(encoded, *value);
         }
@@ -98,9 +113,9 @@
         }
         "j/" => {
             let jobs = value["jobs"].as_array();
-            for stored in jobs.unwrap_or(&vec![value.clone()]) {
-                let job: Job = serde_json::from_value(stored.clone()).expect("a job");
-                assert_eq!(json!(job), *stored, "the encoded job");
+            for stored_job in jobs.unwrap_or(&vec![value.clone()]) {
+                let job: Job = serde_json::from_value(stored_job.clone()).expect("a job");
+                assert_eq!(json!(job), *stored_job, "the encoded job");
             }
         }
         _ => {}
@@ -158,14 +173,14 @@
         production_fields,
         "fields of the epoch that production does not read"
     );
-    let mut member = stored_fields(cluster, "c/n/n0");
-    member.retain(|field| field != "standing");
-    assert_eq!(member, field_names(&production["c/n/n0"]));
+    let mut member_fields = stored_fields(cluster, "c/n/n0");
+    member_fields.retain(|field| field != "standing");
+    assert_eq!(member_fields, field_names(&production["c/n/n0"]));
 }
 
 // Guards against storing a service while a controller exists that cannot read it and would stop its replicas.
 #[test]
-fn services_are_admitted_once_every_controller_supports_them() {
+fn services_are_accepted_once_every_controller_supports_them() {
     let mut cluster = Cluster::new();
     cluster.crash(2);
     cluster.put("c/n/n2", json!({ "hold": 9_999, "reached": true }));
@@ -196,9 +211,9 @@
     let leader = cluster.leader();
     cluster.crash(leader);
     cluster.run(6_000);
-    let other = (leader + 1) % 3;
+    let other_controller = (leader + 1) % 3;
     assert_eq!(
-        cluster.submit(other, &service(3, 1)).status,
+        cluster.submit(other_controller, &service(3, 1)).status,
         201,
         "the controller that is down supported services"
     );
@@ -224,13 +239,15 @@
 }
 
 // Guards against accepting services after a controller of the production version has rejoined: the epochs that it
-// writes lack the field that all controllers support them.
+// writes lack the field that records that all controllers support them.
 #[test]
 fn services_are_rejected_after_a_rollback() {
     let mut cluster = ready();
     cluster.run(3_000);
     assert_eq!(
-        cluster.stored("c/epoch").map(|e| e["standing"].clone()),
+        cluster
+            .stored("c/epoch")
+            .map(|epoch| epoch["standing"].clone()),
         Some(json!(true))
     );
     replace_by_production_controller(&mut cluster);
@@ -260,24 +277,24 @@
 fn with_production_store(is_announced: bool) -> Cluster {
     let mut cluster = Cluster::new();
     (0..3).for_each(|controller| cluster.crash(controller));
-    let mut largest = 0;
+    let mut largest_value_bytes = 0;
     for (key, value) in production_store() {
-        // Member keys of controllers that no longer run, and a final state written later than the rest.
+        // Skips member keys of controllers that are not running, and a final state written after the other records.
         if key.starts_with("c/n/") || key.starts_with("f/") {
             continue;
         }
-        largest = largest.max(value.to_string().len());
+        largest_value_bytes = largest_value_bytes.max(value.to_string().len());
         let page = value["jobs"].as_array().cloned().unwrap_or_default();
-        for stored in page.iter().chain([&value]) {
-            if let Ok(job) = serde_json::from_value::<Job>(stored.clone()) {
+        for stored_job in page.iter().chain([&value]) {
+            if let Ok(job) = serde_json::from_value::<Job>(stored_job.clone()) {
                 cluster.invariants.assume_accepted(job.spec);
             }
         }
         cluster.put(&key, value);
     }
     assert!(
-        largest > SMALL_LIMITS.value_bytes,
-        "the largest value, {largest} bytes, does not exceed the limit"
+        largest_value_bytes > SMALL_LIMITS.value_bytes,
+        "the largest value, {largest_value_bytes} bytes, does not exceed the limit"
     );
     cluster.faults.key_value.limits = Some(SMALL_LIMITS);
     for controller in 0..3 {
--- a/crates/worksshunt-core/tests/stored_records/formats.rs
+++ b/crates/worksshunt-core/tests/stored_records/formats.rs
@@ -90,8 +90,8 @@
 #[test]
 fn the_epoch_format_is_unchanged() {
     assert_eq!(EPOCH_KEY, "c/epoch");
-    let read: EpochRecord = serde_json::from_value(stored(EPOCH_KEY)).expect("an epoch");
-    assert_eq!(read, epoch_record());
+    let decoded: EpochRecord = serde_json::from_value(stored(EPOCH_KEY)).expect("an epoch");
+    assert_eq!(decoded, epoch_record());
     check_encoded(EPOCH_KEY, &json!(epoch_record()));
     // The record of an epoch that does not accept services omits the field, as earlier versions do.
     let mut record = epoch_record();
@@ -100,13 +100,13 @@
     let fields = value.as_object_mut().expect("an object");
     fields.remove("standing");
     assert_eq!(json!(record).to_string(), value.to_string());
-    let read: EpochRecord = serde_json::from_value(value.clone()).expect("an epoch");
-    assert_eq!(read, record);
+    let decoded: EpochRecord = serde_json::from_value(value.clone()).expect("an epoch");
+    assert_eq!(decoded, record);
     let fields = value.as_object_mut().expect("an object");
     fields.remove("unreached");
     record.without_partition.clear();
-    let read: EpochRecord = serde_json::from_value(value).expect("an epoch");
-    assert_eq!(read, record);
+    let decoded: EpochRecord = serde_json::from_value(value).expect("an epoch");
+    assert_eq!(decoded, record);
 }
 
 /// Returns the key and value of the only change, which must be a put.
@@ -117,7 +117,7 @@
     }
 }
 
-fn name(name: &str) -> ControllerName {
+fn controller_name(name: &str) -> ControllerName {
     ControllerName::from(name)
 }
 
@@ -132,9 +132,13 @@
 
 #[test]
 fn the_member_key_format_is_unchanged() {
-    assert_eq!(member_key(&name("n2")), "c/n/n2");
+    assert_eq!(member_key(&controller_name("n2")), "c/n/n2");
     let no_control_keys = empty_listing();
-    let mut not_ready = Membership::new(name("n2"), [name("n0")].into_iter(), 1_000);
+    let mut not_ready = Membership::new(
+        controller_name("n2"),
+        [controller_name("n0")].into_iter(),
+        1_000,
+    );
     not_ready.set_ready(false);
     not_ready.lease_granted(73);
     not_ready.process_control_keys(Time(1), &no_control_keys);
@@ -147,22 +151,26 @@
 fn the_member_key_of_another_controller_is_read() {
     // The read fields: whether the controller is ready, its lease, and whether it supports services.
     let no_control_keys = empty_listing();
-    let mut reader = Membership::new(name("n0"), [name("n2")].into_iter(), 1_000);
+    let mut reader = Membership::new(
+        controller_name("n0"),
+        [controller_name("n2")].into_iter(),
+        1_000,
+    );
     reader.set_ready(true);
     reader.lease_granted(71);
     reader.process_control_keys(Time(1), &no_control_keys);
     let write = reader.member_key_write().expect("a member key");
     let (own_key, own_value) = single_put(&write.changes);
-    let own = r#"{"hold":71,"reached":true,"standing":true}"#;
-    assert_eq!(own_value.to_string(), own);
+    let expected_value = r#"{"hold":71,"reached":true,"standing":true}"#;
+    assert_eq!(own_value.to_string(), expected_value);
     reader.member_key_written(Revision(2));
-    let own = KeyValue {
+    let own_pair = KeyValue {
         key: own_key.to_owned(),
         value: own_value.clone(),
         version: Revision(2),
     };
     let listing = Listing {
-        pairs: vec![own, pair("c/n/n2")],
+        pairs: vec![own_pair, pair("c/n/n2")],
         has_more: false,
         revision: Revision(3),
     };
@@ -190,8 +198,8 @@
     for (key, job) in [("j/j-000001", full_job(1, 7)), ("j/j-000002", service())] {
         assert_eq!(open_job_key(job.spec.id), key);
         assert_eq!(job_id_of_key(key), Some(job.spec.id));
-        let read: Job = serde_json::from_value(stored(key)).expect("a job");
-        assert_eq!(read, job);
+        let decoded: Job = serde_json::from_value(stored(key)).expect("a job");
+        assert_eq!(decoded, job);
         check_encoded(key, &json!(job));
     }
     let key = "j/+n1.72.5";
@@ -199,8 +207,8 @@
     assert!(is_submission_batch_key(key));
     let jobs = [full_job(11, 1), red_job()];
     check_encoded(key, &submission_batch_value(&[&jobs[0], &jobs[1]]));
-    let read: Vec<Job> = serde_json::from_value(stored(key)["jobs"].clone()).expect("jobs");
-    assert_eq!(read, jobs);
+    let decoded: Vec<Job> = serde_json::from_value(stored(key)["jobs"].clone()).expect("jobs");
+    assert_eq!(decoded, jobs);
 }
 
 fn red_job() -> Job {
@@ -216,20 +224,23 @@
     assert_eq!(job_id_of_key(done_key), Some(JobId(5)));
     assert_eq!(read_final_state(&stored(done_key)), Some(JobState::Done));
     check_encoded(done_key, &final_state_value(JobState::Done));
-    let without_job = "f/j-000006";
+    let key_without_job = "f/j-000006";
     assert_eq!(
-        read_final_state(&stored(without_job)),
+        read_final_state(&stored(key_without_job)),
         Some(JobState::Cancelled)
     );
-    assert_eq!(read_cancelled_job(&stored(without_job)), None);
-    check_encoded(without_job, &cancelled_state_value(None));
-    let with_job = "f/j-000007";
+    assert_eq!(read_cancelled_job(&stored(key_without_job)), None);
+    check_encoded(key_without_job, &cancelled_state_value(None));
+    let key_with_job = "f/j-000007";
     assert_eq!(
-        read_final_state(&stored(with_job)),
+        read_final_state(&stored(key_with_job)),
         Some(JobState::Cancelled)
     );
-    assert_eq!(read_cancelled_job(&stored(with_job)), Some(full_job(7, 7)));
-    check_encoded(with_job, &cancelled_state_value(Some(&full_job(7, 7))));
+    assert_eq!(
+        read_cancelled_job(&stored(key_with_job)),
+        Some(full_job(7, 7))
+    );
+    check_encoded(key_with_job, &cancelled_state_value(Some(&full_job(7, 7))));
 }
 
 #[test]
@@ -247,12 +258,14 @@
     ];
     assert_eq!(records::read(&pair("a/4.n1.3")).expect("a page"), page);
     let by_attempt = |page: &[AttemptRecord]| -> BTreeMap<Attempt, AttemptRecord> {
-        page.iter().map(|r| (r.attempt, r.clone())).collect()
+        page.iter()
+            .map(|record| (record.attempt, record.clone()))
+            .collect()
     };
     check_encoded("a/4.n1.3", &AttemptRecord::encode_page(&by_attempt(&page)));
     let first_release = [attempt_record("i-000001", task(1, 2), 67_108_866, 1)];
-    let read = records::read(&pair("a/i-000001")).expect("a machine's record");
-    assert_eq!(read, first_release);
+    let decoded = records::read(&pair("a/i-000001")).expect("a machine's record");
+    assert_eq!(decoded, first_release);
     // An incarnation that differs from every other number in the store.
     let page = [attempt_record("i-000009", task(3, 4), 5, 6)];
     let value = AttemptRecord::encode_page(&by_attempt(&page));
@@ -285,9 +298,10 @@
     entries.insert(key(1), second_chunk);
     let value = Completions::encode_page(&entries);
     let task_index = TASKS_PER_COMPLETIONS_ENTRY + 1;
-    let first = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
-    let text =
-        format!(r#"{{"done":[{first},["j-000001",[[{task_index},{task_index}]],{{}}]],"v":2}}"#);
+    let first_entry = r#"["j-000001",[[0,0],[4,6]],{"a":3,"b":1}]"#;
+    let text = format!(
+        r#"{{"done":[{first_entry},["j-000001",[[{task_index},{task_index}]],{{}}]],"v":2}}"#
+    );
     assert_eq!(value.to_string(), text);
     assert_eq!(read_completions(&value), Some(entries));
 }
@@ -313,8 +327,8 @@
             zones: vec!["a".into(), "b".into()],
         }],
     };
-    let read: Catalog = serde_json::from_value(stored("t/catalog")).expect("a catalog");
-    assert_eq!(read, catalog);
+    let decoded: Catalog = serde_json::from_value(stored("t/catalog")).expect("a catalog");
+    assert_eq!(decoded, catalog);
     check_encoded("t/catalog", &json!(catalog));
 }
 
@@ -325,12 +339,12 @@
         key: key.to_owned(),
         ..pair("c/n/n2")
     };
-    let action_with = |others: &[&str]| {
+    let action_with = |control_keys: &[&str]| {
         let mut reader = Membership::new("n2".into(), std::iter::empty(), 1_000);
         reader.lease_granted(73);
         reader.member_key_written(Revision(1));
         let listing = Listing {
-            pairs: others.iter().map(|other| key(other)).collect(),
+            pairs: control_keys.iter().map(|name| key(name)).collect(),
             has_more: false,
             revision: Revision(2),
         };
--- a/crates/worksshunt-core/tests/stored_records/main.rs
+++ b/crates/worksshunt-core/tests/stored_records/main.rs
@@ -25,13 +25,13 @@
     lines.map(entry).collect()
 }
 
-fn value(text: &str) -> Value {
+fn parse_value(text: &str) -> Value {
     serde_json::from_str(text).expect("JSON")
 }
 
 /// Returns the value of a key of the fixture's store.
 fn stored(key: &str) -> Value {
-    value(store()[key])
+    parse_value(store()[key])
 }
 
 fn pair(key: &str) -> KeyValue {
--- a/crates/worksshunt-core/tests/stored_records/scenarios.rs
+++ b/crates/worksshunt-core/tests/stored_records/scenarios.rs
@@ -9,7 +9,7 @@
 use worksshunt_simulation::{job, service, Cluster};
 use worksshunt_wire::{JobId, TaskId};
 
-use crate::{store, stored, task, value};
+use crate::{parse_value, store, stored, task};
 
 /// All values that each key has had.
 type History = BTreeMap<String, BTreeSet<String>>;
@@ -39,9 +39,9 @@
 /// before and after the job has its own key.
 fn run_jobs_of_all_kinds(history: &mut History) {
     let mut cluster = ready_for_services(history);
-    let mut spread = job(1, 6);
-    spread["Spread"] = json!(true);
-    assert_eq!(cluster.submit(0, &spread).status, 201);
+    let mut spread_job = job(1, 6);
+    spread_job["Spread"] = json!(true);
+    assert_eq!(cluster.submit(0, &spread_job).status, 201);
     assert_eq!(cluster.submit(1, &service(2, 1)).status, 201);
     run_and_record(&mut cluster, history, 15_000);
     for id in 10..18 {
@@ -73,10 +73,10 @@
         cluster.running().len() == 8
     });
     cluster.task_run_ms = 2_700;
-    let mut wide = job(2, 1);
-    wide["Cores"] = json!(4.0);
-    wide["CalculoS"] = json!(3.0);
-    cluster.submit(0, &wide);
+    let mut wide_job = job(2, 1);
+    wide_job["Cores"] = json!(4.0);
+    wide_job["CalculoS"] = json!(3.0);
+    cluster.submit(0, &wide_job);
     for _ in 0..90_000 {
         run_and_record(&mut cluster, history, 1);
         if !cluster.keys("k/").is_empty() {
@@ -146,19 +146,19 @@
     cluster.seed(5);
     cluster.task_run_ms = 25_000;
     for (key, text) in store() {
-        let stored = value(text);
-        let batch = stored["jobs"].as_array().cloned().unwrap_or_default();
-        for stored in batch.into_iter().chain([stored.clone()]) {
-            if let Ok(job) = serde_json::from_value::<Job>(stored) {
+        let record = parse_value(text);
+        let batch = record["jobs"].as_array().cloned().unwrap_or_default();
+        for stored_job in batch.into_iter().chain([record.clone()]) {
+            if let Ok(job) = serde_json::from_value::<Job>(stored_job) {
                 cluster.invariants.assume_accepted(job.spec);
             }
         }
-        cluster.put(key, stored);
+        cluster.put(key, record);
     }
     for index in [0, 4, 5, 6] {
         cluster.invariants.record_completion(task(1, index));
     }
-    // Users know that job 5 is done, and have cancelled jobs 6 and 7.
+    // Records in the invariant checker that job 5 has completed and that users cancelled jobs 6 and 7.
     let cancelled = read_cancelled_job(&stored("f/j-000007")).expect("a job");
     for id in [5, 6, 7] {
         let mut spec = cancelled.spec.clone();
@@ -173,12 +173,12 @@
         };
         cluster.invariants.record_request(&cancellation);
     }
-    let first = cluster.create_machine("a", true, 0);
-    let second = cluster.create_machine("a", true, 0);
-    cluster.inject_task(&first, task(1, 1), 67_108_865);
-    cluster.inject_task(&first, task(7, 1), 67_108_868);
-    cluster.inject_task(&second, task(1, 2), 67_108_866);
-    cluster.inject_task(&second, task(2, 0), 67_108_867);
+    let first_machine = cluster.create_machine("a", true, 0);
+    let second_machine = cluster.create_machine("a", true, 0);
+    cluster.inject_task(&first_machine, task(1, 1), 67_108_865);
+    cluster.inject_task(&first_machine, task(7, 1), 67_108_868);
+    cluster.inject_task(&second_machine, task(1, 2), 67_108_866);
+    cluster.inject_task(&second_machine, task(2, 0), 67_108_867);
     (0..2).for_each(|controller| cluster.start(controller));
     cluster
 }
--- a/crates/worksshunt-net/src/cloud.rs
+++ b/crates/worksshunt-net/src/cloud.rs
@@ -58,7 +58,7 @@
         200 => Ok(CloudResponse::Machines(
             decode(&response.body).unwrap_or_default(),
         )),
-        status => rejected(status, &response.body),
+        status => rejection_outcome(status, &response.body),
     }
 }
 
@@ -73,12 +73,12 @@
     match response.status {
         // The body is not needed: status 200 means that all machines were released.
         200 => Ok(CloudResponse::Machines(machines.clone())),
-        status => rejected(status, &response.body),
+        status => rejection_outcome(status, &response.body),
     }
 }
 
-/// Outcome of a change with a status other than 200.
-fn rejected(status: u16, body: &[u8]) -> Result<CloudResponse, RequestError> {
+/// Returns the outcome of a change with a status other than 200.
+fn rejection_outcome(status: u16, body: &[u8]) -> Result<CloudResponse, RequestError> {
     match status {
         503 if contains_text(body, NO_CAPACITY) => Ok(CloudResponse::NoCapacity),
         _ => Err(RequestError::UnexpectedStatus(status)),
--- a/crates/worksshunt-net/src/cloud/tests.rs
+++ b/crates/worksshunt-net/src/cloud/tests.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// The response to a list request whose only page has that many machines.
+/// The response to a list request with a single page of `machines` machines.
 fn list_single_page(machines: usize) -> CloudResponse {
     let response = HttpResponse::json(200, &page(machines));
     with_response(response, |client| async move {
--- a/crates/worksshunt-net/src/key_value.rs
+++ b/crates/worksshunt-net/src/key_value.rs
@@ -1,7 +1,8 @@
 //! Client of the key-value store: one function per request.
 //!
-//! The service calls it for the controller's requests to the store. The response tells a request that was definitely
-//! not executed from one whose outcome is unknown: a write may be retried without checking only in the first case.
+//! The service calls it for the controller's requests to the store. The response distinguishes requests that were
+//! definitely not executed from those whose outcome is unknown: only the former may be retried without checking whether
+//! the write was applied.
 
 use std::time::Duration;
 
@@ -39,7 +40,7 @@
         } => watch(client, &prefix, since, wait_ms, timeout).await,
     };
     result.unwrap_or_else(|error| match error {
-        // The request is over the limits of the store, which did not execute it.
+        // The request exceeds the rate limits of the store, or the store is unavailable; it was not executed.
         RequestError::UnexpectedStatus(429 | 503) => KvResponse::Refused,
         error => {
             error.log(SERVICE_NAME);
@@ -91,7 +92,7 @@
     match response.status {
         200 => Ok(KvResponse::Found(decode(&response.body)?)),
         404 => {
-            // A 404 without a revision does not mean that the key is missing.
+            // The store reports a missing key with its revision. Any other 404, such as an unknown path, is an error.
             decode::<StoreRevision>(&response.body)?;
             Ok(KvResponse::Missing)
         }
--- a/crates/worksshunt-net/src/key_value/tests.rs
+++ b/crates/worksshunt-net/src/key_value/tests.rs
@@ -206,7 +206,7 @@
     );
 }
 
-/// The response to a list request whose only page has that many keys.
+/// The response to a list request with a single page of `keys` keys.
 fn list_single_page(keys: usize) -> KvResponse {
     let pair = |n: usize| KeyValue {
         key: format!("a/{n:06}"),
--- a/crates/worksshunt-net/src/server/tests.rs
+++ b/crates/worksshunt-net/src/server/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::test_server::TIMEOUT;
 
-/// Sends these bytes and returns the response, with sorted headers and without the `Date` header.
+/// Sends `request` unchanged and returns the response, with sorted headers and without the `Date` header.
 fn send_raw(address: SocketAddr, request: &str) -> String {
     let mut connection = std::net::TcpStream::connect(address).expect("connected");
     let timeout = Some(TIMEOUT);
--- a/crates/worksshunt-net/src/test_server.rs
+++ b/crates/worksshunt-net/src/test_server.rs
@@ -35,16 +35,16 @@
     async_io::block_on(executor.run(call(client)))
 }
 
-/// Request line, content type and body of a request, as received.
+/// Parts of a request that the server received.
 #[derive(Debug)]
-struct SentRequest {
+struct ReceivedRequest {
     request_line: String,
     content_type: Option<String>,
     body: String,
 }
 
 /// Reads one request; `None` if the client closed the connection.
-fn read_request(connection: &mut impl BufRead) -> Option<SentRequest> {
+fn read_request(connection: &mut impl BufRead) -> Option<ReceivedRequest> {
     let mut request_line = String::new();
     connection.read_line(&mut request_line).ok()?;
     if request_line.is_empty() {
@@ -64,7 +64,7 @@
         .map_or(0, |length| length.parse().expect("a length"));
     let mut body = vec![0; length];
     connection.read_exact(&mut body).expect("a body");
-    Some(SentRequest {
+    Some(ReceivedRequest {
         request_line: request_line.trim_end().to_owned(),
         content_type: headers.remove("content-type"),
         body: String::from_utf8(body).expect("text"),
@@ -102,7 +102,7 @@
 }
 
 /// Accepts one connection, sends the responses in order and returns the requests.
-fn send_responses(listener: &TcpListener, responses: &[(u16, String)]) -> Vec<SentRequest> {
+fn send_responses(listener: &TcpListener, responses: &[(u16, String)]) -> Vec<ReceivedRequest> {
     let (mut connection, _) = listener.accept().expect("a connection");
     let mut reader = BufReader::new(connection.try_clone().expect("a connection"));
     let mut requests = Vec::new();
--- a/crates/worksshunt-net/src/worker.rs
+++ b/crates/worksshunt-net/src/worker.rs
@@ -1,7 +1,7 @@
 //! HTTP clients of the workers, for direct commands.
 //!
-//! The service owns one [`WorkerClients`] and sends the controller's direct commands with it. The outcome tells
-//! commands that were never sent from commands without a response, which the worker may still execute.
+//! The service owns one [`WorkerClients`] and sends the controller's direct commands with it. The outcome
+//! distinguishes commands that were never sent from commands without a response, which the worker may still execute.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 }
 
 impl WorkerClients {
-    /// Creates a set that keeps at most `max_clients` clients, and so as many connections.
+    /// Creates a set that keeps at most `max_clients` clients, each with one connection.
     pub fn new(max_clients: usize) -> WorkerClients {
         WorkerClients {
             max_clients,
--- a/crates/worksshunt-wire/tests/protocol_words.rs
+++ b/crates/worksshunt-wire/tests/protocol_names.rs
@@ -5,49 +5,49 @@
 const CRATE_ROOT: &str = include_str!("../src/lib.rs");
 
 /// The Rust column of the table for each protocol name, by interface.
-fn table() -> BTreeMap<&'static str, BTreeMap<&'static str, &'static str>> {
+fn protocol_name_table() -> BTreeMap<&'static str, BTreeMap<&'static str, &'static str>> {
     let mut interface = "";
-    let mut words: BTreeMap<&str, BTreeMap<&str, &str>> = BTreeMap::new();
+    let mut table: BTreeMap<&str, BTreeMap<&str, &str>> = BTreeMap::new();
     let rows = CRATE_ROOT
         .lines()
         .filter_map(|line| line.strip_prefix("//! | "));
     for row in rows.skip(2) {
         let row = row.strip_suffix(" |").expect("the end of a row");
         let cells: Vec<&str> = row.split(" | ").collect();
-        let (word, rust) = match cells[..] {
-            [name, word, rust] => {
-                let module = name.split("([`").nth(1).expect("a module");
+        let (protocol_name, rust_names) = match cells[..] {
+            [interface_cell, protocol_name, rust_names] => {
+                let module = interface_cell.split("([`").nth(1).expect("a module");
                 interface = module.split('`').next().expect("a module");
-                (word, rust)
+                (protocol_name, rust_names)
             }
-            [word, rust] => (word.trim_start_matches("| "), rust),
+            [protocol_name, rust_names] => (protocol_name.trim_start_matches("| "), rust_names),
             _ => panic!("a row of {} cells: {row}", cells.len()),
         };
-        let listed = words.entry(interface).or_default();
-        let word = word.trim_matches('`');
+        let listed = table.entry(interface).or_default();
+        let protocol_name = protocol_name.trim_matches('`');
         assert!(
-            listed.insert(word, rust).is_none(),
-            "{word} is listed twice"
+            listed.insert(protocol_name, rust_names).is_none(),
+            "{protocol_name} is listed twice"
         );
     }
-    words
+    table
 }
 
 /// Protocol names in the serde attributes of a module, each with the Rust name. Names that differ only in the case of
 /// an enum variant are omitted.
 fn renames(source: &'static str) -> Vec<(&'static str, &'static str)> {
     let mut renames = Vec::new();
-    let mut word = None;
+    let mut protocol_name = None;
     for line in source.lines().map(str::trim) {
         if let Some(rest) = line.split("rename = \"").nth(1) {
-            word = rest.split('"').next();
-        } else if let (Some(found), false) = (word, line.starts_with("///")) {
+            protocol_name = rest.split('"').next();
+        } else if let (Some(found), false) = (protocol_name, line.starts_with("///")) {
             let name = line.trim_start_matches("pub ");
             let name = name.split([':', ',']).next().expect("a name");
             if !found.eq_ignore_ascii_case(name) || name.starts_with(char::is_lowercase) {
                 renames.push((found, name));
             }
-            word = None;
+            protocol_name = None;
         }
     }
     renames
@@ -55,7 +55,7 @@
 
 #[test]
 fn renamed_fields_and_variants_are_in_the_table() {
-    let table = table();
+    let table = protocol_name_table();
     for (interface, source) in [
         ("user", include_str!("../src/user.rs")),
         ("worker", include_str!("../src/worker.rs")),
@@ -65,12 +65,13 @@
     ] {
         let renames = renames(source);
         assert!(!renames.is_empty(), "{interface}");
-        for (word, name) in renames {
-            let listed = table[interface].get(word);
-            let listed = listed.unwrap_or_else(|| panic!("{interface}: {word} is not listed"));
+        for (protocol_name, rust_name) in renames {
+            let listed = table[interface].get(protocol_name);
+            let listed =
+                listed.unwrap_or_else(|| panic!("{interface}: {protocol_name} is not listed"));
             assert!(
-                listed.contains(name),
-                "{interface}: {word} is {name}, not {listed}"
+                listed.contains(rust_name),
+                "{interface}: {protocol_name} is {rust_name}, not {listed}"
             );
         }
     }
--- a/crates/worksshunt-wire/tests/wire_format/peer.rs
+++ b/crates/worksshunt-wire/tests/wire_format/peer.rs
@@ -55,7 +55,7 @@
         phase,
         running_ms: 1_234,
     };
-    let ended = |index, machine: Option<&str>, outcome| EndedAttempt {
+    let ended_attempt = |index, machine: Option<&str>, outcome| EndedAttempt {
         task: task(413, index),
         attempt: Attempt(400 + u64::from(index)),
         machine: machine.map(MachineId::from),
@@ -75,11 +75,11 @@
             attempt_status(3, AttemptPhase::Completed),
         ],
         ended_attempts: vec![
-            ended(0, Some("i-000060"), AttemptOutcome::Failed),
-            ended(1, Some("i-000061"), AttemptOutcome::Stopped),
-            ended(2, Some("i-000062"), AttemptOutcome::Lost),
-            ended(3, None, AttemptOutcome::Unplaced),
-            ended(4, Some("i-000063"), AttemptOutcome::Acknowledged),
+            ended_attempt(0, Some("i-000060"), AttemptOutcome::Failed),
+            ended_attempt(1, Some("i-000061"), AttemptOutcome::Stopped),
+            ended_attempt(2, Some("i-000062"), AttemptOutcome::Lost),
+            ended_attempt(3, None, AttemptOutcome::Unplaced),
+            ended_attempt(4, Some("i-000063"), AttemptOutcome::Acknowledged),
         ],
     }
 }
--- a/crates/worksshunt-wire/tests/wire_format/worker.rs
+++ b/crates/worksshunt-wire/tests/wire_format/worker.rs
@@ -17,7 +17,7 @@
         exit_reason,
         is_checkpoint_saved,
     };
-    let ended = |index, exit_reason, is_checkpoint_saved| {
+    let ended_task = |index, exit_reason, is_checkpoint_saved| {
         task_status(
             index,
             TaskState::Ended,
@@ -39,12 +39,12 @@
             task_status(0, TaskState::Fetching, None, None),
             task_status(1, TaskState::Running, None, None),
             task_status(2, TaskState::Saving, None, None),
-            ended(3, ExitReason::Done, None),
-            ended(4, ExitReason::Stopped, Some(true)),
-            ended(5, ExitReason::Error, Some(false)),
-            ended(6, ExitReason::InsufficientResources, None),
-            ended(7, ExitReason::Busy, None),
-            ended(8, ExitReason::Unknown, None),
+            ended_task(3, ExitReason::Done, None),
+            ended_task(4, ExitReason::Stopped, Some(true)),
+            ended_task(5, ExitReason::Error, Some(false)),
+            ended_task(6, ExitReason::InsufficientResources, None),
+            ended_task(7, ExitReason::Busy, None),
+            ended_task(8, ExitReason::Unknown, None),
         ],
     }
 }
--- a/crates/worksshunt/tests/http_interface/command_line.rs
+++ b/crates/worksshunt/tests/http_interface/command_line.rs
@@ -6,7 +6,8 @@
 
 use crate::message::read_message;
 
-/// Request line, request body and exit code of the command line client when the server responds with `status`.
+/// Runs the command line client against a server that responds with `status`. Returns the request line, the request
+/// body and the exit code.
 fn run_command(arguments: &[&str], input: &str, status: u16) -> (String, String, Option<i32>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/worksshunt/tests/http_interface/controller.rs
+++ b/crates/worksshunt/tests/http_interface/controller.rs
@@ -48,7 +48,7 @@
         if controller.wait_until_listening(started_at) {
             return controller;
         }
-        // Another program may have taken the port since; retries with other ports.
+        // Another program may have taken a port since `free_addresses` returned; retries with other ports.
         let log = controller.read_log();
         assert!(
             log.contains("cannot listen on"),
@@ -58,10 +58,10 @@
 }
 
 fn spawn(store: SocketAddr, cloud: SocketAddr) -> Controller {
-    let (address, internal) = free_addresses();
+    let (address, internal_address) = free_addresses();
     let settings = serde_json::json!({
         "host_name": "estiba-0", "site": "a", "known": [],
-        "client_listen": address.to_string(), "internal_addr": internal.to_string(),
+        "client_listen": address.to_string(), "internal_addr": internal_address.to_string(),
         "services": {"cloud": cloud.to_string(), "state": store.to_string()},
         "facts": {
             "teams": [{"name": "t", "cpus": 1.0, "cpus_max": 2.0, "gpus": 0.0, "gpus_max": 0.0}],
@@ -71,7 +71,7 @@
             "limits": {"sockets": 1000}
         }
     });
-    // Not the port: two tests may get the same port one after the other.
+    // The file name contains a counter, since two tests may get the same port one after the other.
     let number = STARTED_CONTROLLERS.fetch_add(1, Ordering::Relaxed);
     let name = format!("worksshunt-{}-{number}", std::process::id());
     let file = std::env::temp_dir().join(name);
