--- a/crates/worksshunt-core/src/fleet/tracked_machine.rs
+++ b/crates/worksshunt-core/src/fleet/tracked_machine.rs
@@ -98,8 +98,8 @@
         matches!(self.stage, MachineStage::Draining | MachineStage::Releasing)
     }
 
-    /// Whether it is booting and likely to come up. It is unlikely to if the cloud has listed it as running for
-    /// `first_heartbeat_timeout_ms` without a heartbeat.
+    /// Whether it is booting and counts as future capacity. It no longer does once the cloud has listed it as running
+    /// for `first_heartbeat_timeout_ms` without a heartbeat.
     pub(super) fn is_expected_to_boot(&self, now: Time, first_heartbeat_timeout_ms: u64) -> bool {
         self.stage == MachineStage::Booting
             && self
@@ -112,8 +112,8 @@
         now.since(self.last_reported_at.unwrap_or(self.first_seen_at))
     }
 
-    /// Whether it has gone unreported for longer than the boot timeout of its type.
-    pub(super) fn is_silent(&self, now: Time, boot_s: f64) -> bool {
+    /// Whether it has not been reported for longer than the boot timeout of its type.
+    pub(super) fn is_report_overdue(&self, now: Time, boot_s: f64) -> bool {
         let timeout_ms = ((boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S) * 1_000.0) as u64;
         self.unreported_ms(now) > timeout_ms
     }
