--- a/crates/worksshunt-core/tests/scenarios/upgrade.rs
+++ b/crates/worksshunt-core/tests/scenarios/upgrade.rs
@@ -59,18 +59,10 @@
             && status.machines[0].is_spot
             && !status.machines[0].has_reclaim_notice
     );
-    let phases: Vec<AttemptPhase> = status
-        .attempts
-        .iter()
-        .map(|attempt| attempt.phase)
-        .collect();
+    let phases: Vec<AttemptPhase> = status.attempts.iter().map(|a| a.phase).collect();
     use AttemptPhase::{Completed, Placed, Queued, Running};
     assert_eq!(phases, [Queued, Placed, Running, Completed]);
-    let outcomes: Vec<AttemptOutcome> = status
-        .ended_attempts
-        .iter()
-        .map(|ended_attempt| ended_attempt.outcome)
-        .collect();
+    let outcomes: Vec<AttemptOutcome> = status.ended_attempts.iter().map(|e| e.outcome).collect();
     use AttemptOutcome::{Acknowledged, Failed, Lost, Stopped, Unplaced};
     assert_eq!(outcomes, [Failed, Stopped, Lost, Unplaced, Acknowledged]);
     let PeerResponse::Sync(directives) = &responses[0] else {
@@ -81,11 +73,7 @@
     let encoded: Vec<Vec<u8>> = requests
         .iter()
         .map(|request| borsh::to_vec(request).expect("bytes"))
-        .chain(
-            responses
-                .iter()
-                .map(|response| borsh::to_vec(response).expect("bytes")),
-        )
+        .chain(responses.iter().map(|r| borsh::to_vec(r).expect("bytes")))
         .collect();
     assert_eq!(encoded, frames);
 }
