--- a/crates/worksshunt-core/src/controller/key_value_responses.rs
+++ b/crates/worksshunt-core/src/controller/key_value_responses.rs
@@ -34,8 +34,8 @@
             KvPurpose::WriteMemberKey => {
                 self.process_member_key_write_response(answered_at, response)
             }
-            KvPurpose::RenewLease(lease) => {
-                self.process_lease_renewal_response(answered_at, lease, response)
+            KvPurpose::RenewLease(lease_id) => {
+                self.process_lease_renewal_response(answered_at, lease_id, response)
             }
             KvPurpose::ReadControlKeys => {
                 self.process_control_keys_response(times, response, actions)
@@ -50,7 +50,7 @@
             | KvPurpose::ReadPageVersion { .. } => {
                 self.process_epoch_response(times, purpose, response, actions);
             }
-            KvPurpose::LookUpFinalState(id) => self.process_deferred_lookup_response(id, response),
+            KvPurpose::CacheFinalState(id) => self.process_deferred_lookup_response(id, response),
             KvPurpose::AcceptSubmissions(number) => {
                 self.process_accept_write_response(number, answered_at, response, actions);
             }
--- a/crates/worksshunt-core/tests/stored_records/formats.rs
+++ b/crates/worksshunt-core/tests/stored_records/formats.rs
@@ -70,10 +70,10 @@
     job
 }
 
-fn member(name: &str, lease: u64) -> Member {
+fn member(name: &str, lease_id: u64) -> Member {
     Member {
         name: name.into(),
-        lease,
+        lease_id,
     }
 }
 
@@ -140,9 +140,9 @@
         1_000,
     );
     not_ready.set_ready(false);
-    not_ready.lease_granted(73);
+    not_ready.apply_lease_grant(73);
     not_ready.process_control_keys(Time(1), &no_control_keys);
-    let write = not_ready.member_key_write().expect("a member key");
+    let write = not_ready.next_member_key_write().expect("a member key");
     let (key, value) = single_put(&write.changes);
     check_encoded(key, value);
 }
@@ -157,13 +157,13 @@
         1_000,
     );
     reader.set_ready(true);
-    reader.lease_granted(71);
+    reader.apply_lease_grant(71);
     reader.process_control_keys(Time(1), &no_control_keys);
-    let write = reader.member_key_write().expect("a member key");
+    let write = reader.next_member_key_write().expect("a member key");
     let (own_key, own_value) = single_put(&write.changes);
     let expected_value = r#"{"hold":71,"reached":true,"standing":true}"#;
     assert_eq!(own_value.to_string(), expected_value);
-    reader.member_key_written(Revision(2));
+    reader.record_member_key_write(Revision(2));
     let own_pair = KeyValue {
         key: own_key.to_owned(),
         value: own_value.clone(),
@@ -341,8 +341,8 @@
     };
     let action_with = |control_keys: &[&str]| {
         let mut reader = Membership::new("n2".into(), std::iter::empty(), 1_000);
-        reader.lease_granted(73);
-        reader.member_key_written(Revision(1));
+        reader.apply_lease_grant(73);
+        reader.record_member_key_write(Revision(1));
         let listing = Listing {
             pairs: control_keys.iter().map(|name| key(name)).collect(),
             has_more: false,
